--- a/crates/authority/examples/fold.rs
+++ b/crates/authority/examples/fold.rs
@@ -142,7 +142,7 @@
     let states: Vec<State> = (0..COPIES).map(|_| fold(&log)).collect();
     let each = (resident() - before) / COPIES;
     let mut snapshot = record::Snapshot::default();
-    states[0].fill(&mut snapshot);
+    states[0].fill_snapshot(&mut snapshot);
     println!(
         "state of {ENGINES} engines with a role and a model each and {SCOPES} scopes: {} KB; \
          in a snapshot {} KB",
--- a/crates/authority/src/change.rs
+++ b/crates/authority/src/change.rs
@@ -6,7 +6,7 @@
 
 use crate::OrderId;
 use crate::order::{Order, Verdict};
-use crate::state::Pending;
+use crate::state::PendingOrder;
 use clock::Moment;
 use smallvec::SmallVec;
 
@@ -87,10 +87,10 @@
 
 impl Change {
     /// A change whose intent was folded as valid.
-    pub fn new(now: Moment, pending: &Pending, origin: Origin, pace: Pace) -> Self {
+    pub fn new(now: Moment, pending: &PendingOrder, origin: Origin, pace: Pace) -> Self {
         Self {
             order: pending.order,
-            what: pending.what.clone(),
+            what: pending.action.clone(),
             origin,
             pace,
             step: Step::Survey,
--- a/crates/authority/src/change/act.rs
+++ b/crates/authority/src/change/act.rs
@@ -42,7 +42,8 @@
     /// A send that is begun too late in the lease could arrive beside the next holder's; one to an
     /// engine that ignores fences must also come after everything that a former holder sent.
     fn send(&mut self, now: Moment, permit: &Permit) -> Option<Output> {
-        let quiet = self.checks_fence || permit.grant.is_quiet(now, self.pace.order_delay);
+        let quiet =
+            self.checks_fence || permit.grant.is_quarantine_over(now, self.pace.order_delay);
         if !permit.admitted || !quiet || !permit.grant.may_act(now, self.pace.timeout) {
             return None;
         }
--- a/crates/authority/src/change/read.rs
+++ b/crates/authority/src/change/read.rs
@@ -80,7 +80,7 @@
         }
         let delay = self.pace.order_delay;
         let arrived = self.last_send.is_none_or(|sent| now >= sent + delay);
-        arrived && permit.grant.is_quiet(now, delay)
+        arrived && permit.grant.is_quarantine_over(now, delay)
     }
 
     fn judge(&mut self, now: Moment, reading: &Reading) {
--- a/crates/authority/src/effect.rs
+++ b/crates/authority/src/effect.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Effect {
     /// The record is of another matter.
-    Other,
+    Unrelated,
     /// The offset was folded before.
     Repeated,
     /// Records before it were left out, so that it can't be judged; nothing changed. A snapshot
@@ -27,7 +27,7 @@
         /// The new holder.
         holder: Author,
         /// The former holder, if it had not released.
-        from: Option<Author>,
+        previous_holder: Option<Author>,
     },
     /// The holder is alive.
     Renewed {
@@ -52,7 +52,7 @@
         /// The upstream.
         upstream: UpstreamId,
         /// What it will be told.
-        what: Order,
+        action: Order,
     },
     /// The upstream may get new work again.
     Concluded {
--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -3,7 +3,7 @@
 //! than a bound is all that is assumed of them. See `docs/design/authority.md`.
 
 use crate::author::Author;
-use crate::nonce::{Nonce, Source};
+use crate::nonce::{Nonce, NonceSource};
 use crate::state::State;
 use crate::{Fence, Offset, ScopeId};
 use clock::Moment;
@@ -22,7 +22,7 @@
 
 /// Bound on appends whose fate is not known. A forgotten one can no longer extend the lease when
 /// it is read back, which shortens the lease and never lengthens it.
-pub const ATTEMPTS: usize = 8;
+pub const MAX_ATTEMPTS: usize = 8;
 
 /// What a step asks of the owner.
 pub type Outputs = SmallVec<[Output; 2]>;
@@ -52,7 +52,7 @@
     scope: ScopeId,
     me: Author,
     term: Term,
-    nonces: Source,
+    nonces: NonceSource,
     rank: u32,
     burden: u32,
     view: View,
@@ -60,7 +60,7 @@
     first_read: Option<Moment>,
     /// When the newest read that reached the end of the log was sent.
     last_read: Option<Moment>,
-    attempts: SmallVec<[Attempt; ATTEMPTS]>,
+    attempts: SmallVec<[Attempt; MAX_ATTEMPTS]>,
     /// The moment before the newest claim or renewal that was read back as valid was sent.
     start: Option<Moment>,
     /// When this process began to hold the scope.
@@ -77,7 +77,7 @@
             scope,
             me,
             term,
-            nonces: Source::new(seed),
+            nonces: NonceSource::new(seed),
             rank: 0,
             burden: 0,
             view: View::default(),
@@ -110,7 +110,7 @@
             fence: self.view.fence,
             until: start + self.term.lease(),
             since: self.since,
-            quiet: self.since + self.term.wait(),
+            quarantine_until: self.since + self.term.challenge_wait(),
         })
     }
 
@@ -137,7 +137,7 @@
             // Records are read back in the log's order, which may not be the order of sending.
             self.start = self.start.max(Some(at));
             if !self.leaving {
-                self.next = self.next.max(at + self.term.renewal());
+                self.next = self.next.max(at + self.term.renewal_interval());
             }
         }
         outputs
@@ -146,7 +146,7 @@
     /// Takes in a state that was not folded record by record.
     pub fn restore(&mut self, now: Moment, state: &State) -> Outputs {
         let mut outputs = Outputs::new();
-        let Some(held) = state.holding(&self.scope) else {
+        let Some(held) = state.current_claim(&self.scope) else {
             return outputs;
         };
         let view = &self.view;
@@ -183,22 +183,22 @@
     pub fn step(&mut self, now: Moment, input: &Input<'_>) -> Outputs {
         match *input {
             Input::Tick => (),
-            Input::Read { asked } => {
+            Input::Read { sent_at: asked } => {
                 self.first_read.get_or_insert(now);
                 self.last_read = self.last_read.max(Some(asked));
             }
             Input::Members(members) => {
                 self.rank = rank::rank(&self.scope, &self.me.instance, members);
             }
-            Input::Burden(scopes) => self.burden = scopes,
+            Input::OtherScopes(scopes) => self.burden = scopes,
             // An answer says that the record stands, not that it is valid.
-            Input::Answered(_) => (),
-            Input::Failed(nonce) => {
+            Input::AppendAcknowledged(_) => (),
+            Input::AppendFailed(nonce) => {
                 self.attempts.retain(|attempt| attempt.nonce != nonce);
-                self.next = self.next.min(now + self.term.retry());
+                self.next = self.next.min(now + self.term.retry_delay());
             }
             // The attempt is kept: it may have landed, or land at any later time.
-            Input::Unknown(_) => self.next = self.next.min(now + self.term.retry()),
+            Input::AppendUnknown(_) => self.next = self.next.min(now + self.term.retry_delay()),
             Input::Leave if self.leaving => (),
             Input::Leave => {
                 self.leaving = true;
@@ -252,7 +252,7 @@
         let wait = if vacant {
             Duration::ZERO
         } else {
-            self.term.wait()
+            self.term.challenge_wait()
         };
         let due = first.max(self.view.read) + wait + self.delay();
         now >= due && self.last_read >= Some(due)
@@ -264,16 +264,16 @@
     fn delay(&self) -> Duration {
         let steps = self.rank.saturating_add(self.burden);
         let stagger = self.term.stagger();
-        stagger * steps + stagger * self.nonces.permille() / 2000
+        stagger * steps + stagger * self.nonces.jitter_permille() / 2000
     }
 
     fn append(&mut self, now: Moment, body: Body) -> Output {
-        let nonce = self.nonces.draw();
+        let nonce = self.nonces.next_nonce();
         self.next = match body {
-            Body::Renewal(_) => now + self.term.renewal(),
-            _ => now + self.term.retry(),
+            Body::Renewal(_) => now + self.term.renewal_interval(),
+            _ => now + self.term.retry_delay(),
         };
-        if self.attempts.len() == ATTEMPTS {
+        if self.attempts.len() == MAX_ATTEMPTS {
             self.attempts.remove(0);
         }
         self.attempts.push(Attempt { nonce, at: now });
--- a/crates/authority/src/lease/grant.rs
+++ b/crates/authority/src/lease/grant.rs
@@ -16,7 +16,7 @@
     pub since: Moment,
     /// Until when a former holder that was paused between its check and its send is reckoned
     /// with, not counting the time that an order may take on its way.
-    pub quiet: Moment,
+    pub quarantine_until: Moment,
 }
 
 impl Grant {
@@ -29,7 +29,7 @@
 
     /// Whether nothing that a former holder sent can still arrive at an engine that ignores
     /// fences, given the longest time that an order may take on its way.
-    pub fn is_quiet(&self, now: Moment, order_delay: Duration) -> bool {
-        now >= self.quiet + order_delay
+    pub fn is_quarantine_over(&self, now: Moment, order_delay: Duration) -> bool {
+        now >= self.quarantine_until + order_delay
     }
 }
--- a/crates/authority/src/lease/message.rs
+++ b/crates/authority/src/lease/message.rs
@@ -14,18 +14,18 @@
     /// A read that was sent at `asked` reached the end of the log, and its records are folded.
     Read {
         /// When the read was sent.
-        asked: Moment,
+        sent_at: Moment,
     },
     /// The live entries, this one among them.
     Members(&'a [InstanceId]),
     /// How many other scopes this process holds.
-    Burden(u32),
+    OtherScopes(u32),
     /// The log answered an append; it counts only when it is read back.
-    Answered(Nonce),
+    AppendAcknowledged(Nonce),
     /// An append certainly did not and will not reach the log.
-    Failed(Nonce),
+    AppendFailed(Nonce),
     /// Nothing is known about an append: it may land at any later time.
-    Unknown(Nonce),
+    AppendUnknown(Nonce),
     /// The process shuts down: give the scope up and do not claim any more.
     Leave,
 }
--- a/crates/authority/src/lease/term.rs
+++ b/crates/authority/src/lease/term.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 /// Smallest lease: below it a third of the lease is no more than a round trip to a slow log.
-pub const LEASE_MIN: Duration = Duration::from_millis(300);
+pub const MIN_LEASE: Duration = Duration::from_millis(300);
 
 /// Greatest rate drift that the arithmetic is made for: a tenth.
-pub const DRIFT_MAX_PPM: u32 = 100_000;
+pub const MAX_DRIFT_PPM: u32 = 100_000;
 
 /// The unchecked figures, as the settings give them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Figures {
+pub struct TermConfig {
     /// For how long a holder may act after it sent a renewal.
     pub lease: Duration,
     /// What challengers wait beyond it.
@@ -24,7 +24,7 @@
     pub retry: Duration,
 }
 
-impl Default for Figures {
+impl Default for TermConfig {
     /// Ten seconds of lease: control is without a holder for 13 seconds or so after a kill, during
     /// which the fleet serves on as it stands; shorter leases would spend more appends on renewals
     /// (one in 3.3 seconds and scope).
@@ -57,7 +57,7 @@
     retry: Duration,
 }
 
-impl TryFrom<Figures> for Term {
+impl TryFrom<TermConfig> for Term {
     type Error = Vec<Finding>;
 
     /// Checks the figures.
@@ -65,16 +65,16 @@
     /// # Errors
     ///
     /// All findings together.
-    fn try_from(figures: Figures) -> Result<Self, Vec<Finding>> {
+    fn try_from(figures: TermConfig) -> Result<Self, Vec<Finding>> {
         let mut findings = Vec::new();
         let mut check = |wrong, field, problem| {
             if wrong {
                 findings.push(Finding { field, problem });
             }
         };
-        check(figures.lease < LEASE_MIN, "lease", "is below 300 ms");
+        check(figures.lease < MIN_LEASE, "lease", "is below 300 ms");
         check(
-            figures.drift_ppm > DRIFT_MAX_PPM,
+            figures.drift_ppm > MAX_DRIFT_PPM,
             "drift_ppm",
             "is above 100000, a tenth",
         );
@@ -104,7 +104,7 @@
 
     /// How long a challenger waits after it read a renewal, on its own clock: never shorter than
     /// the lease on any other clock.
-    pub fn wait(&self) -> Duration {
+    pub fn challenge_wait(&self) -> Duration {
         self.wait
     }
 
@@ -114,12 +114,12 @@
     }
 
     /// After how long an append that failed or was not answered is made anew.
-    pub fn retry(&self) -> Duration {
+    pub fn retry_delay(&self) -> Duration {
         self.retry
     }
 
     /// After how long a holder renews.
-    pub fn renewal(&self) -> Duration {
+    pub fn renewal_interval(&self) -> Duration {
         self.lease / 3
     }
 }
@@ -127,7 +127,7 @@
 /// The holder's clock may be slow and the challenger's fast: with rates in `1 - d ..= 1 + d`, a
 /// lease of `L` on the holder's clock takes at most `L / (1 - d)` of true time, in which the
 /// challenger's clock advances by at most `L * (1 + d) / (1 - d)`.
-fn wait(figures: &Figures) -> Duration {
+fn wait(figures: &TermConfig) -> Duration {
     const MILLION: u128 = 1_000_000;
     let drift = u128::from(figures.drift_ppm);
     let nanos = (figures.lease.as_nanos() * (MILLION + drift)).div_ceil(MILLION - drift);
--- a/crates/authority/src/planner.rs
+++ b/crates/authority/src/planner.rs
@@ -4,7 +4,7 @@
 
 use crate::change::{self, Change, Origin, Pace, Permit};
 use crate::lease::Grant;
-use crate::nonce::Source;
+use crate::nonce::NonceSource;
 use crate::order::Order;
 use crate::state::State;
 use crate::{OrderId, ScopeId, UpstreamId};
@@ -52,7 +52,7 @@
     scope: ScopeId,
     bounds: Bounds,
     pace: Pace,
-    nonces: Source,
+    nonces: NonceSource,
     serving: BTreeSet<UpstreamId>,
     wishes: BTreeMap<UpstreamId, Wish>,
     changes: BTreeMap<OrderId, (UpstreamId, Change)>,
@@ -67,7 +67,7 @@
             scope,
             bounds,
             pace,
-            nonces: Source::new(seed),
+            nonces: NonceSource::new(seed),
             serving: BTreeSet::new(),
             wishes: BTreeMap::new(),
             changes: BTreeMap::new(),
@@ -200,7 +200,9 @@
             let Some((upstream, _)) = self.changes.remove(&order) else {
                 continue;
             };
-            let ends = state.recent().filter(|end| end.intent.order == order);
+            let ends = state
+                .recent_orders()
+                .filter(|end| end.intent.order == order);
             let ends = ends.map(|end| Output::Concluded {
                 upstream: upstream.clone(),
                 order,
@@ -208,7 +210,7 @@
             });
             outputs.extend(ends);
         }
-        for (upstream, pending) in state.all_pending() {
+        for (upstream, pending) in state.pending_orders() {
             if pending.scope != self.scope || self.changes.contains_key(&pending.order) {
                 continue;
             }
@@ -240,14 +242,15 @@
         let Some((upstream, change)) = self.changes.get_mut(&order) else {
             return;
         };
-        let admitted = state.pending(upstream).is_some_and(|pending| {
-            !pending.what.uses_weight_store() || state.loads_before(order) < self.bounds.loads
+        let admitted = state.pending_order(upstream).is_some_and(|pending| {
+            !pending.action.uses_weight_store()
+                || state.pending_loads_before(order) < self.bounds.loads
         });
         let permit = Permit { grant, admitted };
         for output in change.step(now, &permit, input) {
             let output = match output {
                 change::Output::Conclude { verdict, detail } => Output::Append {
-                    nonce: self.nonces.draw(),
+                    nonce: self.nonces.next_nonce(),
                     body: Body::Outcome(record::Outcome {
                         scope: self.scope.clone(),
                         fence: grant.fence,
@@ -269,6 +272,6 @@
 
 fn is_pending(state: &State, upstream: &str, order: OrderId) -> bool {
     state
-        .pending(upstream)
+        .pending_order(upstream)
         .is_some_and(|pending| pending.order == order)
 }
--- a/crates/authority/src/planner/begin.rs
+++ b/crates/authority/src/planner/begin.rs
@@ -26,7 +26,7 @@
         let mut due: SmallVec<[(Reason, UpstreamId); 4]> = self
             .wishes
             .iter()
-            .filter(|(upstream, wish)| now >= wish.next && state.pending(upstream).is_none())
+            .filter(|(upstream, wish)| now >= wish.next && state.pending_order(upstream).is_none())
             .map(|(upstream, wish)| (wish.reason, upstream.clone()))
             .collect();
         due.sort();
@@ -35,7 +35,7 @@
                 continue;
             }
             let body = self.intent(now, state, grant, &upstream);
-            let nonce = self.nonces.draw();
+            let nonce = self.nonces.next_nonce();
             outputs.extend(body.map(|body| Output::Append { nonce, body }));
         }
     }
@@ -44,7 +44,7 @@
     /// the claim is in force; counted only when read back, several could land at once and close
     /// more upstreams than may be.
     fn may_close(&self, state: &State, upstream: &UpstreamId) -> bool {
-        let pending = state.all_pending();
+        let pending = state.pending_orders();
         let pending = pending.filter(|(_, pending)| pending.scope == self.scope);
         let sent = self.wishes.iter().filter(|(_, wish)| wish.sent);
         let sent = sent.map(|(upstream, _)| upstream);
--- a/crates/authority/src/planner/reconcile.rs
+++ b/crates/authority/src/planner/reconcile.rs
@@ -10,7 +10,8 @@
     /// Asks for a reading of each idle engine now and then.
     pub(super) fn check(&mut self, now: Moment, state: &State, outputs: &mut Outputs) {
         for (upstream, known) in state.all_settled() {
-            let busy = state.pending(upstream).is_some() || self.wishes.contains_key(upstream);
+            let busy =
+                state.pending_order(upstream).is_some() || self.wishes.contains_key(upstream);
             if busy || known.scope != self.scope || !self.serving.contains(upstream) {
                 continue;
             }
@@ -42,7 +43,7 @@
         let Some(known) = known.filter(|known| known.order == asked) else {
             return;
         };
-        if state.pending(&upstream).is_some() || reading.is_running() {
+        if state.pending_order(&upstream).is_some() || reading.is_running() {
             return;
         }
         let repairs = reading.repairs(known);
--- a/crates/authority/src/settled.rs
+++ b/crates/authority/src/settled.rs
@@ -6,11 +6,11 @@
 use smallvec::SmallVec;
 
 /// Bound on the models remembered of one upstream; the one settled longest ago is forgotten first.
-pub const MODELS_PER_UPSTREAM: usize = 16;
+pub const MAX_MODELS_PER_UPSTREAM: usize = 16;
 
 /// A model that an order settled.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Placed {
+pub struct SettledModel {
     /// The model.
     pub model: Model,
     /// Whether it was loaded, else unloaded.
@@ -27,7 +27,7 @@
     /// The role, if an order set it.
     pub role: Option<Role>,
     /// The models that orders loaded or unloaded, the newest last.
-    pub models: SmallVec<[Placed; 1]>,
+    pub models: SmallVec<[SettledModel; 1]>,
 }
 
 impl Settled {
@@ -66,10 +66,10 @@
 
     fn place(&mut self, model: &Model, loaded: bool) {
         self.models.retain(|placed| !placed.model.same_slot(model));
-        if self.models.len() == MODELS_PER_UPSTREAM {
+        if self.models.len() == MAX_MODELS_PER_UPSTREAM {
             self.models.remove(0);
         }
-        self.models.push(Placed {
+        self.models.push(SettledModel {
             model: model.clone(),
             loaded,
         });
--- a/crates/authority/src/state.rs
+++ b/crates/authority/src/state.rs
@@ -6,7 +6,7 @@
 use crate::effect::{Effect, Refusal};
 use crate::order::{Order, Verdict};
 use crate::settled::Settled;
-use crate::statement::Statement;
+use crate::statement::AuthorityRecord;
 use crate::{Fence, Offset, OrderId, ScopeId, UpstreamId};
 use std::collections::{BTreeMap, VecDeque};
 use wire::record::Record;
@@ -16,17 +16,17 @@
 
 /// Bound on upstreams whose settled state is remembered; the one whose order is oldest is forgotten
 /// first. It is above the 1,400 engines of the target size with room for replaced ones.
-pub const SETTLED_UPSTREAMS: usize = 4096;
+pub const MAX_SETTLED_UPSTREAMS: usize = 4096;
 
 /// Bound on unresolved orders; there is at most one an upstream.
-pub const PENDING_ORDERS: usize = 4096;
+pub const MAX_PENDING_ORDERS: usize = 4096;
 
 /// Bound on the concluded orders that are kept for operators.
-pub const RECENT_ORDERS: usize = 64;
+pub const MAX_RECENT_ORDERS: usize = 64;
 
 /// The claim in force of a scope.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Holding {
+pub struct CurrentClaim {
     /// Offset of the claim.
     pub fence: Fence,
     /// Its author.
@@ -39,7 +39,7 @@
 
 /// An unresolved order.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Pending {
+pub struct PendingOrder {
     /// Offset of the intent.
     pub order: OrderId,
     /// The scope.
@@ -47,20 +47,20 @@
     /// The claim under which it was intended.
     pub fence: Fence,
     /// What the upstream is told.
-    pub what: Order,
+    pub action: Order,
     /// The newest order of the upstream that was concluded before.
     pub previous: OrderId,
 }
 
 /// A concluded order, for operators.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Concluded {
+pub struct ConcludedOrder {
     /// The order as it was intended.
-    pub intent: Pending,
+    pub intent: PendingOrder,
     /// The upstream.
     pub upstream: UpstreamId,
     /// Offset of the outcome.
-    pub at: Offset,
+    pub offset: Offset,
     /// How it ended.
     pub verdict: Verdict,
     /// What the holder said of it.
@@ -71,10 +71,10 @@
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct State {
     folded: Offset,
-    scopes: BTreeMap<ScopeId, Holding>,
-    pending: BTreeMap<UpstreamId, Pending>,
+    scopes: BTreeMap<ScopeId, CurrentClaim>,
+    pending: BTreeMap<UpstreamId, PendingOrder>,
     settled: BTreeMap<UpstreamId, Settled>,
-    recent: VecDeque<Concluded>,
+    recent: VecDeque<ConcludedOrder>,
 }
 
 impl State {
@@ -89,22 +89,22 @@
     }
 
     /// The claim in force of a scope.
-    pub fn holding(&self, scope: &str) -> Option<&Holding> {
+    pub fn current_claim(&self, scope: &str) -> Option<&CurrentClaim> {
         self.scopes.get(scope)
     }
 
     /// All scopes that were ever claimed.
-    pub fn holdings(&self) -> impl Iterator<Item = (&ScopeId, &Holding)> {
+    pub fn current_claims(&self) -> impl Iterator<Item = (&ScopeId, &CurrentClaim)> {
         self.scopes.iter()
     }
 
     /// The unresolved order of an upstream. While there is one, no entry sends new work there.
-    pub fn pending(&self, upstream: &str) -> Option<&Pending> {
+    pub fn pending_order(&self, upstream: &str) -> Option<&PendingOrder> {
         self.pending.get(upstream)
     }
 
     /// All unresolved orders.
-    pub fn all_pending(&self) -> impl Iterator<Item = (&UpstreamId, &Pending)> {
+    pub fn pending_orders(&self) -> impl Iterator<Item = (&UpstreamId, &PendingOrder)> {
         self.pending.iter()
     }
 
@@ -120,17 +120,17 @@
 
     /// The newest concluded orders, the newest last. They are not part of snapshots and decide
     /// nothing.
-    pub fn recent(&self) -> impl Iterator<Item = &Concluded> {
+    pub fn recent_orders(&self) -> impl Iterator<Item = &ConcludedOrder> {
         self.recent.iter()
     }
 
     /// How many unresolved orders that fetch weights have a smaller id. A holder sends such an
     /// order only while fewer than the store's limit stand before it. Its own folded prefix holds
     /// all of them, so holders of different scopes keep the limit without talking to each other.
-    pub fn loads_before(&self, order: OrderId) -> usize {
+    pub fn pending_loads_before(&self, order: OrderId) -> usize {
         let loads = self.pending.values();
         loads
-            .filter(|pending| pending.what.uses_weight_store() && pending.order < order)
+            .filter(|pending| pending.action.uses_weight_store() && pending.order < order)
             .count()
     }
 
@@ -150,8 +150,8 @@
             };
         }
         self.folded = offset;
-        match Statement::read(record) {
-            Ok(None) => Effect::Other,
+        match AuthorityRecord::read(record) {
+            Ok(None) => Effect::Unrelated,
             Ok(Some(statement)) => self.take(offset, statement).unwrap_or_else(Effect::Refused),
             Err(malformed) => Effect::Refused(Refusal::Malformed(malformed)),
         }
--- a/crates/authority/src/state/snapshot.rs
+++ b/crates/authority/src/state/snapshot.rs
@@ -1,16 +1,16 @@
 //! The state's part of a snapshot record.
 
-use super::{Holding, Pending, State};
+use super::{CurrentClaim, PendingOrder, State};
 use crate::author::Author;
 use crate::order::{Model, Order, Role};
-use crate::settled::{Placed, Settled};
+use crate::settled::{Settled, SettledModel};
 use crate::statement::Malformed;
 use wire::record;
 
 impl State {
     /// Writes the scopes, the unresolved orders and the settled state into a snapshot, sorted by
     /// name, so that all processes write the same bytes. The other fields are the caller's.
-    pub fn fill(&self, snapshot: &mut record::Snapshot) {
+    pub fn fill_snapshot(&self, snapshot: &mut record::Snapshot) {
         let scopes = self.scopes.iter().map(|(scope, held)| record::Scope {
             scope: scope.clone(),
             fence: held.fence,
@@ -25,7 +25,7 @@
                 scope: pending.scope.clone(),
                 fence: pending.fence,
                 upstream: upstream.clone(),
-                order: Some((&pending.what).into()),
+                order: Some((&pending.action).into()),
                 previous: pending.previous,
             }),
         });
@@ -63,7 +63,7 @@
             ..Self::default()
         };
         for scope in &raw.scopes {
-            let holding = Holding {
+            let holding = CurrentClaim {
                 fence: scope.fence,
                 holder: Author::try_from(scope.holder.as_ref())?,
                 released: scope.released,
@@ -73,11 +73,11 @@
         }
         for order in &raw.orders {
             let intent = order.intent.as_ref().ok_or(Malformed { field: "intent" })?;
-            let pending = Pending {
+            let pending = PendingOrder {
                 order: order.order,
                 scope: intent.scope.clone(),
                 fence: intent.fence,
-                what: Order::try_from(intent.order.as_ref())?,
+                action: Order::try_from(intent.order.as_ref())?,
                 previous: intent.previous,
             };
             state.pending.insert(intent.upstream.clone(), pending);
@@ -91,7 +91,7 @@
 }
 
 fn read_settled(raw: &record::Settled) -> Settled {
-    let models = raw.models.iter().map(|placed| Placed {
+    let models = raw.models.iter().map(|placed| SettledModel {
         model: Model {
             model: placed.model.clone(),
             adapter: placed.adapter.clone(),
--- a/crates/authority/src/state/take.rs
+++ b/crates/authority/src/state/take.rs
@@ -1,47 +1,56 @@
 //! What each kind of statement does to the state, or why it is refused.
 
-use super::{Concluded, Holding, PENDING_ORDERS, Pending, RECENT_ORDERS, SETTLED_UPSTREAMS, State};
+use super::{
+    ConcludedOrder, CurrentClaim, MAX_PENDING_ORDERS, MAX_RECENT_ORDERS, MAX_SETTLED_UPSTREAMS,
+    PendingOrder, State,
+};
 use crate::author::Author;
 use crate::effect::{Effect, Refusal};
 use crate::order::Verdict;
 use crate::settled::Settled;
-use crate::statement::{Kind, Statement};
+use crate::statement::{AuthorityRecord, RecordKind};
 use crate::{Fence, Offset, OrderId, ScopeId, UpstreamId};
 
 impl State {
-    pub(super) fn take(&mut self, offset: Offset, statement: Statement) -> Result<Effect, Refusal> {
-        let Statement {
+    pub(super) fn take(
+        &mut self,
+        offset: Offset,
+        statement: AuthorityRecord,
+    ) -> Result<Effect, Refusal> {
+        let AuthorityRecord {
             author,
             scope,
             kind,
         } = statement;
         match kind {
-            Kind::Claim { replaces, seen } => self.claim(offset, scope, author, replaces, seen),
-            Kind::Renewal { fence } => {
+            RecordKind::Claim { replaces, seen } => {
+                self.claim(offset, scope, author, replaces, seen)
+            }
+            RecordKind::Renewal { fence } => {
                 self.authorised(&scope, fence, &author)?.renewed = offset;
                 Ok(Effect::Renewed { scope, fence })
             }
-            Kind::Release { fence } => {
+            RecordKind::Release { fence } => {
                 self.authorised(&scope, fence, &author)?.released = true;
                 Ok(Effect::Released { scope, fence })
             }
-            Kind::Intent {
+            RecordKind::Intent {
                 fence,
                 upstream,
                 order: what,
                 previous,
             } => {
                 self.authorised(&scope, fence, &author)?;
-                let pending = Pending {
+                let pending = PendingOrder {
                     order: offset,
                     scope,
                     fence,
-                    what,
+                    action: what,
                     previous,
                 };
                 self.intend(upstream, pending)
             }
-            Kind::Outcome {
+            RecordKind::Outcome {
                 fence,
                 order,
                 verdict,
@@ -75,7 +84,7 @@
         }
         let from = held.filter(|held| !held.released);
         let from = from.map(|held| held.holder.clone());
-        let holding = Holding {
+        let holding = CurrentClaim {
             fence: offset,
             holder: author.clone(),
             released: false,
@@ -86,7 +95,7 @@
             scope,
             fence: offset,
             holder: author,
-            from,
+            previous_holder: from,
         })
     }
 
@@ -95,7 +104,7 @@
         scope: &str,
         fence: Fence,
         author: &Author,
-    ) -> Result<&mut Holding, Refusal> {
+    ) -> Result<&mut CurrentClaim, Refusal> {
         let held = self.scopes.get_mut(scope);
         let Some(held) = held else {
             return Err(Refusal::Unauthorised { in_force: 0 });
@@ -108,22 +117,22 @@
         Ok(held)
     }
 
-    fn intend(&mut self, upstream: UpstreamId, pending: Pending) -> Result<Effect, Refusal> {
-        if let Some(Pending { order, .. }) = self.pending.get(&upstream) {
+    fn intend(&mut self, upstream: UpstreamId, pending: PendingOrder) -> Result<Effect, Refusal> {
+        if let Some(PendingOrder { order, .. }) = self.pending.get(&upstream) {
             return Err(Refusal::Busy { order: *order });
         }
         let newest = self.settled.get(&upstream).map_or(0, |known| known.order);
         if pending.previous != newest {
             return Err(Refusal::Outdated { newest });
         }
-        if self.pending.len() == PENDING_ORDERS {
+        if self.pending.len() == MAX_PENDING_ORDERS {
             return Err(Refusal::Full);
         }
         let effect = Effect::Intended {
             scope: pending.scope.clone(),
             order: pending.order,
             upstream: upstream.clone(),
-            what: pending.what.clone(),
+            action: pending.action.clone(),
         };
         self.pending.insert(upstream, pending);
         Ok(effect)
@@ -148,13 +157,13 @@
             return Err(Refusal::Resolved { order });
         };
         self.settle(&upstream, &intent, verdict);
-        if self.recent.len() == RECENT_ORDERS {
+        if self.recent.len() == MAX_RECENT_ORDERS {
             self.recent.pop_front();
         }
-        self.recent.push_back(Concluded {
+        self.recent.push_back(ConcludedOrder {
             intent,
             upstream: upstream.clone(),
-            at,
+            offset: at,
             verdict,
             detail,
         });
@@ -166,11 +175,11 @@
         })
     }
 
-    fn settle(&mut self, upstream: &UpstreamId, intent: &Pending, verdict: Verdict) {
+    fn settle(&mut self, upstream: &UpstreamId, intent: &PendingOrder, verdict: Verdict) {
         let known = self.settled.entry(upstream.clone());
         let known = known.or_insert_with(|| Settled::new(intent.scope.clone()));
-        known.conclude(&intent.scope, intent.order, &intent.what, verdict);
-        if self.settled.len() > SETTLED_UPSTREAMS {
+        known.conclude(&intent.scope, intent.order, &intent.action, verdict);
+        if self.settled.len() > MAX_SETTLED_UPSTREAMS {
             let oldest = self.settled.iter().min_by_key(|(_, known)| known.order);
             let oldest = oldest.map(|(upstream, _)| upstream.clone());
             oldest.map(|upstream| self.settled.remove(&upstream));
--- a/crates/authority/src/statement.rs
+++ b/crates/authority/src/statement.rs
@@ -14,18 +14,18 @@
 
 /// What an author says of one scope.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Statement {
+pub struct AuthorityRecord {
     /// The author.
     pub author: Author,
     /// The scope that it is about.
     pub scope: ScopeId,
     /// What it says.
-    pub kind: Kind,
+    pub kind: RecordKind,
 }
 
 /// The kinds of statement.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub enum Kind {
+pub enum RecordKind {
     /// The author takes the scope.
     Claim {
         /// The claim that it takes it from; 0 for none.
@@ -67,7 +67,7 @@
     },
 }
 
-impl Statement {
+impl AuthorityRecord {
     /// The statement in a record; `None` if the record is of another matter.
     ///
     /// # Errors
@@ -88,19 +88,19 @@
     }
 }
 
-fn read_body(raw: &Record) -> Result<Option<(&ScopeId, Kind)>, Malformed> {
+fn read_body(raw: &Record) -> Result<Option<(&ScopeId, RecordKind)>, Malformed> {
     let read = match raw.body.as_ref() {
         Some(Body::ScopeClaim(claim)) => {
             let (replaces, seen) = (claim.replaces, claim.seen);
-            (&claim.scope, Kind::Claim { replaces, seen })
+            (&claim.scope, RecordKind::Claim { replaces, seen })
         }
         Some(Body::Renewal(renewal)) => {
             let fence = renewal.fence;
-            (&renewal.scope, Kind::Renewal { fence })
+            (&renewal.scope, RecordKind::Renewal { fence })
         }
         Some(Body::Release(release)) => {
             let fence = release.fence;
-            (&release.scope, Kind::Release { fence })
+            (&release.scope, RecordKind::Release { fence })
         }
         Some(Body::Intent(intent)) => (&intent.scope, read_intent(intent)?),
         Some(Body::Outcome(outcome)) => (&outcome.scope, read_outcome(outcome)?),
@@ -109,11 +109,11 @@
     Ok(Some(read))
 }
 
-fn read_intent(raw: &record::Intent) -> Result<Kind, Malformed> {
+fn read_intent(raw: &record::Intent) -> Result<RecordKind, Malformed> {
     if raw.upstream.is_empty() {
         return Err(Malformed { field: "upstream" });
     }
-    Ok(Kind::Intent {
+    Ok(RecordKind::Intent {
         fence: raw.fence,
         upstream: raw.upstream.clone(),
         order: Order::try_from(raw.order.as_ref())?,
@@ -121,9 +121,9 @@
     })
 }
 
-fn read_outcome(raw: &record::Outcome) -> Result<Kind, Malformed> {
+fn read_outcome(raw: &record::Outcome) -> Result<RecordKind, Malformed> {
     let verdict = Verdict::from_wire(raw.verdict).ok_or(Malformed { field: "verdict" })?;
-    Ok(Kind::Outcome {
+    Ok(RecordKind::Outcome {
         fence: raw.fence,
         order: raw.order,
         verdict,
--- a/crates/authority/tests/change.rs
+++ b/crates/authority/tests/change.rs
@@ -254,7 +254,7 @@
     // Cause: the delay was counted from the check. Found by the model checker.
     let mut bench = Bench::new(false);
     bench.fold(&common::intent("a", 1, ENGINE, 0));
-    let pending = bench.state.pending(ENGINE).expect("an order");
+    let pending = bench.state.pending_order(ENGINE).expect("an order");
     let pace = Pace { sends: 1, ..PACE };
     let mut now = Duration::from_secs(100);
     let mut change = Change::new(now, pending, Origin::Own, pace);
@@ -309,7 +309,7 @@
     let mut bench = Bench::new(true);
     let intent = common::intent("a", 1, ENGINE, 0);
     bench.fold(&intent);
-    let pending = bench.state.pending(ENGINE).expect("an order");
+    let pending = bench.state.pending_order(ENGINE).expect("an order");
     let mut change = Change::new(bench.now, pending, Origin::Inherited, PACE);
     let (grant, admitted) = (bench.grant.expect("a grant"), true);
     let permit = Permit { grant, admitted };
--- a/crates/authority/tests/common/bench.rs
+++ b/crates/authority/tests/common/bench.rs
@@ -80,7 +80,7 @@
 
     /// `instance` takes the scope over, with a planner that knows nothing.
     pub(crate) fn hold(&mut self, instance: &str, quiet_in: u64) {
-        let held = self.state.holding(SCOPE);
+        let held = self.state.current_claim(SCOPE);
         let (fence, seen) = held.map_or((0, 0), |held| (held.fence, held.renewed));
         self.fold(&claim(instance, fence, seen));
         self.instance = instance.to_owned();
@@ -90,7 +90,7 @@
             fence: self.state.folded(),
             until: Duration::from_secs(100_000),
             since: self.now,
-            quiet: self.now + Duration::from_secs(quiet_in),
+            quarantine_until: self.now + Duration::from_secs(quiet_in),
         });
         let serving = self.engines.keys().cloned().collect();
         self.step(Input::Serving(serving));
@@ -134,7 +134,7 @@
 
     /// Tells the change of an upstream what it waits for.
     pub(crate) fn waiting(&mut self, upstream: &str, entries: &[&str]) {
-        let order = self.state.pending(upstream).expect("an order").order;
+        let order = self.state.pending_order(upstream).expect("an order").order;
         let waits: SmallVec<_> = entries.iter().map(|entry| (*entry).to_owned()).collect();
         self.step(Input::Change(order, change::Input::Waiting(waits)));
     }
--- a/crates/authority/tests/common/process.rs
+++ b/crates/authority/tests/common/process.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{SCOPE, author};
 use authority::author::Author;
-use authority::lease::term::Figures;
+use authority::lease::term::TermConfig;
 use authority::lease::{Input, Lease, Output, Term};
 use authority::nonce::Nonce;
 use authority::state::State;
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use wire::record::{Record, record::Body};
 
-pub(crate) fn figures() -> Figures {
-    Figures {
+pub(crate) fn figures() -> TermConfig {
+    TermConfig {
         lease: Duration::from_secs(9),
         margin: Duration::from_secs(1),
         drift_ppm: 0,
@@ -28,11 +28,11 @@
 }
 
 impl Process {
-    pub(crate) fn new(instance: &str, figures: Figures) -> Self {
+    pub(crate) fn new(instance: &str, figures: TermConfig) -> Self {
         Self::run(instance, 1, figures)
     }
 
-    pub(crate) fn run(instance: &str, incarnation: u64, figures: Figures) -> Self {
+    pub(crate) fn run(instance: &str, incarnation: u64, figures: TermConfig) -> Self {
         let mut author = author(instance);
         author.incarnation = incarnation;
         let term = Term::try_from(figures).expect("usable figures");
@@ -82,7 +82,7 @@
     /// Reads to the end of the log; gives what follows from it.
     pub(crate) fn read(&mut self, now: Moment, log: &[Record]) -> Vec<Output> {
         let mut outputs = self.read_upto(now, log, log.len());
-        let asked = Input::Read { asked: now };
+        let asked = Input::Read { sent_at: now };
         outputs.extend(self.lease.step(now, &asked));
         outputs
     }
--- a/crates/authority/tests/lease.rs
+++ b/crates/authority/tests/lease.rs
@@ -6,7 +6,7 @@
 
 use assert_matches::assert_matches;
 use authority::lease::rank::rank;
-use authority::lease::term::{Figures, Finding};
+use authority::lease::term::{Finding, TermConfig};
 use authority::lease::{Input, Output, Term};
 use common::renewal;
 use process::{Process, figures, secs};
@@ -62,7 +62,7 @@
     held_by(&mut process, secs(0));
     let sent = process.tick(secs(5));
     let nonce = sent[0].nonce.clone().try_into().unwrap();
-    process.step(secs(6), &Input::Answered(nonce));
+    process.step(secs(6), &Input::AppendAcknowledged(nonce));
     assert_eq!(process.lease.grant().unwrap().until, secs(10));
 }
 
@@ -75,7 +75,11 @@
     let mut log = held_by(&mut process, secs(0));
     let first = process.tick(secs(4));
     let nonce = first[0].nonce.clone().try_into().unwrap();
-    assert!(process.step(secs(5), &Input::Unknown(nonce)).is_empty());
+    assert!(
+        process
+            .step(secs(5), &Input::AppendUnknown(nonce))
+            .is_empty()
+    );
     let second = process.tick(secs(6));
     assert_eq!(second.len(), 1);
     log.extend(first);
@@ -90,7 +94,7 @@
     for now in 2..40 {
         for record in process.tick(secs(now)) {
             let nonce = record.nonce.try_into().unwrap();
-            process.step(secs(now), &Input::Failed(nonce));
+            process.step(secs(now), &Input::AppendFailed(nonce));
         }
         assert_eq!(process.lease.may_act(secs(now), NEED), now < 10);
     }
@@ -192,7 +196,7 @@
 
 #[test]
 fn figures_are_checked_together() {
-    let findings = Term::try_from(Figures {
+    let findings = Term::try_from(TermConfig {
         lease: secs(0),
         drift_ppm: 200_000,
         ..figures()
@@ -204,13 +208,13 @@
 
 #[test]
 fn wait_covers_the_lease_of_a_slow_clock_on_a_fast_one() {
-    let term = Term::try_from(Figures {
+    let term = Term::try_from(TermConfig {
         lease: secs(10),
         margin: Duration::ZERO,
         drift_ppm: 10_000,
         ..figures()
     });
-    let wait = term.unwrap().wait();
+    let wait = term.unwrap().challenge_wait();
     assert!(wait >= secs(10).mul_f64(1.01 / 0.99) && wait < secs(11));
 }
 
@@ -264,7 +268,7 @@
         acts in proptest::collection::vec(any_act(), 1..400),
         rates in proptest::array::uniform3(950_000..=1_050_000u64),
     ) {
-        let figures = Figures { drift_ppm: 50_000, margin: Duration::ZERO, ..figures() };
+        let figures = TermConfig { drift_ppm: 50_000, margin: Duration::ZERO, ..figures() };
         let mut processes = ["a", "b", "c"].map(|instance| Process::new(instance, figures));
         let (mut log, mut sent) = (Vec::new(), Vec::new());
         let mut micros = 0;
--- a/crates/authority/tests/planner.rs
+++ b/crates/authority/tests/planner.rs
@@ -33,7 +33,7 @@
     for upstream in ["engine-1", "engine-2", "engine-3"] {
         bench.want_role(upstream);
     }
-    assert_eq!(bench.state.all_pending().count(), 1);
+    assert_eq!(bench.state.pending_orders().count(), 1);
     assert_eq!(bench.planner.wanted().count(), 2);
 }
 
@@ -48,9 +48,9 @@
     bench.step(Input::Serving(BTreeSet::from(serving)));
     bench.want_role("engine-2");
     bench.pass(5);
-    assert!(bench.state.pending("engine-2").is_none());
+    assert!(bench.state.pending_order("engine-2").is_none());
     bench.want_role("engine-3");
-    assert!(bench.state.pending("engine-3").is_some());
+    assert!(bench.state.pending_order("engine-3").is_some());
 }
 
 #[test]
@@ -110,8 +110,8 @@
     bench.engine("engine-1").restart();
     bench.pass(10);
     assert_eq!((bench.mismatches, bench.planner.mismatches()), (1, 1));
-    let repair = bench.state.pending("engine-1").expect("a repair");
-    assert_eq!(repair.what, Order::SetRole(Role::Decode));
+    let repair = bench.state.pending_order("engine-1").expect("a repair");
+    assert_eq!(repair.action, Order::SetRole(Role::Decode));
 }
 
 #[test]
--- a/crates/authority/tests/state.rs
+++ b/crates/authority/tests/state.rs
@@ -29,7 +29,10 @@
         effects[1],
         Effect::Refused(Refusal::Superseded { in_force: 1 })
     );
-    assert_eq!(state.holding(common::SCOPE).unwrap().holder, author("a"));
+    assert_eq!(
+        state.current_claim(common::SCOPE).unwrap().holder,
+        author("a")
+    );
 }
 
 #[test]
@@ -39,9 +42,9 @@
     // Cause: the claim names the claim in force, which a renewal does not change.
     let (state, effects) = fold(&[claim("a", 0, 0), renewal("a", 1), claim("b", 1, 1)]);
     assert_eq!(effects[2], Effect::Refused(Refusal::Renewed { renewed: 2 }));
-    assert_eq!(state.holding(common::SCOPE).unwrap().fence, 1);
+    assert_eq!(state.current_claim(common::SCOPE).unwrap().fence, 1);
     let (_, effects) = fold(&[claim("a", 0, 0), renewal("a", 1), claim("b", 1, 2)]);
-    assert_matches!(&effects[2], Effect::Claimed { from: Some(from), .. } if *from == author("a"));
+    assert_matches!(&effects[2], Effect::Claimed { previous_holder: Some(from), .. } if *from == author("a"));
 }
 
 #[test]
@@ -64,7 +67,7 @@
         );
     }
     assert_matches!(effects[7], Effect::Concluded { order: 2, .. });
-    assert_matches!(state.pending("engine-1"), None);
+    assert_matches!(state.pending_order("engine-1"), None);
 }
 
 #[test]
@@ -96,7 +99,13 @@
         effects[3],
         Effect::Refused(Refusal::Unauthorised { in_force: 1 })
     );
-    assert_matches!(&effects[4], Effect::Claimed { from: None, .. });
+    assert_matches!(
+        &effects[4],
+        Effect::Claimed {
+            previous_holder: None,
+            ..
+        }
+    );
 }
 
 #[test]
@@ -125,7 +134,7 @@
     assert_eq!(effects[3], Effect::Refused(Refusal::Outdated { newest: 2 }));
     assert_eq!(effects[4], Effect::Refused(Refusal::Resolved { order: 2 }));
     assert_eq!(state.settled("engine-1").unwrap().role, Some(Role::Decode));
-    assert_eq!(state.recent().count(), 1);
+    assert_eq!(state.recent_orders().count(), 1);
 }
 
 #[test]
@@ -153,7 +162,7 @@
     // Cause: the newest renewal would be set back to the first.
     let (mut state, _) = fold(&[claim("a", 0, 0), renewal("a", 1), renewal("a", 1)]);
     assert_eq!(state.apply(2, &renewal("a", 1)), Effect::Repeated);
-    assert_eq!(state.holding(common::SCOPE).unwrap().renewed, 3);
+    assert_eq!(state.current_claim(common::SCOPE).unwrap().renewed, 3);
     assert_eq!(state.folded(), 3);
 }
 
@@ -185,7 +194,7 @@
     for effect in effects {
         assert_matches!(effect, Effect::Refused(Refusal::Malformed(_)));
     }
-    assert_eq!(state.holdings().count(), 0);
+    assert_eq!(state.current_claims().count(), 0);
 }
 
 /// Any record that two instances could write about two engines in a short log.
@@ -213,7 +222,7 @@
         let (whole, effects) = fold(&log);
         let (prefix, _) = fold(&log[..cut]);
         let mut snapshot = Snapshot { upto: cut as u64, ..Snapshot::default() };
-        prefix.fill(&mut snapshot);
+        prefix.fill_snapshot(&mut snapshot);
         let mut resumed = State::try_from(&snapshot).unwrap();
         // A reader may get records again that the snapshot contains.
         for (record, offset) in log.iter().zip(1..) {
@@ -223,8 +232,8 @@
             }
         }
         let (mut one, mut other) = (Snapshot::default(), Snapshot::default());
-        whole.fill(&mut one);
-        resumed.fill(&mut other);
+        whole.fill_snapshot(&mut one);
+        resumed.fill_snapshot(&mut other);
         prop_assert_eq!(one, other);
     }
 }
--- a/crates/control/examples/fleet.rs
+++ b/crates/control/examples/fleet.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use authority::lease::term::{Figures, Term};
+use authority::lease::term::{Term, TermConfig};
 use catalogue::Document;
 use clap::Parser;
 use control::options::Mesh;
@@ -132,12 +132,12 @@
             incarnation: 1,
             data_centre: "ate".to_owned(),
         };
-        let figures = Figures {
+        let figures = TermConfig {
             lease: self.lease,
             margin: Duration::from_millis(500),
             stagger: Duration::from_millis(200),
             retry: Duration::from_millis(500).min(self.lease / 6),
-            ..Figures::default()
+            ..TermConfig::default()
         };
         let term = Term::try_from(figures).expect("the figures are sound");
         let mut options = Options::new(own, self.platform, term);
--- a/crates/control/src/census.rs
+++ b/crates/control/src/census.rs
@@ -97,7 +97,7 @@
         authority: &authority::state::State,
         catalogue: &catalogue::View,
     ) {
-        let orders = authority.all_pending();
+        let orders = authority.pending_orders();
         let mut closings: BTreeMap<Offset, String> = orders
             .map(|(upstream, pending)| (pending.order, upstream.clone()))
             .collect();
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -111,7 +111,7 @@
     appends: Appends,
     engines: Engines,
     mesh: Mesh,
-    nonces: nonce::Source,
+    nonces: nonce::NonceSource,
     reader: Reader,
     flags: Flags,
     next_tick: Moment,
@@ -160,7 +160,7 @@
             appends: Appends::new(log, author, rules, sender.clone()),
             engines: Engines::new(options.pace.timeout, current, sender.clone()),
             mesh,
-            nonces: nonce::Source::new(rand::rng().random()),
+            nonces: nonce::NonceSource::new(rand::rng().random()),
             reader: Reader {
                 started: now,
                 heard: None,
--- a/crates/control/src/core/ask.rs
+++ b/crates/control/src/core/ask.rs
@@ -34,7 +34,7 @@
     }
 
     pub(crate) fn edit(&mut self, edit: Edit, reply: oneshot::Sender<edits::Answer>) {
-        let nonce = self.nonces.draw();
+        let nonce = self.nonces.next_nonce();
         let until = self.clock.now() + self.options.edit_patience;
         self.edits.wait(nonce, until, reply);
         self.appends.send(Source::Edit, nonce, Body::Edit(edit));
@@ -86,7 +86,7 @@
             let _gone = reply.send(Ok(()));
             return;
         }
-        let held = self.ledger.authority().holding(&scope);
+        let held = self.ledger.authority().current_claim(&scope);
         let own = &self.options.own.id;
         let holder = held.filter(|held| !held.released && held.holder.instance != *own);
         let Some(holder) = holder.map(|held| held.holder.instance.clone()) else {
--- a/crates/control/src/core/show.rs
+++ b/crates/control/src/core/show.rs
@@ -10,12 +10,12 @@
 
 impl Core {
     pub(crate) fn orders(&self) -> Orders {
-        let recent = self.ledger.authority().recent();
+        let recent = self.ledger.authority().recent_orders();
         let recent = recent.map(|end| status::Order {
             order: end.intent.order,
             scope: end.intent.scope.clone(),
             upstream: end.upstream.clone(),
-            what: describe(&end.intent.what),
+            what: describe(&end.intent.action),
             holder: String::new(),
             step: format!("{:?}", end.verdict).to_lowercase(),
             waits: end.detail.clone(),
@@ -116,7 +116,7 @@
 
     fn scope_status(&self, now: Moment) -> Vec<status::Scope> {
         let scope = |(name, _): (&String, _)| {
-            let held = self.ledger.authority().holding(name);
+            let held = self.ledger.authority().current_claim(name);
             let grant = self.scopes.grant(name);
             let left = grant.map_or(0, |grant| grant.until.saturating_sub(now).as_millis());
             let lease = self.scopes.get(name).map(|scope| &scope.lease);
@@ -134,14 +134,14 @@
 
     fn unresolved(&self) -> Vec<status::Order> {
         let authority = self.ledger.authority();
-        let pending = authority.all_pending().map(|(upstream, pending)| {
-            let holder = authority.holding(&pending.scope);
+        let pending = authority.pending_orders().map(|(upstream, pending)| {
+            let holder = authority.current_claim(&pending.scope);
             let (step, waits) = self.step_of(&pending.scope, pending.order);
             status::Order {
                 order: pending.order,
                 scope: pending.scope.clone(),
                 upstream: upstream.clone(),
-                what: describe(&pending.what),
+                what: describe(&pending.action),
                 holder: holder.map_or_else(String::new, |held| held.holder.instance.clone()),
                 step,
                 waits,
--- a/crates/control/src/core/tick.rs
+++ b/crates/control/src/core/tick.rs
@@ -216,7 +216,7 @@
         }
         if let Some(snapshot) = self.ledger.snapshot() {
             log::info!(upto = snapshot.upto; "writing a snapshot");
-            let nonce = self.nonces.draw();
+            let nonce = self.nonces.next_nonce();
             let body = RecordBody::Snapshot(snapshot);
             self.appends.send(Source::Snapshot, nonce, body);
         }
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -154,7 +154,7 @@
         if snapshot.upto != self.folded() || snapshot.upto == 0 {
             return None;
         }
-        self.authority.fill(&mut snapshot);
+        self.authority.fill_snapshot(&mut snapshot);
         catalogue::seal(&mut snapshot);
         Some(snapshot)
     }
--- a/crates/control/src/ledger/tests.rs
+++ b/crates/control/src/ledger/tests.rs
@@ -93,7 +93,7 @@
     assert!(late.is_whole());
     assert_eq!(late.snapshot(), early.snapshot());
     assert_eq!(
-        late.authority().holding("llm").map(|held| held.fence),
+        late.authority().current_claim("llm").map(|held| held.fence),
         Some(2)
     );
 }
@@ -147,7 +147,10 @@
     ledger.offer(Box::new(older));
     assert!(ledger.step().is_none());
     assert_eq!(
-        ledger.authority().holding("llm").map(|held| held.fence),
+        ledger
+            .authority()
+            .current_claim("llm")
+            .map(|held| held.fence),
         Some(3)
     );
 }
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use authority::change::Pace;
-use authority::lease::term::{Figures, Finding, Term};
+use authority::lease::term::{Finding, Term, TermConfig};
 use fleet::{drain, health, list, member};
 use peer::keys::{Pem, Source};
 
@@ -140,12 +140,12 @@
 /// for the longest lease that any holder may still count on, and a holder that has not read a change
 /// of the catalogue yet would count on the old one.
 fn term(lease: &settings::sections::Lease) -> Result<Term, Vec<Finding>> {
-    let figures = Figures {
+    let figures = TermConfig {
         lease: lease.term,
         margin: lease.margin,
         stagger: STAGGER,
         retry: (lease.term / RENEWALS / 2).min(LONGEST_RETRY),
-        ..Figures::default()
+        ..TermConfig::default()
     };
     Term::try_from(figures)
 }
--- a/crates/control/src/roles.rs
+++ b/crates/control/src/roles.rs
@@ -129,8 +129,8 @@
         let upstreams = self.census.upstreams.iter();
         let listed = upstreams.filter(|one| one.pool == pool && one.listed.is_some());
         let engine = |one: &fleet::upstream::Upstream| {
-            let pending = self.authority.pending(&one.id);
-            let ordered = pending.and_then(|pending| match pending.what {
+            let pending = self.authority.pending_order(&one.id);
+            let ordered = pending.and_then(|pending| match pending.action {
                 Order::SetRole(role) => Some(from_authority(role)),
                 Order::LoadModel(_) | Order::UnloadModel(_) => None,
             });
--- a/crates/control/src/scopes.rs
+++ b/crates/control/src/scopes.rs
@@ -96,7 +96,7 @@
         let mut wanted: BTreeSet<String> = engines.map(str::to_owned).collect();
         wanted.extend(
             state
-                .all_pending()
+                .pending_orders()
                 .map(|(_, pending)| pending.scope.clone()),
         );
         self.scopes.retain(|scope, _| wanted.contains(scope));
@@ -133,7 +133,9 @@
     /// A read that was sent at `asked` reached the end of the log.
     pub(crate) fn read(&mut self, around: &Around<'_>, asked: Moment) {
         for (name, scope) in &mut self.scopes {
-            let outputs = scope.lease.step(around.now, &lease::Input::Read { asked });
+            let outputs = scope
+                .lease
+                .step(around.now, &lease::Input::Read { sent_at: asked });
             carry_out(name, outputs, around);
         }
     }
@@ -143,9 +145,9 @@
             return;
         };
         let input = match ended.result {
-            Ok(_) => lease::Input::Answered(ended.nonce),
-            Err(platform::AppendError::Refused { .. }) => lease::Input::Failed(ended.nonce),
-            Err(platform::AppendError::Unknown) => lease::Input::Unknown(ended.nonce),
+            Ok(_) => lease::Input::AppendAcknowledged(ended.nonce),
+            Err(platform::AppendError::Refused { .. }) => lease::Input::AppendFailed(ended.nonce),
+            Err(platform::AppendError::Unknown) => lease::Input::AppendUnknown(ended.nonce),
         };
         let outputs = scope.lease.step(around.now, &input);
         carry_out(name, outputs, around);
@@ -204,7 +206,7 @@
             let others = held - u32::from(scope.lease.holds());
             let inputs = [
                 lease::Input::Members(&alive),
-                lease::Input::Burden(others),
+                lease::Input::OtherScopes(others),
                 lease::Input::Tick,
             ];
             for input in &inputs {
@@ -251,10 +253,10 @@
     /// Whether a scope's holder has been silent for the wait of a challenger, so that this process
     /// claims it as soon as a read that is sent now finds nothing newer.
     pub(crate) fn is_overdue(&mut self, now: Moment, state: &State) -> bool {
-        let wait = self.term.wait();
+        let wait = self.term.challenge_wait();
         let mut overdue = false;
         for (name, scope) in &self.scopes {
-            let Some(held) = state.holding(name) else {
+            let Some(held) = state.current_claim(name) else {
                 continue;
             };
             let newest = self.renewed.entry(name.clone()).or_insert((0, now));
--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use authority::lease::term::{Figures, Term};
+use authority::lease::term::{Term, TermConfig};
 use catalogue::Document;
 use clap::Parser as _;
 use control::options::Mesh;
@@ -69,12 +69,12 @@
 
     /// Short times, so that tests end soon. Bounds that proofs rest on keep their order.
     pub(crate) fn options(&self, id: &str) -> Options {
-        let figures = Figures {
+        let figures = TermConfig {
             lease: Duration::from_millis(900),
             margin: Duration::from_millis(300),
             stagger: Duration::from_millis(50),
             retry: Duration::from_millis(100),
-            ..Figures::default()
+            ..TermConfig::default()
         };
         let own = Own {
             id: id.to_owned(),
--- a/crates/filetests/src/process/fold.rs
+++ b/crates/filetests/src/process/fold.rs
@@ -24,7 +24,7 @@
             lines.extend(self.fold(now, offset, record));
         }
         self.current = true;
-        let read = authority::lease::Input::Read { asked: now };
+        let read = authority::lease::Input::Read { sent_at: now };
         let outputs = self.lease.step(now, &read);
         lines.extend(self.take_lease(outputs));
         lines
--- a/crates/filetests/src/process/mod.rs
+++ b/crates/filetests/src/process/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use authority::author::Author;
-use authority::lease::term::Figures;
+use authority::lease::term::TermConfig;
 use authority::lease::{self, Lease, Term};
 use authority::planner::{Bounds, Planner};
 use claims::{Batcher, Holder, Ticket};
@@ -155,7 +155,7 @@
     /// All that was folded, as a snapshot.
     pub(crate) fn snapshot(&self) -> Option<Snapshot> {
         let mut snapshot = self.catalogue.snapshot()?;
-        self.authority.fill(&mut snapshot);
+        self.authority.fill_snapshot(&mut snapshot);
         catalogue::seal(&mut snapshot);
         Some(snapshot)
     }
@@ -194,7 +194,7 @@
 }
 
 fn term() -> Term {
-    let figures = Figures {
+    let figures = TermConfig {
         lease: Duration::from_secs(9),
         margin: Duration::from_secs(1),
         drift_ppm: 0,
--- a/crates/filetests/src/world/appends.rs
+++ b/crates/filetests/src/world/appends.rs
@@ -44,7 +44,7 @@
                     self.tell_claims(name, Input::Appended(nonce, offset));
                 }
                 if source == Source::Lease {
-                    self.tell_lease(name, &lease::Input::Answered(nonce));
+                    self.tell_lease(name, &lease::Input::AppendAcknowledged(nonce));
                 }
                 return;
             }
@@ -62,14 +62,14 @@
             self.tell_claims(name, Input::Lost(nonce));
         }
         if source == Source::Lease {
-            self.tell_lease(name, &lease::Input::Unknown(nonce));
+            self.tell_lease(name, &lease::Input::AppendUnknown(nonce));
         }
     }
 
     fn rejected(&mut self, name: &str, append: &Append) {
         match append.source {
             Source::Claims => self.tell_claims(name, Input::Rejected(append.nonce)),
-            Source::Lease => self.tell_lease(name, &lease::Input::Failed(append.nonce)),
+            Source::Lease => self.tell_lease(name, &lease::Input::AppendFailed(append.nonce)),
             Source::Planner => {}
         }
     }
@@ -99,7 +99,11 @@
         let author = record.author.as_ref().map(|author| author.instance.clone());
         let author = author.unwrap_or_default();
         match self.truth.apply(offset, record) {
-            Effect::Intended { upstream, what, .. } => {
+            Effect::Intended {
+                upstream,
+                action: what,
+                ..
+            } => {
                 self.say(format!(
                     "log {offset}: {author} intends {what:?} for {upstream}"
                 ));
--- a/crates/filetests/src/world/engine_calls.rs
+++ b/crates/filetests/src/world/engine_calls.rs
@@ -163,7 +163,7 @@
     /// An engine may act only on the order that the log shows as its unresolved one, and only
     /// while nothing is open there.
     fn judge_act(&mut self, name: &str, order: authority::OrderId, running: Option<u64>) {
-        let unresolved = self.truth.pending(name).map(|pending| pending.order);
+        let unresolved = self.truth.pending_order(name).map(|pending| pending.order);
         if unresolved != Some(order) {
             self.say(format!(
                 "VIOLATION {name} acts on order {order}, which is not its unresolved one"
--- a/crates/filetests/src/world/show.rs
+++ b/crates/filetests/src/world/show.rs
@@ -34,7 +34,7 @@
     }
 
     fn show_holder(&self) -> Line {
-        match self.truth.holding(crate::process::SCOPE) {
+        match self.truth.current_claim(crate::process::SCOPE) {
             None => "nobody".to_owned(),
             Some(held) if held.released => format!("released by {}", held.holder.instance),
             Some(held) => format!("{} by claim {}", held.holder.instance, held.fence),
@@ -42,8 +42,8 @@
     }
 
     fn show_orders(&self) -> Vec<Line> {
-        let pending = self.truth.all_pending().map(|(upstream, pending)| {
-            format!("{upstream}: order {}, {:?}", pending.order, pending.what)
+        let pending = self.truth.pending_orders().map(|(upstream, pending)| {
+            format!("{upstream}: order {}, {:?}", pending.order, pending.action)
         });
         let steps = self.processes.iter().flat_map(|(name, process)| {
             process.planner.underway().map(move |one| {
--- a/crates/spec/src/lease.rs
+++ b/crates/spec/src/lease.rs
@@ -7,7 +7,7 @@
 use crate::explore::Model;
 use crate::log::{Log, Parcel};
 use authority::author::Author;
-use authority::lease::term::Figures;
+use authority::lease::term::TermConfig;
 use authority::lease::{Input, Lease, Output, Outputs, Term};
 use clock::Moment;
 use std::time::Duration;
@@ -127,7 +127,7 @@
 
 fn term(config: &Config, which: usize) -> Term {
     let impatient = config.mutant == Some(Mutant::ShortWait) && which > 0;
-    let mut figures = Figures {
+    let mut figures = TermConfig {
         lease: if impatient { LEASE / 3 } else { LEASE },
         margin: Duration::ZERO,
         drift_ppm: 100_000,
@@ -264,7 +264,7 @@
                 read(config, &mut next, which);
             }
             let asked = local(config, &next, which);
-            let outputs = step(config, &mut next, which, &Input::Read { asked });
+            let outputs = step(config, &mut next, which, &Input::Read { sent_at: asked });
             send(&mut next, which, outputs);
         }
         Event::Land(index) => {
@@ -333,7 +333,7 @@
 
 /// A removed guard of the fold is a record that is made valid when it lands.
 fn land(config: &Config, world: &mut World, parcel: &Parcel) {
-    let held = world.log.newest().holding(SCOPE);
+    let held = world.log.newest().current_claim(SCOPE);
     let (fence, renewed) = held.map_or((0, 0), |held| (held.fence, held.renewed));
     let mut record = parcel.record().clone();
     if let Some(Body::ScopeClaim(claim)) = &mut record.body {
@@ -372,7 +372,7 @@
         return shown;
     };
     shown.push("a holder acts");
-    let held = world.log.newest().holding(SCOPE);
+    let held = world.log.newest().current_claim(SCOPE);
     let others = world.processes.iter().enumerate();
     let mut others = others.filter(|(which, _)| *which != acting);
     if held.is_some_and(|held| held.fence > 1) && others.any(|(_, other)| other.folded > 0) {
--- a/crates/spec/src/orders.rs
+++ b/crates/spec/src/orders.rs
@@ -120,14 +120,19 @@
                 return true;
             }
             let (before, after) = (&world.processes[which], &next.processes[which]);
-            let held = |folded| world.log.state(folded).holding(SCOPE);
+            let held = |folded| world.log.state(folded).current_claim(SCOPE);
             !before.lease.holds()
                 && held(before.folded) == held(after.folded)
                 && next.appends.len() == world.appends.len()
         }
         Event::EntryReads => {
-            let pending =
-                |world: &World| world.log.state(world.entry.folded).pending(ENGINE).cloned();
+            let pending = |world: &World| {
+                world
+                    .log
+                    .state(world.entry.folded)
+                    .pending_order(ENGINE)
+                    .cloned()
+            };
             pending(world) == pending(next)
         }
         _ => false,
@@ -203,7 +208,7 @@
         events.push(Event::EntryReads);
     }
     let state = world.log.state(world.entry.folded);
-    let closed = state.pending(ENGINE).is_some() || world.engine.is_running();
+    let closed = state.pending_order(ENGINE).is_some() || world.engine.is_running();
     if world.streams > 0 && !closed && world.engine.open == 0 {
         events.push(Event::StreamBegins);
     }
@@ -306,9 +311,17 @@
 }
 
 fn land(world: &mut World, parcel: Parcel) {
-    let before = world.log.newest().pending(ENGINE).map(|known| known.order);
+    let before = world
+        .log
+        .newest()
+        .pending_order(ENGINE)
+        .map(|known| known.order);
     world.log.land(parcel);
-    let after = world.log.newest().pending(ENGINE).map(|known| known.order);
+    let after = world
+        .log
+        .newest()
+        .pending_order(ENGINE)
+        .map(|known| known.order);
     let acting = world.engine.taken.map(|taken| taken.order);
     if before.is_some() && before != after && acting == before && world.engine.is_running() {
         world.broken = Some("an engine is opened while it carries out an order");
@@ -316,7 +329,7 @@
 }
 
 fn deliver(config: &Config, world: &mut World, message: &Message, answered: bool) {
-    let pending = world.log.newest().pending(ENGINE);
+    let pending = world.log.newest().pending_order(ENGINE);
     let in_force = pending.is_some_and(|pending| pending.order == message.order);
     let checks = world.engine.checks_fence;
     if config.mutant == Some(Mutant::NoFence) {
@@ -376,12 +389,14 @@
     if world.engine.is_running() {
         shown.push("an engine carries out an order");
     }
-    let claim = state.holding(SCOPE).map_or(0, |held| held.fence);
-    let taken_over = state.recent().any(|ended| ended.intent.fence < claim);
+    let claim = state.current_claim(SCOPE).map_or(0, |held| held.fence);
+    let taken_over = state
+        .recent_orders()
+        .any(|ended| ended.intent.fence < claim);
     if taken_over {
         shown.push("a successor concludes an order");
     }
-    if state.recent().count() > 1 {
+    if state.recent_orders().count() > 1 {
         shown.push("a second order is concluded");
     }
     shown
--- a/crates/spec/src/orders/world.rs
+++ b/crates/spec/src/orders/world.rs
@@ -5,7 +5,7 @@
 use crate::log::{Log, Parcel};
 use authority::author::Author;
 use authority::change::{Input as Told, Output as Act, Pace, Step, Ticket};
-use authority::lease::term::Figures;
+use authority::lease::term::TermConfig;
 use authority::lease::{self, Grant, Lease, Term};
 use authority::nonce::Nonce;
 use authority::order::{Order, Role};
@@ -110,7 +110,7 @@
         instance: ["a", "b"][which].to_owned(),
         incarnation,
     };
-    let term = Term::try_from(Figures {
+    let term = Term::try_from(TermConfig {
         lease: TICK * config.lease(),
         margin: Duration::ZERO,
         drift_ppm: 0,
@@ -155,7 +155,7 @@
     fn grant(&self, config: &Config, which: usize) -> Option<Grant> {
         let mut grant = self.processes[which].lease.grant()?;
         match config.mutant {
-            Some(Mutant::NoQuarantine) => grant.quiet = Moment::ZERO,
+            Some(Mutant::NoQuarantine) => grant.quarantine_until = Moment::ZERO,
             Some(Mutant::NoLease) => grant.until = TICK * 1000,
             _ => (),
         }
@@ -170,7 +170,7 @@
     /// The first process claims or renews.
     pub(super) fn lead(&mut self) {
         let asked = self.time();
-        let input = lease::Input::Read { asked };
+        let input = lease::Input::Read { sent_at: asked };
         let lease = &mut Rc::make_mut(&mut self.processes[0]).lease;
         for output in lease.step(asked, &input) {
             if let lease::Output::Append { nonce, body } = output {
@@ -203,7 +203,7 @@
             }
         }
         let input = if read {
-            lease::Input::Read { asked: now }
+            lease::Input::Read { sent_at: now }
         } else {
             lease::Input::Tick
         };
