--- a/crates/authority/src/change.rs
+++ b/crates/authority/src/change.rs
@@ -10,13 +10,13 @@
 use clock::Moment;
 use smallvec::SmallVec;
 
-pub use message::{Input, Output, Permit, Receipt, Ticket, Wait};
-pub use pace::Pace;
+pub use message::{Blocker, Input, Output, Permit, RequestId, SendResult};
+pub use timing::Timing;
 
 mod act;
 pub mod message;
-pub mod pace;
 mod read;
+pub mod timing;
 
 /// Whose intent it is.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -53,7 +53,7 @@
 /// A question that was not answered yet.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Question {
-    ticket: Ticket,
+    ticket: RequestId,
     until: Moment,
 }
 
@@ -63,14 +63,14 @@
     order: OrderId,
     what: Order,
     origin: Origin,
-    pace: Pace,
+    pace: Timing,
     step: Step,
     /// When the upstream was closed, as far as this process knows.
     began: Moment,
     /// `None` until the first list came.
-    waiting: Option<SmallVec<[Wait; 4]>>,
+    waiting: Option<SmallVec<[Blocker; 4]>>,
     question: Option<Question>,
-    tickets: Ticket,
+    tickets: RequestId,
     /// When the next question is due.
     next: Moment,
     /// The engine's incarnation and whether it checks fences, at the newest reading.
@@ -87,7 +87,7 @@
 
 impl Change {
     /// A change whose intent was folded as valid.
-    pub fn new(now: Moment, pending: &PendingOrder, origin: Origin, pace: Pace) -> Self {
+    pub fn new(now: Moment, pending: &PendingOrder, origin: Origin, pace: Timing) -> Self {
         Self {
             order: pending.order,
             what: pending.action.clone(),
@@ -107,17 +107,17 @@
     }
 
     /// Where it stands.
-    pub fn at(&self) -> Step {
+    pub fn current_step(&self) -> Step {
         self.step
     }
 
     /// Since when it is known to this process.
-    pub fn began(&self) -> Moment {
+    pub fn started_at(&self) -> Moment {
         self.began
     }
 
     /// What the closing waits for; empty before the first list.
-    pub fn waiting(&self) -> &[Wait] {
+    pub fn blockers(&self) -> &[Blocker] {
         self.waiting.as_deref().unwrap_or(&[])
     }
 
@@ -130,13 +130,13 @@
     fn take(&mut self, now: Moment, permit: &Permit, input: Input) {
         match input {
             Input::Tick => self.give_up_question(now),
-            Input::Waiting(waiting) => self.waiting = Some(waiting),
+            Input::Blockers(waiting) => self.waiting = Some(waiting),
             Input::Absent => self.conclude(now, Verdict::Gone, "not in the instance list"),
             Input::Reading(ticket, reading) if self.answers(ticket) => {
                 self.read(now, permit, &reading);
             }
             Input::Unreachable(ticket) if self.answers(ticket) => {
-                self.next = now + self.pace.poll;
+                self.next = now + self.pace.poll_interval;
             }
             Input::Sent(ticket, receipt) if self.answers(ticket) => self.sent(now, receipt),
             Input::Cancelled(ticket, receipt) if self.answers(ticket) => {
@@ -149,7 +149,7 @@
         self.follow_waiting(now);
     }
 
-    fn answers(&mut self, ticket: Ticket) -> bool {
+    fn answers(&mut self, ticket: RequestId) -> bool {
         let newest = self.question.is_some_and(|asked| asked.ticket == ticket);
         if newest {
             self.question = None;
@@ -185,7 +185,7 @@
             self.step,
             Step::Survey | Step::Closing | Step::Draining | Step::Sending
         );
-        if unsent && closing && now >= self.began + self.pace.closing {
+        if unsent && closing && now >= self.began + self.pace.close_timeout {
             self.conclude(now, Verdict::Undone, "not drained in time");
         }
     }
@@ -202,30 +202,30 @@
         }
     }
 
-    fn sent(&mut self, now: Moment, receipt: Receipt) {
+    fn sent(&mut self, now: Moment, receipt: SendResult) {
         if self.step != Step::Sending {
             return;
         }
-        self.next = now + self.pace.poll;
+        self.next = now + self.pace.poll_interval;
         self.last_send = Some(now);
         match receipt {
-            Receipt::Accepted => self.step = Step::Running,
-            Receipt::Unknown => self.enter(now, Step::Running),
-            Receipt::Busy { .. } => self.step = Step::Draining,
+            SendResult::Accepted => self.step = Step::Running,
+            SendResult::Unknown => self.enter(now, Step::Running),
+            SendResult::Busy { .. } => self.step = Step::Draining,
             // The newer token bars the order as a cancellation would. An order that is sent again
             // and again is refused each time, and the engine would stay closed for good.
-            Receipt::Superseded { .. } => self.enter(now, Step::Barred),
-            Receipt::Failed => (),
+            SendResult::Superseded { .. } => self.enter(now, Step::Barred),
+            SendResult::Failed => (),
         }
     }
 
-    fn cancelled(&mut self, now: Moment, receipt: Receipt) {
+    fn cancelled(&mut self, now: Moment, receipt: SendResult) {
         if self.step != Step::Cancelling {
             return;
         }
         match receipt {
-            Receipt::Accepted | Receipt::Superseded { .. } => self.enter(now, Step::Barred),
-            _ => self.next = now + self.pace.poll,
+            SendResult::Accepted | SendResult::Superseded { .. } => self.enter(now, Step::Barred),
+            _ => self.next = now + self.pace.poll_interval,
         }
     }
 }
--- a/crates/authority/src/change/act.rs
+++ b/crates/authority/src/change/act.rs
@@ -1,6 +1,6 @@
 //! What a change does next, if nothing is outstanding.
 
-use super::{Change, Output, Permit, Question, Step, Ticket};
+use super::{Change, Output, Permit, Question, RequestId, Step};
 use crate::Fence;
 use clock::Moment;
 use std::time::Duration;
@@ -33,7 +33,7 @@
             Step::Cancelling => self.cancel(now, permit),
             Step::Concluding(verdict, detail) => {
                 // An append that was lost is made anew; a second outcome is refused by the fold.
-                self.next = now + self.pace.timeout;
+                self.next = now + self.pace.request_timeout;
                 Some(Output::Conclude { verdict, detail })
             }
         }
@@ -42,9 +42,11 @@
     /// A send that is begun too late in the lease could arrive beside the next holder's; one to an
     /// engine that ignores fences must also come after everything that a former holder sent.
     fn send(&mut self, now: Moment, permit: &Permit) -> Option<Output> {
-        let quiet =
-            self.checks_fence || permit.grant.is_quarantine_over(now, self.pace.order_delay);
-        if !permit.admitted || !quiet || !permit.grant.may_act(now, self.pace.timeout) {
+        let quiet = self.checks_fence
+            || permit
+                .grant
+                .is_quarantine_over(now, self.pace.max_order_delay);
+        if !permit.admitted || !quiet || !permit.grant.may_act(now, self.pace.request_timeout) {
             return None;
         }
         self.sends += 1;
@@ -53,24 +55,24 @@
             ticket: self.ask(now),
             order: self.order,
             fence: self.token(permit),
-            what: self.what.clone(),
-            not_after: now + self.pace.timeout,
+            action: self.what.clone(),
+            not_after: now + self.pace.request_timeout,
         })
     }
 
     fn cancel(&mut self, now: Moment, permit: &Permit) -> Option<Output> {
-        if !permit.grant.may_act(now, self.pace.timeout) {
+        if !permit.grant.may_act(now, self.pace.request_timeout) {
             return None;
         }
         Some(Output::Cancel {
             ticket: self.ask(now),
             order: self.order,
             fence: self.bar(permit),
-            not_after: now + self.pace.timeout,
+            not_after: now + self.pace.request_timeout,
         })
     }
 
-    fn ask(&mut self, now: Moment) -> Ticket {
+    fn ask(&mut self, now: Moment) -> RequestId {
         self.tickets += 1;
         let until = now + self.patience();
         self.question = Some(Question {
@@ -82,6 +84,6 @@
 
     /// A send ends by itself after its timeout; the owner's answer to it comes a little later.
     fn patience(&self) -> Duration {
-        self.pace.timeout + self.pace.poll
+        self.pace.request_timeout + self.pace.poll_interval
     }
 }
--- a/crates/authority/src/change/message.rs
+++ b/crates/authority/src/change/message.rs
@@ -9,10 +9,10 @@
 
 /// Numbers the questions of one change. Only the answer to the newest counts: an older one tells
 /// what was before the act that followed.
-pub type Ticket = u32;
+pub type RequestId = u32;
 
 /// Something that a closing waits for, as it is told to operators.
-pub type Wait = String;
+pub type Blocker = String;
 
 /// What the process may do at this moment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -25,7 +25,7 @@
 
 /// What became of something that was sent to an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Receipt {
+pub enum SendResult {
     /// The engine took it.
     Accepted,
     /// The engine has seen a newer fencing token.
@@ -52,17 +52,17 @@
     /// What still stands between this order and its sending, as `fleet`'s confirmed drain tells it;
     /// empty if every entry that may still send new work has confirmed this order and has nothing
     /// open that would be cut.
-    Waiting(SmallVec<[Wait; 4]>),
+    Blockers(SmallVec<[Blocker; 4]>),
     /// The upstream has left the instance list.
     Absent,
     /// An answer to [`Output::Read`].
-    Reading(Ticket, Reading),
+    Reading(RequestId, Reading),
     /// There was no answer to [`Output::Read`].
-    Unreachable(Ticket),
+    Unreachable(RequestId),
     /// An answer to [`Output::Send`].
-    Sent(Ticket, Receipt),
+    Sent(RequestId, SendResult),
     /// An answer to [`Output::Cancel`].
-    Cancelled(Ticket, Receipt),
+    Cancelled(RequestId, SendResult),
 }
 
 /// What the owner of a change has to do.
@@ -71,25 +71,25 @@
     /// Ask the engine for its state.
     Read {
         /// To be given back with the answer.
-        ticket: Ticket,
+        ticket: RequestId,
     },
     /// Send the order, unless `not_after` has passed at the moment of the send.
     Send {
         /// To be given back with the answer.
-        ticket: Ticket,
+        ticket: RequestId,
         /// The order's id.
         order: OrderId,
         /// The fencing token for the engine.
         fence: Fence,
         /// What the engine is to do.
-        what: Order,
+        action: Order,
         /// When the send must be over.
         not_after: Moment,
     },
     /// Tell the engine that the order must not begin any more.
     Cancel {
         /// To be given back with the answer.
-        ticket: Ticket,
+        ticket: RequestId,
         /// The order's id.
         order: OrderId,
         /// The fencing token for the engine.
--- a/crates/authority/src/change/read.rs
+++ b/crates/authority/src/change/read.rs
@@ -12,18 +12,18 @@
             .is_some_and(|known| known != reading.incarnation);
         self.incarnation = Some(reading.incarnation);
         self.checks_fence = reading.checks_fence;
-        self.next = now + self.pace.poll;
+        self.next = now + self.pace.poll_interval;
         match (self.step, reading.progress(self.order)) {
             (Step::Concluding(..) | Step::Closing, _) => (),
             (_, Some(Progress::Running)) => self.step = Step::Running,
             (_, Some(Progress::Done | Progress::Failed)) => self.verify(now, permit, reading),
             (Step::Survey, None) => self.survey(now, reading),
             (Step::Draining, None) => {
-                if reading.open == 0 && !reading.is_running() {
+                if reading.open_streams == 0 && !reading.is_running() {
                     self.enter(now, Step::Sending);
                 }
             }
-            (Step::Running, None) if !restarted && self.sends < self.pace.sends => {
+            (Step::Running, None) if !restarted && self.sends < self.pace.max_sends => {
                 self.resend(now);
             }
             (Step::Barred, None) if restarted => self.enter(now, Step::Cancelling),
@@ -78,7 +78,7 @@
         if reading.checks_fence && (taken || reading.fence > self.order) {
             return true;
         }
-        let delay = self.pace.order_delay;
+        let delay = self.pace.max_order_delay;
         let arrived = self.last_send.is_none_or(|sent| now >= sent + delay);
         arrived && permit.grant.is_quarantine_over(now, delay)
     }
--- a/crates/authority/src/change/pace.rs
+++ b/crates/authority/src/change/timing.rs
@@ -4,29 +4,29 @@
 
 /// The durations of a planned change.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Pace {
+pub struct Timing {
     /// Between two readings of an engine.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// After which the answer of an engine is given up. No send may take longer, and none is
     /// begun with less of the lease left.
-    pub timeout: Duration,
+    pub request_timeout: Duration,
     /// For how long an engine is closed for new work without an order being sent to it; after
     /// that the change is undone, because the engine would serve nobody meanwhile.
-    pub closing: Duration,
+    pub close_timeout: Duration,
     /// The longest time that an order which left a process may take to reach the engine.
-    pub order_delay: Duration,
+    pub max_order_delay: Duration,
     /// How often an order is sent before the change is undone.
-    pub sends: u32,
+    pub max_sends: u32,
 }
 
-impl Default for Pace {
+impl Default for Timing {
     fn default() -> Self {
         Self {
-            poll: Duration::from_millis(500),
-            timeout: Duration::from_secs(2),
-            closing: Duration::from_secs(300),
-            order_delay: Duration::from_secs(5),
-            sends: 3,
+            poll_interval: Duration::from_millis(500),
+            request_timeout: Duration::from_secs(2),
+            close_timeout: Duration::from_secs(300),
+            max_order_delay: Duration::from_secs(5),
+            max_sends: 3,
         }
     }
 }
--- a/crates/authority/src/engine.rs
+++ b/crates/authority/src/engine.rs
@@ -19,7 +19,7 @@
 
 /// The order that an engine took last.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Taken {
+pub struct LastOrder {
     /// The order.
     pub order: OrderId,
     /// How far the engine is with it.
@@ -36,25 +36,25 @@
     /// The models that it has loaded.
     pub models: SmallVec<[Model; 2]>,
     /// The order that it took last since its start.
-    pub taken: Option<Taken>,
+    pub last_order: Option<LastOrder>,
     /// The greatest fencing token that it has seen since its start; 0 for none.
     pub fence: Fence,
     /// Whether it refuses smaller tokens.
     pub checks_fence: bool,
     /// Streams that it has open.
-    pub open: u32,
+    pub open_streams: u32,
 }
 
 impl Reading {
     /// How far the engine is with `order`; `None` if it took another one last, or none.
     pub fn progress(&self, order: OrderId) -> Option<Progress> {
-        let taken = self.taken.filter(|taken| taken.order == order)?;
+        let taken = self.last_order.filter(|taken| taken.order == order)?;
         Some(taken.progress)
     }
 
     /// Whether the engine is carrying out any order.
     pub fn is_running(&self) -> bool {
-        let progress = self.taken.map(|taken| taken.progress);
+        let progress = self.last_order.map(|taken| taken.progress);
         progress == Some(Progress::Running)
     }
 
--- a/crates/authority/src/planner.rs
+++ b/crates/authority/src/planner.rs
@@ -2,7 +2,7 @@
 //! when, so that enough upstreams stay open and the weight store's limit is kept; which changes a
 //! former holder left; which engines differ from what was settled. See `docs/design/orders.md`.
 
-use crate::change::{self, Change, Origin, Pace, Permit};
+use crate::change::{self, Change, Origin, Permit, Timing};
 use crate::lease::Grant;
 use crate::nonce::NonceSource;
 use crate::order::Order;
@@ -37,7 +37,7 @@
 
 /// What is known of a change that is under way.
 #[derive(Clone, Copy, Debug)]
-pub struct Underway<'a> {
+pub struct ActiveChange<'a> {
     /// The upstream.
     pub upstream: &'a UpstreamId,
     /// The order.
@@ -51,7 +51,7 @@
 pub struct Planner {
     scope: ScopeId,
     bounds: Bounds,
-    pace: Pace,
+    pace: Timing,
     nonces: NonceSource,
     serving: BTreeSet<UpstreamId>,
     wishes: BTreeMap<UpstreamId, Wish>,
@@ -62,7 +62,7 @@
 
 impl Planner {
     /// A planner without wishes. `seed` is drawn at random for each planner.
-    pub fn new(scope: ScopeId, bounds: Bounds, pace: Pace, seed: u64) -> Self {
+    pub fn new(scope: ScopeId, bounds: Bounds, pace: Timing, seed: u64) -> Self {
         Self {
             scope,
             bounds,
@@ -77,16 +77,16 @@
     }
 
     /// Takes new bounds, from a new revision of the catalogue.
-    pub fn set_bounds(&mut self, bounds: Bounds, pace: Pace) {
+    pub fn set_bounds(&mut self, bounds: Bounds, pace: Timing) {
         self.bounds = bounds;
         self.pace = pace;
     }
 
     /// The changes that are under way under this process.
-    pub fn underway(&self) -> impl Iterator<Item = Underway<'_>> {
+    pub fn active_changes(&self) -> impl Iterator<Item = ActiveChange<'_>> {
         self.changes
             .iter()
-            .map(|(order, (upstream, change))| Underway {
+            .map(|(order, (upstream, change))| ActiveChange {
                 upstream,
                 order: *order,
                 change,
@@ -94,7 +94,7 @@
     }
 
     /// The changes that wait to be begun.
-    pub fn wanted(&self) -> impl Iterator<Item = (&UpstreamId, &Order, Reason)> {
+    pub fn requested_changes(&self) -> impl Iterator<Item = (&UpstreamId, &Order, Reason)> {
         self.wishes
             .iter()
             .map(|(upstream, wish)| (upstream, &wish.what, wish.reason))
@@ -157,12 +157,12 @@
         match input {
             Input::Tick | Input::Change(..) => (),
             Input::Serving(serving) => self.serving = serving,
-            Input::Want {
+            Input::Request {
                 upstream,
-                what,
+                action: what,
                 reason,
             } => self.want(now, upstream, what, reason),
-            Input::Forget { upstream } => {
+            Input::Withdraw { upstream } => {
                 if self.wishes.get(&upstream).is_some_and(|wish| !wish.sent) {
                     self.wishes.remove(&upstream);
                 }
@@ -244,7 +244,7 @@
         };
         let admitted = state.pending_order(upstream).is_some_and(|pending| {
             !pending.action.uses_weight_store()
-                || state.pending_loads_before(order) < self.bounds.loads
+                || state.pending_loads_before(order) < self.bounds.max_loads
         });
         let permit = Permit { grant, admitted };
         for output in change.step(now, &permit, input) {
--- a/crates/authority/src/planner/begin.rs
+++ b/crates/authority/src/planner/begin.rs
@@ -62,7 +62,7 @@
     ) -> Option<Body> {
         let wish = self.wishes.get_mut(upstream)?;
         wish.sent = true;
-        wish.next = now + self.pace.timeout;
+        wish.next = now + self.pace.request_timeout;
         Some(Body::Intent(record::Intent {
             scope: self.scope.clone(),
             fence: grant.fence,
--- a/crates/authority/src/planner/bounds.rs
+++ b/crates/authority/src/planner/bounds.rs
@@ -9,22 +9,22 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Bounds {
     /// Orders of the scope that may be unresolved at once.
-    pub concurrent: usize,
+    pub max_concurrent: usize,
     /// Upstreams that must stay open for new work.
-    pub minimum: usize,
+    pub min_open: usize,
     /// Orders of all scopes that may fetch from the weight store at once.
-    pub loads: usize,
+    pub max_loads: usize,
     /// Between two comparisons of an idle engine with what the concluded orders settled.
-    pub reconcile: Duration,
+    pub reconcile_interval: Duration,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            concurrent: 2,
-            minimum: 1,
-            loads: 2,
-            reconcile: Duration::from_secs(30),
+            max_concurrent: 2,
+            min_open: 1,
+            max_loads: 2,
+            reconcile_interval: Duration::from_secs(30),
         }
     }
 }
@@ -38,13 +38,13 @@
         closed: &BTreeSet<&UpstreamId>,
         serving: &BTreeSet<UpstreamId>,
     ) -> bool {
-        if closed.len() >= self.concurrent {
+        if closed.len() >= self.max_concurrent {
             return false;
         }
         let left = serving
             .iter()
             .filter(|other| *other != upstream && !closed.contains(other));
         // An upstream that serves nobody anyway takes nothing away.
-        !serving.contains(upstream) || left.count() >= self.minimum
+        !serving.contains(upstream) || left.count() >= self.min_open
     }
 }
--- a/crates/authority/src/planner/message.rs
+++ b/crates/authority/src/planner/message.rs
@@ -29,16 +29,16 @@
     /// live, not drained, not failing.
     Serving(BTreeSet<UpstreamId>),
     /// A change is wanted. It takes the place of one that waits for the same upstream.
-    Want {
+    Request {
         /// The upstream.
         upstream: UpstreamId,
         /// What it is to do.
-        what: Order,
+        action: Order,
         /// Why.
         reason: Reason,
     },
     /// A change is not wanted any more. One whose intent was sent takes its course.
-    Forget {
+    Withdraw {
         /// The upstream.
         upstream: UpstreamId,
     },
--- a/crates/authority/src/planner/reconcile.rs
+++ b/crates/authority/src/planner/reconcile.rs
@@ -17,7 +17,7 @@
             }
             let due = self.checks.entry(upstream.clone()).or_insert(now);
             if now >= *due {
-                *due = now + self.bounds.reconcile;
+                *due = now + self.bounds.reconcile_interval;
                 outputs.push(Output::Check {
                     upstream: upstream.clone(),
                     settled: known.order,
--- a/crates/authority/tests/change.rs
+++ b/crates/authority/tests/change.rs
@@ -7,7 +7,7 @@
 mod engine;
 
 use assert_matches::assert_matches;
-use authority::change::{Change, Input as Told, Origin, Output, Pace, Permit, Receipt, Step};
+use authority::change::{Change, Input as Told, Origin, Output, Permit, SendResult, Step, Timing};
 use authority::engine::Progress;
 use authority::order::{Order, Role, Verdict};
 use authority::planner::Input;
@@ -33,7 +33,7 @@
     // Sequence: the order is sent while an entry may still send, or a stream is open.
     // Cause: the engine cuts what is open when it takes an order.
     let mut bench = Bench::new(true);
-    bench.engine(ENGINE).reading.open = 1;
+    bench.engine(ENGINE).reading.open_streams = 1;
     bench.want_role(ENGINE);
     assert_eq!(bench.at(ENGINE), Some(Step::Closing));
     bench.pass(5);
@@ -44,7 +44,7 @@
     bench.pass(5);
     assert_eq!(bench.at(ENGINE), Some(Step::Draining));
     assert!(bench.sends.is_empty());
-    bench.engine(ENGINE).reading.open = 0;
+    bench.engine(ENGINE).reading.open_streams = 0;
     bench.pass(2);
     assert_eq!(bench.sends, [(ENGINE.to_owned(), 2, 2)]);
     assert_eq!(bench.at(ENGINE), Some(Step::Running));
@@ -58,12 +58,12 @@
 #[test]
 fn entry_that_appears_while_the_engine_drains_must_confirm_too() {
     let mut bench = Bench::new(true);
-    bench.engine(ENGINE).reading.open = 1;
+    bench.engine(ENGINE).reading.open_streams = 1;
     bench.want_role(ENGINE);
     bench.waiting(ENGINE, &[]);
     assert_eq!(bench.at(ENGINE), Some(Step::Draining));
     bench.waiting(ENGINE, &["entry-9"]);
-    bench.engine(ENGINE).reading.open = 0;
+    bench.engine(ENGINE).reading.open_streams = 0;
     bench.pass(5);
     assert_eq!(bench.at(ENGINE), Some(Step::Closing));
     assert!(bench.sends.is_empty());
@@ -188,13 +188,13 @@
     let late = bench
         .engine(ENGINE)
         .order(2, 2, &Order::SetRole(Role::Decode));
-    assert_matches!(late, Receipt::Accepted);
-    assert_eq!(bench.engine(ENGINE).reading.taken, None);
+    assert_matches!(late, SendResult::Accepted);
+    assert_eq!(bench.engine(ENGINE).reading.last_order, None);
     bench.engine(ENGINE).barred.clear();
     let late = bench
         .engine(ENGINE)
         .order(2, 2, &Order::SetRole(Role::Decode));
-    assert_matches!(late, Receipt::Superseded { fence: 3 });
+    assert_matches!(late, SendResult::Superseded { fence: 3 });
 }
 
 #[test]
@@ -255,7 +255,10 @@
     let mut bench = Bench::new(false);
     bench.fold(&common::intent("a", 1, ENGINE, 0));
     let pending = bench.state.pending_order(ENGINE).expect("an order");
-    let pace = Pace { sends: 1, ..PACE };
+    let pace = Timing {
+        max_sends: 1,
+        ..PACE
+    };
     let mut now = Duration::from_secs(100);
     let mut change = Change::new(now, pending, Origin::Own, pace);
     let (grant, admitted) = (bench.grant.expect("a grant"), true);
@@ -263,19 +266,19 @@
     let reading = bench.engine(ENGINE).reading.clone();
     change.step(now, &permit, Told::Tick);
     change.step(now, &permit, Told::Reading(1, reading.clone()));
-    change.step(now, &permit, Told::Waiting(SmallVec::new()));
+    change.step(now, &permit, Told::Blockers(SmallVec::new()));
     let sent = change.step(now, &permit, Told::Reading(2, reading.clone()));
     assert_matches!(sent[..], [Output::Send { ticket: 3, .. }]);
     now += Duration::from_secs(10);
     change.step(now, &permit, Told::Tick);
     change.step(now, &permit, Told::Reading(4, reading.clone()));
-    change.step(now, &permit, Told::Cancelled(5, Receipt::Accepted));
+    change.step(now, &permit, Told::Cancelled(5, SendResult::Accepted));
     change.step(now, &permit, Told::Reading(6, reading.clone()));
-    assert_eq!(change.at(), Step::Barred);
-    now += PACE.order_delay;
+    assert_eq!(change.current_step(), Step::Barred);
+    now += PACE.max_order_delay;
     change.step(now, &permit, Told::Tick);
     change.step(now, &permit, Told::Reading(7, reading));
-    assert_matches!(change.at(), Step::Concluding(Verdict::Undone, _));
+    assert_matches!(change.current_step(), Step::Concluding(Verdict::Undone, _));
 }
 
 #[test]
@@ -318,11 +321,11 @@
     before.fence = 1000;
     change.step(now, &permit, Told::Tick);
     change.step(now, &permit, Told::Reading(1, before.clone()));
-    let cancelled = Told::Cancelled(2, Receipt::Accepted);
+    let cancelled = Told::Cancelled(2, SendResult::Accepted);
     let outputs = change.step(now, &permit, cancelled);
     assert_matches!(outputs[..], [Output::Read { ticket: 3 }]);
     change.step(now, &permit, Told::Reading(1, before.clone()));
-    assert_eq!(change.at(), Step::Barred);
+    assert_eq!(change.current_step(), Step::Barred);
     change.step(now, &permit, Told::Reading(3, before));
-    assert_matches!(change.at(), Step::Concluding(Verdict::Undone, _));
+    assert_matches!(change.current_step(), Step::Concluding(Verdict::Undone, _));
 }
--- a/crates/authority/tests/common/bench.rs
+++ b/crates/authority/tests/common/bench.rs
@@ -3,7 +3,7 @@
 
 use crate::common::{SCOPE, claim, record};
 use crate::engine::Engine;
-use authority::change::{self, Output as Act, Pace, Receipt, Step, Ticket};
+use authority::change::{self, Output as Act, RequestId, SendResult, Step, Timing};
 use authority::lease::Grant;
 use authority::order::{Order, Role, Verdict};
 use authority::planner::{Bounds, Input, Output, Planner, Reason};
@@ -14,19 +14,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-pub(crate) const PACE: Pace = Pace {
-    poll: Duration::from_secs(1),
-    timeout: Duration::from_secs(2),
-    closing: Duration::from_secs(60),
-    order_delay: Duration::from_secs(5),
-    sends: 2,
+pub(crate) const PACE: Timing = Timing {
+    poll_interval: Duration::from_secs(1),
+    request_timeout: Duration::from_secs(2),
+    close_timeout: Duration::from_secs(60),
+    max_order_delay: Duration::from_secs(5),
+    max_sends: 2,
 };
 
 pub(crate) const BOUNDS: Bounds = Bounds {
-    concurrent: 2,
-    minimum: 1,
-    loads: 1,
-    reconcile: Duration::from_secs(1000),
+    max_concurrent: 2,
+    min_open: 1,
+    max_loads: 1,
+    reconcile_interval: Duration::from_secs(1000),
 };
 
 /// What the bench does with what goes to the engines.
@@ -102,9 +102,9 @@
     }
 
     pub(crate) fn want(&mut self, upstream: &str, what: Order) {
-        self.step(Input::Want {
+        self.step(Input::Request {
             upstream: upstream.to_owned(),
-            what,
+            action: what,
             reason: Reason::Plan,
         });
     }
@@ -136,13 +136,13 @@
     pub(crate) fn waiting(&mut self, upstream: &str, entries: &[&str]) {
         let order = self.state.pending_order(upstream).expect("an order").order;
         let waits: SmallVec<_> = entries.iter().map(|entry| (*entry).to_owned()).collect();
-        self.step(Input::Change(order, change::Input::Waiting(waits)));
+        self.step(Input::Change(order, change::Input::Blockers(waits)));
     }
 
     pub(crate) fn at(&self, upstream: &str) -> Option<Step> {
-        let mut underway = self.planner.underway();
+        let mut underway = self.planner.active_changes();
         let found = underway.find(|underway| underway.upstream == upstream);
-        found.map(|underway| underway.change.at())
+        found.map(|underway| underway.change.current_step())
     }
 
     pub(crate) fn engine(&mut self, upstream: &str) -> &mut Engine {
@@ -193,7 +193,7 @@
                 ticket,
                 order,
                 fence,
-                what,
+                action: what,
                 ..
             } => {
                 self.sends.push((upstream.to_owned(), order, fence));
@@ -221,16 +221,16 @@
 
 fn answer(
     path: Path,
-    ticket: Ticket,
-    kind: fn(Ticket, Receipt) -> change::Input,
-    act: impl FnOnce() -> Receipt,
+    ticket: RequestId,
+    kind: fn(RequestId, SendResult) -> change::Input,
+    act: impl FnOnce() -> SendResult,
 ) -> change::Input {
     let receipt = match path {
         Path::Open => act(),
-        Path::Lost => Receipt::Unknown,
+        Path::Lost => SendResult::Unknown,
         Path::Deaf => {
             act();
-            Receipt::Unknown
+            SendResult::Unknown
         }
     };
     kind(ticket, receipt)
--- a/crates/authority/tests/common/engine.rs
+++ b/crates/authority/tests/common/engine.rs
@@ -1,7 +1,7 @@
 //! An engine that keeps the interface of `docs/PLATFORM.md`.
 
-use authority::change::Receipt;
-use authority::engine::{Progress, Reading, Taken};
+use authority::change::SendResult;
+use authority::engine::{LastOrder, Progress, Reading};
 use authority::order::{Order, Role};
 use authority::{Fence, OrderId};
 use smallvec::SmallVec;
@@ -19,10 +19,10 @@
             incarnation: 1,
             role: Role::Mixed,
             models: SmallVec::new(),
-            taken: None,
+            last_order: None,
             fence: 0,
             checks_fence,
-            open: 0,
+            open_streams: 0,
         };
         Self {
             reading,
@@ -31,46 +31,46 @@
         }
     }
 
-    fn refuses(&mut self, fence: Fence) -> Option<Receipt> {
+    fn refuses(&mut self, fence: Fence) -> Option<SendResult> {
         let newest = self.reading.fence;
         if self.reading.checks_fence && fence < newest {
-            return Some(Receipt::Superseded { fence: newest });
+            return Some(SendResult::Superseded { fence: newest });
         }
         self.reading.fence = newest.max(fence);
         None
     }
 
-    pub(crate) fn order(&mut self, order: OrderId, fence: Fence, what: &Order) -> Receipt {
+    pub(crate) fn order(&mut self, order: OrderId, fence: Fence, what: &Order) -> SendResult {
         let known = self.reading.progress(order).is_some() || self.barred.contains(&order);
         if known {
-            return Receipt::Accepted;
+            return SendResult::Accepted;
         }
         if let Some(refused) = self.refuses(fence) {
             return refused;
         }
         if self.reading.is_running() {
-            let running = self.reading.taken.map_or(0, |taken| taken.order);
-            return Receipt::Busy { order: running };
+            let running = self.reading.last_order.map_or(0, |taken| taken.order);
+            return SendResult::Busy { order: running };
         }
         let progress = Progress::Running;
-        self.reading.taken = Some(Taken { order, progress });
+        self.reading.last_order = Some(LastOrder { order, progress });
         self.what = Some(what.clone());
-        Receipt::Accepted
+        SendResult::Accepted
     }
 
-    pub(crate) fn cancel(&mut self, order: OrderId, fence: Fence) -> Receipt {
+    pub(crate) fn cancel(&mut self, order: OrderId, fence: Fence) -> SendResult {
         if let Some(refused) = self.refuses(fence) {
             return refused;
         }
         if self.reading.progress(order).is_none() {
             self.barred.insert(order);
         }
-        Receipt::Accepted
+        SendResult::Accepted
     }
 
     /// Ends the order that runs.
     pub(crate) fn end(&mut self, progress: Progress) {
-        if let Some(taken) = &mut self.reading.taken {
+        if let Some(taken) = &mut self.reading.last_order {
             taken.progress = progress;
         }
         if progress == Progress::Done
--- a/crates/authority/tests/planner.rs
+++ b/crates/authority/tests/planner.rs
@@ -26,7 +26,7 @@
 fn no_more_changes_run_at_once_than_the_bound() {
     let mut bench = Bench::new(true);
     let bounds = Bounds {
-        concurrent: 1,
+        max_concurrent: 1,
         ..BOUNDS
     };
     bench.planner.set_bounds(bounds, PACE);
@@ -34,7 +34,7 @@
         bench.want_role(upstream);
     }
     assert_eq!(bench.state.pending_orders().count(), 1);
-    assert_eq!(bench.planner.wanted().count(), 2);
+    assert_eq!(bench.planner.requested_changes().count(), 2);
 }
 
 #[test]
@@ -61,9 +61,9 @@
     let mut bench = Bench::new(true);
     let mut sent = 0;
     for upstream in ["engine-1", "engine-2", "engine-3"] {
-        let want = Input::Want {
+        let want = Input::Request {
             upstream: upstream.to_owned(),
-            what: Order::SetRole(Role::Decode),
+            action: Order::SetRole(Role::Decode),
             reason: authority::planner::Reason::Plan,
         };
         let outputs = bench
@@ -97,7 +97,7 @@
     // Cause: nobody would read the engine back after the outcome.
     let mut bench = Bench::new(false);
     let bounds = Bounds {
-        reconcile: Duration::from_secs(10),
+        reconcile_interval: Duration::from_secs(10),
         ..BOUNDS
     };
     bench.planner.set_bounds(bounds, PACE);
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -158,7 +158,7 @@
             roles: Roles::default(),
             planned: now,
             appends: Appends::new(log, author, rules, sender.clone()),
-            engines: Engines::new(options.pace.timeout, current, sender.clone()),
+            engines: Engines::new(options.pace.request_timeout, current, sender.clone()),
             mesh,
             nonces: nonce::NonceSource::new(rand::rng().random()),
             reader: Reader {
--- a/crates/control/src/core/show.rs
+++ b/crates/control/src/core/show.rs
@@ -148,7 +148,7 @@
             }
         });
         let wanted = self.scopes.iter().flat_map(|(name, scope)| {
-            let wanted = scope.planner.wanted();
+            let wanted = scope.planner.requested_changes();
             wanted.map(|(upstream, what, reason)| status::Order {
                 order: 0,
                 scope: name.clone(),
@@ -165,15 +165,17 @@
     /// The step of an order, if this process carries it out.
     fn step_of(&self, scope: &str, order: u64) -> (String, String) {
         let scope = self.scopes.get(scope);
-        let mut underway = scope.into_iter().flat_map(|scope| scope.planner.underway());
+        let mut underway = scope
+            .into_iter()
+            .flat_map(|scope| scope.planner.active_changes());
         let Some(change) = underway.find(|change| change.order == order) else {
             return ("elsewhere".to_owned(), String::new());
         };
-        let step = match change.change.at() {
+        let step = match change.change.current_step() {
             Step::Concluding(verdict, detail) => format!("concluding {verdict:?}: {detail}"),
             step => format!("{step:?}"),
         };
-        (step.to_lowercase(), change.change.waiting().join(", "))
+        (step.to_lowercase(), change.change.blockers().join(", "))
     }
 
     fn drain_status(&self, now: Moment) -> Vec<status::Drain> {
--- a/crates/control/src/engines.rs
+++ b/crates/control/src/engines.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use authority::change::{Input, Output, Receipt, Ticket};
-use authority::engine::{Progress, Reading, Taken};
+use authority::change::{Input, Output, RequestId, SendResult};
+use authority::engine::{LastOrder, Progress, Reading};
 use authority::{Fence, OrderId, UpstreamId};
 use clock::Moment;
 use error_stack::Report;
@@ -83,7 +83,7 @@
                     ticket,
                     order,
                     fence,
-                    what,
+                    action: what,
                     not_after,
                 } => {
                     let order = platform::Order {
@@ -175,7 +175,7 @@
         matches!(connection, Ok(Ok(_)))
     }
 
-    async fn read(&self, ticket: Ticket, address: Option<String>) -> Input {
+    async fn read(&self, ticket: RequestId, address: Option<String>) -> Input {
         let Some(address) = address else {
             return Input::Unreachable(ticket);
         };
@@ -195,9 +195,9 @@
         address: Option<String>,
         order: &platform::Order,
         not_after: Moment,
-    ) -> Receipt {
+    ) -> SendResult {
         let Some((address, left)) = self.begin(address, not_after) else {
-            return Receipt::Failed;
+            return SendResult::Failed;
         };
         log::info!(order = order.order, fence = order.fence, address; "order sent");
         receipt(self.client.order(&address, order, left).await)
@@ -209,9 +209,9 @@
         order: OrderId,
         fence: Fence,
         not_after: Moment,
-    ) -> Receipt {
+    ) -> SendResult {
         let Some((address, left)) = self.begin(address, not_after) else {
-            return Receipt::Failed;
+            return SendResult::Failed;
         };
         log::info!(order, fence, address; "order cancelled");
         receipt(self.client.cancel(&address, order, fence, left).await)
@@ -231,13 +231,13 @@
     }
 }
 
-fn receipt(receipt: platform::Receipt) -> Receipt {
+fn receipt(receipt: platform::Receipt) -> SendResult {
     match receipt {
-        platform::Receipt::Accepted => Receipt::Accepted,
-        platform::Receipt::Superseded(fence) => Receipt::Superseded { fence },
-        platform::Receipt::Busy(order) => Receipt::Busy { order },
-        platform::Receipt::Unsent => Receipt::Failed,
-        platform::Receipt::Unknown => Receipt::Unknown,
+        platform::Receipt::Accepted => SendResult::Accepted,
+        platform::Receipt::Superseded(fence) => SendResult::Superseded { fence },
+        platform::Receipt::Busy(order) => SendResult::Busy { order },
+        platform::Receipt::Unsent => SendResult::Failed,
+        platform::Receipt::Unknown => SendResult::Unknown,
     }
 }
 
@@ -253,14 +253,14 @@
         incarnation: state.incarnation,
         role: from_role(state.role),
         models: state.models.iter().map(from_model).collect(),
-        taken: state.order.and_then(|taken| {
-            Some(Taken {
+        last_order: state.order.and_then(|taken| {
+            Some(LastOrder {
                 order: taken.order,
                 progress: progress(taken.state)?,
             })
         }),
         fence: state.fence,
         checks_fence: state.checks_fence,
-        open: state.open,
+        open_streams: state.open,
     }
 }
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use authority::change::Pace;
+use authority::change::Timing;
 use authority::lease::term::{Finding, Term, TermConfig};
 use fleet::{drain, health, list, member};
 use peer::keys::{Pem, Source};
@@ -51,7 +51,7 @@
     /// Closing of upstreams.
     pub drain: drain::Settings,
     /// Planned changes.
-    pub pace: Pace,
+    pub pace: Timing,
     /// Claims of idempotency keys.
     pub claims: claims::Pace,
     /// How long the log keeps records.
@@ -85,7 +85,7 @@
             list: list::Settings::default(),
             health: health::Settings::default(),
             drain: drain::Settings::default(),
-            pace: Pace::default(),
+            pace: Timing::default(),
             claims: claims::Pace::default(),
             retention: Duration::from_secs(3600),
             log_wait: Duration::from_secs(1),
--- a/crates/control/src/scopes.rs
+++ b/crates/control/src/scopes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use authority::author::Author;
-use authority::change::{Input as ChangeInput, Pace, Wait};
+use authority::change::{Blocker, Input as ChangeInput, Timing};
 use authority::lease::term::Term;
 use authority::lease::{self, Grant, Lease};
 use authority::order::Order;
@@ -38,7 +38,7 @@
 pub(crate) struct Scopes {
     me: Author,
     term: Term,
-    pace: Pace,
+    pace: Timing,
     scopes: BTreeMap<String, Scope>,
     seed: Box<dyn FnMut() -> u64>,
     /// The newest renewal of each scope with the moment at which it was seen first.
@@ -50,7 +50,7 @@
 }
 
 impl Scopes {
-    pub(crate) fn new(me: Author, term: Term, pace: Pace, seed: Box<dyn FnMut() -> u64>) -> Self {
+    pub(crate) fn new(me: Author, term: Term, pace: Timing, seed: Box<dyn FnMut() -> u64>) -> Self {
         Self {
             me,
             term,
@@ -187,9 +187,9 @@
             may_act && !self.leaving
         });
         if holds {
-            let want = planner::Input::Want {
+            let want = planner::Input::Request {
                 upstream,
-                what,
+                action: what,
                 reason,
             };
             self.plan(around, name, want);
@@ -232,7 +232,7 @@
         let Some(scope) = self.scopes.get(name) else {
             return;
         };
-        let underway = scope.planner.underway();
+        let underway = scope.planner.active_changes();
         let underway: Vec<(OrderId, UpstreamId)> = underway
             .map(|change| (change.order, change.upstream.clone()))
             .collect();
@@ -242,7 +242,7 @@
                 Some(ChangeInput::Absent)
             } else {
                 let waits = around.census.drain.waits(around.now, order, &senders);
-                waits.map(|waits| ChangeInput::Waiting(described(&waits)))
+                waits.map(|waits| ChangeInput::Blockers(described(&waits)))
             };
             if let Some(input) = input {
                 self.plan(around, name, planner::Input::Change(order, input));
@@ -274,7 +274,7 @@
     }
 }
 
-fn described(waits: &[fleet::drain::Wait]) -> SmallVec<[Wait; 4]> {
+fn described(waits: &[fleet::drain::Wait]) -> SmallVec<[Blocker; 4]> {
     waits.iter().map(ToString::to_string).collect()
 }
 
--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -93,9 +93,9 @@
         options.members.lag = Duration::from_millis(500);
         options.members.pause = Duration::from_secs(5);
         options.drain.settle = Duration::from_millis(100);
-        options.pace.poll = Duration::from_millis(50);
-        options.pace.timeout = Duration::from_millis(200);
-        options.pace.order_delay = Duration::from_millis(200);
+        options.pace.poll_interval = Duration::from_millis(50);
+        options.pace.request_timeout = Duration::from_millis(200);
+        options.pace.max_order_delay = Duration::from_millis(200);
         options
     }
 
--- a/crates/filetests/src/engine.rs
+++ b/crates/filetests/src/engine.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use authority::change::Receipt;
-use authority::engine::{Progress, Reading, Taken};
+use authority::change::SendResult;
+use authority::engine::{LastOrder, Progress, Reading};
 use authority::order::{Order, Role};
 use authority::{Fence, OrderId};
 use clock::Moment;
@@ -32,10 +32,10 @@
             incarnation: 1,
             role: Role::Mixed,
             models: SmallVec::new(),
-            taken: None,
+            last_order: None,
             fence: 0,
             checks_fence,
-            open: 0,
+            open_streams: 0,
         };
         Self {
             reading,
@@ -48,13 +48,13 @@
 
     pub(crate) fn read(&self) -> Reading {
         let mut reading = self.reading.clone();
-        reading.open = self.streams.values().sum();
+        reading.open_streams = self.streams.values().sum();
         reading
     }
 
     /// The order that is being carried out.
     pub(crate) fn running(&self) -> Option<OrderId> {
-        let taken = self.reading.taken;
+        let taken = self.reading.last_order;
         taken
             .filter(|taken| taken.progress == Progress::Running)
             .map(|taken| taken.order)
@@ -67,32 +67,32 @@
         order: OrderId,
         fence: Fence,
         what: &Order,
-    ) -> (Receipt, bool) {
+    ) -> (SendResult, bool) {
         let same = self.reading.progress(order).is_some() || self.barred.contains(&order);
         if same {
-            return (Receipt::Accepted, false);
+            return (SendResult::Accepted, false);
         }
         if let Some(refused) = self.refuses(fence) {
             return (refused, false);
         }
         if let Some(order) = self.running() {
-            return (Receipt::Busy { order }, false);
+            return (SendResult::Busy { order }, false);
         }
         let progress = Progress::Running;
-        self.reading.taken = Some(Taken { order, progress });
+        self.reading.last_order = Some(LastOrder { order, progress });
         self.what = Some(what.clone());
         self.ends = Some(now + TAKES);
-        (Receipt::Accepted, true)
+        (SendResult::Accepted, true)
     }
 
-    pub(crate) fn cancel(&mut self, order: OrderId, fence: Fence) -> Receipt {
+    pub(crate) fn cancel(&mut self, order: OrderId, fence: Fence) -> SendResult {
         if let Some(refused) = self.refuses(fence) {
             return refused;
         }
         if self.reading.progress(order).is_none() {
             self.barred.insert(order);
         }
-        Receipt::Accepted
+        SendResult::Accepted
     }
 
     /// Ends the order if its time has come.
@@ -101,7 +101,7 @@
             return;
         }
         self.ends = None;
-        if let Some(taken) = &mut self.reading.taken {
+        if let Some(taken) = &mut self.reading.last_order {
             taken.progress = Progress::Done;
         }
         match self.what.take() {
@@ -119,10 +119,10 @@
         self.reading.incarnation = incarnation;
     }
 
-    fn refuses(&mut self, fence: Fence) -> Option<Receipt> {
+    fn refuses(&mut self, fence: Fence) -> Option<SendResult> {
         let newest = self.reading.fence;
         if self.reading.checks_fence && fence < newest {
-            return Some(Receipt::Superseded { fence: newest });
+            return Some(SendResult::Superseded { fence: newest });
         }
         self.reading.fence = newest.max(fence);
         None
--- a/crates/filetests/src/process/control.rs
+++ b/crates/filetests/src/process/control.rs
@@ -31,7 +31,7 @@
         let senders = self.members.senders();
         let underway: Vec<(Name, OrderId)> = self
             .planner
-            .underway()
+            .active_changes()
             .map(|one| (one.upstream.clone(), one.order))
             .collect();
         let serving = self
@@ -48,7 +48,7 @@
             }
             let waits = self.drain.waits(now, order, &senders).unwrap_or_default();
             let waits = waits.iter().map(ToString::to_string).collect();
-            let waiting = Input::Change(order, change::Input::Waiting(waits));
+            let waiting = Input::Change(order, change::Input::Blockers(waits));
             lines.extend(self.plan(now, waiting));
         }
         lines.extend(self.plan(now, Input::Tick));
--- a/crates/filetests/src/process/mod.rs
+++ b/crates/filetests/src/process/mod.rs
@@ -204,6 +204,6 @@
     Term::try_from(figures).expect("the figures are in range")
 }
 
-fn pace() -> authority::change::Pace {
-    authority::change::Pace::default()
+fn pace() -> authority::change::Timing {
+    authority::change::Timing::default()
 }
--- a/crates/filetests/src/world/engine_calls.rs
+++ b/crates/filetests/src/world/engine_calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use authority::change::{self, Output, Receipt};
+use authority::change::{self, Output, SendResult};
 use authority::planner::Input;
 use clock::Moment;
 
@@ -79,17 +79,17 @@
         reaches: bool,
         not_after: Moment,
         output: Output,
-    ) -> Receipt {
+    ) -> SendResult {
         if self.now > not_after {
-            return Receipt::Failed;
+            return SendResult::Failed;
         }
         self.pass_on(pair, reaches, output)
     }
 
-    fn pass_on(&mut self, pair: &(Name, Name), reaches: bool, output: Output) -> Receipt {
+    fn pass_on(&mut self, pair: &(Name, Name), reaches: bool, output: Output) -> SendResult {
         let (from, to) = pair.clone();
         if !reaches {
-            return Receipt::Unknown;
+            return SendResult::Unknown;
         }
         if self.slow.contains(pair) {
             self.say(format!("{from}: {} is on its way to {to}", what(&output)));
@@ -100,11 +100,11 @@
                 output,
                 until,
             });
-            return Receipt::Unknown;
+            return SendResult::Unknown;
         }
         let receipt = self.arrived(&from, &to, output);
         if self.deaf.contains(pair) {
-            Receipt::Unknown
+            SendResult::Unknown
         } else {
             receipt
         }
@@ -131,15 +131,18 @@
         Ok(())
     }
 
-    fn arrived(&mut self, from: &str, to: &str, output: Output) -> Receipt {
+    fn arrived(&mut self, from: &str, to: &str, output: Output) -> SendResult {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(to) else {
-            return Receipt::Unknown;
+            return SendResult::Unknown;
         };
         let text = what(&output);
         match output {
             Output::Send {
-                order, fence, what, ..
+                order,
+                fence,
+                action: what,
+                ..
             } => {
                 let running = engine.running();
                 let (receipt, begins) = engine.order(now, order, fence, &what);
@@ -156,7 +159,7 @@
                 self.say(format!("{to}: {text} from {from}: {receipt:?}"));
                 receipt
             }
-            Output::Read { .. } | Output::Conclude { .. } => Receipt::Failed,
+            Output::Read { .. } | Output::Conclude { .. } => SendResult::Failed,
         }
     }
 
@@ -177,7 +180,7 @@
         let open = self
             .engines
             .get(name)
-            .map_or(0, |engine| engine.read().open);
+            .map_or(0, |engine| engine.read().open_streams);
         if open > 0 {
             self.say(format!("VIOLATION {name} cuts {open} streams"));
         }
--- a/crates/filetests/src/world/fleet_commands.rs
+++ b/crates/filetests/src/world/fleet_commands.rs
@@ -84,9 +84,9 @@
             (None, Some(load)) => Order::LoadModel(model(load)?),
             _ => return Err("`want` needs `role=` or `load=`".to_owned()),
         };
-        let want = Input::Want {
+        let want = Input::Request {
             upstream,
-            what,
+            action: what,
             reason: Reason::Plan,
         };
         let names: Vec<Name> = match command.arg("at") {
--- a/crates/filetests/src/world/show.rs
+++ b/crates/filetests/src/world/show.rs
@@ -46,14 +46,18 @@
             format!("{upstream}: order {}, {:?}", pending.order, pending.action)
         });
         let steps = self.processes.iter().flat_map(|(name, process)| {
-            process.planner.underway().map(move |one| {
-                let waits = one.change.waiting().join(", ");
+            process.planner.active_changes().map(move |one| {
+                let waits = one.change.blockers().join(", ");
                 let waits = if waits.is_empty() {
                     waits
                 } else {
                     format!(", waits: {waits}")
                 };
-                format!("{name}: {} {:?}{waits}", one.upstream, one.change.at())
+                format!(
+                    "{name}: {} {:?}{waits}",
+                    one.upstream,
+                    one.change.current_step()
+                )
             })
         });
         pending.chain(steps).collect()
@@ -67,7 +71,7 @@
                 .iter()
                 .map(|model| format!("{}.{}", model.model, model.version))
                 .collect();
-            let (role, open, models) = (reading.role, reading.open, models.join(" "));
+            let (role, open, models) = (reading.role, reading.open_streams, models.join(" "));
             format!("{name}: {role:?}, {open} open, models: {models}")
         };
         self.engines.iter().map(line).collect()
--- a/crates/spec/src/orders.rs
+++ b/crates/spec/src/orders.rs
@@ -4,7 +4,7 @@
 
 use crate::explore::Model;
 use crate::log::{Log, Parcel};
-use authority::change::Receipt;
+use authority::change::SendResult;
 use std::rc::Rc;
 use world::{Answer, ENGINE, Entry, Message, SCOPE, process};
 
@@ -350,8 +350,8 @@
         let process = Rc::make_mut(&mut world.processes[message.from]);
         let answer = Answer {
             cancel: message.what.is_none(),
-            taken: reaction.receipt == Receipt::Accepted,
-            busy: matches!(reaction.receipt, Receipt::Busy { .. }),
+            taken: reaction.receipt == SendResult::Accepted,
+            busy: matches!(reaction.receipt, SendResult::Busy { .. }),
         };
         process.inbox = [(message.order, message.ticket, answer)]
             .into_iter()
--- a/crates/spec/src/orders/engine.rs
+++ b/crates/spec/src/orders/engine.rs
@@ -1,8 +1,8 @@
 //! The engine of the model: the interface of `docs/PLATFORM.md` at its weakest. It remembers one
 //! order, the cancellations and the greatest token, and all of them only until it restarts.
 
-use authority::change::Receipt;
-use authority::engine::{Progress, Reading, Taken};
+use authority::change::SendResult;
+use authority::engine::{LastOrder, Progress, Reading};
 use authority::order::{Order, Role};
 use authority::{Fence, OrderId};
 use smallvec::SmallVec;
@@ -10,7 +10,7 @@
 /// What the engine does with an order or a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Reaction {
-    pub(super) receipt: Receipt,
+    pub(super) receipt: SendResult,
     /// The order began to act now.
     pub(super) began: bool,
 }
@@ -19,7 +19,7 @@
 pub(super) struct Engine {
     pub(super) checks_fence: bool,
     pub(super) role: Role,
-    pub(super) taken: Option<Taken>,
+    pub(super) taken: Option<LastOrder>,
     pub(super) open: u32,
     forgets: bool,
     incarnation: u64,
@@ -53,10 +53,10 @@
             incarnation: self.incarnation,
             role: self.role,
             models: SmallVec::new(),
-            taken: self.taken,
+            last_order: self.taken,
             fence: self.fence,
             checks_fence: self.checks_fence,
-            open: self.open,
+            open_streams: self.open,
         }
     }
 
@@ -64,20 +64,20 @@
     pub(super) fn take(&mut self, order: OrderId, fence: Fence, what: Option<&Order>) -> Reaction {
         let known = self.taken.is_some_and(|taken| taken.order == order);
         if known || self.barred.contains(&order) {
-            return silent(Receipt::Accepted);
+            return silent(SendResult::Accepted);
         }
         if self.checks_fence && fence < self.fence {
-            return silent(Receipt::Superseded { fence: self.fence });
+            return silent(SendResult::Superseded { fence: self.fence });
         }
         let Some(what) = what else {
             self.fence = self.fence.max(fence);
             if !self.forgets {
                 self.barred.push(order);
             }
-            return silent(Receipt::Accepted);
+            return silent(SendResult::Accepted);
         };
         if let Some(running) = self.taken.filter(|_| self.is_running()) {
-            return silent(Receipt::Busy {
+            return silent(SendResult::Busy {
                 order: running.order,
             });
         }
@@ -86,9 +86,9 @@
             self.aim = *role;
         }
         let progress = Progress::Running;
-        self.taken = Some(Taken { order, progress });
+        self.taken = Some(LastOrder { order, progress });
         Reaction {
-            receipt: Receipt::Accepted,
+            receipt: SendResult::Accepted,
             began: true,
         }
     }
@@ -107,7 +107,7 @@
     }
 }
 
-fn silent(receipt: Receipt) -> Reaction {
+fn silent(receipt: SendResult) -> Reaction {
     Reaction {
         receipt,
         began: false,
--- a/crates/spec/src/orders/world.rs
+++ b/crates/spec/src/orders/world.rs
@@ -4,7 +4,7 @@
 use super::engine::Engine;
 use crate::log::{Log, Parcel};
 use authority::author::Author;
-use authority::change::{Input as Told, Output as Act, Pace, Step, Ticket};
+use authority::change::{Input as Told, Output as Act, RequestId, Step, Timing};
 use authority::lease::term::TermConfig;
 use authority::lease::{self, Grant, Lease, Term};
 use authority::nonce::Nonce;
@@ -29,7 +29,7 @@
     pub(super) planner: Planner,
     pub(super) folded: usize,
     /// Answers of the engine that were not taken in yet.
-    pub(super) inbox: SmallVec<[(OrderId, Ticket, Answer); 1]>,
+    pub(super) inbox: SmallVec<[(OrderId, RequestId, Answer); 1]>,
 }
 
 /// An answer to a send or a cancellation.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(super) struct Message {
     pub(super) from: usize,
-    pub(super) ticket: Ticket,
+    pub(super) ticket: RequestId,
     pub(super) order: OrderId,
     pub(super) fence: Fence,
     /// `None` for a cancellation.
@@ -86,22 +86,22 @@
     pub(super) broken: Option<&'static str>,
 }
 
-fn pace() -> Pace {
-    Pace {
-        poll: TICK,
-        timeout: TICK,
-        closing: TICK * 100,
-        order_delay: TICK * DELAY,
-        sends: 1,
+fn pace() -> Timing {
+    Timing {
+        poll_interval: TICK,
+        request_timeout: TICK,
+        close_timeout: TICK * 100,
+        max_order_delay: TICK * DELAY,
+        max_sends: 1,
     }
 }
 
 fn bounds() -> Bounds {
     Bounds {
-        concurrent: 1,
-        minimum: 0,
-        loads: 1,
-        reconcile: TICK * 1000,
+        max_concurrent: 1,
+        min_open: 0,
+        max_loads: 1,
+        reconcile_interval: TICK * 1000,
     }
 }
 
@@ -139,9 +139,9 @@
 }
 
 fn want(role: Role) -> Input {
-    Input::Want {
+    Input::Request {
         upstream: ENGINE.to_owned(),
-        what: Order::SetRole(role),
+        action: Order::SetRole(role),
         reason: Reason::Plan,
     }
 }
@@ -229,7 +229,7 @@
     }
 
     fn tell_waiting(&mut self, config: &Config, which: usize) {
-        let underway = self.processes[which].planner.underway();
+        let underway = self.processes[which].planner.active_changes();
         let orders: SmallVec<[OrderId; 1]> = underway.map(|underway| underway.order).collect();
         for order in orders {
             let confirmed = self.entry.folded as u64 >= order && !self.entry.open;
@@ -237,7 +237,7 @@
             if !confirmed && config.mutant != Some(Mutant::NoClosing) {
                 waits.push("x".to_owned());
             }
-            self.plan(config, which, Input::Change(order, Told::Waiting(waits)));
+            self.plan(config, which, Input::Change(order, Told::Blockers(waits)));
         }
     }
 
@@ -276,13 +276,13 @@
             Act::Send {
                 ticket,
                 fence,
-                what,
+                action: what,
                 ..
             } => (ticket, fence, Some(what)),
             Act::Cancel { ticket, .. } if config.mutant == Some(Mutant::NoCancel) => {
                 return Some(Told::Cancelled(
                     ticket,
-                    authority::change::Receipt::Accepted,
+                    authority::change::SendResult::Accepted,
                 ));
             }
             Act::Cancel { ticket, fence, .. } => (ticket, fence, None),
@@ -305,7 +305,7 @@
     fn reading(&self, config: &Config) -> authority::engine::Reading {
         let mut reading = self.engine.reading();
         match config.mutant {
-            Some(Mutant::NoDrain) => reading.open = 0,
+            Some(Mutant::NoDrain) => reading.open_streams = 0,
             Some(Mutant::NoFence) => reading.checks_fence = true,
             Some(Mutant::NoCancel) => reading.fence = u64::MAX,
             _ => (),
@@ -316,9 +316,9 @@
     /// What tells whether a step of a process changed more than the moment of its last read.
     pub(super) fn signature(&self, which: usize) -> impl PartialEq + use<> {
         let process = &self.processes[which];
-        let steps = process.planner.underway();
+        let steps = process.planner.active_changes();
         let steps: SmallVec<[(OrderId, Step); 1]> = steps
-            .map(|underway| (underway.order, underway.change.at()))
+            .map(|underway| (underway.order, underway.change.current_step()))
             .collect();
         (
             process.folded,
@@ -331,12 +331,12 @@
 }
 
 impl Answer {
-    fn told(self, ticket: Ticket) -> Told {
-        use authority::change::Receipt;
+    fn told(self, ticket: RequestId) -> Told {
+        use authority::change::SendResult;
         let receipt = match (self.taken, self.busy) {
-            (true, _) => Receipt::Accepted,
-            (false, true) => Receipt::Busy { order: 0 },
-            (false, false) => Receipt::Superseded { fence: 0 },
+            (true, _) => SendResult::Accepted,
+            (false, true) => SendResult::Busy { order: 0 },
+            (false, false) => SendResult::Superseded { fence: 0 },
         };
         if self.cancel {
             Told::Cancelled(ticket, receipt)
