--- a/crates/authority/src/change/act.rs
+++ b/crates/authority/src/change/act.rs
@@ -27,7 +27,7 @@
             Step::Closing => None,
             Step::Survey | Step::Draining | Step::Running | Step::Verifying | Step::Barred => {
                 let ticket = self.ask(now);
-                Some(Output::Read { ticket })
+                Some(Output::Read { request: ticket })
             }
             Step::Sending => self.send(now, permit),
             Step::Cancelling => self.cancel(now, permit),
@@ -52,7 +52,7 @@
         self.sends += 1;
         self.last_send = Some(now);
         Some(Output::Send {
-            ticket: self.ask(now),
+            request: self.ask(now),
             order: self.order,
             fence: self.token(permit),
             action: self.what.clone(),
@@ -65,7 +65,7 @@
             return None;
         }
         Some(Output::Cancel {
-            ticket: self.ask(now),
+            request: self.ask(now),
             order: self.order,
             fence: self.bar(permit),
             not_after: now + self.pace.request_timeout,
--- a/crates/authority/src/change/message.rs
+++ b/crates/authority/src/change/message.rs
@@ -71,12 +71,12 @@
     /// Ask the engine for its state.
     Read {
         /// To be given back with the answer.
-        ticket: RequestId,
+        request: RequestId,
     },
     /// Send the order, unless `not_after` has passed at the moment of the send.
     Send {
         /// To be given back with the answer.
-        ticket: RequestId,
+        request: RequestId,
         /// The order's id.
         order: OrderId,
         /// The fencing token for the engine.
@@ -89,7 +89,7 @@
     /// Tell the engine that the order must not begin any more.
     Cancel {
         /// To be given back with the answer.
-        ticket: RequestId,
+        request: RequestId,
         /// The order's id.
         order: OrderId,
         /// The fencing token for the engine.
--- a/crates/authority/tests/change.rs
+++ b/crates/authority/tests/change.rs
@@ -268,7 +268,7 @@
     change.step(now, &permit, Told::Reading(1, reading.clone()));
     change.step(now, &permit, Told::Blockers(SmallVec::new()));
     let sent = change.step(now, &permit, Told::Reading(2, reading.clone()));
-    assert_matches!(sent[..], [Output::Send { ticket: 3, .. }]);
+    assert_matches!(sent[..], [Output::Send { request: 3, .. }]);
     now += Duration::from_secs(10);
     change.step(now, &permit, Told::Tick);
     change.step(now, &permit, Told::Reading(4, reading.clone()));
@@ -323,7 +323,7 @@
     change.step(now, &permit, Told::Reading(1, before.clone()));
     let cancelled = Told::Cancelled(2, SendResult::Accepted);
     let outputs = change.step(now, &permit, cancelled);
-    assert_matches!(outputs[..], [Output::Read { ticket: 3 }]);
+    assert_matches!(outputs[..], [Output::Read { request: 3 }]);
     change.step(now, &permit, Told::Reading(1, before.clone()));
     assert_eq!(change.current_step(), Step::Barred);
     change.step(now, &permit, Told::Reading(3, before));
--- a/crates/authority/tests/common/bench.rs
+++ b/crates/authority/tests/common/bench.rs
@@ -186,11 +186,11 @@
     fn tell(&mut self, upstream: &str, act: Act) -> change::Input {
         let path = self.path;
         match act {
-            Act::Read { ticket } => {
+            Act::Read { request: ticket } => {
                 change::Input::Reading(ticket, self.engine(upstream).reading.clone())
             }
             Act::Send {
-                ticket,
+                request: ticket,
                 order,
                 fence,
                 action: what,
@@ -203,7 +203,7 @@
                 })
             }
             Act::Cancel {
-                ticket,
+                request: ticket,
                 order,
                 fence,
                 ..
--- a/crates/claims/examples/cost.rs
+++ b/crates/claims/examples/cost.rs
@@ -4,7 +4,7 @@
 use std::error::Error;
 use std::time::Instant;
 
-use claims::{Book, Holder};
+use claims::{ClaimTable, Holder};
 use wire::Message;
 use wire::record::record::Body;
 use wire::record::{KeyClaim, KeyClaims, Record};
@@ -25,7 +25,7 @@
     );
 
     let before = resident()?;
-    let mut book = Book::new();
+    let mut book = ClaimTable::new();
     let start = Instant::now();
     for (offset, record) in (1..).zip(&records) {
         book.apply(offset, record);
@@ -35,7 +35,7 @@
     let grown = (resident()? - before) * 1024;
     println!("{} bytes of memory a claim", grown / claims);
     let start = Instant::now();
-    book.forget(records.len() as u64 + 1);
+    book.forget_before(records.len() as u64 + 1);
     println!(
         "all forgotten in {:?}, {} left",
         start.elapsed(),
@@ -48,7 +48,7 @@
     let claim = |position: u64| {
         let id = number * batch + position;
         KeyClaim {
-            key: claims::key("kiosks", "cards", &id.to_string()).to_vec(),
+            key: claims::key_digest("kiosks", "cards", &id.to_string()).to_vec(),
             request: format!("00000000-0000-4000-8000-{id:012}"),
             fingerprint: claims::fingerprint("POST", "/cards", &id.to_be_bytes()).to_vec(),
         }
--- a/crates/claims/src/batcher.rs
+++ b/crates/claims/src/batcher.rs
@@ -10,8 +10,8 @@
 use crate::ledger::{Ledger, Phase};
 use crate::outcomes::Outcomes;
 use crate::{
-    Book, Call, Decision, Digest, End, Folded, Holder, Input, Nonce, Offset, Output, Outputs, Pace,
-    Policy, Ran, Reach, Ticket,
+    Call, CallEnd, CallId, ClaimTable, Decision, Digest, Effect, Executed, Holder, Input, Limits,
+    LogStatus, Nonce, Offset, OutagePolicy, Output, Outputs,
 };
 use append::Flight;
 
@@ -21,11 +21,11 @@
 /// The claims of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Batcher {
-    pace: Pace,
+    pace: Limits,
     holder: Arc<Holder>,
     seed: u64,
     drawn: u64,
-    book: Book,
+    book: ClaimTable,
     ledger: Ledger,
     outcomes: Outcomes,
     flights: BTreeMap<Nonce, Flight>,
@@ -33,55 +33,55 @@
     next: Moment,
     /// Keys that ran here although another call holds their claim.
     contested: BTreeSet<Digest>,
-    reach: Reach,
+    reach: LogStatus,
 }
 
 impl Batcher {
     /// A batcher for this run of this instance. `seed` begins its nonces and must be drawn at
     /// random. The log counts as out until it is said to be up.
-    pub fn new(holder: Holder, seed: u64, pace: Pace) -> Self {
+    pub fn new(holder: Holder, seed: u64, pace: Limits) -> Self {
         Self {
             pace,
             holder: Arc::new(holder),
             seed,
             drawn: 0,
-            book: Book::new(),
+            book: ClaimTable::new(),
             ledger: Ledger::default(),
             outcomes: Outcomes::default(),
             flights: BTreeMap::new(),
             next: Moment::ZERO,
             contested: BTreeSet::new(),
-            reach: Reach::Out,
+            reach: LogStatus::Down,
         }
     }
 
     /// The claims in force.
-    pub fn book(&self) -> &Book {
+    pub fn claims(&self) -> &ClaimTable {
         &self.book
     }
 
     /// Calls that are held.
-    pub fn held(&self) -> usize {
+    pub fn open_calls(&self) -> usize {
         self.ledger.len()
     }
 
     /// Forgets claims before the first offset that the log retains.
-    pub fn forget(&mut self, first: Offset) {
-        self.book.forget(first);
+    pub fn forget_before(&mut self, first: Offset) {
+        self.book.forget_before(first);
     }
 
     /// When [`Input::Tick`] is wanted next.
     pub fn next_wake(&self) -> Option<Moment> {
         let timer = self.ledger.next_timer();
-        let outcomes = self.outcomes.expires(self.pace.patience);
+        let outcomes = self.outcomes.expires(self.pace.read_back_timeout);
         let flights = self
             .flights
             .values()
             .filter(|flight| flight.landed.is_none())
-            .map(|flight| flight.sent + self.pace.patience);
+            .map(|flight| flight.sent + self.pace.read_back_timeout);
         let mut appends: Option<Moment> = None;
-        if self.reach == Reach::Up {
-            let claims = self.ledger.has_queued() && self.flights.len() < self.pace.in_flight;
+        if self.reach == LogStatus::Up {
+            let claims = self.ledger.has_queued() && self.flights.len() < self.pace.max_in_flight;
             let due = self.outcomes.due(self.pace.outcome_interval);
             appends = claims.then_some(self.next).into_iter().chain(due).min();
         }
@@ -93,7 +93,7 @@
         let mut outputs = Outputs::new();
         match input {
             Input::Call(call) => self.call(now, call, &mut outputs),
-            Input::Gone(ticket) => self.gone(ticket),
+            Input::CallerGone(ticket) => self.gone(ticket),
             Input::Ended(ticket, end) => self.ended(ticket, end),
             Input::Appended(nonce, offset) => {
                 if let Some(flight) = self.flights.get_mut(&nonce) {
@@ -101,11 +101,11 @@
                 }
             }
             Input::Rejected(nonce) => {
-                self.next = self.next.max(now + self.pace.retry);
+                self.next = self.next.max(now + self.pace.retry_delay);
                 self.requeue(&nonce);
             }
             // It may stand in the log or come yet, and is waited for as if nothing had happened.
-            Input::Lost(_) | Input::Tick => {}
+            Input::AnswerLost(_) | Input::Tick => {}
             Input::Log(reach) => self.log(reach, &mut outputs),
         }
         self.timers(now, &mut outputs);
@@ -117,12 +117,12 @@
     pub fn fold(&mut self, now: Moment, offset: Offset, record: &Record) -> Outputs {
         let mut outputs = Outputs::new();
         let folded = self.book.apply(offset, record);
-        let own = folded != Folded::Old && self.wrote(record);
+        let own = folded != Effect::Repeated && self.wrote(record);
         if own && let Ok(nonce) = Nonce::try_from(record.nonce.as_slice()) {
             self.flights.remove(&nonce);
             self.outcomes.read_back(&nonce);
         }
-        if let (Folded::Claims(won), Some(Body::KeyClaims(batch))) = (&folded, &record.body) {
+        if let (Effect::Claims(won), Some(Body::KeyClaims(batch))) = (&folded, &record.body) {
             for (claim, won) in batch.claims.iter().zip(won) {
                 if own {
                     self.read_back(now, offset, claim, *won, &mut outputs);
@@ -137,12 +137,14 @@
     }
 
     fn call(&mut self, now: Moment, call: Call, outputs: &mut Outputs) {
-        let ticket = call.ticket;
+        let ticket = call.id;
         let decision = if let Some(decision) = self.known(&call) {
             decision
-        } else if self.ledger.len() >= self.pace.max_held || call.give_up <= now {
-            Decision::Refused { ran: call.ran() }
-        } else if self.reach == Reach::Up {
+        } else if self.ledger.len() >= self.pace.max_calls || call.deadline <= now {
+            Decision::Refused {
+                executed: call.executed(),
+            }
+        } else if self.reach == LogStatus::Up {
             let timer = self.timer(now, &call);
             self.ledger.insert(call, Phase::Waiting, timer);
             return;
@@ -150,14 +152,16 @@
             self.ledger.insert(call, Phase::Running, now);
             Decision::RunUnclaimed
         } else {
-            Decision::Refused { ran: call.ran() }
+            Decision::Refused {
+                executed: call.executed(),
+            }
         };
         outputs.push(Output::Decide(ticket, decision));
     }
 
     /// What is decided without a new claim.
     fn known(&self, call: &Call) -> Option<Decision> {
-        if call.policy == Policy::FirstAttempt && call.attempt.is_none() {
+        if call.policy == OutagePolicy::FirstAttempt && call.attempt.is_none() {
             return Some(Decision::AttemptRequired);
         }
         if let Some(claim) = self.book.claim(&call.key) {
@@ -168,7 +172,7 @@
             let (holder, request) = (Arc::clone(&self.holder), held.call.request.as_str().into());
             return Some(if held.call.fingerprint != call.fingerprint {
                 Decision::Conflict
-            } else if held.phase == Phase::Ended(End::Answered) {
+            } else if held.phase == Phase::Ended(CallEnd::Answered) {
                 Decision::Answered { holder, request }
             } else {
                 Decision::InProgress { holder, request }
@@ -176,21 +180,23 @@
         }
         // The first attempt may be running without a claim at an instance that cannot be asked. If a
         // later one ran because its claim wins, the call would have run twice.
-        if call.policy == Policy::FirstAttempt && !call.runs_unclaimed() {
-            return Some(Decision::Refused { ran: Ran::Unknown });
+        if call.policy == OutagePolicy::FirstAttempt && !call.runs_unclaimed() {
+            return Some(Decision::Refused {
+                executed: Executed::Unknown,
+            });
         }
         None
     }
 
     fn timer(&self, now: Moment, call: &Call) -> Moment {
         if call.runs_unclaimed() {
-            call.give_up.min(now + self.pace.first_attempt_wait)
+            call.deadline.min(now + self.pace.first_attempt_wait)
         } else {
-            call.give_up
+            call.deadline
         }
     }
 
-    fn gone(&mut self, ticket: Ticket) {
+    fn gone(&mut self, ticket: CallId) {
         let waiting = |phase| phase == Phase::Waiting;
         if self
             .ledger
@@ -201,7 +207,7 @@
         }
     }
 
-    fn ended(&mut self, ticket: Ticket, end: End) {
+    fn ended(&mut self, ticket: CallId, end: CallEnd) {
         let Some(held) = self.ledger.get_mut(ticket) else {
             return;
         };
@@ -211,21 +217,21 @@
         let (key, claim) = (held.call.key, held.claim);
         // A call that ran before its claim was in the log is kept until the claim is read back, so
         // that a repeat here finds it and the claim is not taken for one of a call that never ran.
-        if held.unclaimed && end != End::NotRun {
+        if held.unclaimed && end != CallEnd::NotRun {
             held.phase = Phase::Ended(end);
             return;
         }
         self.ledger.remove(ticket);
         match (claim, end) {
-            (Some(claim), End::Answered) => self.outcomes.add(&key, claim, KeyEnd::Answered),
-            (Some(claim), End::NotRun) => self.outcomes.add(&key, claim, KeyEnd::NotRun),
-            (_, End::Unknown) | (None, _) => {}
+            (Some(claim), CallEnd::Answered) => self.outcomes.add(&key, claim, KeyEnd::Answered),
+            (Some(claim), CallEnd::NotRun) => self.outcomes.add(&key, claim, KeyEnd::NotRun),
+            (_, CallEnd::Unknown) | (None, _) => {}
         }
     }
 
-    fn log(&mut self, reach: Reach, outputs: &mut Outputs) {
+    fn log(&mut self, reach: LogStatus, outputs: &mut Outputs) {
         self.reach = reach;
-        if reach == Reach::Up {
+        if reach == LogStatus::Up {
             return;
         }
         for ticket in self.ledger.waiting() {
@@ -234,7 +240,7 @@
     }
 
     /// Decides a call whose claim is not read back and can no longer be waited for.
-    fn decide_unclaimed(&mut self, ticket: Ticket, outputs: &mut Outputs) {
+    fn decide_unclaimed(&mut self, ticket: CallId, outputs: &mut Outputs) {
         let Some(held) = self.ledger.get(ticket) else {
             return;
         };
@@ -242,11 +248,11 @@
             self.ledger.run(ticket);
             Decision::RunUnclaimed
         } else {
-            let ran = held.call.ran();
+            let executed = held.call.executed();
             // It is forgotten, so that nothing can make it run any more. If its claim still lands
             // and wins, it is concluded as not run.
             self.ledger.remove(ticket);
-            Decision::Refused { ran }
+            Decision::Refused { executed }
         };
         outputs.push(Output::Decide(ticket, decision));
     }
@@ -256,17 +262,17 @@
             let Some(held) = self.ledger.get(ticket) else {
                 continue;
             };
-            let (give_up, ran) = (held.call.give_up, held.call.ran());
-            if give_up <= now {
+            let (deadline, executed) = (held.call.deadline, held.call.executed());
+            if deadline <= now {
                 self.ledger.remove(ticket);
-                outputs.push(Output::Decide(ticket, Decision::Refused { ran }));
+                outputs.push(Output::Decide(ticket, Decision::Refused { executed }));
             } else if held.call.runs_unclaimed() {
                 self.decide_unclaimed(ticket, outputs);
             } else {
-                self.ledger.postpone(ticket, give_up);
+                self.ledger.postpone(ticket, deadline);
             }
         }
-        self.outcomes.expire(now, self.pace.patience);
+        self.outcomes.expire(now, self.pace.read_back_timeout);
         self.expire_flights(now);
     }
 
--- a/crates/claims/src/batcher/append.rs
+++ b/crates/claims/src/batcher/append.rs
@@ -6,12 +6,12 @@
 use wire::record::{KeyClaim, KeyClaims, KeyOutcomes};
 
 use super::Batcher;
-use crate::{Nonce, Offset, Output, Outputs, Reach, Ticket};
+use crate::{CallId, LogStatus, Nonce, Offset, Output, Outputs};
 
 /// An append of claims that was sent and not read back yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Flight {
-    pub(super) tickets: SmallVec<[Ticket; 8]>,
+    pub(super) tickets: SmallVec<[CallId; 8]>,
     pub(super) sent: Moment,
     pub(super) landed: Option<Offset>,
 }
@@ -29,7 +29,7 @@
     /// Claims calls again whose append was not read back in time. Both claims may come to stand:
     /// the first of them decides the call, and the second is that of a call which is decided.
     pub(super) fn expire_flights(&mut self, now: Moment) {
-        let (patience, folded) = (self.pace.patience, self.book.folded());
+        let (patience, folded) = (self.pace.read_back_timeout, self.book.folded());
         let overdue = |flight: &Flight| match flight.landed {
             Some(offset) => offset <= folded,
             None => flight.sent + patience <= now,
@@ -46,10 +46,12 @@
     }
 
     pub(super) fn appends(&mut self, now: Moment, outputs: &mut Outputs) {
-        if self.reach == Reach::Out {
+        if self.reach == LogStatus::Down {
             return;
         }
-        if self.flights.len() < self.pace.in_flight && self.next <= now && self.ledger.has_queued()
+        if self.flights.len() < self.pace.max_in_flight
+            && self.next <= now
+            && self.ledger.has_queued()
         {
             self.append_claims(now, outputs);
         }
@@ -67,7 +69,7 @@
         if tickets.is_empty() {
             return;
         }
-        let claim = |ticket: &Ticket| {
+        let claim = |ticket: &CallId| {
             let call = &self.ledger.get(*ticket)?.call;
             Some(KeyClaim {
                 key: call.key.to_vec(),
@@ -83,7 +85,7 @@
             landed: None,
         };
         self.flights.insert(nonce, flight);
-        self.next = now + self.pace.interval;
+        self.next = now + self.pace.claim_interval;
         let body = Body::KeyClaims(KeyClaims { claims });
         outputs.push(Output::Append { nonce, body });
     }
--- a/crates/claims/src/batcher/read_back.rs
+++ b/crates/claims/src/batcher/read_back.rs
@@ -7,7 +7,7 @@
 
 use super::Batcher;
 use crate::ledger::Phase;
-use crate::{Decision, Digest, End, Offset, Output, Outputs, Ran, Ticket};
+use crate::{CallEnd, CallId, Decision, Digest, Executed, Offset, Output, Outputs};
 
 impl Batcher {
     /// Takes up a claim of another process that is now in force. A call here with its key has lost,
@@ -17,7 +17,7 @@
         let key = Digest::try_from(claim.key.as_slice());
         let held = key.ok().and_then(|key| self.ledger.by_key(&key));
         if let Some(held) = held.filter(|held| held.unclaimed) {
-            let ticket = held.call.ticket;
+            let ticket = held.call.id;
             self.lost(ticket, outputs);
         }
     }
@@ -43,7 +43,7 @@
             }
             return;
         };
-        let ticket = held.call.ticket;
+        let ticket = held.call.id;
         if won {
             self.won(now, offset, ticket, outputs);
         } else if held.unclaimed {
@@ -51,29 +51,29 @@
         }
     }
 
-    fn won(&mut self, now: Moment, offset: Offset, ticket: Ticket, outputs: &mut Outputs) {
+    fn won(&mut self, now: Moment, offset: Offset, ticket: CallId, outputs: &mut Outputs) {
         let gap = self.book.has_gap();
         let Some(held) = self.ledger.get_mut(ticket) else {
             return;
         };
         held.claim = Some(offset);
         held.unclaimed = false;
-        let (key, phase, give_up) = (held.call.key, held.phase, held.call.give_up);
+        let (key, phase, give_up) = (held.call.key, held.phase, held.call.deadline);
         match phase {
             Phase::Running => {}
             Phase::Ended(end) => {
                 self.ledger.remove(ticket);
-                if end == End::Answered {
+                if end == CallEnd::Answered {
                     self.outcomes.add(&key, offset, KeyEnd::Answered);
                 }
             }
             // A process that was paused wakes up long after its caller has gone, and perhaps after
             // an answer that it did not run.
             Phase::Waiting if gap || give_up <= now => {
-                let ran = if gap { Ran::Unknown } else { Ran::No };
+                let executed = if gap { Executed::Unknown } else { Executed::No };
                 self.ledger.remove(ticket);
                 self.outcomes.add(&key, offset, KeyEnd::NotRun);
-                outputs.push(Output::Decide(ticket, Decision::Refused { ran }));
+                outputs.push(Output::Decide(ticket, Decision::Refused { executed }));
             }
             Phase::Waiting => {
                 self.ledger.run(ticket);
@@ -83,7 +83,7 @@
         }
     }
 
-    fn lost(&mut self, ticket: Ticket, outputs: &mut Outputs) {
+    fn lost(&mut self, ticket: CallId, outputs: &mut Outputs) {
         let Some(held) = self.ledger.get_mut(ticket) else {
             return;
         };
@@ -100,7 +100,10 @@
             // If the other call is concluded as not run, a second copy of this call's claim could
             // win, and would be concluded as not run as well, although it ran.
             self.contested.insert(key);
-            outputs.push(Output::Contested { ticket, holder });
+            outputs.push(Output::Contested {
+                call: ticket,
+                holder,
+            });
         }
         if phase != Phase::Running {
             self.ledger.remove(ticket);
--- a/crates/claims/src/call.rs
+++ b/crates/claims/src/call.rs
@@ -2,11 +2,11 @@
 
 use clock::Moment;
 
-use crate::{Digest, Ran, Ticket};
+use crate::{CallId, Digest, Executed};
 
 /// What happens to the call while its key cannot be claimed; the `outage` of its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Policy {
+pub enum OutagePolicy {
     /// It is refused.
     Refuse,
     /// It runs without a claim if the caller declares it as the first attempt; an attempt that is
@@ -18,8 +18,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Call {
     /// The call at this process.
-    pub ticket: Ticket,
-    /// Digest of its key, from [`crate::key`].
+    pub id: CallId,
+    /// Digest of its key, from [`crate::key_digest`].
     pub key: Digest,
     /// Digest of what it asks for, from [`crate::fingerprint`].
     pub fingerprint: Digest,
@@ -28,25 +28,25 @@
     /// The caller's `Idempotency-Attempt`, from 1, if it sent one.
     pub attempt: Option<u32>,
     /// What its entry says on outages.
-    pub policy: Policy,
+    pub policy: OutagePolicy,
     /// When it is no longer worth running.
-    pub give_up: Moment,
+    pub deadline: Moment,
 }
 
 impl Call {
     /// What may be said of the key when this call is refused without a claim. This call did not run,
     /// but an earlier attempt may have, at an instance that is gone or whose claim was not read
     /// yet. Only a declared first attempt has nothing before it.
-    pub fn ran(&self) -> Ran {
+    pub fn executed(&self) -> Executed {
         if self.attempt == Some(1) {
-            Ran::No
+            Executed::No
         } else {
-            Ran::Unknown
+            Executed::Unknown
         }
     }
 
     /// True if it may run without a claim.
     pub(crate) fn runs_unclaimed(&self) -> bool {
-        self.policy == Policy::FirstAttempt && self.attempt == Some(1)
+        self.policy == OutagePolicy::FirstAttempt && self.attempt == Some(1)
     }
 }
--- a/crates/claims/src/book.rs
+++ b/crates/claims/src/claim_table.rs
@@ -26,19 +26,19 @@
 
 /// What a record did to the claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Folded {
+pub enum Effect {
     /// It holds claims; for each in turn whether it is now the one in force.
     Claims(SmallVec<[bool; 8]>),
     /// It concerns others, or concludes claims.
     Other,
     /// It was folded before.
-    Old,
+    Repeated,
 }
 
 /// All claims in force. It must be folded from the first record that the log retains, not from a
 /// snapshot, which holds no claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Book {
+pub struct ClaimTable {
     claims: BTreeMap<Digest, Claim>,
     /// Keys in the order in which they were claimed, so that forgetting touches only what goes.
     order: VecDeque<(Offset, Digest)>,
@@ -48,7 +48,7 @@
     gap: bool,
 }
 
-impl Book {
+impl ClaimTable {
     /// The book before the first record.
     pub fn new() -> Self {
         Self::default()
@@ -82,7 +82,7 @@
 
     /// Forgets claims that the log no longer retains; `first` is the first retained offset. Called
     /// before the first record is folded, and from time to time after.
-    pub fn forget(&mut self, first: Offset) {
+    pub fn forget_before(&mut self, first: Offset) {
         while let Some((offset, key)) = self.order.front().copied() {
             if offset >= first {
                 break;
@@ -101,9 +101,9 @@
     }
 
     /// Folds one record. All records are handed in, in order, whatever they hold.
-    pub fn apply(&mut self, offset: Offset, record: &Record) -> Folded {
+    pub fn apply(&mut self, offset: Offset, record: &Record) -> Effect {
         if offset <= self.folded {
-            return Folded::Old;
+            return Effect::Repeated;
         }
         if offset > self.folded + 1 {
             self.gap = true;
@@ -113,16 +113,16 @@
             Some(Body::KeyClaims(batch)) => {
                 let holder = self.holder(holder(record));
                 let claim = |claim| self.take(offset, &holder, claim);
-                Folded::Claims(batch.claims.iter().map(claim).collect())
+                Effect::Claims(batch.claims.iter().map(claim).collect())
             }
             Some(Body::KeyOutcomes(batch)) => {
                 let holder = holder(record);
                 for outcome in &batch.outcomes {
                     self.conclude(&holder, outcome);
                 }
-                Folded::Other
+                Effect::Other
             }
-            _ => Folded::Other,
+            _ => Effect::Other,
         }
     }
 
--- a/crates/claims/src/decision.rs
+++ b/crates/claims/src/decision.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use crate::{Book, Claim, Digest, Holder, Offset};
+use crate::{Claim, ClaimTable, Digest, Holder, Offset};
 
 /// Whether the request under a key has been executed, as it is told to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ran {
+pub enum Executed {
     /// Certainly not, by any attempt.
     No,
     /// Perhaps.
@@ -42,7 +42,7 @@
     /// It does not run and will not.
     Refused {
         /// What the caller is told of the key.
-        ran: Ran,
+        executed: Executed,
     },
     /// The entry's calls must declare their attempt, and this one does not.
     AttemptRequired,
@@ -63,17 +63,19 @@
 
     /// What a call meets whose claim was not the first. If the first was concluded in the meantime
     /// the key may be free again, but this call's claim is spent.
-    pub(crate) fn lost(book: &Book, key: &Digest, fingerprint: &Digest) -> Self {
+    pub(crate) fn lost(book: &ClaimTable, key: &Digest, fingerprint: &Digest) -> Self {
         match book.claim(key) {
             Some(claim) => Self::repeat(claim, fingerprint),
-            None => Self::Refused { ran: Ran::Unknown },
+            None => Self::Refused {
+                executed: Executed::Unknown,
+            },
         }
     }
 }
 
 /// How a call ended that was to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum CallEnd {
     /// It ran and its answer came back.
     Answered,
     /// No byte of it left this process, and none will.
--- a/crates/claims/src/digest.rs
+++ b/crates/claims/src/digest.rs
@@ -4,7 +4,7 @@
 
 /// The digest under which the key of a call is claimed. Owner and entry take part, so that two
 /// owners never share a key.
-pub fn key(owner: &str, entry: &str, key: &str) -> Digest {
+pub fn key_digest(owner: &str, entry: &str, key: &str) -> Digest {
     over(&[owner.as_bytes(), entry.as_bytes(), key.as_bytes()])
 }
 
--- a/crates/claims/src/ledger.rs
+++ b/crates/claims/src/ledger.rs
@@ -5,7 +5,7 @@
 use clock::Moment;
 use smallvec::SmallVec;
 
-use crate::{Call, Digest, End, Offset, Ticket};
+use crate::{Call, CallEnd, CallId, Digest, Offset};
 
 /// Where a call is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -15,7 +15,7 @@
     /// Told to run.
     Running,
     /// Ended after it ran unclaimed; held until its claim is read back.
-    Ended(End),
+    Ended(CallEnd),
 }
 
 /// A call with what is known of it.
@@ -34,10 +34,10 @@
 /// The calls, by ticket and by key, with the queue of those to be claimed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Ledger {
-    held: BTreeMap<Ticket, Held>,
-    by_key: BTreeMap<Digest, Ticket>,
-    queue: VecDeque<Ticket>,
-    timers: BTreeSet<(Moment, Ticket)>,
+    held: BTreeMap<CallId, Held>,
+    by_key: BTreeMap<Digest, CallId>,
+    queue: VecDeque<CallId>,
+    timers: BTreeSet<(Moment, CallId)>,
 }
 
 impl Ledger {
@@ -47,7 +47,7 @@
 
     /// Takes up a call and queues it for a claim; `timer` is when it must be looked at.
     pub(crate) fn insert(&mut self, call: Call, phase: Phase, timer: Moment) {
-        let ticket = call.ticket;
+        let ticket = call.id;
         self.by_key.insert(call.key, ticket);
         if phase == Phase::Waiting {
             self.timers.insert((timer, ticket));
@@ -64,11 +64,11 @@
         self.queue(ticket);
     }
 
-    pub(crate) fn get(&self, ticket: Ticket) -> Option<&Held> {
+    pub(crate) fn get(&self, ticket: CallId) -> Option<&Held> {
         self.held.get(&ticket)
     }
 
-    pub(crate) fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Held> {
+    pub(crate) fn get_mut(&mut self, ticket: CallId) -> Option<&mut Held> {
         self.held.get_mut(&ticket)
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Forgets a call; a claim of it that is still read back then has no call.
-    pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<Held> {
+    pub(crate) fn remove(&mut self, ticket: CallId) -> Option<Held> {
         let held = self.held.remove(&ticket)?;
         self.timers.remove(&(held.timer, ticket));
         if self.by_key.get(&held.call.key) == Some(&ticket) {
@@ -88,7 +88,7 @@
     }
 
     /// Notes that a call was told to run.
-    pub(crate) fn run(&mut self, ticket: Ticket) {
+    pub(crate) fn run(&mut self, ticket: CallId) {
         if let Some(held) = self.held.get_mut(&ticket) {
             held.phase = Phase::Running;
             self.timers.remove(&(held.timer, ticket));
@@ -96,7 +96,7 @@
     }
 
     /// Looks at a call again later.
-    pub(crate) fn postpone(&mut self, ticket: Ticket, timer: Moment) {
+    pub(crate) fn postpone(&mut self, ticket: CallId, timer: Moment) {
         if let Some(held) = self.held.get_mut(&ticket) {
             held.timer = timer;
             self.timers.insert((timer, ticket));
@@ -104,7 +104,7 @@
     }
 
     /// Takes the next call whose time has come.
-    pub(crate) fn due(&mut self, now: Moment) -> Option<Ticket> {
+    pub(crate) fn due(&mut self, now: Moment) -> Option<CallId> {
         let (timer, ticket) = self.timers.first().copied()?;
         if timer > now {
             return None;
@@ -118,7 +118,7 @@
     }
 
     /// Calls that are not decided.
-    pub(crate) fn waiting(&self) -> Vec<Ticket> {
+    pub(crate) fn waiting(&self) -> Vec<CallId> {
         self.held
             .iter()
             .filter(|(_, held)| held.phase == Phase::Waiting)
@@ -127,7 +127,7 @@
     }
 
     /// Queues a call for a claim, again if an earlier one may be lost.
-    pub(crate) fn queue(&mut self, ticket: Ticket) {
+    pub(crate) fn queue(&mut self, ticket: CallId) {
         if let Some(held) = self.held.get_mut(&ticket)
             && held.unclaimed
             && !held.queued
@@ -143,7 +143,7 @@
     }
 
     /// Takes queued calls that still need a claim.
-    pub(crate) fn take_queued(&mut self, most: usize) -> SmallVec<[Ticket; 8]> {
+    pub(crate) fn take_queued(&mut self, most: usize) -> SmallVec<[CallId; 8]> {
         let mut taken = SmallVec::new();
         while taken.len() < most {
             let Some(ticket) = self.queue.pop_front() else {
--- a/crates/claims/src/message.rs
+++ b/crates/claims/src/message.rs
@@ -6,51 +6,51 @@
 use smallvec::SmallVec;
 use wire::record::record::Body;
 
-use crate::{Call, Decision, End, Holder, Nonce, Offset, Ticket};
+use crate::{Call, CallEnd, CallId, Decision, Holder, Nonce, Offset};
 
 /// How appends are spent. The log takes several hundred a second for all processes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Pace {
+pub struct Limits {
     /// Most claims, or outcomes, in one append.
     pub max_batch: usize,
     /// Most appends of claims that are not read back.
-    pub in_flight: usize,
+    pub max_in_flight: usize,
     /// Least time between two appends of claims.
-    pub interval: Duration,
+    pub claim_interval: Duration,
     /// Least time between two appends of outcomes.
     pub outcome_interval: Duration,
     /// Least time from an append that the log rejected to the next one.
-    pub retry: Duration,
+    pub retry_delay: Duration,
     /// How long an append may go unread before its calls are claimed again.
-    pub patience: Duration,
+    pub read_back_timeout: Duration,
     /// How long a first attempt waits for its claim if it may run without.
     pub first_attempt_wait: Duration,
     /// Most calls that are held; those beyond are refused.
-    pub max_held: usize,
+    pub max_calls: usize,
 }
 
-impl Default for Pace {
+impl Default for Limits {
     fn default() -> Self {
         Self {
             max_batch: 256,
-            in_flight: 2,
-            interval: Duration::from_millis(20),
+            max_in_flight: 2,
+            claim_interval: Duration::from_millis(20),
             outcome_interval: Duration::from_millis(200),
-            retry: Duration::from_millis(100),
-            patience: Duration::from_millis(1_000),
+            retry_delay: Duration::from_millis(100),
+            read_back_timeout: Duration::from_millis(1_000),
             first_attempt_wait: Duration::from_millis(250),
-            max_held: 20_000,
+            max_calls: 20_000,
         }
     }
 }
 
 /// Whether the log answers, as the client of the log sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Reach {
+pub enum LogStatus {
     /// Appends and reads succeed.
     Up,
     /// They do not.
-    Out,
+    Down,
 }
 
 /// What happens to the batcher.
@@ -59,17 +59,17 @@
     /// A call arrived.
     Call(Call),
     /// Its caller has gone.
-    Gone(Ticket),
+    CallerGone(CallId),
     /// A call that was told to run has ended.
-    Ended(Ticket, End),
+    Ended(CallId, CallEnd),
     /// The log answered that an append stands at this offset. It counts once it is read back.
     Appended(Nonce, Offset),
     /// The log has certainly not taken an append, and will not.
     Rejected(Nonce),
     /// The answer to an append is lost.
-    Lost(Nonce),
+    AnswerLost(Nonce),
     /// The log came or went.
-    Log(Reach),
+    Log(LogStatus),
     /// Time has passed.
     Tick,
 }
@@ -85,12 +85,12 @@
         body: Body,
     },
     /// Do this with a call.
-    Decide(Ticket, Decision),
+    Decide(CallId, Decision),
     /// A call that ran without a claim met the claim of another call with the same key: both may
     /// have run. Operators must hear of it.
     Contested {
         /// The call here.
-        ticket: Ticket,
+        call: CallId,
         /// The process of the other.
         holder: Arc<Holder>,
     },
--- a/crates/claims/tests/batcher.rs
+++ b/crates/claims/tests/batcher.rs
@@ -4,30 +4,30 @@
 mod common;
 
 use assert_matches::assert_matches;
-use claims::{Decision, End, Input, Policy, Reach};
+use claims::{CallEnd, Decision, Input, LogStatus, OutagePolicy};
 use common::{Entry, Log, claims_in, not_run, unknown};
 
 #[test]
 fn call_runs_once_its_claim_is_read_back() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     a.append(&mut log);
     assert_eq!(a.last(), None, "an answer of the log is not enough");
     a.read(&log);
     assert_eq!(a.last(), Some(&(1, Decision::Run { claim: 1 })));
-    a.ended(1, End::Answered);
+    a.ended(1, CallEnd::Answered);
     a.settle(&mut log);
-    a.call(2, Some(2), Policy::Refuse);
+    a.call(2, Some(2), OutagePolicy::Refuse);
     assert_matches!(a.last(), Some((2, Decision::Answered { request, .. })) if &**request == "a-1");
-    assert_eq!(a.batcher.held(), 0);
+    assert_eq!(a.batcher.open_calls(), 0);
 }
 
 #[test]
 fn of_two_entries_the_first_in_the_log_runs() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
-    a.call(1, Some(1), Policy::Refuse);
-    b.call(1, Some(2), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
+    b.call(1, Some(2), OutagePolicy::Refuse);
     b.append(&mut log);
     a.append(&mut log);
     a.read(&log);
@@ -43,21 +43,21 @@
 fn claim_of_another_decides_a_waiting_call_at_once() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
-    for policy in [Policy::Refuse, Policy::FirstAttempt] {
+    for policy in [OutagePolicy::Refuse, OutagePolicy::FirstAttempt] {
         let (mut log, mut waiting) = (Log::default(), Entry::new("c", 1));
         waiting.call(1, Some(1), policy);
         waiting.appends.clear();
         let mut other = Entry::new("d", 1);
-        other.call(1, Some(2), Policy::Refuse);
+        other.call(1, Some(2), OutagePolicy::Refuse);
         other.append(&mut log);
         waiting.read(&log);
         waiting.advance(3_000);
         assert_matches!(&waiting.decided[..], [(1, Decision::InProgress { holder, .. })] if holder.instance == "d");
     }
-    b.call(1, Some(1), Policy::FirstAttempt);
+    b.call(1, Some(1), OutagePolicy::FirstAttempt);
     b.advance(250);
     assert_eq!(b.last(), Some(&(1, Decision::RunUnclaimed)));
-    a.call(1, Some(1), Policy::FirstAttempt);
+    a.call(1, Some(1), OutagePolicy::FirstAttempt);
     a.append(&mut log);
     b.read(&log);
     assert_eq!(b.contested, [1], "told before its own claim stands");
@@ -66,21 +66,21 @@
 #[test]
 fn key_with_another_body_is_a_conflict() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     let other = claims::Call {
-        ticket: 2,
-        key: claims::key("kiosks", "cards", "k"),
+        id: 2,
+        key: claims::key_digest("kiosks", "cards", "k"),
         fingerprint: claims::fingerprint("POST", "/cards", b"13.00"),
         request: "a-2".to_owned(),
         attempt: Some(1),
-        policy: Policy::Refuse,
-        give_up: a.now + common::ms(3_000),
+        policy: OutagePolicy::Refuse,
+        deadline: a.now + common::ms(3_000),
     };
     a.input(Input::Call(other.clone()));
     assert_eq!(a.last(), Some(&(2, Decision::Conflict)));
     a.append(&mut log);
     a.read(&log);
-    a.input(Input::Call(claims::Call { ticket: 3, ..other }));
+    a.input(Input::Call(claims::Call { id: 3, ..other }));
     assert_eq!(a.last(), Some(&(3, Decision::Conflict)));
 }
 
@@ -89,13 +89,13 @@
     let mut a = Entry::new("a", 1);
     for ticket in 0..40 {
         let call = claims::Call {
-            ticket,
-            key: claims::key("kiosks", "cards", &ticket.to_string()),
+            id: ticket,
+            key: claims::key_digest("kiosks", "cards", &ticket.to_string()),
             fingerprint: [0; 16],
             request: format!("a-{ticket}"),
             attempt: Some(1),
-            policy: Policy::Refuse,
-            give_up: a.now + common::ms(3_000),
+            policy: OutagePolicy::Refuse,
+            deadline: a.now + common::ms(3_000),
         };
         a.input(Input::Call(call));
     }
@@ -121,7 +121,7 @@
 fn call_that_was_given_up_never_runs_and_frees_its_key() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     a.append(&mut log);
     a.advance(3_000);
     assert_eq!(a.decided, [(1, not_run())]);
@@ -129,7 +129,7 @@
     a.settle(&mut log);
     assert_eq!(a.decided.len(), 1);
     b.read(&log);
-    b.call(1, Some(2), Policy::Refuse);
+    b.call(1, Some(2), OutagePolicy::Refuse);
     b.settle(&mut log);
     assert_matches!(b.last(), Some((1, Decision::Run { .. })));
 }
@@ -141,7 +141,7 @@
 #[test]
 fn paused_process_does_not_run_a_call_past_its_deadline() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     a.append(&mut log);
     a.now += common::ms(60_000);
     a.read(&log);
@@ -155,9 +155,9 @@
 #[test]
 fn lost_append_is_claimed_again_and_both_copies_may_stand() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     let first = a.appends.remove(0);
-    a.input(Input::Lost(first.nonce));
+    a.input(Input::AnswerLost(first.nonce));
     a.advance(1_000);
     a.append(&mut log);
     a.read(&log);
@@ -165,13 +165,13 @@
     log.take(&first);
     a.read(&log);
     assert!(a.contested.is_empty(), "its own copy is no other call");
-    a.ended(1, End::Answered);
+    a.ended(1, CallEnd::Answered);
     a.settle(&mut log);
     assert_eq!(a.decided.len(), 1);
     assert!(
         a.batcher
-            .book()
-            .claim(&claims::key("kiosks", "cards", "k"))
+            .claims()
+            .claim(&claims::key_digest("kiosks", "cards", "k"))
             .is_some()
     );
 }
@@ -184,7 +184,7 @@
 fn second_copy_of_a_concluded_claim_is_concluded_as_well() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     let copy = a.appends.remove(0);
     log.take(&copy);
     a.advance(3_000);
@@ -192,7 +192,7 @@
     log.take(&copy);
     a.settle(&mut log);
     b.read(&log);
-    b.call(1, Some(2), Policy::Refuse);
+    b.call(1, Some(2), OutagePolicy::Refuse);
     b.settle(&mut log);
     assert_matches!(b.last(), Some((1, Decision::Run { .. })));
 }
@@ -204,13 +204,13 @@
 fn claim_of_a_killed_process_stays() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     a.append(&mut log);
     drop(a);
     let mut restarted = Entry::new("a", 2);
     for entry in [&mut restarted, &mut b] {
         entry.read(&log);
-        entry.call(1, Some(2), Policy::Refuse);
+        entry.call(1, Some(2), OutagePolicy::Refuse);
         assert_matches!(entry.last(), Some((1, Decision::InProgress { holder, .. })) if holder.incarnation == 1);
     }
 }
@@ -223,8 +223,8 @@
 fn claim_of_the_predecessor_is_not_taken_for_ones_own() {
     let mut log = Log::default();
     let (mut old, mut new) = (Entry::new("a", 1), Entry::new("a", 2));
-    old.call(1, Some(1), Policy::Refuse);
-    new.call(1, Some(2), Policy::Refuse);
+    old.call(1, Some(1), OutagePolicy::Refuse);
+    new.call(1, Some(2), OutagePolicy::Refuse);
     old.append(&mut log);
     new.append(&mut log);
     new.read(&log);
@@ -234,7 +234,7 @@
 #[test]
 fn rejected_append_is_tried_again_later() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     let first = a.appends.remove(0);
     a.input(Input::Rejected(first.nonce));
     assert!(a.appends.is_empty(), "not at once");
@@ -252,9 +252,9 @@
 fn nothing_runs_by_a_book_with_a_gap() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
-    a.call(1, Some(1), Policy::Refuse);
+    a.call(1, Some(1), OutagePolicy::Refuse);
     a.append(&mut log);
-    b.call(1, Some(2), Policy::Refuse);
+    b.call(1, Some(2), OutagePolicy::Refuse);
     let append = b.appends.remove(0);
     let outputs = b.batcher.fold(b.now, 2, &append.record);
     assert_matches!(&outputs[..], [claims::Output::Decide(1, decision), ..] => assert_eq!(*decision, unknown()));
@@ -263,28 +263,28 @@
 #[test]
 fn calls_beyond_the_bound_are_refused() {
     let mut a = Entry::new("a", 1);
-    let pace = claims::Pace {
-        max_held: 0,
-        ..claims::Pace::default()
+    let pace = claims::Limits {
+        max_calls: 0,
+        ..claims::Limits::default()
     };
     a.batcher = claims::Batcher::new(claims::Holder::default(), 1, pace);
-    a.input(Input::Log(Reach::Up));
-    a.call(1, Some(1), Policy::FirstAttempt);
+    a.input(Input::Log(LogStatus::Up));
+    a.call(1, Some(1), OutagePolicy::FirstAttempt);
     assert_eq!(a.last(), Some(&(1, not_run())));
 }
 
 #[test]
 fn caller_that_goes_frees_its_key() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
-    a.call(1, Some(1), Policy::Refuse);
-    a.input(Input::Gone(1));
+    a.call(1, Some(1), OutagePolicy::Refuse);
+    a.input(Input::CallerGone(1));
     a.settle(&mut log);
-    assert!(a.batcher.book().is_empty());
-    a.call(2, Some(2), Policy::Refuse);
+    assert!(a.batcher.claims().is_empty());
+    a.call(2, Some(2), OutagePolicy::Refuse);
     a.settle(&mut log);
     assert_matches!(a.last(), Some((2, Decision::Run { .. })));
-    a.input(Input::Gone(2));
-    a.ended(2, End::Unknown);
+    a.input(Input::CallerGone(2));
+    a.ended(2, CallEnd::Unknown);
     a.settle(&mut log);
-    assert_eq!(a.batcher.book().len(), 1, "it may have run");
+    assert_eq!(a.batcher.claims().len(), 1, "it may have run");
 }
--- a/crates/claims/tests/book.rs
+++ b/crates/claims/tests/claim_table.rs
@@ -1,6 +1,6 @@
 //! The fold of claims and outcomes.
 
-use claims::{Book, Folded, Holder, Offset};
+use claims::{ClaimTable, Effect, Holder, Offset};
 use wire::record::record::Body;
 use wire::record::{KeyClaim, KeyClaims, KeyEnd, KeyOutcome, KeyOutcomes, Record};
 
@@ -42,15 +42,15 @@
     )
 }
 
-fn folded(records: &[Record]) -> Book {
-    let mut book = Book::new();
+fn folded(records: &[Record]) -> ClaimTable {
+    let mut book = ClaimTable::new();
     for (offset, record) in (1..).zip(records) {
         book.apply(offset, record);
     }
     book
 }
 
-fn holder(book: &Book) -> Option<(&str, Offset)> {
+fn holder(book: &ClaimTable) -> Option<(&str, Offset)> {
     let claim = book.claim(&KEY)?;
     Some((&claim.holder.instance, claim.offset))
 }
@@ -95,9 +95,9 @@
 #[test]
 fn claims_go_with_the_records() {
     let mut book = folded(&[claim("a", 1), claim("b", 1)]);
-    book.forget(2);
+    book.forget_before(2);
     assert!(book.is_empty());
-    assert_eq!(book.apply(2, &claim("b", 1)), Folded::Old);
+    assert_eq!(book.apply(2, &claim("b", 1)), Effect::Repeated);
     book.apply(3, &claim("c", 1));
     assert_eq!(holder(&book), Some(("c", 3)));
 }
@@ -106,7 +106,7 @@
 fn forgetting_a_concluded_claim_keeps_the_later_one() {
     let end = outcome("a", 1, 1, KeyEnd::NotRun);
     let mut book = folded(&[claim("a", 1), end, claim("b", 1)]);
-    book.forget(2);
+    book.forget_before(2);
     assert_eq!(holder(&book), Some(("b", 3)));
 }
 
@@ -115,8 +115,8 @@
 /// Cause: snapshots hold no claims.
 #[test]
 fn records_that_were_passed_over_are_noticed() {
-    let mut book = Book::new();
-    book.forget(5);
+    let mut book = ClaimTable::new();
+    book.forget_before(5);
     book.apply(5, &claim("a", 1));
     assert!(!book.has_gap());
     book.apply(7, &claim("b", 1));
--- a/crates/claims/tests/common/mod.rs
+++ b/crates/claims/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use claims::{
-    Batcher, Call, Decision, End, Holder, Input, Nonce, Offset, Output, Outputs, Pace, Policy, Ran,
-    Reach, Ticket,
+    Batcher, Call, CallEnd, CallId, Decision, Executed, Holder, Input, Limits, LogStatus, Nonce,
+    Offset, OutagePolicy, Output, Outputs,
 };
 use clock::Moment;
 use wire::record::Record;
@@ -36,8 +36,8 @@
 pub struct Entry {
     pub batcher: Batcher,
     pub appends: Vec<Append>,
-    pub decided: Vec<(Ticket, Decision)>,
-    pub contested: Vec<Ticket>,
+    pub decided: Vec<(CallId, Decision)>,
+    pub contested: Vec<CallId>,
     pub now: Moment,
     holder: Holder,
     read: usize,
@@ -52,7 +52,7 @@
         };
         let seed = instance.bytes().map(u64::from).sum::<u64>() << 32 | incarnation;
         let mut entry = Self {
-            batcher: Batcher::new(holder.clone(), seed, Pace::default()),
+            batcher: Batcher::new(holder.clone(), seed, Limits::default()),
             appends: Vec::new(),
             decided: Vec::new(),
             contested: Vec::new(),
@@ -60,7 +60,7 @@
             holder,
             read: 0,
         };
-        entry.input(Input::Log(Reach::Up));
+        entry.input(Input::Log(LogStatus::Up));
         entry
     }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    pub fn last(&self) -> Option<&(Ticket, Decision)> {
+    pub fn last(&self) -> Option<&(CallId, Decision)> {
         self.decided.last()
     }
 
@@ -117,25 +117,25 @@
                     },
                 }),
                 Output::Decide(ticket, decision) => self.decided.push((ticket, decision)),
-                Output::Contested { ticket, .. } => self.contested.push(ticket),
+                Output::Contested { call: ticket, .. } => self.contested.push(ticket),
             }
         }
     }
 
-    pub fn call(&mut self, ticket: Ticket, attempt: Option<u32>, policy: Policy) {
+    pub fn call(&mut self, ticket: CallId, attempt: Option<u32>, policy: OutagePolicy) {
         let call = Call {
-            ticket,
-            key: claims::key("kiosks", "cards", "k"),
+            id: ticket,
+            key: claims::key_digest("kiosks", "cards", "k"),
             fingerprint: claims::fingerprint("POST", "/cards", b"12.00"),
             request: format!("{}-{ticket}", self.holder.instance),
             attempt,
             policy,
-            give_up: self.now + ms(3_000),
+            deadline: self.now + ms(3_000),
         };
         self.input(Input::Call(call));
     }
 
-    pub fn ended(&mut self, ticket: Ticket, end: End) {
+    pub fn ended(&mut self, ticket: CallId, end: CallEnd) {
         self.input(Input::Ended(ticket, end));
     }
 }
@@ -149,9 +149,13 @@
 }
 
 pub fn not_run() -> Decision {
-    Decision::Refused { ran: Ran::No }
+    Decision::Refused {
+        executed: Executed::No,
+    }
 }
 
 pub fn unknown() -> Decision {
-    Decision::Refused { ran: Ran::Unknown }
+    Decision::Refused {
+        executed: Executed::Unknown,
+    }
 }
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use claims::{Batcher, Call, Decision, End, Holder, Input, Output, Outputs, Pace, Reach, Ticket};
+use claims::{
+    Batcher, Call, CallEnd, CallId, Decision, Holder, Input, Limits, LogStatus, Output, Outputs,
+};
 use clock::Moment;
 use tokio::sync::oneshot;
 use wire::record::Record;
@@ -13,12 +15,12 @@
 /// Drives the batcher and carries out what it wants.
 pub(crate) struct Calls {
     batcher: Batcher,
-    waiting: BTreeMap<Ticket, oneshot::Sender<Decision>>,
+    waiting: BTreeMap<CallId, oneshot::Sender<Decision>>,
     contested: u64,
 }
 
 impl Calls {
-    pub(crate) fn new(holder: Holder, seed: u64, pace: Pace) -> Self {
+    pub(crate) fn new(holder: Holder, seed: u64, pace: Limits) -> Self {
         Self {
             batcher: Batcher::new(holder, seed, pace),
             waiting: BTreeMap::new(),
@@ -27,11 +29,11 @@
     }
 
     pub(crate) fn claims_in_force(&self) -> usize {
-        self.batcher.book().len()
+        self.batcher.claims().len()
     }
 
     pub(crate) fn held(&self) -> usize {
-        self.batcher.held()
+        self.batcher.open_calls()
     }
 
     pub(crate) fn contested(&self) -> u64 {
@@ -50,20 +52,20 @@
         reply: oneshot::Sender<Decision>,
         appends: &Appends,
     ) {
-        self.waiting.insert(call.ticket, reply);
+        self.waiting.insert(call.id, reply);
         self.step(now, Input::Call(call), appends);
     }
 
-    pub(crate) fn gone(&mut self, now: Moment, ticket: Ticket, appends: &Appends) {
+    pub(crate) fn gone(&mut self, now: Moment, ticket: CallId, appends: &Appends) {
         self.waiting.remove(&ticket);
-        self.step(now, Input::Gone(ticket), appends);
+        self.step(now, Input::CallerGone(ticket), appends);
     }
 
-    pub(crate) fn ended(&mut self, now: Moment, ticket: Ticket, end: End, appends: &Appends) {
+    pub(crate) fn ended(&mut self, now: Moment, ticket: CallId, end: CallEnd, appends: &Appends) {
         self.step(now, Input::Ended(ticket, end), appends);
     }
 
-    pub(crate) fn reach(&mut self, now: Moment, reach: Reach, appends: &Appends) {
+    pub(crate) fn reach(&mut self, now: Moment, reach: LogStatus, appends: &Appends) {
         self.step(now, Input::Log(reach), appends);
     }
 
@@ -76,13 +78,13 @@
         let input = match ended.result {
             Ok(offset) => Input::Appended(nonce, offset),
             Err(platform::AppendError::Refused { .. }) => Input::Rejected(nonce),
-            Err(platform::AppendError::Unknown) => Input::Lost(nonce),
+            Err(platform::AppendError::Unknown) => Input::AnswerLost(nonce),
         };
         self.step(now, input, appends);
     }
 
     pub(crate) fn forget(&mut self, first: Offset) {
-        self.batcher.forget(first);
+        self.batcher.forget_before(first);
     }
 
     pub(crate) fn fold(&mut self, now: Moment, offset: Offset, record: &Record, appends: &Appends) {
@@ -105,7 +107,10 @@
                         let _gone = reply.send(decision);
                     }
                 }
-                Output::Contested { ticket, holder } => {
+                Output::Contested {
+                    call: ticket,
+                    holder,
+                } => {
                     self.contested += 1;
                     log::error!(ticket, holder:? = holder; "a call may have run twice: two first attempts of one key");
                 }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -6,7 +6,7 @@
 
 use authority::author::Author;
 use authority::nonce;
-use claims::{Holder, Reach};
+use claims::{Holder, LogStatus};
 use clock::{Clock as _, Moment, System as Clock};
 use error_stack::Report;
 use platform::{Instances, Log, Tail};
@@ -64,7 +64,7 @@
     /// Whether the newest read failed.
     failing: bool,
     /// What the claims were told of it.
-    reach: Reach,
+    reach: LogStatus,
 }
 
 /// What stands in the way of serving or of control, besides what follows from the parts.
@@ -165,7 +165,7 @@
                 started: now,
                 heard: None,
                 failing: false,
-                reach: Reach::Out,
+                reach: LogStatus::Down,
             },
             flags: Flags::default(),
             next_tick: now,
--- a/crates/control/src/core/ask.rs
+++ b/crates/control/src/core/ask.rs
@@ -3,7 +3,7 @@
 use authority::order::Order;
 use authority::planner::Reason;
 use catalogue::{Findings, Judgement};
-use claims::{Call, Decision, End, Ticket};
+use claims::{Call, CallEnd, CallId, Decision};
 use clock::Clock as _;
 use tokio::sync::oneshot;
 use wire::peer::{Answer, Empty, Query, Wish, query, reply};
@@ -23,12 +23,12 @@
         self.calls.claim(now, call, reply, &self.appends);
     }
 
-    pub(crate) fn conclude(&mut self, ticket: Ticket, end: End) {
+    pub(crate) fn conclude(&mut self, ticket: CallId, end: CallEnd) {
         let now = self.clock.now();
         self.calls.ended(now, ticket, end, &self.appends);
     }
 
-    pub(crate) fn gone(&mut self, ticket: Ticket) {
+    pub(crate) fn gone(&mut self, ticket: CallId) {
         let now = self.clock.now();
         self.calls.gone(now, ticket, &self.appends);
     }
--- a/crates/control/src/core/records.rs
+++ b/crates/control/src/core/records.rs
@@ -1,7 +1,7 @@
 //! What is read from the log.
 
 use catalogue::{Applied, Verdict};
-use claims::Reach;
+use claims::LogStatus;
 use clock::{Clock as _, Moment};
 use platform::{Chunk, Event};
 use wire::record::Snapshot;
@@ -117,9 +117,10 @@
     /// folded: a claim that was not read yet could be the first of its key.
     pub(super) fn reach(&mut self, now: Moment) {
         let up = self.log_state(now) == view::Log::Up && self.ledger.is_whole();
-        let reach = if up { Reach::Up } else { Reach::Out };
+        let reach = if up { LogStatus::Up } else { LogStatus::Down };
         // Between two reads records may stand that are not folded yet, which is no outage.
-        let lagging = !up && self.log_state(now) == view::Log::Up && self.reader.reach == Reach::Up;
+        let lagging =
+            !up && self.log_state(now) == view::Log::Up && self.reader.reach == LogStatus::Up;
         if reach != self.reader.reach && !lagging {
             self.reader.reach = reach;
             self.calls.reach(now, reach, &self.appends);
--- a/crates/control/src/engines.rs
+++ b/crates/control/src/engines.rs
@@ -78,9 +78,9 @@
         let (engines, scope) = (self.clone(), scope.to_owned());
         actix_rt::spawn(async move {
             let input = match output {
-                Output::Read { ticket } => engines.read(ticket, address).await,
+                Output::Read { request: ticket } => engines.read(ticket, address).await,
                 Output::Send {
-                    ticket,
+                    request: ticket,
                     order,
                     fence,
                     action: what,
@@ -94,7 +94,7 @@
                     Input::Sent(ticket, engines.order(address, &order, not_after).await)
                 }
                 Output::Cancel {
-                    ticket,
+                    request: ticket,
                     order,
                     fence,
                     not_after,
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -7,7 +7,7 @@
 
 use authority::order::Order;
 use catalogue::{Document, Findings, Judgement, Revision};
-use claims::{Call, Decision, Digest, End, Policy, Ticket};
+use claims::{Call, CallEnd, CallId, Decision, Digest, OutagePolicy};
 use clock::Moment;
 use fleet::upstream::Observation;
 use routing::rate::Rate;
@@ -92,7 +92,7 @@
     /// The caller's `Idempotency-Attempt`.
     pub attempt: Option<u32>,
     /// What its entry says on outages.
-    pub policy: Policy,
+    pub policy: OutagePolicy,
     /// When it is no longer worth running.
     pub give_up: Moment,
 }
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug)]
 pub struct Claimed {
     /// Its name for [`Handle::conclude`].
-    pub ticket: Ticket,
+    pub ticket: CallId,
     /// What to do with it.
     pub decision: Decision,
 }
@@ -109,7 +109,7 @@
 /// Tells the control that a caller has gone before its call was decided.
 struct Pending {
     sender: Sender,
-    ticket: Ticket,
+    ticket: CallId,
     decided: bool,
 }
 
@@ -157,15 +157,15 @@
     pub async fn claim(&self, claim: Claim) -> Claimed {
         let ticket = self.shared.tickets.fetch_add(1, Ordering::Relaxed) + 1;
         let call = Call {
-            ticket,
+            id: ticket,
             key: claim.key,
             fingerprint: claim.fingerprint,
             request: claim.request,
             attempt: claim.attempt,
             policy: claim.policy,
-            give_up: claim.give_up,
+            deadline: claim.give_up,
         };
-        let ran = call.ran();
+        let executed = call.executed();
         let (reply, decision) = oneshot::channel();
         self.run(move |core| core.claim(call, reply));
         let mut pending = Pending {
@@ -176,12 +176,12 @@
         let decision = decision.await;
         pending.decided = true;
         // The control has stopped: the call was never told to run.
-        let decision = decision.unwrap_or(Decision::Refused { ran });
+        let decision = decision.unwrap_or(Decision::Refused { executed });
         Claimed { ticket, decision }
     }
 
     /// Tells how a call ended that was to run.
-    pub fn conclude(&self, ticket: Ticket, end: End) {
+    pub fn conclude(&self, ticket: CallId, end: CallEnd) {
         self.run(move |core| core.conclude(ticket, end));
     }
 
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -53,7 +53,7 @@
     /// Planned changes.
     pub pace: Timing,
     /// Claims of idempotency keys.
-    pub claims: claims::Pace,
+    pub claims: claims::Limits,
     /// How long the log keeps records.
     pub retention: Duration,
     /// How long a read of the log waits for records. An outage that swallows requests is noticed
@@ -86,7 +86,7 @@
             health: health::Settings::default(),
             drain: drain::Settings::default(),
             pace: Timing::default(),
-            claims: claims::Pace::default(),
+            claims: claims::Limits::default(),
             retention: Duration::from_secs(3600),
             log_wait: Duration::from_secs(1),
             log_patience: Duration::from_secs(1),
--- a/crates/control/tests/control/claims.rs
+++ b/crates/control/tests/control/claims.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use claims::{Decision, End, Policy};
+use claims::{CallEnd, Decision, OutagePolicy};
 use control::view::Log;
 use control::{Claim, Handle};
 
@@ -10,11 +10,11 @@
 
 fn claim(request: &str) -> Claim {
     Claim {
-        key: claims::key("desk", "cards", "k-1"),
+        key: claims::key_digest("desk", "cards", "k-1"),
         fingerprint: claims::fingerprint("POST", "/cards", b"{}"),
         request: request.to_owned(),
         attempt: None,
-        policy: Policy::Refuse,
+        policy: OutagePolicy::Refuse,
         give_up: Duration::from_secs(3600),
     }
 }
@@ -52,7 +52,7 @@
     } else {
         (two, one, second.ticket)
     };
-    winner.conclude(ticket, End::Answered);
+    winner.conclude(ticket, CallEnd::Answered);
     loop {
         let repeat = loser.claim(claim("r-3")).await;
         match repeat.decision {
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -2,7 +2,7 @@
 
 use actix_http::header::HeaderMap;
 use catalogue::{Entry, Outage};
-use claims::{Policy, Ran};
+use claims::{Executed, OutagePolicy};
 use control::Claim;
 
 use crate::front::headers;
@@ -36,13 +36,13 @@
             Problem::not_run(Kind::BadRequest, detail)
         })?;
     Ok(Some(Claim {
-        key: claims::key(&work.owner, &entry.name, key),
+        key: claims::key_digest(&work.owner, &entry.name, key),
         fingerprint: claims::fingerprint(work.method.as_str(), &work.target, &work.body),
         request: work.account.request().to_string(),
         attempt: attempt(&work.headers)?,
         policy: match entry.outage {
-            Outage::Refuse => Policy::Refuse,
-            Outage::FirstAttempt => Policy::FirstAttempt,
+            Outage::Refuse => OutagePolicy::Refuse,
+            Outage::FirstAttempt => OutagePolicy::FirstAttempt,
         },
         give_up: work.deadline,
     }))
@@ -64,17 +64,17 @@
 
 /// What may be said of the key when a call is refused before it has a claim. This call did not run,
 /// but one before it may have; only a declared first attempt has none before it.
-pub fn ran_before_claim(claim: &Claim) -> Ran {
+pub fn ran_before_claim(claim: &Claim) -> Executed {
     match claim.attempt {
-        Some(1) => Ran::No,
-        _ => Ran::Unknown,
+        Some(1) => Executed::No,
+        _ => Executed::Unknown,
     }
 }
 
 /// A refusal with what may be said of the key.
-pub fn refusal(kind: Kind, detail: &str, ran: Ran) -> Problem {
+pub fn refusal(kind: Kind, detail: &str, ran: Executed) -> Problem {
     match ran {
-        Ran::No => Problem::not_run(kind, detail),
-        Ran::Unknown => Problem::unknown(kind, detail),
+        Executed::No => Problem::not_run(kind, detail),
+        Executed::Unknown => Problem::unknown(kind, detail),
     }
 }
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -10,7 +10,7 @@
 use actix_http::StatusCode;
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use catalogue::Entry;
-use claims::{Decision, End, Holder, Ran, Ticket};
+use claims::{CallEnd, CallId, Decision, Executed, Holder};
 use clock::Clock as _;
 use control::Claim;
 
@@ -155,7 +155,7 @@
 /// A key that is claimed for a call of this process.
 struct Own<'a> {
     claim: &'a Claim,
-    ticket: Ticket,
+    ticket: CallId,
 }
 
 /// Runs a call whose key is ours, holds its answer and tells how it ended.
@@ -170,7 +170,7 @@
     // The process may have been paused since the decision; an attempt that the caller has given up
     // must not begin now.
     if work.left().is_zero() {
-        control.conclude(own.ticket, End::NotRun);
+        control.conclude(own.ticket, CallEnd::NotRun);
         return Err(Problem::not_run(
             Kind::DeadlineExceeded,
             "the deadline passed",
@@ -180,10 +180,10 @@
     let end = match &result {
         Ok(reply) => {
             hold(work, entry, own.claim, reply);
-            End::Answered
+            CallEnd::Answered
         }
-        Err(problem) if problem.ran == problem::Ran::No => End::NotRun,
-        Err(_) => End::Unknown,
+        Err(problem) if problem.ran == problem::Ran::No => CallEnd::NotRun,
+        Err(_) => CallEnd::Unknown,
     };
     control.conclude(own.ticket, end);
     result
@@ -212,7 +212,7 @@
             Kind::AttemptRequired,
             "calls of this entry need an Idempotency-Attempt",
         )),
-        Decision::Refused { ran } => {
+        Decision::Refused { executed: ran } => {
             Err(
                 keys::refusal(Kind::Unavailable, "the key could not be claimed", ran)
                     .retry_after(COME_BACK),
@@ -303,8 +303,8 @@
 fn speaking_of_the_key(refused: Problem, claim: &Claim) -> Problem {
     Problem {
         ran: match keys::ran_before_claim(claim) {
-            Ran::No => refused.ran,
-            Ran::Unknown => problem::Ran::Unknown,
+            Executed::No => refused.ran,
+            Executed::Unknown => problem::Ran::Unknown,
         },
         ..refused
     }
--- a/crates/filetests/src/process/control.rs
+++ b/crates/filetests/src/process/control.rs
@@ -6,7 +6,7 @@
 use authority::change;
 use authority::lease;
 use authority::planner::{self, Input};
-use claims::{Decision, Output, Ran, Ticket};
+use claims::{CallId, Decision, Executed, Output};
 use clock::Moment;
 use fleet::upstream::{self, State};
 
@@ -112,7 +112,10 @@
                 Output::Decide(ticket, decision) => {
                     lines.push(self.decided(ticket, &decision));
                 }
-                Output::Contested { ticket, holder } => {
+                Output::Contested {
+                    call: ticket,
+                    holder,
+                } => {
                     let holder = &holder.instance;
                     lines.push(self.say(format!("call {ticket} is contested by {holder}")));
                 }
@@ -121,7 +124,7 @@
         lines
     }
 
-    fn decided(&mut self, ticket: Ticket, decision: &Decision) -> Line {
+    fn decided(&mut self, ticket: CallId, decision: &Decision) -> Line {
         let key = self.asked.get(&ticket).map(|asked| asked.key.clone());
         let key = key.unwrap_or_default();
         let at = |holder: &Arc<claims::Holder>| holder.instance.clone();
@@ -137,11 +140,15 @@
             Decision::InProgress { holder, .. } => format!("in progress at {}", at(holder)),
             Decision::Answered { holder, .. } => format!("answered at {}", at(holder)),
             Decision::Conflict => "conflict".to_owned(),
-            Decision::Refused { ran: Ran::No } => {
+            Decision::Refused {
+                executed: Executed::No,
+            } => {
                 self.told_not_run.push((ticket, key.clone()));
                 "refused, not run".to_owned()
             }
-            Decision::Refused { ran: Ran::Unknown } => "refused, unknown".to_owned(),
+            Decision::Refused {
+                executed: Executed::Unknown,
+            } => "refused, unknown".to_owned(),
             Decision::AttemptRequired => "refused, attempt required".to_owned(),
         };
         self.say(format!("call {ticket} of {key}: {text}"))
--- a/crates/filetests/src/process/fold.rs
+++ b/crates/filetests/src/process/fold.rs
@@ -38,7 +38,7 @@
                 _ => None,
             });
         let newest = snapshots.max_by_key(|snapshot| snapshot.upto).cloned();
-        self.batcher.forget(log.first());
+        self.batcher.forget_before(log.first());
         self.read_upto = log.first() - 1;
         let Some(snapshot) = newest else {
             return vec![self.say("finds no snapshot")];
--- a/crates/filetests/src/process/mod.rs
+++ b/crates/filetests/src/process/mod.rs
@@ -7,7 +7,7 @@
 use authority::lease::term::TermConfig;
 use authority::lease::{self, Lease, Term};
 use authority::planner::{Bounds, Planner};
-use claims::{Batcher, Holder, Ticket};
+use claims::{Batcher, CallId, Holder};
 use clock::Moment;
 use fleet::member::{Own, Progress};
 use fleet::{Drain, Members, Upstreams, list};
@@ -69,16 +69,16 @@
     pub(crate) fates: VecDeque<Fate>,
     /// Fates of the appends of the lease.
     pub(crate) lease_fates: VecDeque<Fate>,
-    pub(crate) asked: BTreeMap<Ticket, Asked>,
+    pub(crate) asked: BTreeMap<CallId, Asked>,
     /// Calls that were told to run and whose first byte has not left.
-    pub(crate) sending: Vec<Ticket>,
+    pub(crate) sending: Vec<CallId>,
     /// Calls whose callers were told since the last look that they did not run.
-    pub(crate) told_not_run: Vec<(Ticket, String)>,
+    pub(crate) told_not_run: Vec<(CallId, String)>,
     /// Streams that this process has open, by upstream.
     pub(crate) open: BTreeMap<Name, u32>,
     pub(crate) read_upto: Offset,
-    pub(crate) tickets: Ticket,
-    pub(crate) reach: claims::Reach,
+    pub(crate) tickets: CallId,
+    pub(crate) reach: claims::LogStatus,
     /// Whether its view is good enough to send new work: set once it has folded the log to its
     /// end, and unset when it notices that it was paused.
     pub(crate) current: bool,
@@ -110,7 +110,7 @@
             paused: false,
             leaving: false,
             catalogue: catalogue::State::default(),
-            batcher: Batcher::new(holder, seed, claims::Pace::default()),
+            batcher: Batcher::new(holder, seed, claims::Limits::default()),
             authority: authority::state::State::new(),
             lease: Lease::new(SCOPE.to_owned(), author, term(), seed + 1),
             planner: Planner::new(SCOPE.to_owned(), Bounds::default(), pace(), seed + 2),
@@ -128,7 +128,7 @@
             open: BTreeMap::new(),
             read_upto: 0,
             tickets: 0,
-            reach: claims::Reach::Out,
+            reach: claims::LogStatus::Down,
             current: false,
             serves: false,
             frames: 0,
--- a/crates/filetests/src/world/appends.rs
+++ b/crates/filetests/src/world/appends.rs
@@ -59,7 +59,7 @@
             Fate::Held => self.log.hold(append.record),
         }
         if source == Source::Claims {
-            self.tell_claims(name, Input::Lost(nonce));
+            self.tell_claims(name, Input::AnswerLost(nonce));
         }
         if source == Source::Lease {
             self.tell_lease(name, &lease::Input::AppendUnknown(nonce));
@@ -148,7 +148,9 @@
         self.log.forget_before(before);
         let first = self.log.first();
         for process in self.processes.values_mut() {
-            process.batcher.forget(first.min(process.read_upto + 1));
+            process
+                .batcher
+                .forget_before(first.min(process.read_upto + 1));
         }
         Ok(())
     }
--- a/crates/filetests/src/world/calls.rs
+++ b/crates/filetests/src/world/calls.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use claims::{Call, End, Input, Policy, Ticket};
+use claims::{Call, CallEnd, CallId, Input, OutagePolicy};
 use clock::Moment;
 
 use super::World;
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Calls {
     /// Number of each call over all processes, in the order in which they came.
-    numbers: BTreeMap<(Name, u64, Ticket), u64>,
+    numbers: BTreeMap<(Name, u64, CallId), u64>,
     last: u64,
     /// For each key the number of the newest call that was told "not run". It is said of that
     /// attempt and of all before it; an attempt that the caller made meanwhile has its own answer.
@@ -41,8 +41,8 @@
         let deadline = self.now + command.span("deadline", Duration::from_secs(3))?;
         let key = command.need("key")?.to_owned();
         let policy = match command.arg("policy").unwrap_or("refuse") {
-            "refuse" => Policy::Refuse,
-            "first-attempt" => Policy::FirstAttempt,
+            "refuse" => OutagePolicy::Refuse,
+            "first-attempt" => OutagePolicy::FirstAttempt,
             other => return Err(format!("`{other}` is no policy")),
         };
         let attempt = match command.arg("attempt") {
@@ -61,13 +61,13 @@
         };
         process.asked.insert(ticket, asked);
         let call = Call {
-            ticket,
-            key: claims::key("owner", "entry", &key),
+            id: ticket,
+            key: claims::key_digest("owner", "entry", &key),
             fingerprint: claims::fingerprint("POST", "/", body.as_bytes()),
             request: format!("{name}-{ticket}"),
             attempt,
             policy,
-            give_up: deadline,
+            deadline,
         };
         self.calls.last += 1;
         let number = self.calls.last;
@@ -81,7 +81,7 @@
     /// The caller of a call goes.
     pub(super) fn gone(&mut self, command: &Command) -> Result<(), Fault> {
         let (name, ticket) = (command.name()?.to_owned(), command.number("call")?);
-        self.claims(&name, Input::Gone(ticket));
+        self.claims(&name, Input::CallerGone(ticket));
         Ok(())
     }
 
@@ -119,15 +119,15 @@
     fn send(
         &mut self,
         name: &Name,
-        ticket: Ticket,
+        ticket: CallId,
         key: &str,
         deadline: Moment,
         now: Moment,
-    ) -> End {
+    ) -> CallEnd {
         if now >= deadline || self.service.answer == Answer::Unreachable {
             self.say(format!("{name}: call {ticket} of {key}: not sent, not run"));
             self.tell_not_run(name, ticket, key);
-            return End::NotRun;
+            return CallEnd::NotRun;
         }
         let times = self.service.execute(key);
         self.say(format!("service: {key} runs, from {name}"));
@@ -151,18 +151,18 @@
             ));
         }
         match self.service.answer {
-            Answer::Lost => End::Unknown,
-            Answer::Good | Answer::Unreachable => End::Answered,
+            Answer::Lost => CallEnd::Unknown,
+            Answer::Good | Answer::Unreachable => CallEnd::Answered,
         }
     }
 
-    fn number(&self, name: &str, ticket: Ticket) -> u64 {
+    fn number(&self, name: &str, ticket: CallId) -> u64 {
         let incarnation = self.processes.get(name).map_or(0, |one| one.incarnation);
         let call = (name.to_owned(), incarnation, ticket);
         self.calls.numbers.get(&call).copied().unwrap_or(0)
     }
 
-    fn tell_not_run(&mut self, name: &str, ticket: Ticket, key: &str) {
+    fn tell_not_run(&mut self, name: &str, ticket: CallId, key: &str) {
         let number = self.number(name, ticket);
         let ran = self.calls.ran.get(key);
         if ran.is_some_and(|ran| ran.iter().any(|ran| *ran <= number)) {
--- a/crates/filetests/src/world/engine_calls.rs
+++ b/crates/filetests/src/world/engine_calls.rs
@@ -11,7 +11,7 @@
 use crate::command::Fault;
 use crate::process::EngineCall;
 
-/// Just below the longest delay of orders in `authority::change::Pace`.
+/// Just below the longest delay of orders in `authority::change::Timing`.
 const LONGEST: Duration = Duration::from_millis(4_750);
 
 impl World {
@@ -51,18 +51,22 @@
         let pair = (name.to_owned(), engine.to_owned());
         let reaches = self.reaches(name, engine) && self.engines.contains_key(engine);
         match output {
-            Output::Read { ticket } => Some(match self.engines.get(engine) {
+            Output::Read { request: ticket } => Some(match self.engines.get(engine) {
                 Some(found) if reaches => change::Input::Reading(ticket, found.read()),
                 _ => change::Input::Unreachable(ticket),
             }),
             Output::Send {
-                ticket, not_after, ..
+                request: ticket,
+                not_after,
+                ..
             } => {
                 let receipt = self.send_until(&pair, reaches, not_after, output);
                 Some(change::Input::Sent(ticket, receipt))
             }
             Output::Cancel {
-                ticket, not_after, ..
+                request: ticket,
+                not_after,
+                ..
             } => {
                 let receipt = self.send_until(&pair, reaches, not_after, output);
                 Some(change::Input::Cancelled(ticket, receipt))
--- a/crates/filetests/src/world/run.rs
+++ b/crates/filetests/src/world/run.rs
@@ -1,6 +1,6 @@
 //! How time passes.
 
-use claims::{Input, Reach};
+use claims::{Input, LogStatus};
 use fleet::upstream;
 
 use super::{STEP, World};
@@ -117,9 +117,9 @@
 
     fn notice_log(&mut self, name: &str) {
         let reach = if self.reaches_log(name) {
-            Reach::Up
+            LogStatus::Up
         } else {
-            Reach::Out
+            LogStatus::Down
         };
         self.drive(name, |process, now| {
             if process.reach == reach {
--- a/crates/spec/src/calls.rs
+++ b/crates/spec/src/calls.rs
@@ -3,7 +3,7 @@
 
 use crate::explore::Model;
 use crate::log::Log;
-use claims::{Input, Policy, Reach};
+use claims::{Input, LogStatus, OutagePolicy};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use world::{Caller, process};
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// What happens to a call whose key cannot be claimed.
-    pub policy: Policy,
+    pub policy: OutagePolicy,
     /// Ticks after which the model stops.
     pub horizon: u32,
     /// Records that the log holds at most.
@@ -46,7 +46,7 @@
 
 impl Config {
     /// Two calls, with a fault at most.
-    pub fn new(policy: Policy) -> Self {
+    pub fn new(policy: OutagePolicy) -> Self {
         Self {
             policy,
             horizon: 1,
@@ -59,7 +59,7 @@
     }
 
     /// Two faults in the time of a tick.
-    pub fn faulty(policy: Policy) -> Self {
+    pub fn faulty(policy: OutagePolicy) -> Self {
         Self {
             horizon: 0,
             records: 4,
@@ -69,7 +69,7 @@
     }
 
     /// No fault, and as much time as a call is worth running.
-    pub fn long(policy: Policy) -> Self {
+    pub fn long(policy: OutagePolicy) -> Self {
         Self {
             horizon: 2,
             faults: 0,
@@ -208,7 +208,7 @@
         Event::Send(which) => next.send(config, which),
         Event::GiveUp => {
             if let Some((ticket, which)) = next.caller.waiting.take() {
-                next.step(which, Input::Gone(ticket));
+                next.step(which, Input::CallerGone(ticket));
             }
         }
         Event::GiveUpUnnoticed => next.caller.waiting = None,
@@ -229,11 +229,11 @@
         Event::Crash(which) => next.crash(config, which),
         Event::Outage(which) => {
             Rc::make_mut(&mut next.processes[which]).out = true;
-            next.step(which, Input::Log(Reach::Out));
+            next.step(which, Input::Log(LogStatus::Down));
         }
         Event::Restore(which) => {
             Rc::make_mut(&mut next.processes[which]).out = false;
-            next.step(which, Input::Log(Reach::Up));
+            next.step(which, Input::Log(LogStatus::Up));
         }
     }
     if is_fault(event) {
--- a/crates/spec/src/calls/world.rs
+++ b/crates/spec/src/calls/world.rs
@@ -3,7 +3,9 @@
 use super::{Config, Mutant};
 use crate::log::{Log, Parcel};
 use authority::author::Author;
-use claims::{Batcher, Call, Decision, End, Holder, Input, Output, Outputs, Pace, Ran, Reach};
+use claims::{
+    Batcher, Call, CallEnd, Decision, Executed, Holder, Input, Limits, LogStatus, Output, Outputs,
+};
 use clock::Moment;
 use smallvec::SmallVec;
 use std::collections::BTreeSet;
@@ -67,16 +69,16 @@
     pub(super) run_on_append: bool,
 }
 
-fn pace() -> Pace {
-    Pace {
+fn pace() -> Limits {
+    Limits {
         max_batch: 1,
-        in_flight: 1,
-        interval: Duration::ZERO,
+        max_in_flight: 1,
+        claim_interval: Duration::ZERO,
         outcome_interval: Duration::ZERO,
-        retry: Duration::ZERO,
-        patience: TICK,
+        retry_delay: Duration::ZERO,
+        read_back_timeout: TICK,
         first_attempt_wait: TICK,
-        max_held: 4,
+        max_calls: 4,
     }
 }
 
@@ -91,7 +93,7 @@
     };
     let seed = which as u64 * 16 + incarnation;
     let mut batcher = Batcher::new(holder, seed, pace());
-    batcher.step(Moment::ZERO, Input::Log(Reach::Up));
+    batcher.step(Moment::ZERO, Input::Log(LogStatus::Up));
     Process {
         author,
         batcher,
@@ -151,11 +153,15 @@
         match decision {
             Decision::Run { .. } if self.run_on_append => (),
             Decision::Run { .. } | Decision::RunUnclaimed => self.make_ready(which, ticket),
-            Decision::Refused { ran: Ran::No } => self.tell_not_run(ticket),
+            Decision::Refused {
+                executed: Executed::No,
+            } => self.tell_not_run(ticket),
             Decision::Answered { .. } => self.tell(ticket, true),
             Decision::InProgress { .. }
             | Decision::Conflict
-            | Decision::Refused { ran: Ran::Unknown }
+            | Decision::Refused {
+                executed: Executed::Unknown,
+            }
             | Decision::AttemptRequired => self.tell(ticket, false),
         }
     }
@@ -197,13 +203,13 @@
             _ => self.caller.counted,
         };
         let call = Call {
-            ticket,
+            id: ticket,
             key: KEY,
             fingerprint: FINGERPRINT,
             request: ticket.to_string(),
             attempt: Some(attempt),
             policy: config.policy,
-            give_up: self.time() + TICK * DEADLINE,
+            deadline: self.time() + TICK * DEADLINE,
         };
         self.step(which, Input::Call(call));
     }
@@ -223,9 +229,9 @@
             self.tell(ready.ticket, true);
         }
         let end = if answered {
-            End::Answered
+            CallEnd::Answered
         } else {
-            End::Unknown
+            CallEnd::Unknown
         };
         self.step(which, Input::Ended(ready.ticket, end));
     }
@@ -233,7 +239,7 @@
     /// No byte of a call leaves, and none will.
     pub(super) fn drop_ready(&mut self, which: usize) {
         let ready = Rc::make_mut(&mut self.processes[which]).ready.remove(0);
-        self.step(which, Input::Ended(ready.ticket, End::NotRun));
+        self.step(which, Input::Ended(ready.ticket, CallEnd::NotRun));
         self.tell_not_run(ready.ticket);
     }
 
--- a/crates/spec/src/orders/world.rs
+++ b/crates/spec/src/orders/world.rs
@@ -272,20 +272,28 @@
 
     fn tell(&mut self, config: &Config, which: usize, order: OrderId, act: Act) -> Option<Told> {
         let (ticket, fence, what) = match act {
-            Act::Read { ticket } => return Some(Told::Reading(ticket, self.reading(config))),
+            Act::Read { request: ticket } => {
+                return Some(Told::Reading(ticket, self.reading(config)));
+            }
             Act::Send {
-                ticket,
+                request: ticket,
                 fence,
                 action: what,
                 ..
             } => (ticket, fence, Some(what)),
-            Act::Cancel { ticket, .. } if config.mutant == Some(Mutant::NoCancel) => {
+            Act::Cancel {
+                request: ticket, ..
+            } if config.mutant == Some(Mutant::NoCancel) => {
                 return Some(Told::Cancelled(
                     ticket,
                     authority::change::SendResult::Accepted,
                 ));
             }
-            Act::Cancel { ticket, fence, .. } => (ticket, fence, None),
+            Act::Cancel {
+                request: ticket,
+                fence,
+                ..
+            } => (ticket, fence, None),
             Act::Conclude { .. } => return None,
         };
         let claim = self.processes[which].lease.grant()?.fence;
--- a/crates/spec/src/suite.rs
+++ b/crates/spec/src/suite.rs
@@ -209,7 +209,7 @@
 
 fn call_cases() -> Vec<Case> {
     use calls::{Config, Mutant};
-    use claims::Policy::{FirstAttempt, Refuse};
+    use claims::OutagePolicy::{FirstAttempt, Refuse};
     let seen: &[&str] = &[EXECUTED, LATER, REPEAT];
     let mut cases = vec![
         call_case("call-refuse", seen, Config::new(Refuse), None),
