--- a/crates/control/src/roles.rs
+++ b/crates/control/src/roles.rs
@@ -10,7 +10,7 @@
 use fleet::upstream::State;
 use platform::EngineReport;
 use routing::plan::capacity::{Demand, Frontier, Frontiers};
-use routing::plan::{self, Config, Engine, Input, Planner, Span};
+use routing::plan::{self, Config, Engine, Input, Planner, RoleBounds};
 use routing::upstream::Role;
 use wire::peer::PoolDemand;
 
@@ -140,8 +140,8 @@
                 id: Arc::from(one.id.as_str()),
                 role: ordered.or(reported)?,
                 changing: ordered.is_some(),
-                free: one.state == State::Live && pending.is_none(),
-                open: self.open_at(&one.id),
+                eligible: one.state == State::Live && pending.is_none(),
+                in_flight: self.open_at(&one.id),
             })
         };
         listed.filter_map(engine).collect()
@@ -158,7 +158,7 @@
     fn config(&self, pool: &catalogue::Pool) -> Config {
         let span = |role| {
             let span = pool.span(role);
-            span.map_or(Span { min: 0, max: 0 }, |span| Span {
+            span.map_or(RoleBounds { min: 0, max: 0 }, |span| RoleBounds {
                 min: span.min,
                 max: span.max,
             })
@@ -170,9 +170,9 @@
                 catalogue::Planner::Gain => plan::Kind::Gain,
             },
             price: pool.role_change.price,
-            takes: pool.role_change.takes,
-            parallel: PARALLEL,
-            spans: [
+            change_duration: pool.role_change.takes,
+            max_parallel: PARALLEL,
+            bounds: [
                 span(PoolRole::Mixed),
                 span(PoolRole::Prefill),
                 span(PoolRole::Decode),
--- a/crates/entry/src/world.rs
+++ b/crates/entry/src/world.rs
@@ -118,7 +118,7 @@
         let models = upstream.models.iter();
         upstream::View {
             id: Arc::clone(&upstream.id),
-            distance: if *upstream.data_centre == *self.data_centre {
+            one_way_latency: if *upstream.data_centre == *self.data_centre {
                 NEAR
             } else {
                 FAR
@@ -242,9 +242,9 @@
     let apart = pool.span(Role::Prefill).is_some() && pool.span(Role::Decode).is_some();
     let mut config = Config::new(pool.name.as_str());
     config.policy = overrides.choice.unwrap_or_else(|| policy(pool.choice));
-    config.queue = pool.queue_limit as usize;
+    config.queue_capacity = pool.queue_limit as usize;
     if pool.kind == PoolKind::Engine && apart && overrides.transfer != Some(false) {
-        config.transfer = TRANSFER;
+        config.transfer_s_per_token = TRANSFER;
     }
     config
 }
--- a/crates/routing/benches/decisions.rs
+++ b/crates/routing/benches/decisions.rs
@@ -16,7 +16,7 @@
     load::Load,
     members::Members,
     plan::{
-        Config as PlanConfig, Engine, Input, Kind, Planner, Span,
+        Config as PlanConfig, Engine, Input, Kind, Planner, RoleBounds,
         capacity::{Demand, Frontier, Frontiers},
     },
     pool::Config,
@@ -42,7 +42,7 @@
 fn view(number: usize) -> View {
     View {
         id: format!("engine-{number:04}").into(),
-        distance: Duration::from_micros(500),
+        one_way_latency: Duration::from_micros(500),
         role: Role::Mixed,
         models: smallvec!["verdict@3".into()],
         open: true,
@@ -214,8 +214,8 @@
                 Role::Decode
             },
             changing: false,
-            free: true,
-            open: number,
+            eligible: true,
+            in_flight: number,
         })
         .collect();
     let frontier = |prefill, decode| Frontier {
@@ -223,13 +223,13 @@
         decode,
         overlap: 0.57,
     };
-    let span = Span { min: 0, max: 18 };
+    let span = RoleBounds { min: 0, max: 18 };
     let mut planner = Planner::new(PlanConfig {
         kind: Kind::Gain,
         price: 1e9,
-        takes: Duration::from_secs(5),
-        parallel: 1,
-        spans: [span, span, span],
+        change_duration: Duration::from_secs(5),
+        max_parallel: 1,
+        bounds: [span, span, span],
         frontiers: Frontiers {
             mixed: frontier(15_200.0, 4_440.0),
             prefill: frontier(19_200.0, 900.0),
--- a/crates/routing/examples/herd.rs
+++ b/crates/routing/examples/herd.rs
@@ -113,7 +113,7 @@
     fn new(policy: Policy, views: Views, engines: usize, staleness: Duration) -> Self {
         let config = Config {
             policy,
-            staleness,
+            decay_time: staleness,
             slow_start: Duration::ZERO,
             ..Config::new("pool")
         };
@@ -311,7 +311,7 @@
 fn view(number: usize) -> View {
     View {
         id: id(number).into(),
-        distance: Duration::from_micros(500),
+        one_way_latency: Duration::from_micros(500),
         role: Role::Mixed,
         models: smallvec![],
         open: true,
@@ -356,7 +356,7 @@
 fn policies() -> Vec<(&'static str, Policy, Duration)> {
     let drill = |samples, memory| Policy::Drill { samples, memory };
     let ours = |samples, memory| Policy::Affinity { samples, memory };
-    let usual = Config::new("pool").staleness;
+    let usual = Config::new("pool").decay_time;
     let second = Duration::from_secs(1);
     vec![
         ("round-robin", Policy::RoundRobin, usual),
--- a/crates/routing/examples/roles.rs
+++ b/crates/routing/examples/roles.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use routing::{
     plan::{
-        Change, Config, Engine, Input, Kind, Planner, Span, bound,
+        Change, Config, Engine, Input, Kind, Planner, RoleBounds, bound,
         capacity::{Counts, Demand, Frontier, Frontiers, headroom, served},
     },
     upstream::Role,
@@ -91,14 +91,14 @@
 }
 
 fn config(kind: Kind, price: f64, parallel: usize, frontiers: Frontiers) -> Config {
-    let none = Span { min: 0, max: 0 };
-    let some = Span { min: 2, max: 16 };
+    let none = RoleBounds { min: 0, max: 0 };
+    let some = RoleBounds { min: 2, max: 16 };
     Config {
         kind,
         price,
-        takes: Duration::from_secs(5),
-        parallel,
-        spans: [none, some, some],
+        change_duration: Duration::from_secs(5),
+        max_parallel: parallel,
+        bounds: [none, some, some],
         frontiers,
     }
 }
@@ -138,8 +138,8 @@
                 Role::Decode
             },
             changing: false,
-            free: true,
-            open: 0,
+            eligible: true,
+            in_flight: 0,
         })
         .collect()
 }
@@ -167,9 +167,9 @@
         for change in planner.step(now, &input) {
             set(&mut engines, &change, true);
             changes += 1;
-            work.push((at + config.takes.as_secs() as usize, change));
+            work.push((at + config.change_duration.as_secs() as usize, change));
         }
-        let able = engines.iter().filter(|engine| engine.free);
+        let able = engines.iter().filter(|engine| engine.eligible);
         let counts = Counts::of(able.map(|engine| engine.role));
         sum += served(&config.frontiers, counts, *demand);
     }
@@ -182,7 +182,7 @@
     let engine = engine.expect("it is one of them");
     engine.role = change.role;
     engine.changing = in_work;
-    engine.free = !in_work;
+    engine.eligible = !in_work;
 }
 
 fn main() {
--- a/crates/routing/examples/trial/mod.rs
+++ b/crates/routing/examples/trial/mod.rs
@@ -411,7 +411,7 @@
 fn view(number: usize) -> View {
     View {
         id: id(number).into(),
-        distance: Duration::from_micros(500),
+        one_way_latency: Duration::from_micros(500),
         role: Role::Mixed,
         models: smallvec![],
         open: true,
--- a/crates/routing/src/choice/scene.rs
+++ b/crates/routing/src/choice/scene.rs
@@ -36,7 +36,7 @@
         work: &'a Work<'a>,
     ) -> Self {
         let staleness = match config.policy {
-            Policy::Affinity { .. } => config.staleness,
+            Policy::Affinity { .. } => config.decay_time,
             _ => NEVER,
         };
         Self {
@@ -99,7 +99,7 @@
         let prompt = f64::from(self.work.prompt.saturating_sub(cached));
         let mut cost = cost::cost(&member.pace(), load, prompt, f64::from(self.work.output));
         let share = member.share(self.now, self.config.slow_start);
-        let distance = 2.0 * member.view.distance.as_secs_f64();
+        let distance = 2.0 * member.view.one_way_latency.as_secs_f64();
         cost.first_token = cost.first_token / share + distance;
         cost.wait /= share;
         cost.busy = cost.busy / share + distance;
--- a/crates/routing/src/plan/bound.rs
+++ b/crates/routing/src/plan/bound.rs
@@ -30,7 +30,7 @@
 /// Computes the best course for demand sampled every second, by dynamic programming from the end.
 /// The price of a change counts as in the planner; a price of 0 gives the most that can be served.
 pub fn best(config: &Config, start: Counts, trace: &[Demand]) -> Best {
-    let takes = config.takes.as_secs_f64() / history::EVERY.as_secs_f64();
+    let takes = config.change_duration.as_secs_f64() / history::EVERY.as_secs_f64();
     let takes = (takes.round() as usize).max(1);
     let states = states(config, start.total());
     let mut later: Vec<BTreeMap<Counts, Value>> = vec![BTreeMap::new(); trace.len() + 1];
@@ -110,7 +110,7 @@
 
 fn allowed(config: &Config, counts: Counts) -> bool {
     Role::ALL.iter().all(|role| {
-        let span = config.spans[*role as usize];
+        let span = config.bounds[*role as usize];
         (span.min..=span.max).contains(&counts.get(*role))
     })
 }
--- a/crates/routing/src/plan/gain.rs
+++ b/crates/routing/src/plan/gain.rs
@@ -39,7 +39,7 @@
         if settling {
             return None;
         }
-        let ahead = config.takes.as_secs_f64() + LAG;
+        let ahead = config.change_duration.as_secs_f64() + LAG;
         let demand = self.history.ahead(ahead).unwrap_or(demand);
         let best = moves(config, counts)
             .into_iter()
@@ -67,7 +67,7 @@
         }
         let (past, elapsed) = self.history.episodes(|demand| gain(demand) >= LEAST_GAIN);
         let lasts = history::remaining(&past, elapsed) * history::EVERY.as_secs_f64();
-        let takes = config.takes.as_secs_f64();
+        let takes = config.change_duration.as_secs_f64();
         let frontiers = &config.frontiers;
         let away =
             engines * (served(frontiers, counts, demand) - served(frontiers, during, demand));
--- a/crates/routing/src/plan/mod.rs
+++ b/crates/routing/src/plan/mod.rs
@@ -33,7 +33,7 @@
 
 /// How many engines may have a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct RoleBounds {
     /// Changes never go below.
     pub min: u32,
     /// Changes never go above.
@@ -49,11 +49,11 @@
     /// each absence of an engine hurts.
     pub price: f64,
     /// How long an engine is away.
-    pub takes: Duration,
+    pub change_duration: Duration,
     /// Changes that may be in work at once.
-    pub parallel: usize,
+    pub max_parallel: usize,
     /// Bounds by role, in the order of [`Role`]: mixed, prefill, decode.
-    pub spans: [Span; 3],
+    pub bounds: [RoleBounds; 3],
     /// What an engine does in each role.
     pub frontiers: Frontiers,
 }
@@ -68,9 +68,9 @@
     /// Whether a change of its role is in work.
     pub changing: bool,
     /// Whether it may be changed: it is live and open, and no order is in work on it.
-    pub free: bool,
+    pub eligible: bool,
     /// Requests in hand; the engine with the fewest is changed.
-    pub open: u32,
+    pub in_flight: u32,
 }
 
 /// What is known at a moment.
@@ -136,7 +136,7 @@
             .iter()
             .filter(|engine| engine.changing)
             .count();
-        if changing >= self.config.parallel {
+        if changing >= self.config.max_parallel {
             return SmallVec::new();
         }
         let change = wanted.and_then(|wanted| pick(input.engines, wanted));
@@ -152,8 +152,8 @@
 fn pick(engines: &[Engine], wanted: Move) -> Option<Change> {
     let able = engines
         .iter()
-        .filter(|engine| engine.free && engine.role == wanted.from);
-    let engine = able.min_by(|a, b| (a.open, &a.id).cmp(&(b.open, &b.id)))?;
+        .filter(|engine| engine.eligible && engine.role == wanted.from);
+    let engine = able.min_by(|a, b| (a.in_flight, &a.id).cmp(&(b.in_flight, &b.id)))?;
     Some(Change {
         engine: engine.id.clone(),
         role: wanted.to,
@@ -166,8 +166,8 @@
     for from in Role::ALL {
         for to in Role::ALL {
             let allowed = from != to
-                && counts.get(from) > config.spans[from as usize].min
-                && counts.get(to) < config.spans[to as usize].max;
+                && counts.get(from) > config.bounds[from as usize].min
+                && counts.get(to) < config.bounds[to as usize].max;
             if allowed {
                 moves.push(Move { from, to });
             }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -32,12 +32,12 @@
     pub slow_start: Duration,
     /// Time after which a view of others' work has lost two thirds of its meaning. Short enough that
     /// entries with one stale view do not act on it in step; see docs/design/choice.md.
-    pub staleness: Duration,
+    pub decay_time: Duration,
     /// Requests that may wait at this entry, all classes together.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Bytes of KV cache per prompt token over the bytes a second between engines: seconds that
     /// the transfer of one token takes. 0 means that KV transfer is not possible.
-    pub transfer: f64,
+    pub transfer_s_per_token: f64,
 }
 
 impl Config {
@@ -52,9 +52,9 @@
                 slots: 32,
             },
             slow_start: Duration::from_secs(10),
-            staleness: Duration::from_millis(200),
-            queue: 256,
-            transfer: 0.0,
+            decay_time: Duration::from_millis(200),
+            queue_capacity: 256,
+            transfer_s_per_token: 0.0,
         }
     }
 }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -12,11 +12,11 @@
     /// Retries that may be saved up.
     pub burst: f64,
     /// Attempts of one request, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Backoff before the first retry; doubles with each further one.
     pub backoff: Duration,
     /// Least time that a refused caller is asked to stay away.
-    pub stay_away: Duration,
+    pub min_retry_after: Duration,
 }
 
 impl Default for Config {
@@ -24,9 +24,9 @@
         Self {
             ratio: 0.1,
             burst: 20.0,
-            attempts: 3,
+            max_attempts: 3,
             backoff: Duration::from_millis(10),
-            stay_away: Duration::from_secs(1),
+            min_retry_after: Duration::from_secs(1),
         }
     }
 }
@@ -58,14 +58,14 @@
     }
 
     /// Counts a first attempt, which earns a share of a retry.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.saved = (self.saved + self.config.ratio).min(self.config.burst);
     }
 
     /// Takes a retry for a request that has been attempted `attempts` times. Says no if that is
     /// often enough or the budget is spent.
-    pub fn take(&mut self, attempts: u32) -> bool {
-        if attempts >= self.config.attempts || self.saved < 1.0 {
+    pub fn withdraw(&mut self, attempts: u32) -> bool {
+        if attempts >= self.config.max_attempts || self.saved < 1.0 {
             return false;
         }
         self.saved -= 1.0;
@@ -82,8 +82,8 @@
 
     /// Time to tell a refused caller, given when room is expected: spread over as long again,
     /// because callers told the same time return at the same time.
-    pub fn stay_away(&self, rng: &mut SmallRng, expected: Duration) -> Duration {
-        let base = expected.clamp(self.config.stay_away, LONGEST_STAY);
+    pub fn retry_after(&self, rng: &mut SmallRng, expected: Duration) -> Duration {
+        let base = expected.clamp(self.config.min_retry_after, LONGEST_STAY);
         base + base.mul_f64(rng.random())
     }
 }
--- a/crates/routing/src/router/attempts.rs
+++ b/crates/routing/src/router/attempts.rs
@@ -121,7 +121,7 @@
         ran: Execution,
     ) -> Option<Moment> {
         let safe = ran == Execution::NotRun || waiting.request.repeatable;
-        if !safe || !self.budget.take(waiting.attempts) {
+        if !safe || !self.budget.withdraw(waiting.attempts) {
             return None;
         }
         let due = now + self.budget.backoff(&mut self.rng, waiting.attempts);
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -138,7 +138,7 @@
 
     /// Decides about a new request.
     pub fn admit(&mut self, now: Moment, request: Request) -> Decision {
-        self.budget.earn();
+        self.budget.deposit();
         match self.pools.get_mut(&request.pool) {
             None => return self.refuse(Reason::NoPool, Duration::ZERO),
             Some(pool) => pool.note(&request),
@@ -333,7 +333,7 @@
     fn refusal(&mut self, reason: Reason, wait: Duration) -> Refusal {
         Refusal {
             reason,
-            retry_after: self.budget.stay_away(&mut self.rng, wait),
+            retry_after: self.budget.retry_after(&mut self.rng, wait),
         }
     }
 
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -86,7 +86,7 @@
     pub fn new(now: Moment, config: Config, rng: &mut SmallRng) -> Self {
         Self {
             members: Members::new(),
-            queue: Queue::new(config.queue),
+            queue: Queue::new(config.queue_capacity),
             served: Rate::new(now, SERVED_WINDOW),
             backlog: None,
             usual: Load::default(),
@@ -102,7 +102,7 @@
 
     /// Takes new settings.
     pub fn configure(&mut self, config: Config) {
-        self.queue.set_bound(config.queue);
+        self.queue.set_bound(config.queue_capacity);
         self.config = config;
     }
 
--- a/crates/routing/src/split.rs
+++ b/crates/routing/src/split.rs
@@ -29,7 +29,7 @@
         match self {
             Self::Together(pick) => pick.cost.first_token,
             Self::Apart { prefill, decode } => {
-                let transfer = config.transfer * f64::from(prompt);
+                let transfer = config.transfer_s_per_token * f64::from(prompt);
                 prefill.cost.first_token + transfer + decode.cost.first_token
             }
         }
@@ -53,7 +53,7 @@
 
 /// Whether it makes sense to look for two engines at all.
 pub fn is_possible(config: &Config, prompt: u32) -> bool {
-    config.transfer > 0.0 && prompt >= SHORTEST
+    config.transfer_s_per_token > 0.0 && prompt >= SHORTEST
 }
 
 /// Chooses between one engine and two. `decode` was estimated without prefill.
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -46,7 +46,7 @@
     /// Instance id.
     pub id: Id,
     /// One-way network time from this entry.
-    pub distance: Duration,
+    pub one_way_latency: Duration,
     /// Current role; [`Role::Mixed`] for plain services.
     pub role: Role,
     /// Loaded models; empty means that the upstream takes any (plain services).
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -88,7 +88,7 @@
 #[test]
 fn a_full_queue_sheds_the_lowest_class_first() {
     let pool = Config {
-        queue: 3,
+        queue_capacity: 3,
         ..config()
     };
     let mut router = router(pool, engines(1));
@@ -122,7 +122,7 @@
     // Sequence: an owner fills the queue; a request of another owner of the same class comes.
     // Cause: whoever comes when the queue is full is refused.
     let pool = Config {
-        queue: 8,
+        queue_capacity: 8,
         ..config()
     };
     let mut router = router(pool, engines(1));
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -22,7 +22,7 @@
 pub(crate) fn view(id: &str, role: Role) -> View {
     View {
         id: id.into(),
-        distance: Duration::from_micros(500),
+        one_way_latency: Duration::from_micros(500),
         role,
         models: smallvec![],
         open: true,
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -89,8 +89,8 @@
 
     fn restore_pool(&mut self) {
         let pool = Config {
-            queue: 20,
-            transfer: 1e-6,
+            queue_capacity: 20,
+            transfer_s_per_token: 1e-6,
             ..config()
         };
         self.router.set_pools(self.now, vec![pool]);
--- a/crates/routing/tests/plan.rs
+++ b/crates/routing/tests/plan.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use routing::{
     plan::{
-        Change, Config, Engine, Input, Kind, Planner, Span, bound,
+        Change, Config, Engine, Input, Kind, Planner, RoleBounds, bound,
         capacity::{Counts, Demand, Frontier, Frontiers, headroom, served},
     },
     upstream::Role,
@@ -31,12 +31,12 @@
     Config {
         kind,
         price,
-        takes: Duration::from_secs(TAKES as u64),
-        parallel: 1,
-        spans: [
-            Span { min: 0, max: 0 },
-            Span { min: 1, max: 9 },
-            Span { min: 1, max: 9 },
+        change_duration: Duration::from_secs(TAKES as u64),
+        max_parallel: 1,
+        bounds: [
+            RoleBounds { min: 0, max: 0 },
+            RoleBounds { min: 1, max: 9 },
+            RoleBounds { min: 1, max: 9 },
         ],
         frontiers: frontiers(),
     }
@@ -52,8 +52,8 @@
                 Role::Decode
             },
             changing: false,
-            free: true,
-            open: 10 + number as u32,
+            eligible: true,
+            in_flight: 10 + number as u32,
         })
         .collect()
 }
@@ -86,7 +86,7 @@
             work.push((at + TAKES, change.clone()));
             changes.push(change);
         }
-        let able = engines.iter().filter(|engine| engine.free);
+        let able = engines.iter().filter(|engine| engine.eligible);
         let counts = Counts::of(able.map(|engine| engine.role));
         sum += served(&config.frontiers, counts, *demand);
     }
@@ -98,7 +98,7 @@
     let engine = engine.expect("planners name engines that they were given");
     engine.role = change.role;
     engine.changing = in_work;
-    engine.free = !in_work;
+    engine.eligible = !in_work;
 }
 
 fn step(seconds: usize) -> Vec<Demand> {
@@ -166,10 +166,10 @@
 #[test]
 fn bounds_and_engines_in_work_are_respected() {
     let mut config = config(Kind::Gain, 0.0);
-    config.spans[Role::Decode as usize].min = 4;
+    config.bounds[Role::Decode as usize].min = 4;
     let trace = vec![demand(0.95); 120];
     let mut fleet = engines(5, 5);
-    fleet[6].free = false;
+    fleet[6].eligible = false;
     let (_, changes) = run(&config, &mut fleet, &trace);
     assert_eq!(changes.len(), 1);
     assert_ne!(&*changes[0].engine, "engine-06");
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -84,7 +84,7 @@
 #[test]
 fn a_decode_engine_imports_what_a_prefill_engine_computed() {
     let mut pool = config();
-    pool.transfer = 1e-6;
+    pool.transfer_s_per_token = 1e-6;
     let views = vec![view("a", Role::Prefill), view("b", Role::Decode)];
     let mut router = router(pool, views);
     let mut long = request(Class::Interactive, ms(60_000));
@@ -106,7 +106,7 @@
     // Sequence: the export fails, the entry sends the whole request to the decode engine.
     // Cause: the ledger would still count the prefill at the other engine.
     let mut pool = config();
-    pool.transfer = 1e-6;
+    pool.transfer_s_per_token = 1e-6;
     let views = vec![view("a", Role::Prefill), view("b", Role::Decode)];
     let mut router = router(pool, views);
     let mut long = request(Class::Interactive, ms(60_000));
--- a/crates/serving/src/budget.rs
+++ b/crates/serving/src/budget.rs
@@ -58,19 +58,19 @@
 
     /// Counts a call's first attempt.
     pub fn earn(&mut self, service: &ServiceName) {
-        self.budget(service).earn();
+        self.budget(service).deposit();
     }
 
     /// Takes one repeat, if one is left.
     pub fn take(&mut self, service: &ServiceName) -> bool {
-        self.budget(service).take(1)
+        self.budget(service).withdraw(1)
     }
 
     fn budget(&mut self, service: &ServiceName) -> &mut Budget {
         let config = Config {
             ratio: self.bound.ratio * RATIO_USED,
             burst: (self.bound.slack * SLACK_USED / f64::from(self.instances)).max(1.0),
-            attempts: u32::MAX,
+            max_attempts: u32::MAX,
             ..Config::default()
         };
         self.services
