--- a/crates/routing/examples/roles.rs
+++ b/crates/routing/examples/roles.rs
@@ -12,8 +12,9 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use routing::{
     plan::{
-        Change, Config, Engine, Input, Kind, Planner, RoleBounds, bound,
-        capacity::{Counts, Demand, Frontier, Frontiers, headroom, served},
+        Change, Config, Engine, Input, Kind, Planner, RoleBounds,
+        capacity::{Counts, Demand, Frontier, Frontiers, headroom, served_share},
+        optimum,
     },
     upstream::Role,
 };
@@ -171,7 +172,7 @@
         }
         let able = engines.iter().filter(|engine| engine.eligible);
         let counts = Counts::of(able.map(|engine| engine.role));
-        sum += served(&config.frontiers, counts, *demand);
+        sum += served_share(&config.frontiers, counts, *demand);
     }
     (sum / trace.len() as f64, changes)
 }
@@ -212,7 +213,7 @@
                 print!(" {:>13}", format!("{served:.3} / {changes}"));
             }
             let start = Counts::of(start().iter().map(|engine| engine.role));
-            let best = bound::best(&plain, start, &trace);
+            let best = optimum::solve(&plain, start, &trace);
             println!(" {:>13}", format!("{:.3} / {}", best.served, best.changes));
         }
     }
--- a/crates/routing/src/plan/capacity.rs
+++ b/crates/routing/src/plan/capacity.rs
@@ -117,14 +117,14 @@
         if engines > 0.0 {
             let frontier = frontiers.get(role);
             at.decode += frontier.decode * engines;
-            push(&mut segments, frontier, engines);
+            push_segments(&mut segments, frontier, engines);
         }
     }
     segments.sort_by(|a, b| a.slope().total_cmp(&b.slope()));
-    along(at, &segments, demand)
+    intersect(at, &segments, demand)
 }
 
-fn push(segments: &mut SmallVec<[Segment; 6]>, frontier: &Frontier, engines: f64) {
+fn push_segments(segments: &mut SmallVec<[Segment; 6]>, frontier: &Frontier, engines: f64) {
     let overlap = frontier.overlap.clamp(0.5, 1.0);
     for (prefill, decode) in [(overlap, 1.0 - overlap), (1.0 - overlap, overlap)] {
         segments.push(Segment {
@@ -135,7 +135,7 @@
 }
 
 /// Where the ray of the demand meets the frontier that starts at `at` (all decode).
-fn along(mut at: Demand, segments: &[Segment], demand: Demand) -> f64 {
+fn intersect(mut at: Demand, segments: &[Segment], demand: Demand) -> f64 {
     if demand.prefill <= 0.0 && demand.decode <= 0.0 {
         return f64::INFINITY;
     }
@@ -149,7 +149,7 @@
         };
         // The ray passes below the end of this piece: it meets the frontier on it.
         if end.decode * demand.prefill <= end.prefill * demand.decode {
-            return meet(at, segment, demand);
+            return intersect_segment(at, segment, demand);
         }
         at = end;
     }
@@ -157,7 +157,7 @@
 }
 
 /// Factor at which `factor * demand` lies on the segment.
-fn meet(at: Demand, segment: &Segment, demand: Demand) -> f64 {
+fn intersect_segment(at: Demand, segment: &Segment, demand: Demand) -> f64 {
     let across = segment.decode * at.prefill + segment.prefill * at.decode;
     let along = segment.decode * demand.prefill + segment.prefill * demand.decode;
     if along <= 0.0 {
@@ -168,9 +168,9 @@
 
 /// Share of capacity up to which requests are served in time. Beyond it queues grow with each swing
 /// of arrivals, and part of what is served is late.
-const IN_TIME: f64 = 0.9;
+const ON_TIME_UTILISATION: f64 = 0.9;
 
 /// Share of the demand that these engines serve in time, 0 to 1.
-pub fn served(frontiers: &Frontiers, counts: Counts, demand: Demand) -> f64 {
-    (headroom(frontiers, counts, demand) * IN_TIME).min(1.0)
+pub fn served_share(frontiers: &Frontiers, counts: Counts, demand: Demand) -> f64 {
+    (headroom(frontiers, counts, demand) * ON_TIME_UTILISATION).min(1.0)
 }
--- a/crates/routing/src/plan/gain.rs
+++ b/crates/routing/src/plan/gain.rs
@@ -4,75 +4,91 @@
 
 use clock::Moment;
 
-use super::capacity::{Counts, Demand, served};
+use super::capacity::{Counts, Demand, served_share};
 use super::history::{self, History};
-use super::{Config, Move, moves};
+use super::{Config, Transition, allowed_transitions};
 
 /// Least gain, in engines, that is worth looking at; below it the estimate of demand decides.
-const LEAST_GAIN: f64 = 0.05;
+const MIN_GAIN_ENGINES: f64 = 0.05;
 
 /// Time after a change in which demand is not yet what the new roles make of it.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLING_TIME: Duration = Duration::from_secs(2);
 
 /// Seconds by which smoothed demand is late.
-const LAG: f64 = 3.0;
+const DEMAND_LAG_S: f64 = 3.0;
 
 /// Weighs moves by their gain.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Gain {
+pub(super) struct GainPlanner {
     history: History,
-    changed: Option<Moment>,
+    changed_at: Option<Moment>,
 }
 
-impl Gain {
+impl GainPlanner {
     pub(super) fn step(
         &mut self,
         now: Moment,
         config: &Config,
         counts: Counts,
         demand: Demand,
-    ) -> Option<Move> {
-        self.history.note(now, demand);
+    ) -> Option<Transition> {
+        self.history.record(now, demand);
         let settling = self
-            .changed
-            .is_some_and(|changed| now.saturating_sub(changed) < SETTLE);
+            .changed_at
+            .is_some_and(|changed| now.saturating_sub(changed) < SETTLING_TIME);
         if settling {
             return None;
         }
-        let ahead = config.change_duration.as_secs_f64() + LAG;
-        let demand = self.history.ahead(ahead).unwrap_or(demand);
-        let best = moves(config, counts)
+        let horizon_s = config.change_duration.as_secs_f64() + DEMAND_LAG_S;
+        let demand = self.history.forecast(horizon_s).unwrap_or(demand);
+        let best = allowed_transitions(config, counts)
             .into_iter()
-            .map(|wanted| (self.surplus(config, counts, demand, wanted), wanted))
+            .map(|wanted| (self.net_gain(config, counts, demand, wanted), wanted))
             .max_by(|a, b| a.0.total_cmp(&b.0))?;
         (best.0 > 0.0).then_some(best.1)
     }
 
-    pub(super) fn changed(&mut self, now: Moment) {
-        self.changed = Some(now);
+    pub(super) fn record_change(&mut self, now: Moment) {
+        self.changed_at = Some(now);
     }
 
     /// Engine-seconds that a move brings beyond its price, given how long such demand lasts.
-    fn surplus(&self, config: &Config, counts: Counts, demand: Demand, wanted: Move) -> f64 {
+    fn net_gain(
+        &self,
+        config: &Config,
+        counts: Counts,
+        demand: Demand,
+        transition: Transition,
+    ) -> f64 {
         let engines = f64::from(counts.total());
-        let after = counts.without(wanted.from, 1).with(wanted.to, 1);
-        let during = counts.without(wanted.from, 1);
+        let after = counts.without(transition.from, 1).with(transition.to, 1);
+        let during = counts.without(transition.from, 1);
         let gain = |demand| {
             let frontiers = &config.frontiers;
-            engines * (served(frontiers, after, demand) - served(frontiers, counts, demand))
+            engines
+                * (served_share(frontiers, after, demand) - served_share(frontiers, counts, demand))
         };
-        let now = gain(demand);
-        if now < LEAST_GAIN {
+        let current_gain = gain(demand);
+        if current_gain < MIN_GAIN_ENGINES {
             return f64::NEG_INFINITY;
         }
-        let (past, elapsed) = self.history.episodes(|demand| gain(demand) >= LEAST_GAIN);
-        let lasts = history::remaining(&past, elapsed) * history::EVERY.as_secs_f64();
-        let takes = config.change_duration.as_secs_f64();
+        let (past, elapsed) = self
+            .history
+            .episodes(|demand| gain(demand) >= MIN_GAIN_ENGINES);
+        let expected_s =
+            history::expected_remaining(&past, elapsed) * history::SAMPLE_INTERVAL.as_secs_f64();
+        let change_s = config.change_duration.as_secs_f64();
         let frontiers = &config.frontiers;
-        let away =
-            engines * (served(frontiers, counts, demand) - served(frontiers, during, demand));
+        let lost_meanwhile = engines
+            * (served_share(frontiers, counts, demand) - served_share(frontiers, during, demand));
         // When the mix turns back, the move is wrong until that is seen and undone.
-        let undone = self.history.mean(|demand| (-gain(demand)).max(0.0)) * (takes + LAG);
-        now * (lasts - takes - LAG).max(0.0) - away * takes - undone - config.price * takes
+        let reversal_cost = self
+            .history
+            .mean_positive(|demand| (-gain(demand)).max(0.0))
+            * (change_s + DEMAND_LAG_S);
+        current_gain * (expected_s - change_s - DEMAND_LAG_S).max(0.0)
+            - lost_meanwhile * change_s
+            - reversal_cost
+            - config.price * change_s
     }
 }
--- a/crates/routing/src/plan/mod.rs
+++ b/crates/routing/src/plan/mod.rs
@@ -3,10 +3,10 @@
 //! A planner sees the demand in tokens a second and the engines' roles, and proposes few changes. A
 //! change takes an engine away for seconds, so it must pay: see docs/design/roles.md.
 
-pub mod bound;
 pub mod capacity;
 mod gain;
 mod history;
+pub mod optimum;
 mod threshold;
 
 use std::time::Duration;
@@ -15,8 +15,8 @@
 use smallvec::SmallVec;
 
 use self::capacity::{Counts, Demand, Frontiers};
-use self::gain::Gain;
-use self::threshold::Threshold;
+use self::gain::GainPlanner;
+use self::threshold::ThresholdPlanner;
 use crate::upstream::{Id, Role};
 
 /// Which planner a pool uses.
@@ -94,7 +94,7 @@
 
 /// A change from one role to another, of whichever engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Move {
+struct Transition {
     from: Role,
     to: Role,
 }
@@ -103,8 +103,8 @@
 #[derive(Clone, Debug)]
 pub struct Planner {
     config: Config,
-    threshold: Threshold,
-    gain: Gain,
+    threshold: ThresholdPlanner,
+    gain: GainPlanner,
 }
 
 impl Planner {
@@ -112,8 +112,8 @@
     pub fn new(config: Config) -> Self {
         Self {
             config,
-            threshold: Threshold::default(),
-            gain: Gain::default(),
+            threshold: ThresholdPlanner::default(),
+            gain: GainPlanner::default(),
         }
     }
 
@@ -126,7 +126,7 @@
     /// also while a change is in work, so that the past has no holes.
     pub fn step(&mut self, now: Moment, input: &Input<'_>) -> SmallVec<[Change; 1]> {
         let counts = Counts::of(input.engines.iter().map(|engine| engine.role));
-        let wanted = match self.config.kind {
+        let transition = match self.config.kind {
             Kind::Static => None,
             Kind::Threshold => self.threshold.step(now, &self.config, counts, input.demand),
             Kind::Gain => self.gain.step(now, &self.config, counts, input.demand),
@@ -139,39 +139,39 @@
         if changing >= self.config.max_parallel {
             return SmallVec::new();
         }
-        let change = wanted.and_then(|wanted| pick(input.engines, wanted));
+        let change = transition.and_then(|wanted| choose_engine(input.engines, wanted));
         if change.is_some() {
-            self.threshold.changed(now);
-            self.gain.changed(now);
+            self.threshold.record_change(now);
+            self.gain.record_change(now);
         }
         change.into_iter().collect()
     }
 }
 
 /// The engine that loses least by a change.
-fn pick(engines: &[Engine], wanted: Move) -> Option<Change> {
-    let able = engines
+fn choose_engine(engines: &[Engine], transition: Transition) -> Option<Change> {
+    let candidates = engines
         .iter()
-        .filter(|engine| engine.eligible && engine.role == wanted.from);
-    let engine = able.min_by(|a, b| (a.in_flight, &a.id).cmp(&(b.in_flight, &b.id)))?;
+        .filter(|engine| engine.eligible && engine.role == transition.from);
+    let engine = candidates.min_by(|a, b| (a.in_flight, &a.id).cmp(&(b.in_flight, &b.id)))?;
     Some(Change {
         engine: engine.id.clone(),
-        role: wanted.to,
+        role: transition.to,
     })
 }
 
 /// All moves of one engine that the bounds allow.
-fn moves(config: &Config, counts: Counts) -> SmallVec<[Move; 6]> {
-    let mut moves = SmallVec::new();
+fn allowed_transitions(config: &Config, counts: Counts) -> SmallVec<[Transition; 6]> {
+    let mut transitions = SmallVec::new();
     for from in Role::ALL {
         for to in Role::ALL {
             let allowed = from != to
                 && counts.get(from) > config.bounds[from as usize].min
                 && counts.get(to) < config.bounds[to as usize].max;
             if allowed {
-                moves.push(Move { from, to });
+                transitions.push(Transition { from, to });
             }
         }
     }
-    moves
+    transitions
 }
--- a/crates/routing/src/plan/bound.rs
+++ b/crates/routing/src/plan/optimum.rs
@@ -5,13 +5,13 @@
 
 use std::collections::BTreeMap;
 
-use super::capacity::{Counts, Demand, served};
+use super::capacity::{Counts, Demand, served_share};
 use super::{Config, history};
 use crate::upstream::Role;
 
 /// The best course.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Best {
+pub struct Optimum {
     /// Demand served in time, as a share of all demand.
     pub served: f64,
     /// Changes of single engines.
@@ -29,51 +29,57 @@
 
 /// Computes the best course for demand sampled every second, by dynamic programming from the end.
 /// The price of a change counts as in the planner; a price of 0 gives the most that can be served.
-pub fn best(config: &Config, start: Counts, trace: &[Demand]) -> Best {
-    let takes = config.change_duration.as_secs_f64() / history::EVERY.as_secs_f64();
-    let takes = (takes.round() as usize).max(1);
+pub fn solve(config: &Config, start: Counts, trace: &[Demand]) -> Optimum {
+    let change_steps =
+        config.change_duration.as_secs_f64() / history::SAMPLE_INTERVAL.as_secs_f64();
+    let takes = (change_steps.round() as usize).max(1);
     let states = states(config, start.total());
-    let mut later: Vec<BTreeMap<Counts, Value>> = vec![BTreeMap::new(); trace.len() + 1];
+    let mut values: Vec<BTreeMap<Counts, Value>> = vec![BTreeMap::new(); trace.len() + 1];
     for at in (0..trace.len()).rev() {
         let column: BTreeMap<Counts, Value> = states
             .iter()
-            .map(|state| (*state, step(config, *state, at, takes, trace, &later)))
+            .map(|state| {
+                (
+                    *state,
+                    best_value(config, *state, at, takes, trace, &values),
+                )
+            })
             .collect();
-        later[at] = column;
+        values[at] = column;
     }
-    let value = later[0].get(&start).copied().unwrap_or_default();
-    Best {
+    let value = values[0].get(&start).copied().unwrap_or_default();
+    Optimum {
         served: value.served / trace.len().max(1) as f64,
         changes: value.changes,
     }
 }
 
-fn step(
+fn best_value(
     config: &Config,
     state: Counts,
     at: usize,
-    takes: usize,
+    change_steps: usize,
     trace: &[Demand],
-    later: &[BTreeMap<Counts, Value>],
+    values: &[BTreeMap<Counts, Value>],
 ) -> Value {
-    let now = served(&config.frontiers, state, trace[at]);
-    let mut best = plus(value(later, at + 1, state), now, 0.0, 0);
-    let end = (at + takes).min(trace.len());
+    let now = served_share(&config.frontiers, state, trace[at]);
+    let mut best = extend(value(values, at + 1, state), now, 0.0, 0);
+    let end = (at + change_steps).min(trace.len());
     for from in Role::ALL {
         for to in Role::ALL {
             for engines in 1..=state.get(from) {
                 let after = state.without(from, engines).with(to, engines);
-                if from == to || !allowed(config, after) {
+                if from == to || !within_bounds(config, after) {
                     continue;
                 }
                 let during = state.without(from, engines);
                 let meanwhile: f64 = trace[at..end]
                     .iter()
-                    .map(|demand| served(&config.frontiers, during, *demand))
+                    .map(|demand| served_share(&config.frontiers, during, *demand))
                     .sum();
-                let lost = f64::from(engines) * takes as f64 / f64::from(state.total());
+                let lost = f64::from(engines) * change_steps as f64 / f64::from(state.total());
                 let price = config.price * lost;
-                let other = plus(value(later, end, after), meanwhile, price, engines);
+                let other = extend(value(values, end, after), meanwhile, price, engines);
                 if other.net > best.net {
                     best = other;
                 }
@@ -83,11 +89,11 @@
     best
 }
 
-fn value(later: &[BTreeMap<Counts, Value>], at: usize, state: Counts) -> Value {
-    later[at].get(&state).copied().unwrap_or_default()
+fn value(values: &[BTreeMap<Counts, Value>], at: usize, state: Counts) -> Value {
+    values[at].get(&state).copied().unwrap_or_default()
 }
 
-fn plus(value: Value, served: f64, price: f64, changes: u32) -> Value {
+fn extend(value: Value, served: f64, price: f64, changes: u32) -> Value {
     Value {
         net: value.net + served - price,
         served: value.served + served,
@@ -100,7 +106,7 @@
     for mixed in 0..=total {
         for prefill in 0..=total - mixed {
             let counts = Counts::new([mixed, prefill, total - mixed - prefill]);
-            if allowed(config, counts) {
+            if within_bounds(config, counts) {
                 states.push(counts);
             }
         }
@@ -108,7 +114,7 @@
     states
 }
 
-fn allowed(config: &Config, counts: Counts) -> bool {
+fn within_bounds(config: &Config, counts: Counts) -> bool {
     Role::ALL.iter().all(|role| {
         let span = config.bounds[*role as usize];
         (span.min..=span.max).contains(&counts.get(*role))
--- a/crates/routing/tests/plan.rs
+++ b/crates/routing/tests/plan.rs
@@ -6,8 +6,9 @@
 use proptest::prelude::*;
 use routing::{
     plan::{
-        Change, Config, Engine, Input, Kind, Planner, RoleBounds, bound,
-        capacity::{Counts, Demand, Frontier, Frontiers, headroom, served},
+        Change, Config, Engine, Input, Kind, Planner, RoleBounds,
+        capacity::{Counts, Demand, Frontier, Frontiers, headroom, served_share},
+        optimum,
     },
     upstream::Role,
 };
@@ -88,7 +89,7 @@
         }
         let able = engines.iter().filter(|engine| engine.eligible);
         let counts = Counts::of(able.map(|engine| engine.role));
-        sum += served(&config.frontiers, counts, *demand);
+        sum += served_share(&config.frontiers, counts, *demand);
     }
     (sum / trace.len() as f64, changes)
 }
@@ -179,7 +180,7 @@
 fn nobody_does_better_than_the_bound() {
     for trace in [step(200), swings(200, 60), swings(200, 20)] {
         let start = Counts::new([0, 5, 5]);
-        let best = bound::best(&config(Kind::Gain, 0.0), start, &trace);
+        let best = optimum::solve(&config(Kind::Gain, 0.0), start, &trace);
         for (kind, price) in [
             (Kind::Static, 0.0),
             (Kind::Threshold, 0.0),
