--- a/crates/routing/benches/decisions.rs
+++ b/crates/routing/benches/decisions.rs
@@ -64,9 +64,9 @@
             decode_slots: 32,
             draining: false,
         };
-        members.report(&format!("engine-{number:04}"), report);
+        members.apply_report(&format!("engine-{number:04}"), report);
     }
-    members.survey(NOW);
+    members.refresh_statistics(NOW);
     members
 }
 
@@ -86,7 +86,7 @@
     };
     let members = members(&config, count);
     let mut history = History::new(32_768);
-    history.note(&self::prefixes(1), &members.at(3).view.id);
+    history.record(&self::prefixes(1), &members.at(3).view.id);
     let mut chooser = Chooser::new(SmallRng::seed_from_u64(1));
     let model = "verdict@3".into();
     let work = Work {
--- a/crates/routing/examples/herd.rs
+++ b/crates/routing/examples/herd.rs
@@ -19,7 +19,7 @@
 use routing::{
     affinity::History,
     choice::{Chooser, Policy, Work},
-    ledger::NEVER,
+    ledger::NO_DECAY,
     load::Load,
     members::Members,
     pool::{Config, Speed},
@@ -172,7 +172,7 @@
                 }
                 let (at, load) = engine.past[0];
                 for entry in &mut self.entries {
-                    entry.members.report(&id(number), report(at, load));
+                    entry.members.apply_report(&id(number), report(at, load));
                 }
             }
         }
@@ -187,12 +187,12 @@
                     let number: usize = wanted[7..].parse().expect("ids end in a number");
                     loads[number]
                 };
-                entry.members.take_peers(now, by_id);
+                entry.members.set_peer_load(now, by_id);
             }
         }
         if self.due(Duration::from_millis(100)) {
             for entry in &mut self.entries {
-                entry.members.survey(now);
+                entry.members.refresh_statistics(now);
             }
         }
     }
@@ -371,7 +371,7 @@
         ("affinity(4,0)", ours(4, 0), usual),
         ("affinity(8,0)", ours(8, 0), usual),
         ("affinity(4,0) 1 s", ours(4, 0), second),
-        ("affinity(4,0) never", ours(4, 0), NEVER),
+        ("affinity(4,0) never", ours(4, 0), NO_DECAY),
     ]
 }
 
--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -100,9 +100,9 @@
     }
 
     /// Remembers that the prompt went to an upstream.
-    pub fn note(&mut self, prefixes: &[Prefix], upstream: &Id) {
+    pub fn record(&mut self, prefixes: &[Prefix], upstream: &Id) {
         for prefix in prefixes {
-            self.note_one(prefix.hash, upstream);
+            self.record_one(prefix.hash, upstream);
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Forgets an upstream that lost its cache.
-    pub fn forget(&mut self, upstream: &str) {
+    pub fn forget_upstream(&mut self, upstream: &str) {
         for generation in [&mut self.young, &mut self.old] {
             generation.retain(|_, holders| {
                 holders.retain(|holder| **holder != *upstream);
@@ -129,7 +129,7 @@
         self.young.get(&hash).or_else(|| self.old.get(&hash))
     }
 
-    fn note_one(&mut self, hash: u64, upstream: &Id) {
+    fn record_one(&mut self, hash: u64, upstream: &Id) {
         if !self.young.contains_key(&hash) {
             if self.young.len() >= self.capacity {
                 self.old = std::mem::take(&mut self.young);
--- a/crates/routing/src/choice/mod.rs
+++ b/crates/routing/src/choice/mod.rs
@@ -155,7 +155,7 @@
             Policy::LeastOutstanding => self.least(scene, |member| member.ledger.own().requests),
             Policy::TwoChoices => self.sampled(scene, 2, 0),
             Policy::Drill { samples, memory } => self.sampled(scene, samples, memory),
-            Policy::FullScan => self.least(scene, |member| scene.cost(member, 0).busy),
+            Policy::FullScan => self.least(scene, |member| scene.cost(member, 0).total_work),
             Policy::PrefixHash => self.home(scene).or_else(|| self.next(scene)),
             Policy::Affinity { samples, memory } => self.affine(scene, samples, memory),
         }
@@ -280,7 +280,7 @@
 
     /// Sorts the candidates, best first, and remembers the best.
     fn remember(&mut self, picks: &mut SmallVec<[Pick; 8]>, memory: usize) {
-        picks.sort_by(|a, b| a.cost.busy.total_cmp(&b.cost.busy));
+        picks.sort_by(|a, b| a.cost.total_work.total_cmp(&b.cost.total_work));
         self.memory = picks
             .iter()
             .take(memory)
@@ -295,7 +295,7 @@
         let best = picks.first().copied()?;
         let holder = scene.holder();
         if let Some(holder) = holder
-            && holder.cost.busy <= best.cost.busy
+            && holder.cost.total_work <= best.cost.total_work
         {
             return Some(holder);
         }
@@ -303,7 +303,7 @@
             return Some(best);
         }
         let home = self.home(scene);
-        let near = home.filter(|home| home.cost.busy <= best.cost.busy + HOME_SLACK);
+        let near = home.filter(|home| home.cost.total_work <= best.cost.total_work + HOME_SLACK);
         Some(near.unwrap_or(best))
     }
 
--- a/crates/routing/src/choice/scene.rs
+++ b/crates/routing/src/choice/scene.rs
@@ -9,7 +9,7 @@
     affinity::History,
     class::Class,
     cost::{self, Cost},
-    ledger::NEVER,
+    ledger::NO_DECAY,
     load::Load,
     member::Member,
     members::Members,
@@ -37,7 +37,7 @@
     ) -> Self {
         let staleness = match config.policy {
             Policy::Affinity { .. } => config.decay_time,
-            _ => NEVER,
+            _ => NO_DECAY,
         };
         Self {
             now,
@@ -45,7 +45,7 @@
             members,
             history,
             work,
-            mean: members.mean(),
+            mean: members.mean_load(),
             staleness,
         }
     }
@@ -97,12 +97,17 @@
     pub(super) fn cost(&self, member: &Member, cached: u32) -> Cost {
         let load = self.load(member);
         let prompt = f64::from(self.work.prompt.saturating_sub(cached));
-        let mut cost = cost::cost(&member.pace(), load, prompt, f64::from(self.work.output));
-        let share = member.share(self.now, self.config.slow_start);
+        let mut cost = cost::estimate(
+            &member.effective_speed(),
+            load,
+            prompt,
+            f64::from(self.work.output),
+        );
+        let share = member.slow_start_share(self.now, self.config.slow_start);
         let distance = 2.0 * member.view.one_way_latency.as_secs_f64();
         cost.first_token = cost.first_token / share + distance;
         cost.wait /= share;
-        cost.busy = cost.busy / share + distance;
+        cost.total_work = cost.total_work / share + distance;
         cost
     }
 
@@ -142,7 +147,7 @@
                 continue;
             }
             let pick = self.pick_cached(position, hit.tokens);
-            if best.is_none_or(|best| pick.cost.busy < best.cost.busy) {
+            if best.is_none_or(|best| pick.cost.total_work < best.cost.total_work) {
                 best = Some(pick);
             }
         }
--- a/crates/routing/src/mix.rs
+++ b/crates/routing/src/class_mix.rs
@@ -14,11 +14,11 @@
 /// Engines serve by priority, so that a request of a high class waits for a part of the backlog
 /// only. Nobody tells the parts of the others' work; they are taken to be like our own.
 #[derive(Clone, Debug)]
-pub struct Mix {
+pub struct ClassMix {
     rates: [Rate; Class::COUNT],
 }
 
-impl Mix {
+impl ClassMix {
     /// Nothing was sent yet.
     pub fn new(now: Moment) -> Self {
         Self {
@@ -27,12 +27,12 @@
     }
 
     /// Counts what was sent.
-    pub fn note(&mut self, now: Moment, class: Class, tokens: f64) {
+    pub fn record(&mut self, now: Moment, class: Class, tokens: f64) {
         self.rates[class.rank()].record(now, tokens);
     }
 
     /// Share of the work that is of this class or a higher one; all of it if nothing is known.
-    pub fn before(&self, now: Moment, class: Class) -> f64 {
+    pub fn share_ahead(&self, now: Moment, class: Class) -> f64 {
         let rates = self.rates.map(|rate| rate.per_second(now));
         let all: f64 = rates.iter().sum();
         if all <= 0.0 {
--- a/crates/routing/src/split.rs
+++ b/crates/routing/src/disaggregation.rs
@@ -4,18 +4,18 @@
 
 /// Share by which running apart must be faster. Moving a cache loads both engines and can fail, and
 /// with equal estimates requests would swing between both ways.
-const ADVANTAGE: f64 = 0.9;
+const MAX_TIME_RATIO: f64 = 0.9;
 
 /// Prompts below this are never worth a transfer.
-const SHORTEST: u32 = 64;
+const MIN_PROMPT_TOKENS: u32 = 64;
 
 /// Where a request runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
     /// Prefill and decode at one upstream.
-    Together(Pick),
+    Colocated(Pick),
     /// Prefill at one engine, then decode at another.
-    Apart {
+    Disaggregated {
         /// Engine that prefills and exports.
         prefill: Pick,
         /// Engine that imports and decodes.
@@ -27,8 +27,8 @@
     /// Estimated seconds to the first token.
     pub fn first_token(&self, config: &Config, prompt: u32) -> f64 {
         match self {
-            Self::Together(pick) => pick.cost.first_token,
-            Self::Apart { prefill, decode } => {
+            Self::Colocated(pick) => pick.cost.first_token,
+            Self::Disaggregated { prefill, decode } => {
                 let transfer = config.transfer_s_per_token * f64::from(prompt);
                 prefill.cost.first_token + transfer + decode.cost.first_token
             }
@@ -38,37 +38,38 @@
     /// Of these, the wait for work that stands before it.
     pub fn wait(&self) -> f64 {
         match self {
-            Self::Together(pick) => pick.cost.wait,
-            Self::Apart { prefill, decode } => prefill.cost.wait + decode.cost.wait,
+            Self::Colocated(pick) => pick.cost.wait,
+            Self::Disaggregated { prefill, decode } => prefill.cost.wait + decode.cost.wait,
         }
     }
 
     /// The pick that answers.
-    pub fn answering(&self) -> &Pick {
+    pub fn answering_pick(&self) -> &Pick {
         match self {
-            Self::Together(pick) | Self::Apart { decode: pick, .. } => pick,
+            Self::Colocated(pick) | Self::Disaggregated { decode: pick, .. } => pick,
         }
     }
 }
 
 /// Whether it makes sense to look for two engines at all.
-pub fn is_possible(config: &Config, prompt: u32) -> bool {
-    config.transfer_s_per_token > 0.0 && prompt >= SHORTEST
+pub fn is_eligible(config: &Config, prompt: u32) -> bool {
+    config.transfer_s_per_token > 0.0 && prompt >= MIN_PROMPT_TOKENS
 }
 
 /// Chooses between one engine and two. `decode` was estimated without prefill.
-pub fn place(
+pub fn choose_placement(
     config: &Config,
     prompt: u32,
-    together: Option<Pick>,
-    apart: Option<(Pick, Pick)>,
+    colocated: Option<Pick>,
+    disaggregated: Option<(Pick, Pick)>,
 ) -> Option<Placement> {
-    let apart = apart.map(|(prefill, decode)| Placement::Apart { prefill, decode });
-    let together = together.map(Placement::Together);
-    match (together, apart) {
+    let disaggregated =
+        disaggregated.map(|(prefill, decode)| Placement::Disaggregated { prefill, decode });
+    let colocated = colocated.map(Placement::Colocated);
+    match (colocated, disaggregated) {
         (Some(one), Some(two)) => {
             let faster =
-                two.first_token(config, prompt) < ADVANTAGE * one.first_token(config, prompt);
+                two.first_token(config, prompt) < MAX_TIME_RATIO * one.first_token(config, prompt);
             Some(if faster { two } else { one })
         }
         (one, two) => one.or(two),
--- a/crates/routing/src/excess.rs
+++ b/crates/routing/src/lateness.rs
@@ -9,8 +9,8 @@
 
 /// Time without a first token after which an excess fades, and time in which it then loses two
 /// thirds of itself.
-const KEEP: Duration = Duration::from_secs(2);
-const FORGET: Duration = Duration::from_secs(3);
+const HOLD_TIME: Duration = Duration::from_secs(2);
+const DECAY_TIME: Duration = Duration::from_secs(3);
 
 /// A smoothed excess in seconds.
 ///
@@ -19,20 +19,20 @@
 /// is refused, no first token would come any more to lower it again, and a fault of a minute would
 /// close a class for good.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Excess {
+pub struct Lateness {
     seconds: f64,
     at: Moment,
 }
 
-impl Excess {
+impl Lateness {
     /// The excess in seconds.
     pub fn seconds(&self, now: Moment) -> f64 {
-        let age = now.saturating_sub(self.at + KEEP).as_secs_f64();
-        self.seconds * (-age / FORGET.as_secs_f64()).exp()
+        let age = now.saturating_sub(self.at + HOLD_TIME).as_secs_f64();
+        self.seconds * (-age / DECAY_TIME.as_secs_f64()).exp()
     }
 
     /// Learns from a first token.
-    pub fn note(&mut self, now: Moment, expected: f64, took: f64) {
+    pub fn record(&mut self, now: Moment, expected: f64, took: f64) {
         let old = self.seconds(now);
         self.seconds = old + WEIGHT * ((took - expected).max(0.0) - old);
         self.at = now;
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -13,14 +13,14 @@
 use crate::{load::Load, pool::Speed, upstream::Report};
 
 /// Spacing of the remembered own loads.
-const SAMPLE_EVERY: Duration = Duration::from_millis(200);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Remembered own loads; with the spacing they reach back over six seconds, further than which a
 /// report is worth nothing.
-const SAMPLES: usize = 32;
+const MAX_SAMPLES: usize = 32;
 
 /// The staleness with which views are taken as they are, however old; what the baselines do.
-pub const NEVER: Duration = Duration::MAX;
+pub const NO_DECAY: Duration = Duration::MAX;
 
 /// Own load at a moment, to be taken out of a report of that moment.
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
 
 /// Work of others before the upstream, and how old that view is.
 #[derive(Clone, Copy, Debug, Default)]
-struct Others {
+struct OthersLoad {
     at: Moment,
     load: Load,
     known: bool,
@@ -42,8 +42,8 @@
 pub struct Ledger {
     own: Load,
     samples: VecDeque<Sample>,
-    peers: Others,
-    reported: Others,
+    peers: OthersLoad,
+    reported: OthersLoad,
     report: Option<Report>,
 }
 
@@ -67,17 +67,17 @@
     /// Takes out work that is done or gone.
     pub fn remove(&mut self, now: Moment, load: Load) {
         self.sample(now);
-        self.own = (self.own - load).floor();
+        self.own = (self.own - load).clamp_non_negative();
     }
 
     /// Takes in a report; older ones than the last are dropped because reports may overtake each
     /// other. Says whether it was taken.
-    pub fn take_report(&mut self, report: Report) -> bool {
+    pub fn apply_report(&mut self, report: Report) -> bool {
         if self.report.is_some_and(|last| last.at >= report.at) {
             return false;
         }
-        let others = (report.load - self.own_at(report.at)).floor();
-        self.reported = Others {
+        let others = (report.load - self.own_at(report.at)).clamp_non_negative();
+        self.reported = OthersLoad {
             at: report.at,
             load: others,
             known: true,
@@ -87,8 +87,8 @@
     }
 
     /// Takes in the sum of what all peers have there, true at `at` (the oldest of their frames).
-    pub fn take_peers(&mut self, at: Moment, load: Load) {
-        self.peers = Others {
+    pub fn set_peer_load(&mut self, at: Moment, load: Load) {
+        self.peers = OthersLoad {
             at,
             load,
             known: true,
@@ -109,26 +109,26 @@
 
     /// The belief: own work, and that of others faded towards `mean` over `staleness`, but never
     /// less than what the upstream cannot have worked off since at its `speed`.
-    pub fn estimate(&self, now: Moment, mean: Load, staleness: Duration, speed: &Speed) -> Load {
+    pub fn estimate(&self, now: Moment, mean: Load, decay_time: Duration, speed: &Speed) -> Load {
         let Some((load, age)) = self.others(now) else {
             return self.own + mean;
         };
-        if staleness == NEVER {
+        if decay_time == NO_DECAY {
             return self.own + load;
         }
-        let faded = load.toward(mean, faded(age, staleness));
-        self.own + faded.most(remainder(load, age, speed))
+        let decayed = load.lerp(mean, decayed_share(age, decay_time));
+        self.own + decayed.max(least_remaining(load, age, speed))
     }
 
     fn sample(&mut self, now: Moment) {
         let due = match self.samples.back() {
             None => true,
-            Some(last) => now.saturating_sub(last.at) >= SAMPLE_EVERY,
+            Some(last) => now.saturating_sub(last.at) >= SAMPLE_INTERVAL,
         };
         if !due {
             return;
         }
-        if self.samples.len() == SAMPLES {
+        if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
         self.samples.push_back(Sample {
@@ -144,13 +144,13 @@
 }
 
 /// Share of a view's meaning that is lost at an age: 0 when fresh, 0.63 after `staleness`.
-fn faded(age: Duration, staleness: Duration) -> f64 {
-    let ratio = age.as_secs_f64() / staleness.as_secs_f64().max(f64::MIN_POSITIVE);
+fn decayed_share(age: Duration, decay_time: Duration) -> f64 {
+    let ratio = age.as_secs_f64() / decay_time.as_secs_f64().max(f64::MIN_POSITIVE);
     1.0 - (-ratio).exp()
 }
 
 /// What is left of a load at least after some time of full work on nothing else.
-fn remainder(load: Load, age: Duration, speed: &Speed) -> Load {
+fn least_remaining(load: Load, age: Duration, speed: &Speed) -> Load {
     let seconds = age.as_secs_f64();
     let prefill = load.prefill - speed.prefill_rate * seconds;
     let decode = load.decode - f64::from(speed.slots) * speed.decode_rate * seconds;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -5,29 +5,29 @@
 //! clock's moment is an argument and random numbers come from a seeded generator that each
 //! structure owns, so that a run can be repeated exactly. See docs/design/choice.md.
 
-pub mod admission;
 pub mod affinity;
 pub mod choice;
 pub mod class;
+pub mod class_mix;
 pub mod cost;
 pub mod decision;
-pub mod excess;
-pub mod holding;
+pub mod disaggregation;
+pub mod lateness;
 pub mod ledger;
 pub mod limit;
 pub mod load;
 pub mod member;
 pub mod members;
-pub mod mix;
-pub mod observed;
+pub mod passive_health;
 pub mod peers;
 pub mod plan;
 pub mod pool;
+pub mod queue;
 pub mod rate;
 pub mod request;
+pub mod reservation;
 pub mod retry;
 pub mod router;
 pub mod scheduler;
-pub mod split;
 pub mod upstream;
 pub mod window;
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -24,7 +24,7 @@
     }
 
     /// The same with nothing below zero; differences of stale views may come out negative.
-    pub fn floor(self) -> Self {
+    pub fn clamp_non_negative(self) -> Self {
         Self {
             requests: self.requests.max(0.0),
             prefill: self.prefill.max(0.0),
@@ -33,7 +33,7 @@
     }
 
     /// The larger of both, field by field.
-    pub fn most(self, other: Self) -> Self {
+    pub fn max(self, other: Self) -> Self {
         Self {
             requests: self.requests.max(other.requests),
             prefill: self.prefill.max(other.prefill),
@@ -42,7 +42,7 @@
     }
 
     /// A point between `self` (0) and `other` (1).
-    pub fn toward(self, other: Self, share: f64) -> Self {
+    pub fn lerp(self, other: Self, share: f64) -> Self {
         self + (other - self) * share
     }
 }
--- a/crates/routing/src/member.rs
+++ b/crates/routing/src/member.rs
@@ -6,9 +6,9 @@
 
 use crate::{
     affinity,
-    cost::CHUNK_SHARE,
+    cost::DECODE_PREFILL_SHARE,
     ledger::Ledger,
-    observed::Observed,
+    passive_health::PassiveHealth,
     pool::Speed,
     request::Model,
     upstream::{Health, Role, View},
@@ -16,7 +16,7 @@
 };
 
 /// Share of its speed at which a new upstream starts.
-const SLOW_START_FLOOR: f64 = 0.1;
+const MIN_SLOW_START_SHARE: f64 = 0.1;
 
 /// One upstream and the belief about it.
 #[derive(Clone, Debug)]
@@ -32,11 +32,11 @@
     /// How much work may stand before it.
     pub window: Window,
     /// What this entry itself sees of it.
-    pub observed: Observed,
+    pub passive_health: PassiveHealth,
     /// Share of its speed that it is taken to have; below 1 for one that is slower than its like.
-    pub(crate) quickness: f64,
+    pub(crate) speed_factor: f64,
     /// Whether it is set aside because of what was observed.
-    pub(crate) aside: bool,
+    pub(crate) ejected: bool,
 }
 
 impl Member {
@@ -47,14 +47,14 @@
             ledger: Ledger::default(),
             speed,
             window: Window::new(speed.slots),
-            observed: Observed::default(),
-            quickness: 1.0,
-            aside: false,
+            passive_health: PassiveHealth::default(),
+            speed_factor: 1.0,
+            ejected: false,
         }
     }
 
     /// Whether new work may go there at all.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.view.open
             && self.view.health != Health::Down
             && !self.ledger.report().is_some_and(|report| report.draining)
@@ -70,28 +70,28 @@
 
     /// Its speed in its role. Reports tell the rate of the role; without one, a decode engine is
     /// taken to prefill in the room beside its decodes only.
-    pub fn pace(&self) -> Speed {
-        let told = self
+    pub fn effective_speed(&self) -> Speed {
+        let reported = self
             .ledger
             .report()
             .is_some_and(|report| report.prefill_rate > 0.0);
-        let chunked = self.view.role == Role::Decode && !told;
-        let chunk = if chunked { CHUNK_SHARE } else { 1.0 };
+        let chunked = self.view.role == Role::Decode && !reported;
+        let chunk = if chunked { DECODE_PREFILL_SHARE } else { 1.0 };
         Speed {
-            prefill_rate: self.speed.prefill_rate * chunk * self.quickness,
-            decode_rate: self.speed.decode_rate * self.quickness,
+            prefill_rate: self.speed.prefill_rate * chunk * self.speed_factor,
+            decode_rate: self.speed.decode_rate * self.speed_factor,
             ..self.speed
         }
     }
 
     /// Share of its speed that is counted on at this moment (slow start).
-    pub fn share(&self, now: Moment, slow_start: Duration) -> f64 {
-        let since = self.view.up_since.max(self.observed.back_since());
-        let up = now.saturating_sub(since);
-        if up >= slow_start {
+    pub fn slow_start_share(&self, now: Moment, slow_start: Duration) -> f64 {
+        let since = self.view.up_since.max(self.passive_health.readmitted_at());
+        let uptime = now.saturating_sub(since);
+        if uptime >= slow_start {
             return 1.0;
         }
-        let grown = up.as_secs_f64() / slow_start.as_secs_f64();
-        grown.max(SLOW_START_FLOOR)
+        let ramped = uptime.as_secs_f64() / slow_start.as_secs_f64();
+        ramped.max(MIN_SLOW_START_SHARE)
     }
 }
--- a/crates/routing/src/members.rs
+++ b/crates/routing/src/members.rs
@@ -9,7 +9,7 @@
     class::Class,
     load::Load,
     member::Member,
-    observed::Observed,
+    passive_health::PassiveHealth,
     pool::Config,
     upstream::{Health, Id, Report, Role, View},
 };
@@ -18,7 +18,7 @@
 ///
 /// Views fade towards the mean of all views. If all are as old as the last report before reports
 /// ceased, that mean is too, and a pool that was full at that moment would stay full for good.
-const OLDEST: Duration = Duration::from_secs(5);
+const MAX_VIEW_AGE: Duration = Duration::from_secs(5);
 
 /// All upstreams of a pool.
 #[derive(Clone, Debug)]
@@ -28,9 +28,9 @@
     /// Positions of those that take work, by role.
     ready: [Vec<usize>; 3],
     /// Mean of what others have before an upstream.
-    mean: Load,
+    mean_load: Load,
     /// This entry's share of all outstanding requests.
-    share: f64,
+    own_share: f64,
 }
 
 impl Members {
@@ -40,8 +40,8 @@
             list: Vec::new(),
             index: HashMap::new(),
             ready: Default::default(),
-            mean: Load::default(),
-            share: 1.0,
+            mean_load: Load::default(),
+            own_share: 1.0,
         }
     }
 
@@ -64,8 +64,8 @@
                 // What was observed of it in another role says nothing of this one.
                 Some(known) if known.view.role != view.role => Member {
                     view,
-                    observed: Observed::default(),
-                    quickness: 1.0,
+                    passive_health: PassiveHealth::default(),
+                    speed_factor: 1.0,
                     ..known
                 },
                 Some(known) => Member { view, ..known },
@@ -78,7 +78,7 @@
             .enumerate()
             .map(|(position, member)| (member.view.id.clone(), position))
             .collect();
-        self.refresh();
+        self.rebuild_ready();
         true
     }
 
@@ -103,8 +103,8 @@
     }
 
     /// Mean of what others have before an upstream, towards which stale views fade.
-    pub fn mean(&self) -> Load {
-        self.mean
+    pub fn mean_load(&self) -> Load {
+        self.mean_load
     }
 
     /// The upstream of this id for changes, if it is still there.
@@ -114,13 +114,13 @@
     }
 
     /// Takes in a load report.
-    pub fn report(&mut self, id: &str, report: Report) {
+    pub fn apply_report(&mut self, id: &str, report: Report) {
         let Some(position) = self.position(id) else {
             return;
         };
         let member = &mut self.list[position];
-        let drained = member.ledger.report().is_some_and(|last| last.draining);
-        if !member.ledger.take_report(report) {
+        let was_draining = member.ledger.report().is_some_and(|last| last.draining);
+        if !member.ledger.apply_report(report) {
             return;
         }
         member.window.adapt(&report);
@@ -130,16 +130,16 @@
         if report.decode_slots > 0 {
             member.speed.slots = report.decode_slots;
         }
-        if drained != report.draining {
-            self.refresh();
+        if was_draining != report.draining {
+            self.rebuild_ready();
         }
     }
 
     /// Takes in what the peers have before each upstream, true at `at`.
-    pub fn take_peers(&mut self, at: Moment, load: impl Fn(&str) -> Load) {
+    pub fn set_peer_load(&mut self, at: Moment, load: impl Fn(&str) -> Load) {
         for member in &mut self.list {
             let load = load(&member.view.id);
-            member.ledger.take_peers(at, load);
+            member.ledger.set_peer_load(at, load);
         }
     }
 
@@ -149,106 +149,110 @@
         let own = member.ledger.own();
         member
             .window
-            .has_room(class, &member.pace(), load, own, self.share)
+            .has_room(class, &member.effective_speed(), load, own, self.own_share)
     }
 
     /// Takes stock of the pool: the mean load, this entry's share of the requests, who
     /// is slow and who is set aside. Called from time to time and not per request, because it walks
     /// over the pool.
-    pub fn survey(&mut self, now: Moment) {
-        self.average(now);
-        self.compare(now);
+    pub fn refresh_statistics(&mut self, now: Moment) {
+        self.update_mean_load(now);
+        self.update_speed_factors(now);
         let mut changed = false;
         for member in &mut self.list {
             let requests = member.ledger.own().requests;
-            member.observed.check(now, requests);
-            let aside = member.observed.is_aside(now);
-            changed |= aside != member.aside;
-            member.aside = aside;
+            member.passive_health.check_silence(now, requests);
+            let ejected = member.passive_health.is_ejected(now);
+            changed |= ejected != member.ejected;
+            member.ejected = ejected;
         }
         if changed {
-            self.refresh();
+            self.rebuild_ready();
         }
     }
 
     /// Mean of the prompt tokens a second of an upstream that takes work, if there is one.
     pub fn prefill_rate(&self) -> Option<f64> {
         let ready = self.ready.iter().flatten();
-        let rates = ready.map(|position| self.list[*position].pace().prefill_rate);
+        let rates = ready.map(|position| self.list[*position].effective_speed().prefill_rate);
         let (sum, count) = rates.fold((0.0, 0.0), |(sum, count), rate| (sum + rate, count + 1.0));
         (count > 0.0).then(|| sum / count)
     }
 
     /// Requests of this kind a second that all upstreams together can do for this entry.
-    pub fn capacity(&self, usual: Load) -> f64 {
+    pub fn capacity(&self, request: Load) -> f64 {
         let ready = self.ready.iter().flatten();
         let rates = ready.map(|position| {
-            let pace = self.list[*position].pace();
-            let prefill = pace.prefill_rate / usual.prefill.max(f64::MIN_POSITIVE);
+            let pace = self.list[*position].effective_speed();
+            let prefill = pace.prefill_rate / request.prefill.max(f64::MIN_POSITIVE);
             let decode = f64::from(pace.slots) * pace.decode_rate;
-            prefill.min(decode / usual.decode.max(f64::MIN_POSITIVE))
+            prefill.min(decode / request.decode.max(f64::MIN_POSITIVE))
         });
-        rates.sum::<f64>() * self.share
+        rates.sum::<f64>() * self.own_share
     }
 
     /// Compares the rates of answers of upstreams of one role.
-    fn compare(&mut self, now: Moment) {
+    fn update_speed_factors(&mut self, now: Moment) {
         for role in Role::ALL {
             let rates = self.list.iter().filter(|member| member.view.role == role);
-            let rates = rates.filter_map(|member| member.observed.rate(now));
+            let rates = rates.filter_map(|member| member.passive_health.answer_rate(now));
             let (sum, count) =
                 rates.fold((0.0, 0.0), |(sum, count), rate| (sum + rate, count + 1.0));
             if count == 0.0 {
                 continue;
             }
-            let usual = sum / count;
+            let mean_rate = sum / count;
             for member in &mut self.list {
                 if member.view.role == role {
-                    member.speed.decode_rate = usual;
-                    member.quickness = member.observed.share(now, usual);
+                    member.speed.decode_rate = mean_rate;
+                    member.speed_factor = member.passive_health.speed_share(now, mean_rate);
                 }
             }
         }
     }
 
-    fn average(&mut self, now: Moment) {
+    fn update_mean_load(&mut self, now: Moment) {
         let (mut own, mut others) = (Load::default(), Load::default());
-        let mut known = 0.0;
+        let mut views = 0.0;
         for member in &self.list {
             own += member.ledger.own();
             let view = member.ledger.others(now);
-            if let Some((load, _)) = view.filter(|(_, age)| *age <= OLDEST) {
+            if let Some((load, _)) = view.filter(|(_, age)| *age <= MAX_VIEW_AGE) {
                 others += load;
-                known += 1.0;
+                views += 1.0;
             }
         }
-        self.mean = if known > 0.0 {
-            others * (1.0 / known)
+        self.mean_load = if views > 0.0 {
+            others * (1.0 / views)
         } else {
             Load::default()
         };
-        let all = own.requests + others.requests;
-        self.share = if all > 0.0 { own.requests / all } else { 1.0 };
+        let total = own.requests + others.requests;
+        self.own_share = if total > 0.0 {
+            own.requests / total
+        } else {
+            1.0
+        };
     }
 
-    fn refresh(&mut self) {
+    fn rebuild_ready(&mut self) {
         for ready in &mut self.ready {
             ready.clear();
         }
         for (position, member) in self.list.iter().enumerate() {
-            if member.takes_work() && member.view.health == Health::Up && !member.aside {
+            if member.accepts_work() && member.view.health == Health::Up && !member.ejected {
                 self.ready[member.view.role as usize].push(position);
             }
         }
         if self.ready.iter().all(Vec::is_empty) {
-            self.admit_suspects();
+            self.fill_ready_with_suspects();
         }
     }
 
     /// Opens suspects when nothing else is left: a doubtful upstream is better than a sure refusal.
-    fn admit_suspects(&mut self) {
+    fn fill_ready_with_suspects(&mut self) {
         for (position, member) in self.list.iter().enumerate() {
-            if member.takes_work() {
+            if member.accepts_work() {
                 self.ready[member.view.role as usize].push(position);
             }
         }
--- a/crates/routing/src/peers.rs
+++ b/crates/routing/src/peers.rs
@@ -34,7 +34,7 @@
 
 impl Peers {
     /// Takes in a frame; an older one than the last is dropped.
-    pub fn take(&mut self, peer: &str, at: Moment, work: Vec<Outstanding>) {
+    pub fn update(&mut self, peer: &str, at: Moment, work: Vec<Outstanding>) {
         if self.frames.get(peer).is_some_and(|last| last.at > at) {
             return;
         }
@@ -42,13 +42,13 @@
     }
 
     /// Forgets a peer that is gone; its work is counted no more.
-    pub fn forget(&mut self, peer: &str) {
+    pub fn remove(&mut self, peer: &str) {
         self.frames.remove(peer);
     }
 
     /// Writes the sums into the ledgers. Their age is that of the oldest frame: a sum with a silent
     /// peer in it is as stale as that peer, and reports take over.
-    pub fn apply(&self, now: Moment, members: &mut Members) {
+    pub fn update_members(&self, now: Moment, members: &mut Members) {
         let Some(oldest) = self.frames.values().map(|frame| frame.at).min() else {
             return;
         };
@@ -56,7 +56,7 @@
         for work in self.frames.values().flat_map(|frame| &frame.work) {
             *sums.entry(&work.upstream).or_default() += work.load;
         }
-        members.take_peers(now.min(oldest), |id| {
+        members.set_peer_load(now.min(oldest), |id| {
             sums.get(id).copied().unwrap_or_default()
         });
     }
--- a/crates/routing/src/rate.rs
+++ b/crates/routing/src/rate.rs
@@ -37,7 +37,7 @@
         let window = self.window.as_secs_f64();
         let age = now.saturating_sub(self.start).as_secs_f64();
         let covered = window * (1.0 - (-age / window).exp());
-        let least = window * YOUNG;
+        let least = window * MIN_COVERED_SHARE;
         self.decayed(now) / covered.max(least)
     }
 
@@ -48,4 +48,4 @@
 }
 
 /// Share of the window below which a rate's age is not believed.
-const YOUNG: f64 = 0.1;
+const MIN_COVERED_SHARE: f64 = 0.1;
--- a/crates/routing/src/holding.rs
+++ b/crates/routing/src/reservation.rs
@@ -7,7 +7,7 @@
 /// Work of an attempt. What is released in the end is exactly what is left of what was charged, so
 /// that the ledgers return to zero.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holding {
+pub struct Reservation {
     /// Upstream that answers.
     pub upstream: Id,
     /// What is left there.
@@ -16,14 +16,14 @@
     pub prefill: Option<(Id, Load)>,
 }
 
-impl Holding {
+impl Reservation {
     /// Upstream that works on it at present.
-    pub fn working(&self) -> &Id {
+    pub fn active_upstream(&self) -> &Id {
         self.prefill.as_ref().map_or(&self.upstream, |(id, _)| id)
     }
 
     /// Whether any of it is at an upstream.
-    pub fn touches(&self, upstream: &str) -> bool {
+    pub fn uses(&self, upstream: &str) -> bool {
         *self.upstream == *upstream
             || self
                 .prefill
@@ -32,7 +32,7 @@
     }
 
     /// The prefill is done, wherever it ran.
-    pub fn prefilled(&mut self, now: Moment, pool: &mut Scheduler) {
+    pub fn finish_prefill(&mut self, now: Moment, pool: &mut Scheduler) {
         if let Some((id, load)) = self.prefill.take() {
             pool.release(now, &id, load);
             return;
@@ -45,9 +45,9 @@
     }
 
     /// Answer tokens came. The first ones also mean that the prefill is done.
-    pub fn generated(&mut self, now: Moment, pool: &mut Scheduler, count: u32) {
+    pub fn record_tokens(&mut self, now: Moment, pool: &mut Scheduler, count: u32) {
         if self.prefill.is_some() || self.load.prefill > 0.0 {
-            self.prefilled(now, pool);
+            self.finish_prefill(now, pool);
         }
         let done = Load {
             decode: f64::from(count).min(self.load.decode),
@@ -57,7 +57,7 @@
     }
 
     /// The KV transfer failed: the answering upstream prefills as well.
-    pub fn rejoin(&mut self, now: Moment, pool: &mut Scheduler, prompt: u32) {
+    pub fn move_prefill(&mut self, now: Moment, pool: &mut Scheduler, prompt: u32) {
         if let Some((id, load)) = self.prefill.take() {
             pool.release(now, &id, load);
         }
@@ -79,6 +79,6 @@
 
     fn subtract(&mut self, now: Moment, pool: &mut Scheduler, done: Load) {
         pool.release(now, &self.upstream, done);
-        self.load = (self.load - done).floor();
+        self.load = (self.load - done).clamp_non_negative();
     }
 }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -32,10 +32,10 @@
 }
 
 /// Backoff beyond which doubling stops.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Time beyond which no caller is asked to stay away.
-const LONGEST_STAY: Duration = Duration::from_secs(120);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(120);
 
 /// Budget of retries of one process.
 ///
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     config: Config,
-    saved: f64,
+    balance: f64,
 }
 
 impl Budget {
@@ -53,22 +53,22 @@
     pub fn new(config: Config) -> Self {
         Self {
             config,
-            saved: config.burst,
+            balance: config.burst,
         }
     }
 
     /// Counts a first attempt, which earns a share of a retry.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + self.config.ratio).min(self.config.burst);
+        self.balance = (self.balance + self.config.ratio).min(self.config.burst);
     }
 
     /// Takes a retry for a request that has been attempted `attempts` times. Says no if that is
     /// often enough or the budget is spent.
     pub fn withdraw(&mut self, attempts: u32) -> bool {
-        if attempts >= self.config.max_attempts || self.saved < 1.0 {
+        if attempts >= self.config.max_attempts || self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 
@@ -77,13 +77,13 @@
     pub fn backoff(&self, rng: &mut SmallRng, attempts: u32) -> Duration {
         let doubled =
             self.config.backoff * 2_u32.saturating_pow(attempts.saturating_sub(1).min(16));
-        doubled.min(LONGEST_BACKOFF).mul_f64(rng.random())
+        doubled.min(MAX_BACKOFF).mul_f64(rng.random())
     }
 
     /// Time to tell a refused caller, given when room is expected: spread over as long again,
     /// because callers told the same time return at the same time.
     pub fn retry_after(&self, rng: &mut SmallRng, expected: Duration) -> Duration {
-        let base = expected.clamp(self.config.min_retry_after, LONGEST_STAY);
+        let base = expected.clamp(self.config.min_retry_after, MAX_RETRY_AFTER);
         base + base.mul_f64(rng.random())
     }
 }
--- a/crates/routing/src/router/attempts.rs
+++ b/crates/routing/src/router/attempts.rs
@@ -6,10 +6,10 @@
 
 use super::{Backoff, Outputs, Router, Running};
 use crate::{
-    admission::Waiting,
     decision::{Assignment, Attempt, Execution, Progress, RetryDecision},
+    disaggregation::Placement,
     limit::Used,
-    split::Placement,
+    queue::Waiting,
 };
 
 /// Longest expected time, in seconds, after which a silent prefill is taken to be done.
@@ -24,8 +24,8 @@
         let Some(pool) = self.pools.get_mut(&running.waiting.request.pool) else {
             return;
         };
-        if let Some(member) = pool.members.get_mut(running.holding.working()) {
-            member.observed.sign(now);
+        if let Some(member) = pool.members.get_mut(running.holding.active_upstream()) {
+            member.passive_health.record_response(now);
         }
         match progress {
             Progress::Prefilled => {
@@ -35,11 +35,11 @@
                     let class = running.waiting.request.class;
                     pool.note_first_token(now, class, running.expected, took);
                 }
-                running.holding.prefilled(now, pool);
+                running.holding.finish_prefill(now, pool);
             }
             Progress::Tokens(count) => {
                 running.generated += u64::from(count);
-                running.holding.generated(now, pool, count);
+                running.holding.record_tokens(now, pool, count);
             }
         }
     }
@@ -52,7 +52,9 @@
         };
         let request = &running.waiting.request;
         if let Some(pool) = self.pools.get_mut(&request.pool) {
-            running.holding.rejoin(now, pool, request.prompt_tokens);
+            running
+                .holding
+                .move_prefill(now, pool, request.prompt_tokens);
         }
     }
 
@@ -73,7 +75,7 @@
             if let Some(pool) = self.pools.get_mut(&running.waiting.request.pool)
                 && running.holding.prefill.is_none()
             {
-                running.holding.prefilled(now, pool);
+                running.holding.finish_prefill(now, pool);
             }
         }
     }
@@ -96,9 +98,9 @@
         };
         let request = &running.waiting.request;
         if let Some(pool) = self.pools.get_mut(&request.pool)
-            && let Some(member) = pool.members.get_mut(running.holding.working())
+            && let Some(member) = pool.members.get_mut(running.holding.active_upstream())
         {
-            member.observed.failed(now);
+            member.passive_health.record_failure(now);
         }
         running.waiting.attempts += 1;
         running.waiting.tried.push(running.holding.upstream.clone());
@@ -145,8 +147,8 @@
                 .first_token
                 .map_or(Duration::ZERO, |first| now.saturating_sub(first));
             member
-                .observed
-                .answered(now, streamed, running.generated, time);
+                .passive_health
+                .record_answer(now, streamed, running.generated, time);
         }
     }
 
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -15,14 +15,14 @@
 use smallvec::SmallVec;
 
 use crate::{
-    admission::{Waiting, expected_wait},
     decision::{Attempt, Decision, Output, Reason, Refusal, Ticket},
-    holding::Holding,
     limit::{self, Demand, Limits, Quota, Used},
     load::Load,
     peers::{self, Outstanding, Peers},
     pool::{self, Config},
+    queue::{Waiting, expected_wait},
     request::Request,
+    reservation::Reservation,
     retry::{self, Budget},
     scheduler::{Blocked, Scheduler},
     upstream::{Report, View},
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 struct Running {
     waiting: Waiting,
-    holding: Holding,
+    holding: Reservation,
     sent: Moment,
     /// Seconds in which the first token was expected.
     expected: f64,
@@ -133,7 +133,7 @@
             return;
         };
         pool.set_upstreams(views);
-        self.peers.apply(now, &mut pool.members);
+        self.peers.update_members(now, &mut pool.members);
     }
 
     /// Decides about a new request.
@@ -160,7 +160,7 @@
     /// Takes in a load report of an engine.
     pub fn report(&mut self, pool: &str, upstream: &str, report: Report) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.members.report(upstream, report);
+            pool.members.apply_report(upstream, report);
         }
     }
 
@@ -173,15 +173,15 @@
 
     /// Takes in a peer's outstanding work, true at `at` on this entry's clock.
     pub fn update_peer(&mut self, now: Moment, peer: &str, at: Moment, work: Vec<Outstanding>) {
-        self.peers.take(peer, at, work);
+        self.peers.update(peer, at, work);
         for pool in self.pools.values_mut() {
-            self.peers.apply(now, &mut pool.members);
+            self.peers.update_members(now, &mut pool.members);
         }
     }
 
     /// Forgets a peer that is known to be gone.
     pub fn peer_gone(&mut self, peer: &str) {
-        self.peers.forget(peer);
+        self.peers.remove(peer);
         self.limits.peer_gone(peer);
     }
 
@@ -219,7 +219,7 @@
 
     /// Requests in hand at an upstream, to be confirmed before a planned change.
     pub fn in_flight(&self, upstream: &str) -> u32 {
-        let runs = |running: &&Running| running.holding.touches(upstream);
+        let runs = |running: &&Running| running.holding.uses(upstream);
         let count = self.running.values().filter(runs).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
--- a/crates/routing/src/router/waiting.rs
+++ b/crates/routing/src/router/waiting.rs
@@ -8,13 +8,13 @@
 
 use super::{Backoff, Outputs, Router, SWEEP_EVERY};
 use crate::{
-    admission::{Waiting, expected_wait},
     decision::{Decision, Output, Reason, Ticket},
+    disaggregation::Placement,
     limit::Used,
     pool,
+    queue::{Waiting, expected_wait},
     request::Model,
     scheduler::Blocked,
-    split::Placement,
 };
 
 impl Router {
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -7,20 +7,20 @@
 use smallvec::SmallVec;
 
 use crate::{
-    admission::{Queue, Waiting},
     affinity::History,
     choice::{Chooser, Pick, Work},
     class::Class,
+    class_mix::ClassMix,
     decision::Ticket,
-    excess::Excess,
-    holding::Holding,
+    disaggregation::{self, Placement},
+    lateness::Lateness,
     load::Load,
     members::Members,
-    mix::Mix,
     pool::Config,
+    queue::{Queue, Waiting},
     rate::Rate,
     request::Request,
-    split::{self, Placement},
+    reservation::Reservation,
     upstream::{Id, Role, View},
 };
 
@@ -76,9 +76,9 @@
     delay: f64,
     /// Prompt tokens a second of one upstream.
     prefill_rate: f64,
-    mix: Mix,
+    mix: ClassMix,
     /// Seconds by which first tokens lately came later than expected, by class.
-    excess: [Excess; Class::COUNT],
+    excess: [Lateness; Class::COUNT],
 }
 
 impl Scheduler {
@@ -94,8 +94,8 @@
             history: History::new(HISTORY),
             delay: 0.0,
             prefill_rate: config.speed.prefill_rate,
-            mix: Mix::new(now),
-            excess: [Excess::default(); Class::COUNT],
+            mix: ClassMix::new(now),
+            excess: [Lateness::default(); Class::COUNT],
             config,
         }
     }
@@ -113,7 +113,7 @@
             let known = known.map(|position| &self.members.at(position).view);
             // A change of the role drops an engine's cache.
             if known.is_some_and(|known| known.role != view.role) {
-                self.history.forget(&view.id);
+                self.history.forget_upstream(&view.id);
             }
         }
         if self.members.set(&self.config, views) {
@@ -146,8 +146,9 @@
         let request = &waiting.request;
         let together = self.choose(now, &Work::whole(request, &WHOLE, &waiting.tried));
         let apart = self.apart(now, waiting);
-        let preferred = split::place(&self.config, request.prompt_tokens, together, apart)
-            .ok_or(Blocked::NoUpstream)?;
+        let preferred =
+            disaggregation::choose_placement(&self.config, request.prompt_tokens, together, apart)
+                .ok_or(Blocked::NoUpstream)?;
         let placement = match self.has_room(request, &preferred) {
             true => preferred,
             false => self.elsewhere(now, waiting).ok_or(Blocked::NoRoom)?,
@@ -159,7 +160,7 @@
         let soonest = self
             .chooser
             .soonest(now, &self.config, &self.members, request.class, &work);
-        match soonest.map(Placement::Together) {
+        match soonest.map(Placement::Colocated) {
             Some(placement) if self.is_in_time(now, request, &placement) => Ok(placement),
             _ => Err(Blocked::TooLate),
         }
@@ -176,33 +177,33 @@
     /// Seconds to the first token at a place.
     pub fn expected(&self, now: Moment, request: &Request, placement: &Placement) -> f64 {
         let all = placement.first_token(&self.config, request.prompt_tokens);
-        all - placement.wait() * (1.0 - self.mix.before(now, request.class))
+        all - placement.wait() * (1.0 - self.mix.share_ahead(now, request.class))
     }
 
     /// Learns from a first token.
     pub fn note_first_token(&mut self, now: Moment, class: Class, expected: f64, took: f64) {
-        self.excess[class.rank()].note(now, expected, took);
+        self.excess[class.rank()].record(now, expected, took);
     }
 
     /// Enters a placement as work in hand.
-    pub fn commit(&mut self, now: Moment, request: &Request, placement: &Placement) -> Holding {
+    pub fn commit(&mut self, now: Moment, request: &Request, placement: &Placement) -> Reservation {
         self.note_sent(now, request, placement);
         let whole = Load::of(request.prompt_tokens, request.output_tokens);
         match placement {
-            Placement::Together(pick) => {
+            Placement::Colocated(pick) => {
                 let load = Load {
                     prefill: whole.prefill - f64::from(pick.cached),
                     ..whole
                 };
                 let upstream = self.enter(now, pick, load);
-                self.history.note(&request.prefixes, &upstream);
-                Holding {
+                self.history.record(&request.prefixes, &upstream);
+                Reservation {
                     upstream,
                     load,
                     prefill: None,
                 }
             }
-            Placement::Apart { prefill, decode } => {
+            Placement::Disaggregated { prefill, decode } => {
                 let front = Load {
                     prefill: whole.prefill - f64::from(prefill.cached),
                     decode: 0.0,
@@ -215,8 +216,8 @@
                 let id = self.enter(now, prefill, front);
                 // An imported cache serves its request only; it is the prefilling engine that keeps
                 // the prefix.
-                self.history.note(&request.prefixes, &id);
-                Holding {
+                self.history.record(&request.prefixes, &id);
+                Reservation {
                     upstream: self.enter(now, decode, back),
                     load: back,
                     prefill: Some((id, front)),
@@ -247,7 +248,7 @@
 
     /// Time to the first token of a request as it is at present, without the wait at this entry.
     pub fn usual_time(&self, now: Moment, request: &Request) -> Duration {
-        let wait = self.delay * self.mix.before(now, request.class);
+        let wait = self.delay * self.mix.share_ahead(now, request.class);
         seconds(self.own_time(request) + wait + self.excess[request.class.rank()].seconds(now))
     }
 
@@ -257,7 +258,7 @@
 
     /// Takes stock; to be called some times a second.
     pub fn survey(&mut self, now: Moment) {
-        self.members.survey(now);
+        self.members.refresh_statistics(now);
         if let Some(rate) = self.members.prefill_rate() {
             self.prefill_rate = rate;
         }
@@ -300,13 +301,13 @@
         } else {
             1.0
         };
-        self.usual = self.usual.toward(load, weight);
+        self.usual = self.usual.lerp(load, weight);
     }
 
     fn note_sent(&mut self, now: Moment, request: &Request, placement: &Placement) {
         self.served.record(now, 1.0);
         self.mix
-            .note(now, request.class, f64::from(request.prompt_tokens));
+            .record(now, request.class, f64::from(request.prompt_tokens));
         self.delay += DELAY_WEIGHT * (placement.wait() - self.delay);
     }
 
@@ -317,7 +318,7 @@
 
     fn apart(&mut self, now: Moment, waiting: &Waiting) -> Option<(Pick, Pick)> {
         let request = &waiting.request;
-        if !split::is_possible(&self.config, request.prompt_tokens)
+        if !disaggregation::is_eligible(&self.config, request.prompt_tokens)
             || self.members.ready(Role::Prefill).is_empty()
         {
             return None;
@@ -334,8 +335,8 @@
                 .has_room(pick.position, request.class, pick.load)
         };
         match placement {
-            Placement::Together(pick) => fits(pick),
-            Placement::Apart { prefill, decode } => fits(prefill) && fits(decode),
+            Placement::Colocated(pick) => fits(pick),
+            Placement::Disaggregated { prefill, decode } => fits(prefill) && fits(decode),
         }
     }
 
@@ -344,15 +345,15 @@
         let request = &waiting.request;
         let work = Work::whole(request, &WHOLE, &waiting.tried);
         if let Some(pick) = self.room(now, request, &work) {
-            return Some(Placement::Together(pick));
+            return Some(Placement::Colocated(pick));
         }
-        if !split::is_possible(&self.config, request.prompt_tokens) {
+        if !disaggregation::is_eligible(&self.config, request.prompt_tokens) {
             return None;
         }
         let whole = Work::whole(request, &[Role::Prefill], &waiting.tried);
         let prefill = self.room(now, request, &Work { output: 0, ..whole })?;
         let decode = self.room(now, request, &decode_work(request, &waiting.tried))?;
-        Some(Placement::Apart { prefill, decode })
+        Some(Placement::Disaggregated { prefill, decode })
     }
 
     fn room(&mut self, now: Moment, request: &Request, work: &Work<'_>) -> Option<Pick> {
@@ -366,8 +367,8 @@
             let answer = load.decode / member.speed.decode_rate.max(f64::MIN_POSITIVE);
             let first_token = seconds(pick.cost.first_token);
             member
-                .observed
-                .sent(now, first_token, first_token + seconds(answer));
+                .passive_health
+                .record_sent(now, first_token, first_token + seconds(answer));
             member.ledger.add(now, load);
         }
         id
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -138,9 +138,9 @@
         for engine in 0..18 {
             let prompt = if engine == 4 { 0 } else { 8_000 };
             let id = format!("engine-{engine:04}");
-            side.members.report(&id, report(ms(10_000), prompt));
+            side.members.apply_report(&id, report(ms(10_000), prompt));
         }
-        side.members.survey(ms(12_000));
+        side.members.refresh_statistics(ms(12_000));
         for _ in 0..18 {
             let pick = side.choose(ms(12_000), &work(&[])).expect("all are open");
             on_idle += u32::from(pick.position == 4);
@@ -157,7 +157,7 @@
     for engine in 0..18 {
         let prompt = if engine == 4 { 0 } else { 8_000 };
         let id = format!("engine-{engine:04}");
-        side.members.report(&id, report(ms(10_000), prompt));
+        side.members.apply_report(&id, report(ms(10_000), prompt));
     }
     let pick = side.choose(ms(10_000), &work(&[])).expect("all are open");
     assert_eq!(pick.position, 4);
@@ -169,7 +169,7 @@
     let first = side.choose(ms(0), &work(&[])).expect("all are open");
     side.add(ms(0), &first, Load::of(8_000, 100));
     let id = side.id(&first);
-    side.members.report(&id, report(ms(500), 8_000));
+    side.members.apply_report(&id, report(ms(500), 8_000));
     let member = side.members.get_mut(&id).expect("it is there");
     let load = member
         .ledger
@@ -180,8 +180,10 @@
 #[test]
 fn an_overtaken_report_is_dropped() {
     let mut side = Side::new(Policy::FullScan, engines(1), 1);
-    side.members.report("engine-0000", report(ms(500), 100));
-    side.members.report("engine-0000", report(ms(400), 9_000));
+    side.members
+        .apply_report("engine-0000", report(ms(500), 100));
+    side.members
+        .apply_report("engine-0000", report(ms(400), 9_000));
     let ledger = &side.members.at(0).ledger;
     assert_eq!(ledger.others(ms(500)).expect("reported").0.prefill, 100.0);
 }
@@ -200,7 +202,7 @@
         },
     ];
     let holder = side.members.at(11).view.id.clone();
-    side.history.note(&prefixes, &holder);
+    side.history.record(&prefixes, &holder);
     let pick = side.choose(ms(0), &work(&prefixes)).expect("all are open");
     assert_eq!((pick.position, pick.cached), (11, 900));
 
@@ -284,7 +286,7 @@
     let id = view("engine-0001", Role::Mixed).id;
     for hash in 0..10_000 {
         let prefixes = [Prefix { hash, tokens: 16 }];
-        history.note(&prefixes, &id);
+        history.record(&prefixes, &id);
     }
     assert!(history.len() <= 200);
     let last = [Prefix {
@@ -294,6 +296,6 @@
     assert_eq!(history.find(&last).len(), 1);
     history.evict(9_999, &id);
     assert!(history.find(&last).is_empty());
-    history.forget(&id);
+    history.forget_upstream(&id);
     assert!(history.is_empty());
 }
--- a/crates/routing/tests/observed.rs
+++ b/crates/routing/tests/passive_health.rs
@@ -8,7 +8,7 @@
 use routing::{
     class::Class,
     decision::{Attempt, Decision, Execution, Progress},
-    observed::Observed,
+    passive_health::PassiveHealth,
     pool::Config,
     router::Router,
 };
@@ -91,33 +91,33 @@
 
 #[test]
 fn a_slow_upstream_is_known_by_its_answers_until_they_are_old() {
-    let mut slow = Observed::default();
+    let mut slow = PassiveHealth::default();
     for n in 1..=30 {
-        slow.answered(ms(n * 100), true, 100, Duration::from_secs(10));
+        slow.record_answer(ms(n * 100), true, 100, Duration::from_secs(10));
     }
-    let share = slow.share(ms(3_000), 50.0);
+    let share = slow.speed_share(ms(3_000), 50.0);
     assert!((share - 0.2).abs() < 0.01, "{share}");
-    assert_eq!(slow.share(ms(60_000), 50.0), 1.0);
+    assert_eq!(slow.speed_share(ms(60_000), 50.0), 1.0);
 }
 
 #[test]
 fn short_answers_and_small_differences_say_nothing() {
-    let mut upstream = Observed::default();
-    upstream.answered(ms(100), true, 2, Duration::from_secs(10));
-    assert_eq!(upstream.rate(ms(100)), None);
-    upstream.answered(ms(200), true, 100, Duration::from_secs(3));
-    assert_eq!(upstream.share(ms(200), 45.0), 1.0);
+    let mut upstream = PassiveHealth::default();
+    upstream.record_answer(ms(100), true, 2, Duration::from_secs(10));
+    assert_eq!(upstream.answer_rate(ms(100)), None);
+    upstream.record_answer(ms(200), true, 100, Duration::from_secs(3));
+    assert_eq!(upstream.speed_share(ms(200), 45.0), 1.0);
 }
 
 #[test]
 fn an_upstream_that_works_on_long_answers_is_not_taken_for_silent() {
-    let mut upstream = Observed::default();
+    let mut upstream = PassiveHealth::default();
     let first = Duration::from_millis(500);
-    upstream.sent(ms(0), first, Duration::from_secs(20));
-    upstream.check(ms(30_000), 1.0);
-    assert!(!upstream.is_aside(ms(30_000)));
-    upstream.check(ms(63_000), 1.0);
-    assert!(upstream.is_aside(ms(63_000)));
-    upstream.sign(ms(63_100));
-    assert!(!upstream.is_aside(ms(65_100)));
+    upstream.record_sent(ms(0), first, Duration::from_secs(20));
+    upstream.check_silence(ms(30_000), 1.0);
+    assert!(!upstream.is_ejected(ms(30_000)));
+    upstream.check_silence(ms(63_000), 1.0);
+    assert!(upstream.is_ejected(ms(63_000)));
+    upstream.record_response(ms(63_100));
+    assert!(!upstream.is_ejected(ms(65_100)));
 }
