--- a/crates/routing/benches/decisions.rs
+++ b/crates/routing/benches/decisions.rs
@@ -12,7 +12,7 @@
     choice::{Chooser, Policy, Work},
     class::Class,
     decision::{Decision, Progress},
-    limit::{Config as LimitConfig, Limits, Quota, Used},
+    limit::{Config as LimitConfig, Limits, Quota, Usage},
     load::Load,
     members::Members,
     plan::{
@@ -185,7 +185,7 @@
 fn limit_check(bencher: Bencher<'_, '_>) {
     let subject: Subject = "lima".into();
     let mut limits = Limits::new(LimitConfig::default(), "entry-1");
-    limits.set_terms(
+    limits.set_quotas(
         Moment::ZERO,
         vec![Quota {
             subject: subject.clone(),
@@ -198,7 +198,7 @@
     let subjects = [subject];
     bencher.bench_local(|| {
         black_box(limits.check(NOW, &subjects, 1_300)).ok();
-        limits.release(&subjects, Used::nothing(1_300));
+        limits.release(&subjects, Usage::none(1_300));
     });
 }
 
--- a/crates/routing/src/limit/account.rs
+++ b/crates/routing/src/limit/account.rs
@@ -6,7 +6,7 @@
 use clock::Moment;
 
 use super::bucket::Bucket;
-use super::group::{Group, Pair, Parts, Peaks, ROUNDING, Split, Told};
+use super::group::{Allocation, Group, LimitShares, PeakShares, PeerState, ROUNDING, RateDemand};
 use super::share::{self, Peak, Share};
 use super::{Demand, Quota};
 use crate::{peers, rate::Rate, request::Subject};
@@ -18,17 +18,17 @@
 /// counted rate that come on top. Without them the noise of arrivals would move shares all the time,
 /// and as they rise late, their sum would stay below the limit.
 const DEAD_BAND: f64 = 0.2;
-const DEAD_ERRORS: f64 = 2.0;
+const DEAD_BAND_ERRORS: f64 = 2.0;
 
 /// Part of the places that is divided equally, whatever the demand.
-const EQUAL_PLACES: f64 = 0.25;
+const EQUAL_SLOTS_SHARE: f64 = 0.25;
 
 /// Demand a second below which a subject is not mentioned.
-const NEGLIGIBLE: f64 = 0.01;
+const MIN_DEMAND: f64 = 0.01;
 
 /// Longest time that a refused caller is told on account of concurrency, where no rate says when a
 /// place is free.
-const CONCURRENCY_WAIT: Duration = Duration::from_secs(1);
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Which of its limits refuses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 /// A refusal by a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct LimitExceeded {
     /// Which limit.
     pub kind: Kind,
     /// Time until it would have let the request in, if nothing else came.
@@ -52,16 +52,16 @@
 
 /// What a request used.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Used {
+pub struct Usage {
     /// Tokens that were charged when it was let in.
     pub expected: u64,
     /// Tokens that it used in the end.
     pub actual: u64,
 }
 
-impl Used {
+impl Usage {
     /// Nothing of what was expected.
-    pub fn nothing(expected: u64) -> Self {
+    pub fn none(expected: u64) -> Self {
         Self {
             expected,
             actual: 0,
@@ -71,13 +71,13 @@
 
 /// A limited rate.
 #[derive(Clone, Debug)]
-struct Meter {
+struct RateLimit {
     limit: f64,
     share: Share,
     bucket: Bucket,
 }
 
-impl Meter {
+impl RateLimit {
     fn new(now: Moment, limit: f64, part: f64, least: f64) -> Self {
         Self {
             limit,
@@ -86,8 +86,8 @@
         }
     }
 
-    fn aim(&mut self, group: &Group<'_>, part: f64) {
-        let part = self.share.aim(group.now, part, group.config.settle);
+    fn set_share(&mut self, group: &Group<'_>, part: f64) {
+        let part = self.share.update(group.now, part, group.config.raise_delay);
         self.bucket.set_rate(group.now, self.limit * part);
     }
 }
@@ -95,99 +95,112 @@
 /// State of one subject.
 #[derive(Clone, Debug)]
 pub(super) struct Account {
-    initial: f64,
-    requests: Option<Meter>,
-    tokens: Option<Meter>,
+    initial_share: f64,
+    requests: Option<RateLimit>,
+    tokens: Option<RateLimit>,
     concurrent: Option<u32>,
     /// Own part of the concurrent requests, as a number of them.
-    places: Share,
-    open: u32,
-    asked: [Rate; 2],
-    told: Pair,
-    peers: BTreeMap<peers::Id, Told>,
+    slots: Share,
+    in_flight: u32,
+    requested: [Rate; 2],
+    advertised: RateDemand,
+    peers: BTreeMap<peers::Id, PeerState>,
 }
 
 impl Account {
-    pub(super) fn new(now: Moment, initial: f64) -> Self {
+    pub(super) fn new(now: Moment, initial_share: f64) -> Self {
         Self {
-            initial,
+            initial_share,
             requests: None,
             tokens: None,
             concurrent: None,
-            places: Share::new(now, 0.0),
-            open: 0,
-            asked: [Rate::new(now, DEMAND_WINDOW); 2],
-            told: Pair::default(),
+            slots: Share::new(now, 0.0),
+            in_flight: 0,
+            requested: [Rate::new(now, DEMAND_WINDOW); 2],
+            advertised: RateDemand::default(),
             peers: BTreeMap::new(),
         }
     }
 
-    pub(super) fn set_terms(&mut self, now: Moment, terms: &Quota) {
-        self.requests = renew(now, self.requests.take(), terms.requests, self.initial, 1.0);
-        self.tokens = renew(now, self.tokens.take(), terms.tokens, self.initial, 0.0);
-        if self.concurrent != terms.concurrent {
-            let places = f64::from(terms.concurrent.unwrap_or(0)) * self.initial;
-            self.places = Share::new(now, places.max(self.places.in_force()));
+    pub(super) fn set_quota(&mut self, now: Moment, quota: &Quota) {
+        self.requests = updated_rate_limit(
+            now,
+            self.requests.take(),
+            quota.requests,
+            self.initial_share,
+            1.0,
+        );
+        self.tokens = updated_rate_limit(
+            now,
+            self.tokens.take(),
+            quota.tokens,
+            self.initial_share,
+            0.0,
+        );
+        if self.concurrent != quota.concurrent {
+            let places = f64::from(quota.concurrent.unwrap_or(0)) * self.initial_share;
+            self.slots = Share::new(now, places.max(self.slots.in_force()));
         }
-        self.concurrent = terms.concurrent;
+        self.concurrent = quota.concurrent;
     }
 
-    pub(super) fn keep_peers(&mut self, peers: &BTreeSet<peers::Id>) {
+    pub(super) fn retain_peers(&mut self, peers: &BTreeSet<peers::Id>) {
         self.peers.retain(|peer, _| peers.contains(peer));
     }
 
-    pub(super) fn forget(&mut self, peer: &str) {
+    pub(super) fn remove_peer(&mut self, peer: &str) {
         self.peers.remove(peer);
     }
 
-    pub(super) fn take(&mut self, now: Moment, peer: &peers::Id, demand: Option<&Demand>) {
+    pub(super) fn update_peer(&mut self, now: Moment, peer: &peers::Id, demand: Option<&Demand>) {
         let peaks = self.peers.get(peer).map(|told| told.peaks);
-        let told = Told {
+        let told = PeerState {
             at: now,
-            demand: demand.map_or(Pair::default(), |demand| Pair {
+            demand: demand.map_or(RateDemand::default(), |demand| RateDemand {
                 requests: demand.requests,
                 tokens: demand.tokens,
             }),
-            open: demand.map_or(0, |demand| demand.in_flight),
+            in_flight: demand.map_or(0, |demand| demand.in_flight),
             peaks: peaks.unwrap_or_default(),
         };
         self.peers.insert(peer.clone(), told);
     }
 
-    pub(super) fn tell(&mut self, now: Moment, subject: &Subject) -> Option<Demand> {
-        let asked = self.asked.map(|rate| rate.per_second(now));
-        let noise = DEAD_BAND + DEAD_ERRORS * relative_error(self.told.requests);
-        self.told.requests = steady(self.told.requests, asked[0], noise);
-        self.told.tokens = steady(self.told.tokens, asked[1], noise);
-        if self.told.requests == 0.0 && self.open == 0 {
+    pub(super) fn advertise(&mut self, now: Moment, subject: &Subject) -> Option<Demand> {
+        let requested = self.requested.map(|rate| rate.per_second(now));
+        let band = DEAD_BAND + DEAD_BAND_ERRORS * relative_error(self.advertised.requests);
+        self.advertised.requests = with_dead_band(self.advertised.requests, requested[0], band);
+        self.advertised.tokens = with_dead_band(self.advertised.tokens, requested[1], band);
+        if self.advertised.requests == 0.0 && self.in_flight == 0 {
             return None;
         }
         Some(Demand {
             subject: subject.clone(),
-            requests: self.told.requests,
-            tokens: self.told.tokens,
-            in_flight: self.open,
+            requests: self.advertised.requests,
+            tokens: self.advertised.tokens,
+            in_flight: self.in_flight,
         })
     }
 
-    pub(super) fn note(&mut self, now: Moment, tokens: f64) {
-        self.asked[0].record(now, 1.0);
-        self.asked[1].record(now, tokens);
+    pub(super) fn record_request(&mut self, now: Moment, tokens: f64) {
+        self.requested[0].record(now, 1.0);
+        self.requested[1].record(now, tokens);
     }
 
-    pub(super) fn check(&mut self, now: Moment, tokens: f64) -> Result<(), Refused> {
+    pub(super) fn check(&mut self, now: Moment, tokens: f64) -> Result<(), LimitExceeded> {
         let requests = self.requests.as_mut();
         let wait = requests.map_or(Duration::ZERO, |meter| meter.bucket.wait(now, 1.0));
         refuse_if(Kind::Requests, wait)?;
         let meter = self.tokens.as_mut();
         let wait = meter.map_or(Duration::ZERO, |meter| meter.bucket.wait(now, tokens));
         refuse_if(Kind::Tokens, wait)?;
-        let full = self.concurrent.is_some() && f64::from(self.open) + 1.0 > self.places.in_force();
-        refuse_if(Kind::Concurrent, CONCURRENCY_WAIT * u32::from(full))
+        let full =
+            self.concurrent.is_some() && f64::from(self.in_flight) + 1.0 > self.slots.in_force();
+        refuse_if(Kind::Concurrent, CONCURRENCY_RETRY_AFTER * u32::from(full))
     }
 
     pub(super) fn charge(&mut self, tokens: f64) {
-        self.open += 1;
+        self.in_flight += 1;
         if let Some(meter) = &mut self.requests {
             meter.bucket.charge(1.0);
         }
@@ -196,8 +209,8 @@
         }
     }
 
-    pub(super) fn release(&mut self, used: Used) {
-        self.open = self.open.saturating_sub(1);
+    pub(super) fn release(&mut self, used: Usage) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(meter) = &mut self.tokens {
             meter
                 .bucket
@@ -206,25 +219,25 @@
     }
 
     /// Computes the shares of all entries and takes its own.
-    pub(super) fn share(&mut self, group: &Group<'_>) {
+    pub(super) fn update_shares(&mut self, group: &Group<'_>) {
         let Some(peers) = group.peers else {
             return;
         };
-        let split = self.split(group, peers);
+        let split = self.allocate(group, peers);
         if let Some(meter) = &mut self.requests {
             let limit = meter.limit;
             let parts = split.divide(|told| told.requests / limit, |parts| parts.requests);
-            meter.aim(group, parts[split.own]);
-            self.keep(group, &split, &parts, |own| &mut own.requests);
+            meter.set_share(group, parts[split.own]);
+            self.record_peaks(group, &split, &parts, |own| &mut own.requests);
         }
         if let Some(meter) = &mut self.tokens {
             let limit = meter.limit;
             let parts = split.divide(|told| told.tokens / limit, |parts| parts.tokens);
-            meter.aim(group, parts[split.own]);
-            self.keep(group, &split, &parts, |own| &mut own.tokens);
+            meter.set_share(group, parts[split.own]);
+            self.record_peaks(group, &split, &parts, |own| &mut own.tokens);
         }
         if let Some(limit) = self.concurrent {
-            self.share_places(group, &split, limit);
+            self.update_slots(group, &split, limit);
         }
     }
 
@@ -234,68 +247,70 @@
     /// Demand for places is known as shares only, and shares of all that is asked add up to the
     /// whole: an entry that was not asked yet would get no place, and refuse its first request with
     /// hundreds of places free. So a part is divided equally.
-    fn share_places(&mut self, group: &Group<'_>, split: &Split, limit: u32) {
+    fn update_slots(&mut self, group: &Group<'_>, split: &Allocation, limit: u32) {
         let total: f64 = split.active.iter().map(|(_, told)| told.requests).sum();
-        let available = split.available(|parts| parts.places);
-        let by_demand = available * (1.0 - EQUAL_PLACES) / total.max(f64::MIN_POSITIVE);
-        let parts = split.divide(|told| told.requests * by_demand, |parts| parts.places);
+        let available = split.available(|parts| parts.slots);
+        let by_demand = available * (1.0 - EQUAL_SLOTS_SHARE) / total.max(f64::MIN_POSITIVE);
+        let parts = split.divide(|told| told.requests * by_demand, |parts| parts.slots);
         let shares: share::Shares = parts.iter().map(|part| part * f64::from(limit)).collect();
         let sum: f64 = shares.iter().sum();
         // A sum of shares that is a whole number but for rounding must not lose a place.
-        let places = share::whole((sum + ROUNDING) as u32, &shares);
-        let others = split.used_by_others(&places, limit, &self.peers);
-        let own = places[split.own].min(limit.saturating_sub(others));
-        self.places
-            .aim(group.now, f64::from(own), group.config.settle);
-        self.keep(group, split, &parts, |own| &mut own.places);
+        let slots = share::round_to_whole((sum + ROUNDING) as u32, &shares);
+        let others = split.used_by_others(&slots, limit, &self.peers);
+        let own = slots[split.own].min(limit.saturating_sub(others));
+        self.slots
+            .update(group.now, f64::from(own), group.config.raise_delay);
+        self.record_peaks(group, split, &parts, |own| &mut own.slots);
     }
 
     /// Sorts the entries into those whose demand counts and those whose share is frozen.
-    fn split(&self, group: &Group<'_>, peers: &BTreeSet<peers::Id>) -> Split {
-        let mut split = Split::default();
+    fn allocate(&self, group: &Group<'_>, peers: &BTreeSet<peers::Id>) -> Allocation {
+        let mut split = Allocation::default();
         let equal = 1.0 / (peers.len() + 1) as f64;
         for peer in peers {
             match self.peers.get(peer) {
-                None => split.frozen.push((peer.clone(), Parts::all(equal))),
-                Some(told) if group.now.saturating_sub(told.at) > group.config.silent => {
-                    split.frozen.push((peer.clone(), told.peaks.most()));
+                None => split
+                    .frozen
+                    .push((peer.clone(), LimitShares::uniform(equal))),
+                Some(told) if group.now.saturating_sub(told.at) > group.config.silence_timeout => {
+                    split.frozen.push((peer.clone(), told.peaks.max()));
                 }
                 Some(told) => split.active.push((peer.clone(), told.demand)),
             }
         }
-        let own = (group.own.clone(), self.told);
+        let own = (group.own.clone(), self.advertised);
         split.own = split.active.partition_point(|(peer, _)| peer < group.own);
         split.active.insert(split.own, own);
         split
     }
 
     /// Remembers the parts of the peers, to freeze them should they fall silent.
-    fn keep(
+    fn record_peaks(
         &mut self,
         group: &Group<'_>,
-        split: &Split,
+        split: &Allocation,
         parts: &[f64],
-        field: impl Fn(&mut Peaks) -> &mut Peak,
+        field: impl Fn(&mut PeakShares) -> &mut Peak,
     ) {
         for ((peer, _), part) in split.active.iter().zip(parts) {
             if let Some(told) = self.peers.get_mut(peer) {
-                field(&mut told.peaks).note(group.now, *part, group.config.memory());
+                field(&mut told.peaks).record(group.now, *part, group.config.peak_memory());
             }
         }
     }
 }
 
 /// The meter of a limit that may have changed; what was used so far stays used.
-fn renew(
+fn updated_rate_limit(
     now: Moment,
-    old: Option<Meter>,
+    old: Option<RateLimit>,
     limit: Option<f64>,
     initial: f64,
     least: f64,
-) -> Option<Meter> {
+) -> Option<RateLimit> {
     let limit = limit?;
     let Some(mut meter) = old else {
-        return Some(Meter::new(now, limit, initial, least));
+        return Some(RateLimit::new(now, limit, initial, least));
     };
     meter.limit = limit;
     let part = meter.share.in_force();
@@ -313,19 +328,19 @@
 }
 
 /// The value to tell: the old one while the new one is near.
-fn steady(told: f64, asked: f64, noise: f64) -> f64 {
-    if asked < NEGLIGIBLE {
+fn with_dead_band(advertised: f64, requested: f64, band: f64) -> f64 {
+    if requested < MIN_DEMAND {
         return 0.0;
     }
-    if (asked - told).abs() <= told * noise {
-        return told;
+    if (requested - advertised).abs() <= advertised * band {
+        return advertised;
     }
-    asked
+    requested
 }
 
-fn refuse_if(kind: Kind, wait: Duration) -> Result<(), Refused> {
+fn refuse_if(kind: Kind, wait: Duration) -> Result<(), LimitExceeded> {
     if wait.is_zero() {
         return Ok(());
     }
-    Err(Refused { kind, wait })
+    Err(LimitExceeded { kind, wait })
 }
--- a/crates/routing/src/limit/bucket.rs
+++ b/crates/routing/src/limit/bucket.rs
@@ -6,16 +6,16 @@
 
 /// Seconds of its rate that a bucket holds. An entry's share of a small limit is a few requests a
 /// second; with less, requests that happen to come together are refused far below the limit.
-const BURST: f64 = 1.5;
+const BURST_S: f64 = 1.5;
 
 /// A bucket. Its level may go below zero: a request larger than the bucket is let in when the bucket
 /// is full and paid off afterwards, and a request that used more than expected is charged at its end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bucket {
     rate: f64,
-    least: f64,
+    min_capacity: f64,
     level: f64,
-    at: Moment,
+    refilled_at: Moment,
 }
 
 impl Bucket {
@@ -23,9 +23,9 @@
     pub(super) fn new(now: Moment, rate: f64, least: f64) -> Self {
         let mut bucket = Self {
             rate,
-            least,
+            min_capacity: least,
             level: 0.0,
-            at: now,
+            refilled_at: now,
         };
         bucket.level = bucket.capacity();
         bucket
@@ -41,12 +41,12 @@
     /// Time until `amount` may be taken; nothing if now.
     pub(super) fn wait(&mut self, now: Moment, amount: f64) -> Duration {
         self.refill(now);
-        let lacking = amount.min(self.capacity()) - self.level;
-        if lacking <= 0.0 {
+        let missing = amount.min(self.capacity()) - self.level;
+        if missing <= 0.0 {
             return Duration::ZERO;
         }
-        let seconds = lacking / self.rate.max(f64::MIN_POSITIVE);
-        Duration::from_secs_f64(seconds.min(LONGEST))
+        let seconds = missing / self.rate.max(f64::MIN_POSITIVE);
+        Duration::from_secs_f64(seconds.min(MAX_WAIT_S))
     }
 
     /// Takes an amount, or gives it back if it is below zero.
@@ -55,15 +55,15 @@
     }
 
     fn refill(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.level = (self.level + passed * self.rate).min(self.capacity());
-        self.at = self.at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     fn capacity(&self) -> f64 {
-        (self.rate * BURST).max(self.least)
+        (self.rate * BURST_S).max(self.min_capacity)
     }
 }
 
 /// Longest wait that is told, in seconds.
-const LONGEST: f64 = 3_600.0;
+const MAX_WAIT_S: f64 = 3_600.0;
--- a/crates/routing/src/limit/mod.rs
+++ b/crates/routing/src/limit/mod.rs
@@ -16,7 +16,7 @@
 use clock::Moment;
 
 use self::account::Account;
-pub use self::account::{Kind, Refused, Used};
+pub use self::account::{Kind, LimitExceeded, Usage};
 use self::group::Group;
 use crate::{decision::Reason, peers, request::Subject};
 
@@ -50,36 +50,36 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Entries to reckon with as long as the real ones are not known.
-    pub expected: usize,
+    pub expected_entries: usize,
     /// Time without a frame after which a peer's share is frozen. Several times the spacing of the
     /// frames.
-    pub silent: Duration,
+    pub silence_timeout: Duration,
     /// Time that the others get to lower their shares before an entry raises its own: longer than a
     /// frame travels.
-    pub settle: Duration,
+    pub raise_delay: Duration,
 }
 
 impl Config {
     /// Time over which a peer's part is remembered, to be reserved should it fall silent. It covers
     /// the time until silence is noticed, in which this entry may have raised its own share
     /// although the peer has not heard why.
-    fn memory(&self) -> Duration {
-        self.silent * 2
+    fn peak_memory(&self) -> Duration {
+        self.silence_timeout * 2
     }
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            expected: 8,
-            silent: Duration::from_millis(1_200),
-            settle: Duration::from_millis(300),
+            expected_entries: 8,
+            silence_timeout: Duration::from_millis(1_200),
+            raise_delay: Duration::from_millis(300),
         }
     }
 }
 
 /// Time between two computations of the shares.
-const SHARE_EVERY: Duration = Duration::from_millis(100);
+const SHARE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// All limits at one entry.
 #[derive(Clone, Debug)]
@@ -89,7 +89,7 @@
     /// The peers that are listed or heard, this entry not among them; none until they are known.
     peers: Option<BTreeSet<peers::Id>>,
     accounts: BTreeMap<Subject, Account>,
-    last_shared: Option<Moment>,
+    shared_at: Option<Moment>,
 }
 
 impl Limits {
@@ -100,22 +100,22 @@
             own: own.into(),
             peers: None,
             accounts: BTreeMap::new(),
-            last_shared: None,
+            shared_at: None,
         }
     }
 
     /// Replaces the limits. What is in hand stays counted.
-    pub fn set_terms(&mut self, now: Moment, terms: Vec<Quota>) {
+    pub fn set_quotas(&mut self, now: Moment, quotas: Vec<Quota>) {
         let mut old = std::mem::take(&mut self.accounts);
-        for terms in terms {
-            let subject = terms.subject.clone();
+        for quota in quotas {
+            let subject = quota.subject.clone();
             let mut account = old
                 .remove(&subject)
                 .unwrap_or_else(|| Account::new(now, self.initial_share()));
-            account.set_terms(now, &terms);
+            account.set_quota(now, &quota);
             self.accounts.insert(subject, account);
         }
-        self.last_shared = None;
+        self.shared_at = None;
     }
 
     /// Says which peers live, this entry left out. One that is listed but was never heard keeps an
@@ -123,30 +123,30 @@
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = peers::Id>) {
         let peers: BTreeSet<peers::Id> = peers.into_iter().collect();
         for account in self.accounts.values_mut() {
-            account.keep_peers(&peers);
+            account.retain_peers(&peers);
         }
         self.peers = Some(peers);
     }
 
     /// Reclaims the share of a peer that is known to be gone.
-    pub fn peer_gone(&mut self, peer: &str) {
+    pub fn remove_peer(&mut self, peer: &str) {
         if let Some(peers) = &mut self.peers {
             peers.remove(peer);
         }
         for account in self.accounts.values_mut() {
-            account.forget(peer);
+            account.remove_peer(peer);
         }
     }
 
     /// Takes in what a peer tells. A subject that it leaves out has no demand there.
-    pub fn take(&mut self, now: Moment, peer: &peers::Id, demand: &[Demand]) {
+    pub fn update_peer(&mut self, now: Moment, peer: &peers::Id, demand: &[Demand]) {
         self.peers.get_or_insert_default().insert(peer.clone());
         let by_subject: BTreeMap<&Subject, &Demand> = demand
             .iter()
             .map(|demand| (&demand.subject, demand))
             .collect();
         for (subject, account) in &mut self.accounts {
-            account.take(now, peer, by_subject.get(subject).copied());
+            account.update_peer(now, peer, by_subject.get(subject).copied());
         }
     }
 
@@ -155,18 +155,23 @@
     pub fn demand(&mut self, now: Moment) -> Vec<Demand> {
         let accounts = self.accounts.iter_mut();
         accounts
-            .filter_map(|(subject, account)| account.tell(now, subject))
+            .filter_map(|(subject, account)| account.advertise(now, subject))
             .collect()
     }
 
     /// Takes a request of `tokens` from all limits that bind it, or from none and says which one
     /// refuses.
-    pub fn check(&mut self, now: Moment, subjects: &[Subject], tokens: u64) -> Result<(), Refused> {
+    pub fn check(
+        &mut self,
+        now: Moment,
+        subjects: &[Subject],
+        tokens: u64,
+    ) -> Result<(), LimitExceeded> {
         self.refresh(now);
         let tokens = tokens as f64;
         for subject in subjects {
             if let Some(account) = self.accounts.get_mut(subject) {
-                account.note(now, tokens);
+                account.record_request(now, tokens);
             }
         }
         for subject in subjects {
@@ -184,7 +189,7 @@
 
     /// A request that was let in has ended: it is in hand no more, and what it used in truth
     /// replaces what was expected.
-    pub fn release(&mut self, subjects: &[Subject], used: Used) {
+    pub fn release(&mut self, subjects: &[Subject], used: Usage) {
         for subject in subjects {
             if let Some(account) = self.accounts.get_mut(subject) {
                 account.release(used);
@@ -195,12 +200,12 @@
     /// Computes the shares anew when it is time.
     pub fn refresh(&mut self, now: Moment) {
         let due = self
-            .last_shared
-            .is_none_or(|last| now.saturating_sub(last) >= SHARE_EVERY);
+            .shared_at
+            .is_none_or(|last| now.saturating_sub(last) >= SHARE_INTERVAL);
         if !due {
             return;
         }
-        self.last_shared = Some(now);
+        self.shared_at = Some(now);
         let group = Group {
             now,
             own: &self.own,
@@ -208,13 +213,13 @@
             config: &self.config,
         };
         for account in self.accounts.values_mut() {
-            account.share(&group);
+            account.update_shares(&group);
         }
     }
 
     fn initial_share(&self) -> f64 {
         let count = self.peers.as_ref().map(|peers| peers.len() + 1);
-        share::initial(count.unwrap_or(self.config.expected))
+        share::initial(count.unwrap_or(self.config.expected_entries))
     }
 }
 
--- a/crates/routing/src/limit/share.rs
+++ b/crates/routing/src/limit/share.rs
@@ -8,18 +8,18 @@
 
 /// Part of a limit that is divided equally when demand exceeds it, so that an entry without demand so
 /// far can serve its first requests.
-const FLOOR: f64 = 0.04;
+const EQUAL_FLOOR: f64 = 0.04;
 
 /// Part of an equal share that an entry uses before it knows the others' demand. The others have
 /// divided the whole among themselves until they hear of it, so that this comes on top.
-const INITIAL: f64 = 0.5;
+const INITIAL_FACTOR: f64 = 0.5;
 
 /// Shares by position of the demands.
 pub(super) type Shares = SmallVec<[f64; 8]>;
 
 /// Share of one of `count` entries at its start.
 pub(super) fn initial(count: usize) -> f64 {
-    INITIAL / count.max(1) as f64
+    INITIAL_FACTOR / count.max(1) as f64
 }
 
 /// Divides `available` by demand: everyone gets what it asks for and an equal part of the rest, or,
@@ -31,7 +31,7 @@
         let rest = (available - total) / count;
         return demands.iter().map(|demand| demand + rest).collect();
     }
-    let floor = available * FLOOR / count;
+    let floor = available * EQUAL_FLOOR / count;
     let divided = available - floor * count;
     demands
         .iter()
@@ -41,7 +41,7 @@
 
 /// Rounds shares of a whole number so that they still add up to it: the largest remainders are
 /// rounded up. All entries round alike because the order decides between equals.
-pub(super) fn whole(total: u32, shares: &[f64]) -> SmallVec<[u32; 8]> {
+pub(super) fn round_to_whole(total: u32, shares: &[f64]) -> SmallVec<[u32; 8]> {
     let mut parts: SmallVec<[u32; 8]> = shares.iter().map(|share| *share as u32).collect();
     let given: u32 = parts.iter().sum();
     let mut order: SmallVec<[usize; 8]> = (0..shares.len()).collect();
@@ -79,7 +79,7 @@
     }
 
     /// Takes in a newly computed share and gives what is in force now.
-    pub(super) fn aim(&mut self, now: Moment, target: f64, settle: Duration) -> f64 {
+    pub(super) fn update(&mut self, now: Moment, target: f64, settle: Duration) -> f64 {
         while self.computed.back().is_some_and(|last| last.1 >= target) {
             self.computed.pop_back();
         }
@@ -108,7 +108,7 @@
 }
 
 impl Peak {
-    pub(super) fn note(&mut self, now: Moment, part: f64, memory: Duration) {
+    pub(super) fn record(&mut self, now: Moment, part: f64, memory: Duration) {
         if now.saturating_sub(self.since) >= memory {
             self.previous = self.current;
             self.current = 0.0;
@@ -117,7 +117,7 @@
         self.current = self.current.max(part);
     }
 
-    pub(super) fn most(&self) -> f64 {
+    pub(super) fn max(&self) -> f64 {
         self.current.max(self.previous)
     }
 }
--- a/crates/routing/src/router/attempts.rs
+++ b/crates/routing/src/router/attempts.rs
@@ -8,7 +8,7 @@
 use crate::{
     decision::{Assignment, Attempt, Execution, Progress, RetryDecision},
     disaggregation::Placement,
-    limit::Used,
+    limit::Usage,
     queue::Waiting,
 };
 
@@ -156,7 +156,7 @@
     pub(super) fn settle(&mut self, running: &Running) {
         let request = &running.waiting.request;
         let actual = u64::from(request.prompt_tokens) + running.generated;
-        let used = Used {
+        let used = Usage {
             expected: request.tokens(),
             actual,
         };
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     decision::{Attempt, Decision, Output, Reason, Refusal, Ticket},
-    limit::{self, Demand, Limits, Quota, Used},
+    limit::{self, Demand, Limits, Quota, Usage},
     load::Load,
     peers::{self, Outstanding, Peers},
     pool::{self, Config},
@@ -182,12 +182,12 @@
     /// Forgets a peer that is known to be gone.
     pub fn peer_gone(&mut self, peer: &str) {
         self.peers.remove(peer);
-        self.limits.peer_gone(peer);
+        self.limits.remove_peer(peer);
     }
 
     /// Replaces the limits of owners and entries.
     pub fn set_quotas(&mut self, now: Moment, terms: Vec<Quota>) {
-        self.limits.set_terms(now, terms);
+        self.limits.set_quotas(now, terms);
     }
 
     /// Says which peers live, this entry left out; see [`Limits::set_peers`].
@@ -197,7 +197,7 @@
 
     /// Takes in the demand that a peer tells.
     pub fn update_peer_demand(&mut self, now: Moment, peer: &peers::Id, demand: &[Demand]) {
-        self.limits.take(now, peer, demand);
+        self.limits.update_peer(now, peer, demand);
     }
 
     /// Demand to tell the peers now.
@@ -266,7 +266,7 @@
         let tokens = waiting.request.tokens();
         let decision = self.decide(now, waiting);
         if matches!(decision, Decision::Refuse(_)) {
-            self.limits.release(&subjects, Used::nothing(tokens));
+            self.limits.release(&subjects, Usage::none(tokens));
         }
         decision
     }
--- a/crates/routing/src/router/waiting.rs
+++ b/crates/routing/src/router/waiting.rs
@@ -10,7 +10,7 @@
 use crate::{
     decision::{Decision, Output, Reason, Ticket},
     disaggregation::Placement,
-    limit::Used,
+    limit::Usage,
     pool,
     queue::{Waiting, expected_wait},
     request::Model,
@@ -160,7 +160,7 @@
     pub(super) fn release_unused(&mut self, waiting: &Waiting) {
         let request = &waiting.request;
         self.limits
-            .release(&request.subjects, Used::nothing(request.tokens()));
+            .release(&request.subjects, Usage::none(request.tokens()));
     }
 
     pub(super) fn refuse_waiting(
--- a/crates/routing/tests/limit.rs
+++ b/crates/routing/tests/limit.rs
@@ -8,7 +8,7 @@
 use clock::Moment;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use routing::{
-    limit::{Config, Demand, Kind, Limits, Quota, Used},
+    limit::{Config, Demand, Kind, Limits, Quota, Usage},
     peers,
     request::Subject,
 };
@@ -36,11 +36,11 @@
     entries: Vec<Limits>,
     alive: [bool; ENTRIES],
     /// Entries on different sides do not hear each other.
-    side: [u8; ENTRIES],
+    partition: [u8; ENTRIES],
     frames: VecDeque<Frame>,
     steps: u32,
     counts: Counts,
-    arrived: u32,
+    arrivals: u32,
 }
 
 fn name(entry: usize) -> peers::Id {
@@ -51,7 +51,7 @@
     OWNER.into()
 }
 
-fn terms(requests: Option<f64>, concurrent: Option<u32>) -> Vec<Quota> {
+fn quotas(requests: Option<f64>, concurrent: Option<u32>) -> Vec<Quota> {
     vec![Quota {
         subject: subject(),
         requests,
@@ -66,7 +66,7 @@
             .map(|entry| Limits::new(Config::default(), name(entry)))
             .collect();
         for (own, entry) in entries.iter_mut().enumerate() {
-            entry.set_terms(Moment::ZERO, terms.to_vec());
+            entry.set_quotas(Moment::ZERO, terms.to_vec());
             entry.set_peers((0..ENTRIES).filter(|peer| *peer != own).map(name));
         }
         Self {
@@ -74,11 +74,11 @@
             rng: SmallRng::seed_from_u64(11),
             entries,
             alive: [true; ENTRIES],
-            side: [0; ENTRIES],
+            partition: [0; ENTRIES],
             frames: VecDeque::new(),
             steps: 0,
             counts: Vec::new(),
-            arrived: 0,
+            arrivals: 0,
         }
     }
 
@@ -93,7 +93,7 @@
     }
 
     fn step(&mut self, demand: &[f64; ENTRIES]) {
-        self.carry();
+        self.deliver_frames();
         for (entry, rate) in demand.iter().enumerate() {
             let mut arrivals = 0;
             for _ in 0..4 {
@@ -111,15 +111,15 @@
         if !self.alive[entry] {
             return;
         }
-        self.arrived += 1;
+        self.arrivals += 1;
         let limits = &mut self.entries[entry];
         if limits.check(self.now, &[subject()], 0).is_ok() {
-            limits.release(&[subject()], Used::nothing(0));
+            limits.release(&[subject()], Usage::none(0));
             self.counts.last_mut().expect("a second is open")[entry] += 1.0;
         }
     }
 
-    fn carry(&mut self) {
+    fn deliver_frames(&mut self) {
         for from in 0..ENTRIES {
             if !self.alive[from] || self.steps % FRAME_EVERY != from as u32 * 6 {
                 continue;
@@ -140,8 +140,8 @@
             .is_some_and(|frame| frame.due <= self.now)
         {
             let frame = self.frames.pop_front().expect("there is a front");
-            if self.alive[frame.to] && self.side[frame.from] == self.side[frame.to] {
-                self.entries[frame.to].take(self.now, &name(frame.from), &frame.demand);
+            if self.alive[frame.to] && self.partition[frame.from] == self.partition[frame.to] {
+                self.entries[frame.to].update_peer(self.now, &name(frame.from), &frame.demand);
             }
         }
     }
@@ -170,7 +170,7 @@
 
 #[test]
 fn steady_demand_above_the_limit_uses_it_whole() {
-    let mut group = Group::new(&terms(Some(LIMIT), None));
+    let mut group = Group::new(&quotas(Some(LIMIT), None));
     group.run(40, [50.0; ENTRIES]);
     let (least, most) = group.report("steady, 2 times", 8);
     assert!(least > 0.9 && most < 1.1);
@@ -178,7 +178,7 @@
 
 #[test]
 fn skewed_demand_moves_the_shares() {
-    let mut group = Group::new(&terms(Some(LIMIT), None));
+    let mut group = Group::new(&quotas(Some(LIMIT), None));
     group.run(10, [50.0; ENTRIES]);
     let mut skewed = [2.0; ENTRIES];
     skewed[3] = 380.0;
@@ -193,7 +193,7 @@
     // Symptom: an owner uses more than its limit each time its callers move to other entries.
     // Sequence: demand moves from one entry to the next every five seconds.
     // Cause: the entry that demand moves to raises its share before the others have lowered theirs.
-    let mut group = Group::new(&terms(Some(LIMIT), None));
+    let mut group = Group::new(&quotas(Some(LIMIT), None));
     for entry in 0..ENTRIES {
         let mut demand = [10.0; ENTRIES];
         demand[entry] = 300.0;
@@ -205,13 +205,13 @@
 
 #[test]
 fn the_share_of_a_killed_entry_is_reclaimed_once_it_is_gone() {
-    let mut group = Group::new(&terms(Some(LIMIT), None));
+    let mut group = Group::new(&quotas(Some(LIMIT), None));
     group.run(15, [50.0; ENTRIES]);
     group.alive[0] = false;
     group.run(10, [57.0; ENTRIES]);
     let (reserved, over) = group.report("one killed, not yet known", 15);
     for entry in 1..ENTRIES {
-        group.entries[entry].peer_gone(&name(0));
+        group.entries[entry].remove_peer(&name(0));
     }
     group.run(20, [57.0; ENTRIES]);
     let (least, most) = group.report("one killed, known, 5 s after", 30);
@@ -224,16 +224,16 @@
     // Symptom: an owner uses twice its limit while entries cannot hear each other.
     // Sequence: the group is cut in two; then the demand of one side grows fivefold.
     // Cause: each side would divide the whole limit among those that it hears.
-    let mut group = Group::new(&terms(Some(LIMIT), None));
+    let mut group = Group::new(&quotas(Some(LIMIT), None));
     group.run(15, [50.0; ENTRIES]);
-    group.side = [0, 0, 0, 0, 1, 1, 1, 1];
+    group.partition = [0, 0, 0, 0, 1, 1, 1, 1];
     let mut grown = [50.0; ENTRIES];
     for demand in &mut grown[..4] {
         *demand = 250.0;
     }
     group.run(30, grown);
     let (least, most) = group.report("cut in two, one side grows", 15);
-    group.side = [0; ENTRIES];
+    group.partition = [0; ENTRIES];
     group.run(15, grown);
     let (_, healed) = group.report("healed", 45);
     assert!(most < 1.1 && healed < 1.1 && least > 0.8);
@@ -245,7 +245,7 @@
     // Sequence: an entry starts and has not heard of any other yet.
     // Cause: alone in its view, it would take the whole limit.
     let mut fresh = Limits::new(Config::default(), name(0));
-    fresh.set_terms(Moment::ZERO, terms(Some(LIMIT), None));
+    fresh.set_quotas(Moment::ZERO, quotas(Some(LIMIT), None));
     let mut admitted = 0.0;
     for step in 0..1_000 {
         let now = STEP * step;
@@ -262,7 +262,7 @@
     // Sequence: both of two entries are busy; the demand of one grows tenfold; it tells the other.
     // Cause: its own share is larger at once, that of the other is smaller only when it has heard.
     let mut small = Limits::new(Config::default(), name(0));
-    small.set_terms(Moment::ZERO, terms(Some(LIMIT), None));
+    small.set_quotas(Moment::ZERO, quotas(Some(LIMIT), None));
     small.set_peers([name(1)]);
     let large = Demand {
         subject: subject(),
@@ -275,11 +275,11 @@
         for ms in (from..to).step_by(every) {
             let now = Duration::from_millis(ms);
             if ms % 500 == 0 {
-                small.take(now, &name(1), std::slice::from_ref(&large));
+                small.update_peer(now, &name(1), std::slice::from_ref(&large));
                 small.demand(now);
             }
             if small.check(now, &[subject()], 0).is_ok() {
-                small.release(&[subject()], Used::nothing(0));
+                small.release(&[subject()], Usage::none(0));
                 admitted += 1;
             }
         }
@@ -297,7 +297,7 @@
 
 #[test]
 fn places_add_up_to_the_limit_and_move_with_demand() {
-    let mut group = Group::new(&terms(None, Some(10)));
+    let mut group = Group::new(&quotas(None, Some(10)));
     group.run(20, [20.0; ENTRIES]);
     let mut open = [0_u32; ENTRIES];
     for (entry, open) in open.iter_mut().enumerate() {
@@ -321,7 +321,7 @@
     // Sequence: all entries know each other; the first requests come to one entry and it tells so;
     // then one comes to another entry.
     // Cause: demand in shares of itself adds up to the whole, so that entries without any got none.
-    let mut group = Group::new(&terms(None, Some(200)));
+    let mut group = Group::new(&quotas(None, Some(200)));
     let mut one = [0.0; ENTRIES];
     one[0] = 20.0;
     group.run(3, one);
@@ -341,12 +341,12 @@
     // Sequence: two notices happen to come to one of eight entries within a tenth of a second.
     // Cause: an entry's share of a small limit, held for half a second, is little more than one
     // request.
-    let mut group = Group::new(&terms(Some(20.0), None));
+    let mut group = Group::new(&quotas(Some(20.0), None));
     group.run(10, [6.0 / ENTRIES as f64; ENTRIES]);
     group.counts.clear();
-    let before = group.arrived;
+    let before = group.arrivals;
     group.run(300, [6.0 / ENTRIES as f64; ENTRIES]);
-    let arrived = f64::from(group.arrived - before);
+    let arrived = f64::from(group.arrivals - before);
     let let_in: f64 = group.counts.iter().flatten().sum();
     let refused = 1.0 - let_in / arrived;
     println!("refused: {refused:.3} of {arrived}");
