--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -16,10 +16,10 @@
 
     /// As [`Clock::now`], but it also runs while the machine is suspended. What must not be done late
     /// after a pause, like an order whose lease has lapsed meanwhile, is measured by it.
-    fn boot(&self) -> Moment;
+    fn now_boottime(&self) -> Moment;
 
     /// Wall-clock time, for people and for bucket names only; no decision of authority uses it.
-    fn wall(&self) -> SystemTime;
+    fn wall_time(&self) -> SystemTime;
 }
 
 /// The machine's clock.
@@ -50,11 +50,11 @@
         self.start.elapsed()
     }
 
-    fn boot(&self) -> Moment {
+    fn now_boottime(&self) -> Moment {
         since_boot().saturating_sub(self.boot)
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::now()
     }
 }
@@ -95,11 +95,11 @@
         self.now.get()
     }
 
-    fn boot(&self) -> Moment {
+    fn now_boottime(&self) -> Moment {
         self.now.get() + self.suspended.get()
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::UNIX_EPOCH + self.now.get()
     }
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -109,7 +109,7 @@
 /// Wall-clock time since the Unix epoch, for expiry times that other entries read.
 pub fn wall(clock: &System) -> Duration {
     clock
-        .wall()
+        .wall_time()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
 }
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -50,7 +50,7 @@
 impl Grant {
     /// Whether a call may still leave. A suspended machine would send one whose turn is long over.
     pub(crate) fn holds(&self, clock: &System) -> bool {
-        clock.boot() < self.until
+        clock.now_boottime() < self.until
     }
 }
 
@@ -152,7 +152,7 @@
         reports: &[Report],
         numbers: Vec<Numbers>,
     ) -> Result<Grant, Denied> {
-        let until = self.clock.boot() + turn::ORDERS;
+        let until = self.clock.now_boottime() + turn::ORDERS;
         let claim = orders::Claim {
             holder: self.holder.clone(),
             incarnation: self.incarnation,
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -93,7 +93,7 @@
     pub(crate) fn new(settings: Settings) -> Self {
         let incarnation = rand::random();
         let clock = System::new();
-        let started = unix(clock.wall());
+        let started = unix(clock.wall_time());
         let schedule = settings.duties.and_then(|duties| duties.usage);
         Self {
             usage: RefCell::new(schedule.map(|schedule| Ledger::new(schedule, started))),
@@ -139,7 +139,7 @@
     /// True time, as it was when the process started and has gone on since. The time of day may be set meanwhile, and back again; windows of
     /// true time would come twice or not at all.
     pub(crate) fn unix(&self) -> Unix {
-        self.started + self.clock.boot()
+        self.started + self.clock.now_boottime()
     }
 
     /// Takes in that an engine began a request of an organisation.
--- a/crates/gateway/src/operate.rs
+++ b/crates/gateway/src/operate.rs
@@ -173,7 +173,7 @@
     trials::call_of(&record.key)?;
     match Suspect::decode(&record.value.as_ref()?[..]) {
         Ok(suspect) => {
-            let own = trials::unix_ms(System::new().wall());
+            let own = trials::unix_ms(System::new().wall_time());
             let now_unix_ms = own.max(suspect.written_unix_ms + 1);
             let aged = frame::aged(suspect, now_unix_ms);
             let (call, entry) = frame::suspect(&aged, NOW);
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/trials.rs
@@ -43,7 +43,7 @@
 pub(crate) fn value(call: Fingerprint, entry: &Entry, instance: &Instance) -> Vec<u8> {
     let suspect = frame::told_suspect(call, entry, suspects::now(instance));
     let written = Suspect {
-        written_unix_ms: unix_ms(instance.clock.wall()),
+        written_unix_ms: unix_ms(instance.clock.wall_time()),
         ..suspect
     };
     written.encode_to_vec()
@@ -67,7 +67,7 @@
     };
     match Suspect::decode(&value[..]) {
         Ok(suspect) => {
-            let now = unix_ms(instance.clock.wall());
+            let now = unix_ms(instance.clock.wall_time());
             let age = Duration::from_millis(now.saturating_sub(suspect.written_unix_ms));
             if age > OLD {
                 instance.suspects.note_old(call);
