--- a/crates/control/examples/fleet.rs
+++ b/crates/control/examples/fleet.rs
@@ -15,7 +15,7 @@
 use clap::Parser;
 use control::options::Mesh;
 use control::{Handle, Hooks, Options, Status};
-use fleet::member::Own;
+use fleet::member::LocalMember;
 use peer::issue::Authority;
 use platform::{Instances, Kind, Registration};
 use standin::engine::{self, Engine};
@@ -127,7 +127,7 @@
     }
 
     async fn entry(&self, id: &str, engines: usize) -> Handle {
-        let own = Own {
+        let own = LocalMember {
             id: id.to_owned(),
             incarnation: 1,
             data_centre: "ate".to_owned(),
--- a/crates/control/src/census.rs
+++ b/crates/control/src/census.rs
@@ -5,7 +5,7 @@
 
 use catalogue::Kind as EntityKind;
 use clock::Moment;
-use fleet::list::{self, Instance, Kind, Listing, Mark, Reading};
+use fleet::list::{self, Instance, Kind, Listing, Mark, ReadOutcome};
 use fleet::member::{self, Progress, Sender};
 use fleet::upstream::{self, Observation};
 use fleet::{Drain, Members, Upstreams};
@@ -80,7 +80,7 @@
         listing: &platform::Listing,
     ) -> (member::Outputs, upstream::Outputs) {
         let reading = self.list.read(now, checked(listing));
-        if matches!(reading, Reading::Doubted | Reading::Outdated) {
+        if matches!(reading, ReadOutcome::Doubted | ReadOutcome::Outdated) {
             self.doubted += 1;
             log::warn!(reading:?, version = listing.version; "a reading of the instance list is not believed");
         }
@@ -152,15 +152,15 @@
             let shown = self.shown.get(&order).and_then(|shown| shown.sequence);
             shown.is_some_and(|sequence| applied >= sequence)
         };
-        let mut owed = self.drain.owed(open);
+        let mut owed = self.drain.due_confirmations(open);
         owed.retain(|confirm| seen(confirm.order));
         owed
     }
 
     pub(crate) fn confirm_own(&mut self, confirms: &[Confirm]) {
-        let own = self.members.own().clone();
+        let own = self.members.local().clone();
         for confirm in confirms {
-            self.drain.confirm_own(&own, confirm);
+            self.drain.confirm_local(&own, confirm);
         }
     }
 
@@ -219,7 +219,7 @@
         let alive = self.members.iter();
         let alive = alive.filter(|member| member.state == member::State::Alive);
         let mut ids: Vec<String> = alive.map(|member| member.id.clone()).collect();
-        ids.push(self.members.own().id.clone());
+        ids.push(self.members.local().id.clone());
         ids.sort();
         ids
     }
@@ -258,7 +258,7 @@
                     self.reports.remove(id);
                     self.up_since.remove(id);
                 }
-                upstream::Output::Withheld { id } => {
+                upstream::Output::EjectionWithheld { id } => {
                     log::warn!(upstream = id.as_str(); "not ejected: too many of its pool are");
                 }
                 upstream::Output::Probe { .. } => (),
--- a/crates/control/src/core/peers.rs
+++ b/crates/control/src/core/peers.rs
@@ -63,7 +63,7 @@
             return;
         }
         let folded = self.ledger.folded();
-        let mut fresh = self.census.members.fresh().peekable();
+        let mut fresh = self.census.members.with_fresh_heartbeat().peekable();
         let heard = fresh.peek().is_some();
         if heard && fresh.all(|member| member.progress.folded <= folded) {
             self.flags.paused_at = None;
@@ -74,7 +74,7 @@
     pub(super) fn member_outputs(&mut self, now: Moment, outputs: Outputs) {
         for output in outputs {
             match output {
-                Output::Beat { to, heartbeat } => {
+                Output::SendHeartbeat { to, heartbeat } => {
                     self.mesh.send(&to, Body::Heartbeat(heartbeat));
                 }
                 Output::Changed { id, was, state } => {
@@ -86,7 +86,7 @@
                 Output::Restarted { id, incarnation } => {
                     log::info!(peer = id.as_str(), incarnation; "entry was restarted");
                 }
-                Output::Hearing { id, hearing } => {
+                Output::HearingChanged { id, hearing } => {
                     log::info!(peer = id.as_str(), hearing:?; "entry hears this one, or does not");
                 }
                 Output::Refused(refusal) => log::debug!(refusal:?; "a frame was refused"),
--- a/crates/control/src/core/show.rs
+++ b/crates/control/src/core/show.rs
@@ -186,7 +186,7 @@
                 .confirmed
                 .iter()
                 .map(|(id, open)| format!("{id} {open}"));
-            let waits = one.waits.iter().map(ToString::to_string);
+            let waits = one.blockers.iter().map(ToString::to_string);
             status::Drain {
                 order: one.order,
                 upstream: one.upstream,
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Instance id, start and data centre of this process.
-    pub own: member::Own,
+    pub own: member::LocalMember,
     /// The log.
     pub log: platform::Options,
     /// The instance list.
@@ -73,7 +73,7 @@
 
 impl Options {
     /// The usual options of an instance whose platform is at `platform`.
-    pub fn new(own: member::Own, platform: SocketAddr, term: Term) -> Self {
+    pub fn new(own: member::LocalMember, platform: SocketAddr, term: Term) -> Self {
         let platform = platform::Options::new(format!("http://{platform}"));
         Self {
             own,
@@ -106,7 +106,7 @@
         settings: &settings::Settings,
         incarnation: u64,
     ) -> Result<Self, Vec<Finding>> {
-        let own = member::Own {
+        let own = member::LocalMember {
             id: settings.instance.id.clone(),
             incarnation,
             data_centre: settings.instance.data_centre.clone(),
@@ -124,7 +124,7 @@
             },
             reload: settings.peer.reload,
         });
-        options.members.beat = settings.peer.heartbeat;
+        options.members.heartbeat_interval = settings.peer.heartbeat;
         options.members.suspect_after = settings.peer.silence;
         options.retention = settings.platform.retention;
         options.list_period = settings.platform.poll;
--- a/crates/control/src/scopes.rs
+++ b/crates/control/src/scopes.rs
@@ -241,7 +241,7 @@
             let input = if around.census.is_absent(&upstream) {
                 Some(ChangeInput::Absent)
             } else {
-                let waits = around.census.drain.waits(around.now, order, &senders);
+                let waits = around.census.drain.blockers(around.now, order, &senders);
                 waits.map(|waits| ChangeInput::Blockers(described(&waits)))
             };
             if let Some(input) = input {
@@ -274,7 +274,7 @@
     }
 }
 
-fn described(waits: &[fleet::drain::Wait]) -> SmallVec<[Blocker; 4]> {
+fn described(waits: &[fleet::drain::Blocker]) -> SmallVec<[Blocker; 4]> {
     waits.iter().map(ToString::to_string).collect()
 }
 
--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -9,7 +9,7 @@
 use clap::Parser as _;
 use control::options::Mesh;
 use control::{Handle, Options, View};
-use fleet::member::Own;
+use fleet::member::LocalMember;
 use peer::issue::Authority;
 use platform::{Instances, Kind, Registration};
 use standin::engine::{self, Engine};
@@ -76,7 +76,7 @@
             retry: Duration::from_millis(100),
             ..TermConfig::default()
         };
-        let own = Own {
+        let own = LocalMember {
             id: id.to_owned(),
             incarnation: 1,
             data_centre: "ate".to_owned(),
@@ -87,11 +87,11 @@
         options.log_patience = Duration::from_millis(300);
         options.list_period = Duration::from_millis(50);
         options.report_period = Duration::from_millis(200);
-        options.members.beat = Duration::from_millis(100);
+        options.members.heartbeat_interval = Duration::from_millis(100);
         options.members.suspect_after = Duration::from_millis(600);
         options.members.gone_after = Duration::from_millis(1500);
-        options.members.lag = Duration::from_millis(500);
-        options.members.pause = Duration::from_secs(5);
+        options.members.list_lag = Duration::from_millis(500);
+        options.members.pause_threshold = Duration::from_secs(5);
         options.drain.settle = Duration::from_millis(100);
         options.pace.poll_interval = Duration::from_millis(50);
         options.pace.request_timeout = Duration::from_millis(200);
--- a/crates/filetests/src/process/control.rs
+++ b/crates/filetests/src/process/control.rs
@@ -46,7 +46,10 @@
                 lines.extend(self.plan(now, Input::Change(order, change::Input::Absent)));
                 continue;
             }
-            let waits = self.drain.waits(now, order, &senders).unwrap_or_default();
+            let waits = self
+                .drain
+                .blockers(now, order, &senders)
+                .unwrap_or_default();
             let waits = waits.iter().map(ToString::to_string).collect();
             let waiting = Input::Change(order, change::Input::Blockers(waits));
             lines.extend(self.plan(now, waiting));
--- a/crates/filetests/src/process/membership.rs
+++ b/crates/filetests/src/process/membership.rs
@@ -25,11 +25,11 @@
         let progress = self.progress();
         let outputs = self.members.step(now, member::Input::Tick(progress));
         let (lines, beats) = self.take_members(outputs);
-        let own = self.members.own().clone();
+        let own = self.members.local().clone();
         let open = self.open.clone();
         let owed = self
             .drain
-            .owed(|upstream| open.get(upstream).copied().unwrap_or(0));
+            .due_confirmations(|upstream| open.get(upstream).copied().unwrap_or(0));
         let mut frames = Vec::new();
         for (to, body) in beats {
             frames.push((to.clone(), self.frame(body)));
@@ -41,7 +41,7 @@
             }
         }
         for confirm in &owed {
-            self.drain.confirm_own(&own, confirm);
+            self.drain.confirm_local(&own, confirm);
         }
         (lines, frames)
     }
@@ -76,7 +76,7 @@
         let mut beats = Vec::new();
         for output in outputs {
             match output {
-                member::Output::Beat { to, heartbeat } => {
+                member::Output::SendHeartbeat { to, heartbeat } => {
                     beats.push((to, frame::Body::Heartbeat(heartbeat)));
                 }
                 member::Output::Restarted { id, .. } => {
@@ -89,7 +89,7 @@
                 member::Output::Superseded(_) => lines.push(self.say("was superseded")),
                 member::Output::Changed { .. }
                 | member::Output::Returned { .. }
-                | member::Output::Hearing { .. }
+                | member::Output::HearingChanged { .. }
                 | member::Output::Refused(_) => {}
             }
         }
--- a/crates/filetests/src/process/mod.rs
+++ b/crates/filetests/src/process/mod.rs
@@ -9,7 +9,7 @@
 use authority::planner::{Bounds, Planner};
 use claims::{Batcher, CallId, Holder};
 use clock::Moment;
-use fleet::member::{Own, Progress};
+use fleet::member::{LocalMember, Progress};
 use fleet::{Drain, Members, Upstreams, list};
 use wire::record::record::Body;
 use wire::record::{Record, Snapshot};
@@ -98,7 +98,7 @@
             instance: name.to_owned(),
             incarnation,
         };
-        let own = Own {
+        let own = LocalMember {
             id: name.to_owned(),
             incarnation,
             data_centre: String::new(),
--- a/crates/fleet/src/drain.rs
+++ b/crates/fleet/src/drain.rs
@@ -46,7 +46,7 @@
 
 /// Why an order may not act yet.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Wait {
+pub enum Blocker {
     /// The closing is younger than [`Settings::settle`].
     Settle {
         /// Time left.
@@ -66,7 +66,7 @@
     },
 }
 
-impl fmt::Display for Wait {
+impl fmt::Display for Blocker {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Settle { left } => write!(f, "{} ms to settle", left.as_millis()),
@@ -88,7 +88,7 @@
     /// Entries that confirmed, with what they have open.
     pub confirmed: Vec<(Id, u32)>,
     /// What is waited for; empty means that the order may act.
-    pub waits: Vec<Wait>,
+    pub blockers: Vec<Blocker>,
 }
 
 /// All closings in force.
@@ -141,7 +141,7 @@
 
     /// Takes this process's own confirmation in, which no frame carries. The newest always
     /// counts.
-    pub fn confirm_own(&mut self, own: &crate::member::Own, confirm: &Confirm) {
+    pub fn confirm_local(&mut self, own: &crate::member::LocalMember, confirm: &Confirm) {
         let confirmation = Confirmation {
             incarnation: own.incarnation,
             sequence: u64::MAX,
@@ -152,10 +152,10 @@
 
     /// What the order waits for, given the entries that may still send; [`None`] if no such
     /// closing is in force. An order may act only on an empty list.
-    pub fn waits(&self, now: Moment, order: Offset, senders: &[Sender]) -> Option<Vec<Wait>> {
+    pub fn blockers(&self, now: Moment, order: Offset, senders: &[Sender]) -> Option<Vec<Blocker>> {
         let closing = self.closings.get(&order)?;
         let settled = closing.since + self.settings.settle;
-        let settle = (now < settled).then(|| Wait::Settle {
+        let settle = (now < settled).then(|| Blocker::Settle {
             left: settled - now,
         });
         let entries = senders.iter().filter_map(|sender| closing.wait(sender));
@@ -181,14 +181,14 @@
                 .iter()
                 .map(|(entry, confirmation)| (entry.clone(), confirmation.open))
                 .collect(),
-            waits: self.waits(now, *order, senders).unwrap_or_default(),
+            blockers: self.blockers(now, *order, senders).unwrap_or_default(),
         };
         self.closings.iter().map(status).collect()
     }
 
     /// The confirmations that this process owes, given how much it has open at an upstream. They
     /// go out with each heartbeat.
-    pub fn owed(&self, mut open: impl FnMut(&str) -> u32) -> Vec<Confirm> {
+    pub fn due_confirmations(&self, mut open: impl FnMut(&str) -> u32) -> Vec<Confirm> {
         let owed = |(order, closing): (&Offset, &Closing)| Confirm {
             order: *order,
             upstream: closing.upstream.clone(),
@@ -227,7 +227,7 @@
 }
 
 impl Closing {
-    fn wait(&self, sender: &Sender) -> Option<Wait> {
+    fn wait(&self, sender: &Sender) -> Option<Blocker> {
         let entry = sender.id.clone();
         let confirmation = self.confirmed.get(&sender.id).filter(|confirmation| {
             // A restarted entry has not confirmed by what its former process said.
@@ -236,9 +236,9 @@
                 .is_none_or(|newest| confirmation.incarnation >= newest)
         });
         match confirmation {
-            None => Some(Wait::Confirm { entry }),
+            None => Some(Blocker::Confirm { entry }),
             Some(Confirmation { open: 0, .. }) => None,
-            Some(Confirmation { open, .. }) => Some(Wait::Open { entry, open: *open }),
+            Some(Confirmation { open, .. }) => Some(Blocker::Open { entry, open: *open }),
         }
     }
 }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -10,30 +10,30 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Consecutive failures that eject an upstream.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// Consecutive timeouts that eject an upstream.
-    pub timeouts: u32,
+    pub consecutive_timeouts: u32,
     /// First period of ejection. It doubles with each ejection that follows soon.
-    pub period: Duration,
+    pub base_ejection_time: Duration,
     /// Longest period of ejection.
-    pub longest: Duration,
+    pub max_ejection_time: Duration,
     /// Time of good health after which the period starts anew.
-    pub forgive: Duration,
+    pub reset_after: Duration,
     /// Largest part of a pool that health may eject, from 0 to 1, rounded down.
-    pub fraction: f64,
+    pub max_ejected_fraction: f64,
     /// An upstream is slow if its smoothed time to first byte is over this many times its pool's
     /// median.
-    pub slow: f64,
+    pub slow_factor: f64,
     /// Times to first byte below this are never slow.
     pub slow_floor: Duration,
     /// Answers needed before an upstream can be called slow.
     pub slow_samples: u32,
     /// How long the share of work grows after a return or a first listing.
-    pub ramp: Duration,
+    pub slow_start: Duration,
     /// Share of work at the start of the ramp, from 0 to 1.
-    pub ramp_floor: f64,
+    pub slow_start_share: f64,
     /// Time between probes of one whose ejection is over.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// How long one that is gone is kept, so that late answers find it.
     pub forget_after: Duration,
 }
@@ -41,18 +41,18 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            failures: 5,
-            timeouts: 3,
-            period: Duration::from_secs(5),
-            longest: Duration::from_secs(300),
-            forgive: Duration::from_secs(120),
-            fraction: 0.34,
-            slow: 4.0,
+            consecutive_failures: 5,
+            consecutive_timeouts: 3,
+            base_ejection_time: Duration::from_secs(5),
+            max_ejection_time: Duration::from_secs(300),
+            reset_after: Duration::from_secs(120),
+            max_ejected_fraction: 0.34,
+            slow_factor: 4.0,
             slow_floor: Duration::from_millis(500),
             slow_samples: 20,
-            ramp: Duration::from_secs(15),
-            ramp_floor: 0.1,
-            probe: Duration::from_secs(1),
+            slow_start: Duration::from_secs(15),
+            slow_start_share: 0.1,
+            probe_interval: Duration::from_secs(1),
             forget_after: Duration::from_secs(60),
         }
     }
@@ -109,7 +109,7 @@
     }
 
     /// Smoothed time to first byte, once there are enough samples to compare it.
-    pub fn pace(&self, settings: &Settings) -> Option<f64> {
+    pub fn smoothed_ttfb(&self, settings: &Settings) -> Option<f64> {
         (self.samples >= settings.slow_samples).then_some(self.smoothed)
     }
 
@@ -120,11 +120,11 @@
             return 1.0;
         };
         let age = now.saturating_sub(from).as_secs_f64();
-        let ramp = settings.ramp.as_secs_f64();
+        let ramp = settings.slow_start.as_secs_f64();
         if ramp <= 0.0 {
             return 1.0;
         }
-        (age / ramp).clamp(settings.ramp_floor, 1.0)
+        (age / ramp).clamp(settings.slow_start_share, 1.0)
     }
 
     /// Starts the ramp of an upstream that is new in the list.
@@ -147,14 +147,14 @@
 
     /// Why it should be ejected, given the median pace of its pool.
     pub(crate) fn fault(&self, median: Option<f64>, settings: &Settings) -> Option<Cause> {
-        if self.failures >= settings.failures {
+        if self.failures >= settings.consecutive_failures {
             return Some(Cause::Failures);
         }
-        if self.timeouts >= settings.timeouts {
+        if self.timeouts >= settings.consecutive_timeouts {
             return Some(Cause::Timeouts);
         }
-        let pace = self.pace(settings)?;
-        let limit = (median? * settings.slow).max(settings.slow_floor.as_secs_f64());
+        let pace = self.smoothed_ttfb(settings)?;
+        let limit = (median? * settings.slow_factor).max(settings.slow_floor.as_secs_f64());
         (pace > limit).then_some(Cause::Slow)
     }
 
@@ -162,12 +162,15 @@
     pub(crate) fn eject(&mut self, now: Moment, cause: Cause, settings: &Settings) {
         let forgiven = self
             .returned_at
-            .is_some_and(|at| now.saturating_sub(at) >= settings.forgive);
+            .is_some_and(|at| now.saturating_sub(at) >= settings.reset_after);
         if forgiven {
             self.ejections = 0;
         }
         let factor = 1_u32 << self.ejections.min(MAX_DOUBLINGS);
-        let period = settings.period.saturating_mul(factor).min(settings.longest);
+        let period = settings
+            .base_ejection_time
+            .saturating_mul(factor)
+            .min(settings.max_ejection_time);
         self.ejections += 1;
         self.ejection = Some(Ejection {
             cause,
@@ -185,7 +188,7 @@
         if now < ejection.next_probe {
             return false;
         }
-        ejection.next_probe = now + settings.probe;
+        ejection.next_probe = now + settings.probe_interval;
         true
     }
 
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -58,7 +58,7 @@
 
 /// What became of a reading.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reading {
+pub enum ReadOutcome {
     /// It is the view now.
     Taken,
     /// It is what the view holds already.
@@ -74,13 +74,13 @@
 pub struct Settings {
     /// For how long a doubted or outdated reading must be repeated until it is believed. An empty
     /// list is never believed.
-    pub hold: Duration,
+    pub accept_after: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            hold: Duration::from_secs(30),
+            accept_after: Duration::from_secs(30),
         }
     }
 }
@@ -111,19 +111,20 @@
     ///
     /// Symptom without the guard: after an outage the list's service restarts empty, every
     /// upstream is taken for gone and all callers are refused while all engines run.
-    pub fn read(&mut self, now: Moment, listing: Listing) -> Reading {
+    pub fn read(&mut self, now: Moment, listing: Listing) -> ReadOutcome {
         let verdict = self.judge(&listing);
-        if matches!(verdict, Reading::Outdated | Reading::Doubted) {
+        if matches!(verdict, ReadOutcome::Outdated | ReadOutcome::Doubted) {
             let since = *self.doubted_since.get_or_insert(now);
-            let believed = !listing.instances.is_empty() && now >= since + self.settings.hold;
+            let believed =
+                !listing.instances.is_empty() && now >= since + self.settings.accept_after;
             if !believed {
                 return verdict;
             }
         }
         self.doubted_since = None;
         self.read_at = Some(now);
-        if verdict == Reading::Same {
-            return Reading::Same;
+        if verdict == ReadOutcome::Same {
+            return ReadOutcome::Same;
         }
         self.version = listing.version;
         self.instances = listing
@@ -131,7 +132,7 @@
             .into_iter()
             .map(|instance| (instance.id.clone(), instance))
             .collect();
-        Reading::Taken
+        ReadOutcome::Taken
     }
 
     /// Version of the reading that is in force.
@@ -155,15 +156,15 @@
         self.instances.values()
     }
 
-    fn judge(&self, listing: &Listing) -> Reading {
+    fn judge(&self, listing: &Listing) -> ReadOutcome {
         if listing.instances.is_empty() {
-            return Reading::Doubted;
+            return ReadOutcome::Doubted;
         }
         if listing.version < self.version {
-            return Reading::Outdated;
+            return ReadOutcome::Outdated;
         }
         if listing.version == self.version && self.read_at.is_some() {
-            return Reading::Same;
+            return ReadOutcome::Same;
         }
         let kept = listing
             .instances
@@ -171,9 +172,9 @@
             .filter(|instance| self.instances.contains_key(&instance.id))
             .count();
         if kept * 2 < self.instances.len() {
-            return Reading::Doubted;
+            return ReadOutcome::Doubted;
         }
-        Reading::Taken
+        ReadOutcome::Taken
     }
 }
 
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -38,36 +38,36 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Settings {
     /// Time between two heartbeats to the same peer.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Silence after which a peer is suspect, and age of an echo at which it counts as deaf.
     pub suspect_after: Duration,
     /// Silence after which a peer that is off the list is gone. It must be longer than
-    /// [`Settings::pause`], so that a paused entry refuses new work before others stop waiting.
+    /// [`Settings::pause_threshold`], so that a paused entry refuses new work before others stop waiting.
     pub gone_after: Duration,
     /// How long the incarnation of one that is gone is remembered, to refuse its late frames.
     pub forget_after: Duration,
     /// Longest lag of the instance list. A new entry waits for it, unless all peers heard it.
-    pub lag: Duration,
+    pub list_lag: Duration,
     /// Time between two ticks from which this process knows that it was paused.
-    pub pause: Duration,
+    pub pause_threshold: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            beat: Duration::from_secs(1),
+            heartbeat_interval: Duration::from_secs(1),
             suspect_after: Duration::from_secs(4),
             gone_after: Duration::from_secs(15),
             forget_after: Duration::from_secs(600),
-            lag: Duration::from_secs(10),
-            pause: Duration::from_secs(3),
+            list_lag: Duration::from_secs(10),
+            pause_threshold: Duration::from_secs(3),
         }
     }
 }
 
 /// This process as others know it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Own {
+pub struct LocalMember {
     /// Instance id from the settings.
     pub id: Id,
     /// Start of this process.
@@ -151,7 +151,7 @@
     List(&'a View),
     /// A frame arrived from a peer whose certificate bears the name in `from`.
     Frame(&'a Frame),
-    /// Time passed; to be given at least twice in [`Settings::beat`].
+    /// Time passed; to be given at least twice in [`Settings::heartbeat_interval`].
     Tick(Progress),
 }
 
@@ -159,7 +159,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send this heartbeat.
-    Beat {
+    SendHeartbeat {
         /// Addressee.
         to: Id,
         /// Body of the frame.
@@ -190,7 +190,7 @@
         incarnation: Incarnation,
     },
     /// Whether a member hears this process changed.
-    Hearing {
+    HearingChanged {
         /// The member.
         id: Id,
         /// Whether it hears this process.
@@ -199,7 +199,7 @@
     /// The frame must not be handled further.
     Refused(Refusal),
     /// This process was paused for so long. Its view is old: it must not send new work until it
-    /// has folded the log up to its end, or knows of nothing newer from [`crate::Members::fresh`].
+    /// has folded the log up to its end, or knows of nothing newer from [`crate::Members::with_fresh_heartbeat`].
     Paused(Duration),
     /// A peer knows a newer incarnation of this instance: this process was replaced and must stop.
     Superseded(Incarnation),
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -9,7 +9,7 @@
 use crate::Id;
 use crate::list::{self, Mark, View};
 use crate::member::{
-    Input, Member, Output, Outputs, Own, Progress, Refusal, Sender, Settings, State,
+    Input, LocalMember, Member, Output, Outputs, Progress, Refusal, Sender, Settings, State,
 };
 
 /// The entries that this process knows through the instance list and through their frames.
@@ -17,7 +17,7 @@
 /// A member that is gone is kept for a while, so that late frames of its process are refused.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Members {
-    own: Own,
+    own: LocalMember,
     settings: Settings,
     members: BTreeMap<Id, Member>,
     started: Moment,
@@ -29,7 +29,7 @@
 
 impl Members {
     /// A membership that knows nobody yet.
-    pub fn new(own: Own, settings: Settings, now: Moment) -> Self {
+    pub fn new(own: LocalMember, settings: Settings, now: Moment) -> Self {
         Self {
             own,
             settings,
@@ -66,7 +66,7 @@
     }
 
     /// This process.
-    pub fn own(&self) -> &Own {
+    pub fn local(&self) -> &LocalMember {
         &self.own
     }
 
@@ -111,7 +111,7 @@
             .filter(|member| member.listed == Some(Mark::Live))
             .all(|member| member.echoed_at.is_some());
         let known = self.members.values().any(|member| member.listed.is_some());
-        (known && heard_by_all) || now.saturating_sub(self.started) >= self.settings.lag
+        (known && heard_by_all) || now.saturating_sub(self.started) >= self.settings.list_lag
     }
 
     /// The members whose newest heartbeat was certainly sent after this process started, or was
@@ -120,7 +120,7 @@
     /// Symptom when any heartbeat is taken for news: a process that is continued after a minute
     /// reads one that waited in its socket since the pause began, finds nothing newer in it than
     /// what it knows, and sends work to an upstream that was closed meanwhile.
-    pub fn fresh(&self) -> impl Iterator<Item = &Member> {
+    pub fn with_fresh_heartbeat(&self) -> impl Iterator<Item = &Member> {
         let since = millis(self.listening_since);
         self.members.values().filter(move |member| {
             let echoed = member.echoed_at.map(millis);
@@ -135,7 +135,7 @@
     fn notice_pause(&mut self, now: Moment) -> Outputs {
         let gap = now.saturating_sub(self.ticked);
         self.ticked = self.ticked.max(now);
-        if gap < self.settings.pause {
+        if gap < self.settings.pause_threshold {
             return Outputs::new();
         }
         self.listening_since = now;
@@ -195,7 +195,7 @@
             member.state != State::Gone || now.saturating_sub(member.present_at) < forget
         });
         if now >= self.next_beat {
-            self.next_beat = now + self.settings.beat;
+            self.next_beat = now + self.settings.heartbeat_interval;
             self.beat(now, progress, outputs);
         }
     }
@@ -218,7 +218,7 @@
                 sent_ms: millis(now).max(1),
                 echo,
             };
-            outputs.push(Output::Beat {
+            outputs.push(Output::SendHeartbeat {
                 to: member.id.clone(),
                 heartbeat,
             });
@@ -245,7 +245,7 @@
             let hearing = member.judge_hearing(now, self.listening_since, &self.settings);
             if hearing != member.hearing {
                 member.hearing = hearing;
-                outputs.push(Output::Hearing {
+                outputs.push(Output::HearingChanged {
                     id: member.id.clone(),
                     hearing,
                 });
--- a/crates/fleet/src/presence.rs
+++ b/crates/fleet/src/presence.rs
@@ -7,7 +7,9 @@
 
 use crate::Incarnation;
 use crate::list::Mark;
-use crate::member::{Hearing, Member, Output, Outputs, Own, Progress, Refusal, Settings, State};
+use crate::member::{
+    Hearing, LocalMember, Member, Output, Outputs, Progress, Refusal, Settings, State,
+};
 
 /// Kinds of frames of which only the newest counts; see `kind` in [`crate::Members`].
 pub(crate) const KINDS: usize = 4;
@@ -97,7 +99,7 @@
         self.present_at = now;
     }
 
-    pub(crate) fn take_beat(&mut self, own: &Own, beat: &Heartbeat, outputs: &mut Outputs) {
+    pub(crate) fn take_beat(&mut self, own: &LocalMember, beat: &Heartbeat, outputs: &mut Outputs) {
         self.progress = Progress::from(beat);
         self.sent_ms = beat.sent_ms;
         self.data_centre.clone_from(&beat.data_centre);
--- a/crates/fleet/src/upstream.rs
+++ b/crates/fleet/src/upstream.rs
@@ -143,7 +143,7 @@
     },
     /// Health would eject the upstream, but too many of its pool are ejected already. Operators
     /// see it as a warning: the pool as a whole is at fault.
-    Withheld {
+    EjectionWithheld {
         /// The upstream.
         id: Id,
     },
--- a/crates/fleet/src/upstreams.rs
+++ b/crates/fleet/src/upstreams.rs
@@ -189,8 +189,8 @@
             .filter(in_use)
             .filter(|upstream| upstream.health.ejected())
             .count();
-        if (ejected + 1) as f64 > size as f64 * self.settings.fraction {
-            outputs.push(Output::Withheld { id: id.to_owned() });
+        if (ejected + 1) as f64 > size as f64 * self.settings.max_ejected_fraction {
+            outputs.push(Output::EjectionWithheld { id: id.to_owned() });
             return;
         }
         if let Some(upstream) = self.upstreams.get_mut(id) {
@@ -233,7 +233,7 @@
     fn slow(&self) -> Vec<Id> {
         let mut paces: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for upstream in self.upstreams.values().filter(|one| one.takes_work()) {
-            if let Some(pace) = upstream.health.pace(&self.settings) {
+            if let Some(pace) = upstream.health.smoothed_ttfb(&self.settings) {
                 paces.entry(&upstream.pool).or_default().push(pace);
             }
         }
--- a/crates/fleet/tests/drain.rs
+++ b/crates/fleet/tests/drain.rs
@@ -5,8 +5,8 @@
 mod support;
 
 use fleet::Drain;
-use fleet::drain::{Settings, Wait};
-use fleet::member::{Own, Sender};
+use fleet::drain::{Blocker, Settings};
+use fleet::member::{LocalMember, Sender};
 use support::{confirm, s};
 
 fn sender(id: &str, incarnation: Option<u64>) -> Sender {
@@ -23,8 +23,8 @@
 }
 
 fn waits(drain: &Drain, senders: &[Sender]) -> Vec<String> {
-    let waits = drain.waits(s(20), 31, senders).unwrap();
-    waits.iter().map(Wait::to_string).collect()
+    let waits = drain.blockers(s(20), 31, senders).unwrap();
+    waits.iter().map(Blocker::to_string).collect()
 }
 
 #[test]
@@ -43,18 +43,18 @@
     assert!(waits(&drain, &senders).is_empty());
     let status = drain.status(s(20), &senders);
     assert_eq!(status[0].confirmed.len(), 3);
-    assert!(status[0].waits.is_empty());
+    assert!(status[0].blockers.is_empty());
 }
 
 #[test]
 fn it_settles_before_it_acts() {
     let drain = drain();
     assert_eq!(
-        drain.waits(s(11), 31, &[]).unwrap(),
-        [Wait::Settle { left: s(1) }]
+        drain.blockers(s(11), 31, &[]).unwrap(),
+        [Blocker::Settle { left: s(1) }]
     );
-    assert!(drain.waits(s(12), 31, &[]).unwrap().is_empty());
-    assert_eq!(drain.waits(s(12), 32, &[]), None);
+    assert!(drain.blockers(s(12), 31, &[]).unwrap().is_empty());
+    assert_eq!(drain.blockers(s(12), 32, &[]), None);
 }
 
 // Symptom: an order acts while a process that never heard of it sends to the engine.
@@ -99,7 +99,7 @@
     drain.confirm(&confirm("a", 1, 1, 30, 0));
     drain.confirm(&confirm("a", 1, 2, 32, 0));
     assert_eq!(waits(&drain, &[sender("a", Some(1))]), ["a to confirm"]);
-    let other = drain.waits(s(20), 32, &[sender("a", Some(1))]).unwrap();
+    let other = drain.blockers(s(20), 32, &[sender("a", Some(1))]).unwrap();
     assert_eq!(other.len(), 1);
 }
 
@@ -108,16 +108,16 @@
     let mut drain = drain();
     drain.begin(s(11), 32, "engine-2");
     drain.begin(s(19), 31, "engine-1");
-    let owed = drain.owed(|upstream| u32::from(upstream == "engine-2"));
+    let owed = drain.due_confirmations(|upstream| u32::from(upstream == "engine-2"));
     let owed: Vec<_> = owed.iter().map(|one| (one.order, one.open)).collect();
     assert_eq!(owed, [(31, 0), (32, 1)]);
-    let own = Own {
+    let own = LocalMember {
         id: "own".to_owned(),
         incarnation: 4,
         data_centre: String::new(),
     };
-    for confirm in drain.owed(|_| 0) {
-        drain.confirm_own(&own, &confirm);
+    for confirm in drain.due_confirmations(|_| 0) {
+        drain.confirm_local(&own, &confirm);
     }
     assert!(waits(&drain, &[sender("own", Some(4))]).is_empty());
     drain.end(31);
--- a/crates/fleet/tests/list.rs
+++ b/crates/fleet/tests/list.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use fleet::list::{Kind, Listing, Reading, Settings, View};
+use fleet::list::{Kind, Listing, ReadOutcome, Settings, View};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use support::{listing, s, view};
@@ -20,14 +20,14 @@
             version: 100 + second,
             instances: Vec::new(),
         };
-        assert_eq!(view.read(s(second), empty), Reading::Doubted);
+        assert_eq!(view.read(s(second), empty), ReadOutcome::Doubted);
     }
     assert_eq!(view.iter().count(), 2);
     assert_eq!(view.read_at(), Some(s(0)));
     let mut unread = View::default();
     assert_eq!(
         unread.read(s(0), listing(1, Kind::Engine, &[])),
-        Reading::Doubted
+        ReadOutcome::Doubted
     );
     assert_eq!(unread.read_at(), None);
 }
@@ -37,7 +37,7 @@
     let mut view = view(Kind::Engine, &["a", "b", "c"]);
     view.read(s(1), listing(3, Kind::Engine, &["a", "b"]));
     let old = listing(2, Kind::Engine, &["a", "b", "c"]);
-    assert_eq!(view.read(s(2), old), Reading::Outdated);
+    assert_eq!(view.read(s(2), old), ReadOutcome::Outdated);
     assert!(view.get("c").is_none());
 }
 
@@ -49,8 +49,8 @@
     let mut view = View::default();
     view.read(s(0), listing(50, Kind::Engine, &["a", "b"]));
     let restarted = || listing(1, Kind::Engine, &["a", "b", "c"]);
-    assert_eq!(view.read(s(1), restarted()), Reading::Outdated);
-    let held = s(1) + Settings::default().hold;
+    assert_eq!(view.read(s(1), restarted()), ReadOutcome::Outdated);
+    let held = s(1) + Settings::default().accept_after;
     view.read(held, restarted());
     assert!(view.get("c").is_some());
 }
@@ -59,14 +59,14 @@
 fn losing_more_than_half_at_once_is_doubted_first() {
     let mut view = view(Kind::Engine, &["a", "b", "c", "d"]);
     let few = || listing(2, Kind::Engine, &["a"]);
-    assert_eq!(view.read(s(1), few()), Reading::Doubted);
+    assert_eq!(view.read(s(1), few()), ReadOutcome::Doubted);
     assert_eq!(view.iter().count(), 4);
     // One believable answer in between starts the doubt anew.
     view.read(s(20), listing(2, Kind::Engine, &["a", "b", "c"]));
     view.read(s(21), listing(3, Kind::Engine, &["a", "b", "c"]));
     assert_eq!(
         view.read(s(40), listing(4, Kind::Engine, &["a"])),
-        Reading::Doubted
+        ReadOutcome::Doubted
     );
     view.read(s(70), listing(4, Kind::Engine, &["a"]));
     assert_eq!(view.iter().count(), 1);
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -10,7 +10,7 @@
 use fleet::Members;
 use fleet::list::{Kind, Mark, View};
 use fleet::member::{
-    Hearing, Input, Output, Outputs, Own, Progress, Refusal, Sender, Settings, State,
+    Hearing, Input, LocalMember, Output, Outputs, Progress, Refusal, Sender, Settings, State,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -19,7 +19,7 @@
 const OWN: u64 = 100;
 
 fn members() -> Members {
-    let own = Own {
+    let own = LocalMember {
         id: "own".to_owned(),
         incarnation: OWN,
         data_centre: "callao".to_owned(),
@@ -147,7 +147,7 @@
 #[test]
 fn only_an_echo_of_a_later_heartbeat_proves_that_news_is_fresh() {
     let mut members = members();
-    let fresh = |members: &Members| members.fresh().count();
+    let fresh = |members: &Members| members.with_fresh_heartbeat().count();
     members.step(s(1), Input::Frame(&echo("a", 1, OWN, s(1))));
     assert_eq!(fresh(&members), 1);
     let outputs = tick(&mut members, s(61));
@@ -196,7 +196,7 @@
     assert!(!members.may_serve(s(1)));
     members.step(s(1), Input::Frame(&echo("b", 1, OWN, s(1))));
     assert!(members.may_serve(s(1)));
-    assert!(self::members().may_serve(Settings::default().lag));
+    assert!(self::members().may_serve(Settings::default().list_lag));
 }
 
 // Symptom: of two entries one is stopped, and the other refuses all callers.
@@ -225,7 +225,7 @@
     let beats: Vec<_> = outputs
         .iter()
         .filter_map(|one| match one {
-            Output::Beat { to, heartbeat } => Some((to.as_str(), heartbeat.echo)),
+            Output::SendHeartbeat { to, heartbeat } => Some((to.as_str(), heartbeat.echo)),
             _ => None,
         })
         .collect();
--- a/crates/fleet/tests/upstreams.rs
+++ b/crates/fleet/tests/upstreams.rs
@@ -162,7 +162,7 @@
     let mut withheld = 0;
     for id in ids(18) {
         let outputs = fail(&mut upstreams, s(1), &id, 5);
-        let is_withheld = |one: &&Output| matches!(one, Output::Withheld { .. });
+        let is_withheld = |one: &&Output| matches!(one, Output::EjectionWithheld { .. });
         withheld += outputs.iter().filter(is_withheld).count();
     }
     assert_eq!(upstreams.live(s(1), "pool").count(), 12);
--- a/crates/peer/tests/partition.rs
+++ b/crates/peer/tests/partition.rs
@@ -11,7 +11,7 @@
 
 use fleet::Members;
 use fleet::list::{Instance, Kind, Listing, Mark, View};
-use fleet::member::{Hearing, Input, Output, Own, Progress, Settings, State};
+use fleet::member::{Hearing, Input, LocalMember, Output, Progress, Settings, State};
 use peer::Event;
 use peer::config::{Direction, Fault};
 use peer::issue::Authority;
@@ -46,7 +46,7 @@
                     Lost::Both => true,
                 }
         });
-        let own = Own {
+        let own = LocalMember {
             id: id.to_owned(),
             incarnation: 1,
             data_centre: "callao".to_owned(),
@@ -64,7 +64,7 @@
     fn send(&mut self, now: Duration) {
         for output in self.members.step(now, Input::Tick(Progress::default())) {
             match output {
-                Output::Beat { to, heartbeat } => {
+                Output::SendHeartbeat { to, heartbeat } => {
                     self.process
                         .mesh
                         .send(&to, Body::Heartbeat(heartbeat))
