--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -9,7 +9,7 @@
 use actix_http::uri::PathAndQuery;
 use actix_http::{RequestHead, ResponseHead, StatusCode};
 use adapter::ingress::{self, Call};
-use adapter::upstream::{self, Caller, Reply, Sending};
+use adapter::upstream::{self, CallerIdentity, Reply, RequestOptions};
 use bytes::Bytes;
 use http1::{Arrival, Client, Failure, Framing};
 use serving::engine::{Rank, Record};
@@ -67,7 +67,7 @@
         let Some(organisations) = &table.organisations else {
             return Some(Self::Anyone);
         };
-        let holder = ingress::key(head).and_then(|key| organisations.holder(key));
+        let holder = ingress::api_key(head).and_then(|key| organisations.holder(key));
         match holder {
             Some(organisation) => Some(Self::Of(organisation.clone())),
             None => route.public.then_some(Self::Unnamed),
@@ -88,11 +88,11 @@
             .map_or("", |organisation| &organisation.name)
     }
 
-    fn as_caller(&self) -> Caller<'_> {
+    fn as_caller(&self) -> CallerIdentity<'_> {
         match self {
-            Self::Anyone => Caller::Anyone,
-            Self::Unnamed => Caller::Unnamed,
-            Self::Of(organisation) => Caller::Of(&organisation.name),
+            Self::Anyone => CallerIdentity::NoOrganisations,
+            Self::Unnamed => CallerIdentity::Anonymous,
+            Self::Of(organisation) => CallerIdentity::Organisation(&organisation.name),
         }
     }
 }
@@ -139,11 +139,11 @@
         caller: IpAddr,
     ) -> Result<Self, Unserved> {
         let configuration = instance.table().map_or(0, |table| table.version);
-        let call = ingress::call(&arrival.head).map_err(|finding| Unserved {
+        let call = ingress::parse_call(&arrival.head).map_err(|finding| Unserved {
             status: StatusCode::BAD_REQUEST,
             id: None,
             after: None,
-            detail: finding.text(),
+            detail: finding.message(),
             configuration,
         })?;
         let unserved = |status, after, detail| Unserved {
@@ -221,7 +221,7 @@
             let authorization = self.head.headers.get(AUTHORIZATION);
             fingerprint::of(&fingerprint::Request {
                 credentials: [
-                    ingress::key(&self.head).unwrap_or_default(),
+                    ingress::api_key(&self.head).unwrap_or_default(),
                     authorization.map_or(b"", HeaderValue::as_bytes),
                 ],
                 method: self.head.method.as_str(),
@@ -372,7 +372,7 @@
     instance: &Instance,
     asked: &Asked,
     engine: &Record,
-    sending: &Sending<'_>,
+    sending: &RequestOptions<'_>,
 ) -> Tried {
     let client = match instance.pool.take(instance, engine).await {
         Ok(client) => client,
@@ -381,11 +381,11 @@
             return Tried::NotRun(NotRun::Unreachable);
         }
     };
-    let sending = Sending {
+    let sending = RequestOptions {
         caller: asked.principal.as_caller(),
         ..*sending
     };
-    let head = upstream::request(&asked.head, &sending);
+    let head = upstream::request_head(&asked.head, &sending);
     // Engines of plain calls begin what they get; those of streams, with the first event.
     let (sent, sent_at) = (instance.unix(), instance.now());
     let is_plain = !asked.route.kind.is_stream();
@@ -431,8 +431,8 @@
 ) -> Result<Answered, Failure> {
     let mut answer = client.send(head, &asked.body).await?;
     for _ in 0..FOREIGN {
-        let reply = upstream::reply(&answer.head, &asked.call.id, instance);
-        if !reply.other {
+        let reply = upstream::parse_reply(&answer.head, &asked.call.id, instance);
+        if !reply.names_other_request {
             return Ok(Answered {
                 head: answer.head,
                 reply,
--- a/crates/gateway/src/claim_log.rs
+++ b/crates/gateway/src/claim_log.rs
@@ -3,7 +3,7 @@
 
 use std::cell::{Cell, RefCell, RefMut};
 
-use adapter::orders::Numbers;
+use adapter::orders::EngineCounts;
 use clock::Moment;
 use serving::turn::Fence;
 use wire::gateway;
@@ -33,7 +33,7 @@
             return;
         }
         self.announced.set(Some(fence));
-        let numbers: Vec<Numbers> = numbers.iter().map(decode).collect();
+        let numbers: Vec<EngineCounts> = numbers.iter().map(decode).collect();
         self.sizes.borrow_mut().adopt(&numbers, now);
     }
 
@@ -64,7 +64,7 @@
     }
 }
 
-fn encode(numbers: Numbers) -> gateway::Numbers {
+fn encode(numbers: EngineCounts) -> gateway::Numbers {
     gateway::Numbers {
         service: numbers.service,
         zone: numbers.zone,
@@ -74,8 +74,8 @@
     }
 }
 
-fn decode(numbers: &gateway::Numbers) -> Numbers {
-    Numbers {
+fn decode(numbers: &gateway::Numbers) -> EngineCounts {
+    EngineCounts {
         service: numbers.service.clone(),
         zone: numbers.zone.clone(),
         found: numbers.found,
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -3,8 +3,10 @@
 use std::fmt;
 use std::time::Duration;
 
-use adapter::orders::{self, CLAIM, CLAIMS, Numbers, WISHES, Wishes};
-use adapter::store::{self, Era, Keyed, Offset, Store, Trouble};
+use adapter::orders::{
+    self, CLAIM_KEY, CLAIMS_TOPIC, EngineCounts, OVERRIDES_KEY, ScalingOverrides,
+};
+use adapter::store::{self, Era, KeyedRecord, Offset, Store, StoreError};
 use clock::{Clock as _, Moment, System};
 use serving::turn::{self, Fence, Turns};
 use serving::usage::Report;
@@ -15,7 +17,7 @@
     /// Another instance did a moment ago.
     NotOurTurn,
     /// The store did not carry the claim out, or may have.
-    Store(Trouble),
+    Store(StoreError),
     /// Another claim came first.
     Overtaken,
 }
@@ -30,10 +32,10 @@
     }
 }
 
-impl From<Trouble> for Denied {
-    fn from(trouble: Trouble) -> Self {
+impl From<StoreError> for Denied {
+    fn from(trouble: StoreError) -> Self {
         match trouble {
-            Trouble::Moved(_) => Self::Overtaken,
+            StoreError::EndMismatch(_) => Self::Overtaken,
             other => Self::Store(other),
         }
     }
@@ -60,9 +62,9 @@
     /// Reports that are fixed in the newest claim; missing where it cannot be read.
     pub(crate) reports: Option<Vec<Report>>,
     /// Numbers of engines that others ordered last.
-    pub(crate) numbers: Vec<Numbers>,
+    pub(crate) numbers: Vec<EngineCounts>,
     /// What operators wish.
-    pub(crate) wishes: Wishes,
+    pub(crate) wishes: ScalingOverrides,
 }
 
 /// This instance's part in the log of claims.
@@ -110,10 +112,10 @@
 
     /// Reads the newest claim, and looks whether this instance may claim after it.
     pub(crate) async fn read(&mut self) -> Result<Standing, Denied> {
-        let newest = self.store.newest(CLAIMS).await?;
-        let record = newest.records.iter().find(|record| record.key == CLAIM);
+        let newest = self.store.newest(CLAIMS_TOPIC).await?;
+        let record = newest.records.iter().find(|record| record.key == CLAIM_KEY);
         let value = record.and_then(|record| record.value.as_ref());
-        let held = value.and_then(|value| match orders::Claim::read(value) {
+        let held = value.and_then(|value| match orders::Claim::from_bytes(value) {
             Ok(claim) => Some(claim),
             Err(error) => {
                 log::error!(error:% = error; "a claim cannot be read; it counts as another instance's");
@@ -150,7 +152,7 @@
         &mut self,
         standing: &Standing,
         reports: &[Report],
-        numbers: Vec<Numbers>,
+        numbers: Vec<EngineCounts>,
     ) -> Result<Grant, Denied> {
         let until = self.clock.now_boottime() + turn::ORDERS;
         let claim = orders::Claim {
@@ -159,9 +161,12 @@
             reports: reports.iter().map(Into::into).collect(),
             numbers,
         };
-        let value = claim.bytes();
+        let value = claim.to_bytes();
         let at = Some(standing.end);
-        let offset = self.store.append(CLAIMS, CLAIM, &value, at).await?;
+        let offset = self
+            .store
+            .append(CLAIMS_TOPIC, CLAIM_KEY, &value, at)
+            .await?;
         let fence = fence(offset);
         log::info!(fence = fence, reports = reports.len(); "may give orders");
         Ok(Grant { fence, until })
@@ -169,16 +174,16 @@
 }
 
 /// What operators wish, as the log of claims has it.
-pub(crate) fn wishes(records: &[Keyed]) -> Wishes {
-    let record = records.iter().find(|record| record.key == WISHES);
+pub(crate) fn wishes(records: &[KeyedRecord]) -> ScalingOverrides {
+    let record = records.iter().find(|record| record.key == OVERRIDES_KEY);
     let Some(value) = record.and_then(|record| record.value.as_ref()) else {
-        return Wishes::default();
+        return ScalingOverrides::default();
     };
-    Wishes::read(value).unwrap_or_else(|error| {
+    ScalingOverrides::from_bytes(value).unwrap_or_else(|error| {
         log::error!(error:% = error; "what operators wish cannot be read; no engines are ordered");
-        Wishes {
+        ScalingOverrides {
             held: true,
-            ..Wishes::default()
+            ..ScalingOverrides::default()
         }
     })
 }
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use adapter::orders::Fixed;
+use adapter::orders::FixedCount;
 use adapter::settings::{self, Settings};
 use clap::{Parser, Subcommand};
 use serving::fingerprint::Fingerprint;
@@ -136,7 +136,7 @@
                 reclaimable,
                 settings,
             } => operate(settings, async |settings| {
-                let fixed = Fixed {
+                let fixed = FixedCount {
                     service,
                     zone,
                     reclaimable,
@@ -192,7 +192,7 @@
 
 fn check(path: PathBuf) -> ExitCode {
     if let Ok(text) = std::fs::read_to_string(&path) {
-        for name in settings::unknown(&text) {
+        for name in settings::unknown_names(&text) {
             println!("{name}: is not known, and passed over");
         }
     }
--- a/crates/gateway/src/discover.rs
+++ b/crates/gateway/src/discover.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::records::INSTANCES;
-use adapter::store::{Keyed, Offset, Store, Trouble};
+use adapter::records::INSTANCES_TOPIC;
+use adapter::store::{KeyedRecord, Offset, Store, StoreError};
 use serving::hash;
 use tokio::time::{sleep, timeout};
 
@@ -31,7 +31,7 @@
         let read = match next {
             None => register_and_read(&mut store, &instance, may_be_first).await,
             Some(from) => store
-                .read(INSTANCES, from, Duration::ZERO)
+                .read(INSTANCES_TOPIC, from, Duration::ZERO)
                 .await
                 .map(|batch| (batch.records, batch.next)),
         };
@@ -50,7 +50,7 @@
             }
             Err(trouble) => {
                 log::debug!(trouble:% = trouble; "the other instances cannot be read");
-                if matches!(trouble, Trouble::Dropped(_)) {
+                if matches!(trouble, StoreError::OffsetOutOfRange(_)) {
                     next = None;
                 }
                 sleep(RETRY).await;
@@ -59,7 +59,7 @@
     }
 }
 
-fn add_all(instance: &Instance, records: &[Keyed]) {
+fn add_all(instance: &Instance, records: &[KeyedRecord]) {
     let mut peers = instance.peers.borrow_mut();
     let others = records
         .iter()
@@ -104,13 +104,13 @@
     store: &mut Store,
     instance: &Instance,
     may_be_first: bool,
-) -> Result<(Vec<Keyed>, Offset), Trouble> {
+) -> Result<(Vec<KeyedRecord>, Offset), StoreError> {
     let key = instance.address.to_string();
     let order = instance.order();
     let value = format!("{} {} {order}", instance.address, instance.zone);
     // Nobody is registered then.
     if !may_be_first {
-        let newest = store.newest(INSTANCES).await?;
+        let newest = store.newest(INSTANCES_TOPIC).await?;
         let own = newest.records.iter().find(|record| record.key == key);
         if own.is_some_and(|own| own.value.as_deref() == Some(value.as_bytes())) {
             return Ok((newest.records, newest.end));
@@ -118,8 +118,8 @@
         add_all(instance, &newest.records);
     }
     store
-        .append(INSTANCES, &key, value.as_bytes(), None)
+        .append(INSTANCES_TOPIC, &key, value.as_bytes(), None)
         .await?;
-    let newest = store.newest(INSTANCES).await?;
+    let newest = store.newest(INSTANCES_TOPIC).await?;
     Ok((newest.records, newest.end))
 }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::duties::{Answer, Size};
+use adapter::duties::{Answer, EngineTarget};
 use adapter::settings;
 use adapter::store::Store;
 use clock::Moment;
@@ -246,11 +246,11 @@
     }
 }
 
-fn plan_sizes(instance: &Instance) -> Vec<(Size, Why)> {
+fn plan_sizes(instance: &Instance) -> Vec<(EngineTarget, Why)> {
     let duties = instance.settings.borrow().duties;
     let table = instance
         .table()
-        .filter(|_| duties.is_some_and(|duties| duties.scales));
+        .filter(|_| duties.is_some_and(|duties| duties.scaling));
     table.map_or_else(Vec::new, |table| {
         let fleet = instance.fleet.borrow();
         instance
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use adapter::records;
-use adapter::store::{self, Keyed, Offset, Store, Trouble};
+use adapter::store::{self, KeyedRecord, Offset, Store, StoreError};
 use serving::registry::{Change, Registry};
 use serving::watch::{self, Watch};
 use serving::{Fleet, Record};
@@ -62,8 +62,8 @@
 
 /// What one read gave.
 enum Read {
-    All(Vec<Keyed>),
-    More(Vec<Keyed>),
+    All(Vec<KeyedRecord>),
+    More(Vec<KeyedRecord>),
 }
 
 impl Reader {
@@ -85,8 +85,8 @@
 
     fn name(&self) -> &'static str {
         match self.topic {
-            Topic::Configuration => records::OPERATOR,
-            Topic::Engines => records::ENGINES,
+            Topic::Configuration => records::OPERATOR_TOPIC,
+            Topic::Engines => records::ENGINES_TOPIC,
         }
     }
 
@@ -101,7 +101,7 @@
                     self.succeeded();
                     return read;
                 }
-                Err(Trouble::Dropped(first)) => {
+                Err(StoreError::OffsetOutOfRange(first)) => {
                     log::info!(topic = self.name(), first = first; "records were dropped, reading all");
                     self.next = None;
                 }
@@ -147,7 +147,7 @@
         self.watch.is_due(order, rank, others, own, now)
     }
 
-    async fn once(&mut self) -> Result<Read, Trouble> {
+    async fn once(&mut self) -> Result<Read, StoreError> {
         let name = self.name();
         let Some(from) = self.next else {
             let newest = self.store.newest(name).await?;
@@ -172,7 +172,7 @@
         }
     }
 
-    fn failed(&mut self, trouble: &Trouble) {
+    fn failed(&mut self, trouble: &StoreError) {
         self.instance.metrics.store_failed();
         // Others must not rely on this instance while it cannot read.
         self.instance.last_read(self.topic).set(None);
@@ -202,16 +202,16 @@
 }
 
 /// A record of the operator as it may be kept and told: keys of organisations are secret. Nothing if it cannot be read.
-fn sealed(record: Keyed) -> Option<Keyed> {
+fn sealed(record: KeyedRecord) -> Option<KeyedRecord> {
     let Some(value) = record
         .value
         .as_ref()
-        .filter(|_| record.key == records::CONFIGURATION)
+        .filter(|_| record.key == records::CONFIGURATION_KEY)
     else {
         return Some(record);
     };
-    match records::seal(value, &rand::random()) {
-        Ok(value) => Some(Keyed {
+    match records::digest_keys(value, &rand::random()) {
+        Ok(value) => Some(KeyedRecord {
             value: Some(value.into()),
             ..record
         }),
@@ -223,7 +223,7 @@
 }
 
 /// Applies a record of the store that a peer forwards.
-pub(crate) fn apply_update(instance: &Instance, topic: Topic, record: &Keyed) {
+pub(crate) fn apply_update(instance: &Instance, topic: Topic, record: &KeyedRecord) {
     instance.on_era(store::era(record.offset));
     match topic {
         Topic::Configuration => {
@@ -237,7 +237,7 @@
     }
 }
 
-fn news(topic: Topic, record: &Keyed) -> News {
+fn news(topic: Topic, record: &KeyedRecord) -> News {
     News {
         configuration: topic == Topic::Configuration,
         offset: record.offset,
@@ -250,7 +250,7 @@
 ///
 /// Where another reader comes before this one, that one tells. It may lose the store before it has read the record; then
 /// all others would find themselves behind, and read. So the record is told a little later if that one does not know it by then.
-fn tell(instance: &Instance, topic: Topic, record: &Keyed) {
+fn tell(instance: &Instance, topic: Topic, record: &KeyedRecord) {
     let news = news(topic, record);
     let now = instance.now();
     let upto = match topic {
@@ -267,15 +267,15 @@
     instance.stirred.notify_one();
 }
 
-fn take_configuration(instance: &Instance, record: &Keyed, source: &str) -> bool {
-    if record.key != records::CONFIGURATION {
+fn take_configuration(instance: &Instance, record: &KeyedRecord, source: &str) -> bool {
+    if record.key != records::CONFIGURATION_KEY {
         return false;
     }
     let Some(value) = &record.value else {
         log::error!(offset = record.offset; "the configuration was dropped, the one in force stays");
         return false;
     };
-    match records::table(value) {
+    match records::parse_table(value) {
         Ok(table) => {
             let is_new = instance.configure(table, source);
             if is_new {
@@ -305,7 +305,7 @@
     }
 }
 
-fn take_more(instance: &Instance, registry: &mut Registry, records: &[Keyed]) {
+fn take_more(instance: &Instance, registry: &mut Registry, records: &[KeyedRecord]) {
     for record in records {
         if take_engine(instance, registry, record) {
             tell(instance, Topic::Engines, record);
@@ -313,7 +313,7 @@
     }
 }
 
-fn take_all(instance: &Instance, registry: &mut Registry, records: &[Keyed]) {
+fn take_all(instance: &Instance, registry: &mut Registry, records: &[KeyedRecord]) {
     let mut kept = instance.snapshot.borrow_mut();
     kept.clear_engines();
     for record in records {
@@ -334,7 +334,7 @@
 }
 
 /// Takes in an engine's record. Says whether it changed something.
-fn take_engine(instance: &Instance, registry: &mut Registry, record: &Keyed) -> bool {
+fn take_engine(instance: &Instance, registry: &mut Registry, record: &KeyedRecord) -> bool {
     if !registry.is_news(&record.key, record.offset) {
         return false;
     }
@@ -370,9 +370,9 @@
 }
 
 /// The engine that a record names. One that names none is told of once, however often it is read.
-fn engine(fleet: &mut Fleet, registry: &mut Registry, record: &Keyed) -> Option<Record> {
+fn engine(fleet: &mut Fleet, registry: &mut Registry, record: &KeyedRecord) -> Option<Record> {
     let value = record.value.as_ref()?;
-    match records::engine(&record.key, value) {
+    match records::parse_engine(&record.key, value) {
         Ok(engine) => Some(engine),
         Err(error) => {
             if registry.unreadable(fleet, &record.key) {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -135,7 +135,7 @@
         // What is begun now may not be finished in the time that is left.
         let refusal = Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
-            id: adapter::ingress::id(&arrival.head),
+            id: adapter::ingress::request_id(&arrival.head),
             after: Some(CLOSING_AFTER),
             detail: "The instance is about to end.",
             ran: false,
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::upstream::{self, Memory, Sending};
+use adapter::upstream::{self, KvLocation, RequestOptions};
 use http1::Writer;
 use serving::engine::Record;
 use serving::health::Outcome;
@@ -62,7 +62,7 @@
         Done::Whole(_) => true,
         Done::Broken(_) => false,
         Done::Unserved(End::Answer(finished, body)) => {
-            let head = adapter::ingress::answer(&finished.head, close);
+            let head = adapter::ingress::relayed_head(&finished.head, close);
             writer.whole(head, body).await.is_ok()
         }
         Done::Unserved(end) => refuse_end(asked, &end, writer, close).await,
@@ -248,13 +248,13 @@
         };
         self.note_parts(target);
         let mut held = Held::new(self.instance, self.asked, target, Step::Read);
-        let sending = Sending {
+        let sending = RequestOptions {
             instance: &engine.name,
-            left: self.asked.left(),
+            remaining: self.asked.left(),
             priority: Some(target.rank),
-            prefill: true,
-            fetch: placement::address(self.instance, target.fetch.as_ref()),
-            ..Sending::default()
+            prefill_only: true,
+            fetch_from: placement::address(self.instance, target.fetch.as_ref()),
+            ..RequestOptions::default()
         };
         let answered = match attempt::send(self.instance, self.asked, &engine, &sending).await {
             Tried::Answer(answered) => answered,
@@ -284,15 +284,15 @@
             crashes::broke_off(self.instance, self.asked, &engine).await;
         }
         let read = body.ok().filter(|_| reply.is_success());
-        let Some(read) = read.and_then(|body| upstream::prompt_read(&body)) else {
+        let Some(read) = read.and_then(|body| upstream::parse_prefill_result(&body)) else {
             held.note(Outcome::Failed);
             return Prompt::Lost;
         };
         held.first("read");
         held.note(Outcome::Good);
         attempt::give(self.instance, &engine.id, client, &reply);
-        self.weights = self.weights.or(read.weights);
-        let memory = Memory {
+        self.weights = self.weights.or(read.weight_version);
+        let memory = KvLocation {
             address: engine.address,
             handle: read.handle,
         };
@@ -320,15 +320,15 @@
             None => Step::Generate,
         };
         let mut held = Held::new(self.instance, self.asked, target, step);
-        let sending = Sending {
+        let sending = RequestOptions {
             instance: &engine.name,
-            left: self.asked.left(),
+            remaining: self.asked.left(),
             priority: Some(target.rank),
-            memory: memory.map(|guard| &guard.memory),
+            kv_source: memory.map(|guard| &guard.memory),
             resume_after: self.relay.last(),
-            fetch: placement::address(self.instance, target.fetch.as_ref()),
-            weights: self.weights,
-            ..Sending::default()
+            fetch_from: placement::address(self.instance, target.fetch.as_ref()),
+            weight_version: self.weights,
+            ..RequestOptions::default()
         };
         self.sent.set(true);
         let tried = attempt::send(self.instance, self.asked, &engine, &sending).await;
@@ -382,7 +382,7 @@
             self.avoid.push(engine.id.clone());
             return self.lost("The engine's answer is not its own.");
         }
-        self.weights = self.weights.or(reply.weights);
+        self.weights = self.weights.or(reply.weight_version);
         match self.relay.pass(&mut answered, &held).await {
             relay::End::Whole => {
                 held.note(Outcome::Good);
@@ -464,7 +464,7 @@
 }
 
 enum Prompt {
-    Read(Memory, Zone),
+    Read(KvLocation, Zone),
     Rejected,
     Lost,
 }
--- a/crates/gateway/src/generate/memory.rs
+++ b/crates/gateway/src/generate/memory.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use adapter::upstream::{self, Memory};
+use adapter::upstream::{self, KvLocation};
 use bytes::Bytes;
 use http1::{Client, Patience};
 use serving::EngineId;
@@ -20,12 +20,12 @@
 pub(super) struct Guard {
     instance: Rc<Instance>,
     holder: EngineId,
-    pub(super) memory: Memory,
+    pub(super) memory: KvLocation,
     taken: Cell<bool>,
 }
 
 impl Guard {
-    pub(super) fn new(instance: &Rc<Instance>, holder: EngineId, memory: Memory) -> Self {
+    pub(super) fn new(instance: &Rc<Instance>, holder: EngineId, memory: KvLocation) -> Self {
         Self {
             instance: instance.clone(),
             holder,
@@ -49,14 +49,14 @@
     }
 }
 
-async fn free(instance: Rc<Instance>, holder: EngineId, memory: Memory) {
+async fn free(instance: Rc<Instance>, holder: EngineId, memory: KvLocation) {
     let patience = Patience::within(FREE);
     let freeing = async {
         let mut client = Client::open(memory.address, &patience, &instance.codec).await?;
-        client.send(upstream::free(&memory), &Bytes::new()).await
+        client.send(upstream::free_kv(&memory), &Bytes::new()).await
     };
     if let Ok(Ok(answer)) = timeout(FREE, freeing).await {
-        limits::note_announced(&instance, &holder, upstream::limit(&answer.head));
+        limits::note_announced(&instance, &holder, upstream::announced_limit(&answer.head));
     } else {
         log::debug!(handle = memory.handle.as_str(); "memory that nobody takes could not be freed, it lapses");
     }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -94,12 +94,12 @@
         let incarnation = rand::random();
         let clock = System::new();
         let started = unix(clock.wall_time());
-        let schedule = settings.duties.and_then(|duties| duties.usage);
+        let schedule = settings.duties.and_then(|duties| duties.usage_schedule);
         Self {
             usage: RefCell::new(schedule.map(|schedule| Ledger::new(schedule, started))),
             claim_log: ClaimLog::default(),
             started,
-            zone: Zone::from(settings.zone.as_str()),
+            zone: Zone::from(settings.data_centre.as_str()),
             incarnation,
             clock,
             codec: http1::config(),
@@ -117,7 +117,7 @@
             snapshot: RefCell::default(),
             is_registered: Cell::new(false),
             must_read: Cell::new(false),
-            budgets: RefCell::new(Budgets::new(settings.bounds.repeats, INSTANCES)),
+            budgets: RefCell::new(Budgets::new(settings.bounds.retry_budget, INSTANCES)),
             usual: RefCell::default(),
             pool: Pool::default(),
             suspects: Suspects::default(),
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use adapter::upstream::{Limit, Reply};
+use adapter::upstream::{AnnouncedLimit, Reply};
 use clock::Moment;
 use serving::place::{Refusal, Target};
 use serving::throttle::{Announcement, Permit, Rate};
@@ -21,22 +21,22 @@
     if reply.is_misdirected() {
         return;
     }
-    match reply.limit {
-        Limit::Rate(_) => note_announced(instance, engine, reply.limit),
-        Limit::Absent if reply.is_success() => {
+    match reply.rate_limit {
+        AnnouncedLimit::Rate(_) => note_announced(instance, engine, reply.rate_limit),
+        AnnouncedLimit::Absent if reply.is_success() => {
             let lifted = Announcement {
                 limit: None,
                 at: sent,
             };
             merge(instance, engine, lifted, "answer");
         }
-        Limit::Absent | Limit::Unreadable => {}
+        AnnouncedLimit::Absent | AnnouncedLimit::Unreadable => {}
     }
 }
 
 /// Takes note of a limit that an answer to any request names. Only answers to calls tell that there is none any more.
-pub(crate) fn note_announced(instance: &Instance, engine: &EngineId, limit: Limit) {
-    if let Limit::Rate(rate) = limit {
+pub(crate) fn note_announced(instance: &Instance, engine: &EngineId, limit: AnnouncedLimit) {
+    if let AnnouncedLimit::Rate(rate) = limit {
         let announcement = Announcement {
             limit: Some(rate),
             at: instance.now(),
--- a/crates/gateway/src/operate.rs
+++ b/crates/gateway/src/operate.rs
@@ -3,10 +3,12 @@
 
 use std::fmt;
 
-use adapter::orders::{CLAIM, CLAIMS, Claim, Fixed, WISHES, Wishes};
-use adapter::records::INSTANCES;
+use adapter::orders::{
+    CLAIM_KEY, CLAIMS_TOPIC, Claim, FixedCount, OVERRIDES_KEY, ScalingOverrides,
+};
+use adapter::records::INSTANCES_TOPIC;
 use adapter::settings::Settings;
-use adapter::store::{Keyed, Store, Trouble};
+use adapter::store::{KeyedRecord, Store, StoreError};
 use clock::{Clock as _, Moment, System};
 use serving::fingerprint::Fingerprint;
 use serving::quarantine::Entry;
@@ -20,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) enum Failure {
     /// The store gave no answer, or refused.
-    Store(Trouble),
+    Store(StoreError),
     /// The store has no such call.
     Unknown,
 }
@@ -34,8 +36,8 @@
     }
 }
 
-impl From<Trouble> for Failure {
-    fn from(trouble: Trouble) -> Self {
+impl From<StoreError> for Failure {
+    fn from(trouble: StoreError) -> Self {
         Self::Store(trouble)
     }
 }
@@ -84,16 +86,16 @@
     };
     let value = released.encode_to_vec();
     store
-        .append(INSTANCES, &trials::key(call), &value, None)
+        .append(INSTANCES_TOPIC, &trials::key(call), &value, None)
         .await?;
     Ok(())
 }
 
 /// A line for each number of engines that was ordered last, and for each that an operator fixed.
 pub(crate) async fn engines(settings: &Settings) -> Result<Vec<String>, Failure> {
-    let newest = store(settings).newest(CLAIMS).await?;
-    let record = newest.records.iter().find(|record| record.key == CLAIM);
-    let claim = record.and_then(|record| Claim::read(record.value.as_ref()?).ok());
+    let newest = store(settings).newest(CLAIMS_TOPIC).await?;
+    let record = newest.records.iter().find(|record| record.key == CLAIM_KEY);
+    let claim = record.and_then(|record| Claim::from_bytes(record.value.as_ref()?).ok());
     let number = |ordered: Option<u32>| ordered.map_or("none".to_owned(), |n| n.to_string());
     let numbers = claim
         .iter()
@@ -132,8 +134,12 @@
 }
 
 /// Fixes a number of engines, or leaves it to the plan again.
-pub(crate) async fn fix(settings: &Settings, fixed: &Fixed, stands: bool) -> Result<(), Failure> {
-    let is_same = |other: &Fixed| {
+pub(crate) async fn fix(
+    settings: &Settings,
+    fixed: &FixedCount,
+    stands: bool,
+) -> Result<(), Failure> {
+    let is_same = |other: &FixedCount| {
         (&other.service, &other.zone, other.reclaimable)
             == (&fixed.service, &fixed.zone, fixed.reclaimable)
     };
@@ -149,14 +155,16 @@
 /// Changes what operators wish, unless another one does at the same moment.
 async fn change_wishes(
     settings: &Settings,
-    change: impl FnOnce(&mut Wishes),
+    change: impl FnOnce(&mut ScalingOverrides),
 ) -> Result<(), Failure> {
     let mut store = store(settings);
-    let newest = store.newest(CLAIMS).await?;
+    let newest = store.newest(CLAIMS_TOPIC).await?;
     let mut wishes = claims::wishes(&newest.records);
     change(&mut wishes);
     let at = Some(newest.end);
-    store.append(CLAIMS, WISHES, &wishes.bytes(), at).await?;
+    store
+        .append(CLAIMS_TOPIC, OVERRIDES_KEY, &wishes.to_bytes(), at)
+        .await?;
     Ok(())
 }
 
@@ -165,11 +173,11 @@
 }
 
 async fn read(store: &mut Store) -> Result<Vec<Known>, Failure> {
-    let newest = store.newest(INSTANCES).await?;
+    let newest = store.newest(INSTANCES_TOPIC).await?;
     Ok(newest.records.iter().filter_map(known).collect())
 }
 
-fn known(record: &Keyed) -> Option<Known> {
+fn known(record: &KeyedRecord) -> Option<Known> {
     trials::call_of(&record.key)?;
     match Suspect::decode(&record.value.as_ref()?[..]) {
         Ok(suspect) => {
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -103,7 +103,7 @@
     let generation = generation.zip(model).map(|(sizes, model)| Generation {
         model,
         prompt: &sizes.prompt,
-        tokens: sizes.tokens,
+        tokens: sizes.prompt_tokens,
     });
     Demand {
         service: &asked.service.name,
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -5,7 +5,7 @@
 
 use actix_http::{ResponseHead, StatusCode};
 use adapter::ingress;
-use adapter::upstream::{Reply, Sending};
+use adapter::upstream::{Reply, RequestOptions};
 use bytes::Bytes;
 use http1::Writer;
 use serving::engine::Record;
@@ -61,7 +61,7 @@
     let close = instance.phase.is_leaving();
     match end {
         End::Answer(answered, body) => {
-            let head = ingress::answer(&answered.head, close);
+            let head = ingress::relayed_head(&answered.head, close);
             writer.whole(head, body).await.is_ok()
         }
         other => refuse_end(asked, &other, writer, close).await,
@@ -221,10 +221,10 @@
         return One::NotRun(NotRun::Unreachable);
     };
     let mut held = Held::new(instance, asked, target, Step::Run);
-    let sending = Sending {
+    let sending = RequestOptions {
         instance: &engine.name,
-        left: asked.left(),
-        ..Sending::default()
+        remaining: asked.left(),
+        ..RequestOptions::default()
     };
     let stuck = Instant::now() + asked.route.target.mul_f64(STUCK);
     let until = if more {
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use adapter::store::{self, Keyed};
+use adapter::store::{self, KeyedRecord};
 use bytes::Bytes;
 use clock::Moment;
 use serving::engine::{Changing, Stage};
@@ -158,7 +158,7 @@
 
 fn on_news(instance: &Instance, news: News) {
     let topic = Topic::of(&news);
-    let record = Keyed {
+    let record = KeyedRecord {
         offset: news.offset,
         key: news.key,
         value: news.value.map(Bytes::from),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -118,7 +118,7 @@
         if self.writer.has_begun() {
             return Ok(());
         }
-        let head = ingress::answer(&answered.head, self.close);
+        let head = ingress::relayed_head(&answered.head, self.close);
         self.writer.head(head, BodySize::Stream).await
     }
 
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -136,12 +136,16 @@
     fence: Fence,
 ) -> Result<Answer, Failure> {
     let holder = instance.address.to_string();
-    let (head, body) = orders::change(engine, change.stage, &holder, fence);
+    let (head, body) = orders::stage_order(engine, change.stage, &holder, fence);
     let mut client = Client::open(engine.address, &ENGINE, &instance.codec).await?;
     limits::charge(instance, &engine.id);
     let answer = client.send(head, &body).await?;
-    limits::note_announced(instance, &engine.id, upstream::limit(&answer.head));
+    limits::note_announced(
+        instance,
+        &engine.id,
+        upstream::announced_limit(&answer.head),
+    );
     let status = answer.head.status.as_u16();
     client.body(MOST).await?;
-    Ok(orders::answer(status))
+    Ok(orders::parse_answer(status))
 }
--- a/crates/gateway/src/sizes.rs
+++ b/crates/gateway/src/sizes.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use adapter::duties::{Answer, Size};
-use adapter::orders::{Numbers, Wishes};
+use adapter::duties::{Answer, EngineTarget};
+use adapter::orders::{EngineCounts, ScalingOverrides};
 use clock::Moment;
 use serving::scaling::{Booked, Order, Planner, Why};
 use serving::{Fleet, ServiceName, Table, Zone};
@@ -12,12 +12,17 @@
 #[derive(Default)]
 pub(crate) struct Sizes {
     planners: BTreeMap<ServiceName, Planner>,
-    wishes: Wishes,
+    wishes: ScalingOverrides,
 }
 
 impl Sizes {
     /// What should be ordered now.
-    pub(crate) fn plan(&mut self, table: &Table, fleet: &Fleet, now: Moment) -> Vec<(Size, Why)> {
+    pub(crate) fn plan(
+        &mut self,
+        table: &Table,
+        fleet: &Fleet,
+        now: Moment,
+    ) -> Vec<(EngineTarget, Why)> {
         if self.wishes.held {
             return Vec::new();
         }
@@ -32,7 +37,7 @@
     }
 
     /// Takes in what operators wish.
-    pub(crate) fn wish(&mut self, wishes: Wishes) {
+    pub(crate) fn wish(&mut self, wishes: ScalingOverrides) {
         if wishes == self.wishes {
             return;
         }
@@ -53,38 +58,38 @@
 
     /// Whether nothing was ordered here or heard of.
     pub(crate) fn is_empty(&self) -> bool {
-        let is_none = |numbers: &Numbers| numbers.firm.or(numbers.reclaimable).is_none();
+        let is_none = |numbers: &EngineCounts| numbers.firm.or(numbers.reclaimable).is_none();
         self.numbers().iter().all(is_none)
     }
 
     /// What was ordered last, and what the deployment started with.
-    pub(crate) fn numbers(&self) -> Vec<Numbers> {
+    pub(crate) fn numbers(&self) -> Vec<EngineCounts> {
         let planners = self.planners.iter();
         let numbers = planners.flat_map(|(service, planner)| {
             let book = planner.book().into_iter();
-            book.map(|booked| Numbers::of(service, &booked))
+            book.map(|booked| EngineCounts::from_booked(service, &booked))
         });
         numbers.collect()
     }
 
     /// Takes in what was ordered by others.
-    pub(crate) fn adopt(&mut self, numbers: &[Numbers], now: Moment) {
+    pub(crate) fn adopt(&mut self, numbers: &[EngineCounts], now: Moment) {
         for some in numbers.chunk_by(|one, next| one.service == next.service) {
             let Some(first) = some.first() else { continue };
             let service = ServiceName::from(first.service.as_str());
             let planner = self.planners.entry(service).or_default();
-            let booked: Vec<Booked> = some.iter().map(Numbers::booked).collect();
+            let booked: Vec<Booked> = some.iter().map(EngineCounts::to_booked).collect();
             planner.adopt(&booked, now);
         }
     }
 
     /// Takes in what came of an order. One that was not answered may be carried out.
-    pub(crate) fn answered(&mut self, size: &Size, answer: Option<Answer>, now: Moment) {
+    pub(crate) fn answered(&mut self, size: &EngineTarget, answer: Option<Answer>, now: Moment) {
         let Some(planner) = self.planners.get_mut(&size.service) else {
             return;
         };
         let order = Order {
-            zone: size.zone.clone(),
+            zone: size.data_centre.clone(),
             reclaimable: size.reclaimable,
             engines: size.engines,
             why: Why::Usual,
@@ -96,10 +101,10 @@
     }
 }
 
-fn size(service: &ServiceName, order: &Order) -> Size {
-    Size {
+fn size(service: &ServiceName, order: &Order) -> EngineTarget {
+    EngineTarget {
         service: service.clone(),
-        zone: order.zone.clone(),
+        data_centre: order.zone.clone(),
         engines: order.engines,
         reclaimable: order.reclaimable,
     }
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/trials.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 
-use adapter::records::INSTANCES;
-use adapter::store::{Keyed, Store, Trouble};
+use adapter::records::INSTANCES_TOPIC;
+use adapter::store::{KeyedRecord, Store, StoreError};
 use clock::Clock as _;
 use serving::fingerprint::Fingerprint;
 use serving::quarantine::Entry;
@@ -58,7 +58,7 @@
 }
 
 /// Takes in a record of the store, if it is about a call. Says whether it is.
-pub(crate) fn take(instance: &Instance, record: &Keyed) -> bool {
+pub(crate) fn take(instance: &Instance, record: &KeyedRecord) -> bool {
     let Some(call) = call_of(&record.key) else {
         return false;
     };
@@ -102,7 +102,10 @@
         }
         for (call, entry) in instance.suspects.unwritten() {
             let value = value(call, &entry, &instance);
-            match store.append(INSTANCES, &key(call), &value, None).await {
+            match store
+                .append(INSTANCES_TOPIC, &key(call), &value, None)
+                .await
+            {
                 Ok(_) => {
                     instance.suspects.written(call, &entry);
                     log::info!(fingerprint = text(call), ended = entry.standing(); "the store knows of a call that ends engines");
@@ -122,7 +125,7 @@
         if instance.suspects.get(call).is_some() {
             continue;
         }
-        match store.append(INSTANCES, &key(call), &[], None).await {
+        match store.append(INSTANCES_TOPIC, &key(call), &[], None).await {
             Ok(_) => {
                 log::info!(fingerprint = text(call); "an old record of a held call is deleted");
             }
@@ -154,10 +157,10 @@
     }
 }
 
-async fn claim_at_store(instance: &Instance, call: Fingerprint) -> Result<bool, Trouble> {
+async fn claim_at_store(instance: &Instance, call: Fingerprint) -> Result<bool, StoreError> {
     let address = instance.settings.borrow().store;
     let mut store = Store::new(address, instance.codec.clone());
-    let newest = store.newest(INSTANCES).await?;
+    let newest = store.newest(INSTANCES_TOPIC).await?;
     for record in &newest.records {
         take(instance, record);
     }
@@ -167,14 +170,14 @@
     };
     let value = value(call, &entry, instance);
     match store
-        .append(INSTANCES, &key(call), &value, Some(newest.end))
+        .append(INSTANCES_TOPIC, &key(call), &value, Some(newest.end))
         .await
     {
         Ok(_) => {
             instance.suspects.begun_trial(call, &entry, now);
             Ok(true)
         }
-        Err(Trouble::Moved(_)) => Ok(false),
+        Err(StoreError::EndMismatch(_)) => Ok(false),
         Err(trouble) => Err(trouble),
     }
 }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -42,7 +42,7 @@
 impl Platform<'_> {
     /// Reports the use of a window. Gives nothing if the claim is over, or no answer came: the call may be carried out all the same.
     pub(crate) async fn report(&self, report: &Report) -> Option<Answer> {
-        let (head, body) = duties::usage(self.address, self.as_holder(), report);
+        let (head, body) = duties::usage_call(self.address, self.as_holder(), report);
         let answer = self.call(head, &body).await;
         let requests: u32 = report.counts.values().sum();
         log::info!(
@@ -54,11 +54,11 @@
     }
 
     /// Orders engines. Gives nothing as [`Platform::report`] does.
-    pub(crate) async fn order(&self, size: &duties::Size, why: Why) -> Option<Answer> {
-        let (head, body) = duties::scale(self.address, self.as_holder(), size);
+    pub(crate) async fn order(&self, size: &duties::EngineTarget, why: Why) -> Option<Answer> {
+        let (head, body) = duties::scale_call(self.address, self.as_holder(), size);
         let answer = self.call(head, &body).await;
         log::info!(
-            service = &*size.service, zone = &*size.zone, engines = size.engines,
+            service = &*size.service, zone = &*size.data_centre, engines = size.engines,
             reclaimable = size.reclaimable, why:? = why, fence = self.grant.fence, answer:? = answer;
             "engines ordered"
         );
@@ -80,7 +80,7 @@
             }
             let status = client.send(head, body).await?.head.status.as_u16();
             client.body(MOST).await?;
-            Ok::<_, Failure>(Some(duties::answer(status)))
+            Ok::<_, Failure>(Some(duties::parse_answer(status)))
         };
         match timeout(ANSWER, sent).await {
             Ok(Ok(answer)) => answer,
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -74,11 +74,15 @@
 async fn query(instance: &Instance, engine: &Record) -> Option<Vec<Part>> {
     let client = Client::open(engine.address, &PATIENCE, &instance.codec).await;
     let mut client = client.ok()?;
-    let head = upstream::parts_request(engine.address);
+    let head = upstream::held_parts_request(engine.address);
     let response = client.send(head, &Bytes::new()).await.ok()?;
-    limits::note_announced(instance, &engine.id, upstream::limit(&response.head));
+    limits::note_announced(
+        instance,
+        &engine.id,
+        upstream::announced_limit(&response.head),
+    );
     let body = client.body(MOST).await.ok()?;
-    upstream::parts(&body, engine.born)
+    upstream::parse_held_parts(&body, engine.born)
 }
 
 fn record(instance: &Instance, engine: &EngineId, parts: &[Part]) {
