--- a/crates/gateway/tests/beliefs.rs
+++ b/crates/gateway/tests/beliefs.rs
@@ -7,7 +7,7 @@
 
 use assert_matches::assert_matches;
 use floor::Engine;
-use floor::engine::Act;
+use floor::engine::Behaviour;
 use floor::store::Fault;
 use serde_json::json;
 use world::{World, ask, generation, until};
@@ -25,46 +25,46 @@
     world.configure(5, "new");
     until(async || {
         world.call("/safe/a", "w", &[]).await;
-        other.runs("w") > 0
+        other.run_count("w") > 0
     })
     .await;
     world.configure(4, "app");
     world.store.compact("keyed.op");
     world.configure(3, "app");
-    let before = app.got().len();
+    let before = app.received().len();
     for _ in 0..20 {
         assert_eq!(status(&world, "/safe/a").await, 200);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(app.got().len(), before);
+    assert_eq!(app.received().len(), before);
 }
 
 #[actix_rt::test]
 async fn a_leaving_engine_gets_nothing_new_and_finishes_what_it_has() {
     let (world, _app, pool) = World::start().await;
     let other = Engine::start("pool-2").await;
-    pool.streams(30, Duration::from_millis(50));
-    other.streams(30, Duration::from_millis(50));
+    pool.set_stream(30, Duration::from_millis(50));
+    other.set_stream(30, Duration::from_millis(50));
     let mut caller = world.caller().await;
     let headers = generation();
     let streaming = ask(&mut caller, "/stream/a", "long", &headers);
     let leaving = async {
-        until(async || pool.runs("long") == 1).await;
+        until(async || pool.run_count("long") == 1).await;
         other.register(&world.store, "pool", "ready", Some("decode"));
         pool.register(&world.store, "pool", "draining", Some("decode"));
-        other.streams(1, Duration::ZERO);
+        other.set_stream(1, Duration::ZERO);
         // The last engine that is asked is the new one, from some call on.
         until(async || {
             let id = world.fresh_id();
             world.generate("/stream/a", &id).await;
-            other.runs(&id) == 1
+            other.run_count(&id) == 1
         })
         .await;
-        let before = pool.got().len();
+        let before = pool.received().len();
         for n in 0..10 {
             world.generate("/stream/a", &format!("n{n}")).await;
         }
-        assert_eq!(pool.got().len(), before);
+        assert_eq!(pool.received().len(), before);
     };
     let (answer, ()) = tokio::join!(streaming, leaving);
     assert_eq!(answer.text().matches("data: ").count(), 30);
@@ -86,15 +86,15 @@
 async fn an_address_that_another_engine_has_is_not_used_for_the_old_one() {
     let (world, app, _pool) = World::start().await;
     let other = Engine::start("app-2").await;
-    app.act(Act::Moved);
+    app.set_behaviour(Behaviour::WrongInstance);
     other.register(&world.store, "app", "ready", None);
     until(async || status(&world, "/once/a").await == 200).await;
-    let before = app.got().len();
+    let before = app.received().len();
     for _ in 0..5 {
         assert_eq!(status(&world, "/once/a").await, 200);
     }
-    assert!(app.got().len() <= before + 1);
-    assert_eq!(app.runs("w"), 0);
+    assert!(app.received().len() <= before + 1);
+    assert_eq!(app.run_count("w"), 0);
 }
 
 #[actix_rt::test]
@@ -113,7 +113,7 @@
     world.configure(9, "new");
     until(async || {
         world.call("/safe/a", "w", &[]).await;
-        other.runs("w") > 0
+        other.run_count("w") > 0
     })
     .await;
 }
@@ -131,7 +131,7 @@
     world.store.fault(Fault::None);
     until(async || {
         world.call("/safe/a", "w", &[]).await;
-        other.runs("w") > 0
+        other.run_count("w") > 0
     })
     .await;
 }
@@ -141,12 +141,12 @@
 #[actix_rt::test]
 async fn an_instance_that_is_asked_to_end_finishes_what_it_has() {
     let (world, _app, pool) = World::start().await;
-    pool.streams(40, Duration::from_millis(50));
+    pool.set_stream(40, Duration::from_millis(50));
     let mut caller = world.caller().await;
     let headers = generation();
     let streaming = ask(&mut caller, "/stream/a", "long", &headers);
     let ending = async {
-        until(async || pool.runs("long") == 1).await;
+        until(async || pool.run_count("long") == 1).await;
         world.signal("-TERM");
         world.until_ready(false).await;
     };
@@ -177,7 +177,7 @@
     let mut answer = Vec::new();
     assert_matches!(stream.read_to_end(&mut answer).await, Ok(_));
     assert!(answer.starts_with(b"HTTP/1.1 400"));
-    assert_eq!(app.got().len(), 0);
+    assert_eq!(app.received().len(), 0);
     assert_eq!(status(&world, "/safe/a").await, 200);
 }
 
@@ -201,18 +201,18 @@
         world.store.put("keyed.servers", key, Some(&entry));
     }
     until(async || world.log_lines("an entry names no engine") == 4).await;
-    let before = app.got().len();
+    let before = app.received().len();
     for _ in 0..10 {
         assert_eq!(status(&world, "/once/a").await, 200);
     }
-    assert_eq!(app.got().len(), before);
+    assert_eq!(app.received().len(), before);
     // Read again, with all others, it is not told of again.
     world.store.compact("keyed.servers");
     world.store.put("keyed.servers", &app.id, Some(&broken));
     app.register(&world.store, "app", "ready", None);
     until(async || {
         status(&world, "/safe/a").await;
-        app.got().len() > before
+        app.received().len() > before
     })
     .await;
     assert_eq!(world.log_lines("an entry names no engine"), 4);
@@ -224,18 +224,18 @@
 async fn an_engine_that_starts_again_under_its_name_is_another_one() {
     let (world, plain, _pool) = World::start().await;
     world.store.put("keyed.servers", &plain.id, None);
-    let app = Engine::start_born("app-9", 1_000).await;
+    let app = Engine::start_with_timestamp("app-9", 1_000).await;
     app.register(&world.store, "app", "ready", None);
     until(async || world.log_lines("born=1000") > 0).await;
     assert_eq!(status(&world, "/once/a").await, 200);
-    let again = Engine::start_born(&app.id, 2_000).await;
+    let again = Engine::start_with_timestamp(&app.id, 2_000).await;
     again.register(&world.store, "app", "ready", None);
     until(async || world.log_lines("born=2000") > 0).await;
-    let before = app.got().len();
+    let before = app.received().len();
     for _ in 0..5 {
         assert_eq!(status(&world, "/once/a").await, 200);
     }
-    assert_eq!(app.got().len(), before);
+    assert_eq!(app.received().len(), before);
     // A heartbeat of the start before that comes late.
     app.register(&world.store, "app", "ready", None);
     let other = Engine::start("app-3").await;
@@ -244,5 +244,5 @@
     for _ in 0..5 {
         assert_eq!(status(&world, "/once/a").await, 200);
     }
-    assert_eq!(app.got().len(), before);
+    assert_eq!(app.received().len(), before);
 }
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use floor::Engine;
-use floor::engine::{Act, Got};
-use floor::request::{self, FORGED, READS_ONLY};
+use floor::engine::{Behaviour, ReceivedRequest};
+use floor::request::{self, FORGED_HEADERS, PREFILL_ONLY};
 use world::{World, ask, ask_within, generation, until};
 
 #[actix_rt::test]
@@ -23,8 +23,8 @@
     let answer = world.generate("/stream/a", "g1").await;
     assert_eq!(answer.text().matches("data: g1").count(), 4);
     assert!(answer.signed);
-    assert_eq!(app.runs("u1"), 1);
-    assert_eq!(pool.runs("g1"), 1);
+    assert_eq!(app.run_count("u1"), 1);
+    assert_eq!(pool.run_count("g1"), 1);
 }
 
 #[actix_rt::test]
@@ -70,12 +70,12 @@
     let (world, app, _pool) = World::start().await;
     let other = Engine::start("app-2").await;
     other.register(&world.store, "app", "ready", None);
-    app.act(Act::LoseAnswer);
-    other.act(Act::LoseAnswer);
+    app.set_behaviour(Behaviour::CloseUnanswered);
+    other.set_behaviour(Behaviour::CloseUnanswered);
     for id in ["u1", "u2", "u3"] {
         let answer = world.call("/once/a", id, &[]).await;
         assert_eq!(answer.status, 502);
-        assert_eq!(app.runs(id) + other.runs(id), 1, "{id}");
+        assert_eq!(app.run_count(id) + other.run_count(id), 1, "{id}");
     }
 }
 
@@ -84,7 +84,7 @@
     let (world, app, _pool) = World::start().await;
     let other = Engine::start("app-2").await;
     other.register(&world.store, "app", "ready", None);
-    app.act(Act::Full);
+    app.set_behaviour(Behaviour::Full);
     until(async || {
         let id = world.fresh_id();
         world.call("/once/a", &id, &[]).await.status == 200
@@ -92,7 +92,7 @@
     .await;
     let answer = world.call("/once/a", "u1", &[]).await;
     assert_eq!(answer.text(), "answer to u1");
-    assert_eq!((app.runs("u1"), other.runs("u1")), (0, 1));
+    assert_eq!((app.run_count("u1"), other.run_count("u1")), (0, 1));
 }
 
 #[actix_rt::test]
@@ -100,18 +100,18 @@
     let (world, app, _pool) = World::start().await;
     let other = Engine::start("app-2").await;
     other.register(&world.store, "app", "ready", None);
-    app.act(Act::Full);
+    app.set_behaviour(Behaviour::Full);
     until(async || {
         let id = world.fresh_id();
         world.call("/safe/a", &id, &[]).await;
-        other.runs(&id) == 1
+        other.run_count(&id) == 1
     })
     .await;
-    app.act(Act::LoseAnswer);
+    app.set_behaviour(Behaviour::CloseUnanswered);
     until(async || {
         let id = world.fresh_id();
         let answer = world.call("/safe/a", &id, &[]).await;
-        answer.status == 200 && app.runs(&id) == 1 && other.runs(&id) == 1
+        answer.status == 200 && app.run_count(&id) == 1 && other.run_count(&id) == 1
     })
     .await;
 }
@@ -122,12 +122,12 @@
 async fn an_engines_failure_never_promises_that_a_call_has_not_run() {
     let (world, app, pool) = World::start().await;
     for status in [429, 503, 408] {
-        app.act(Act::Fail(status));
-        pool.act(Act::Fail(status));
+        app.set_behaviour(Behaviour::Fail(status));
+        pool.set_behaviour(Behaviour::Fail(status));
         assert_eq!(world.call("/once/a", "u1", &[]).await.status, 502);
         assert_eq!(world.generate("/stream/a", "g1").await.status, 502);
     }
-    app.act(Act::Fail(500));
+    app.set_behaviour(Behaviour::Fail(500));
     let answer = world.call("/once/a", "u2", &[]).await;
     assert_eq!(answer.status, 500);
     assert!(answer.signed);
@@ -136,8 +136,8 @@
 #[actix_rt::test]
 async fn when_all_engines_are_full_the_refusal_is_true_and_says_when() {
     let (world, app, pool) = World::start().await;
-    app.act(Act::Full);
-    pool.act(Act::Full);
+    app.set_behaviour(Behaviour::Full);
+    pool.set_behaviour(Behaviour::Full);
     for answer in [
         world.call("/once/a", "u1", &[]).await,
         world.generate("/stream/a", "g1").await,
@@ -145,7 +145,7 @@
         assert_eq!(answer.status, 503);
         assert!(answer.retry_after.is_some());
     }
-    assert_eq!(app.runs("u1") + pool.runs("g1"), 0);
+    assert_eq!(app.run_count("u1") + pool.run_count("g1"), 0);
 }
 
 /// Symptom: a caller gets the answer to another call. Sequence: an engine sends an answer that
@@ -153,8 +153,8 @@
 #[actix_rt::test]
 async fn an_answer_to_another_call_never_reaches_a_caller() {
     let (world, app, pool) = World::start().await;
-    app.act(Act::Crossed);
-    pool.act(Act::Crossed);
+    app.set_behaviour(Behaviour::AnswerOther);
+    pool.set_behaviour(Behaviour::AnswerOther);
     // The engine sends nothing else, so the callers run out of time or get a failure.
     let mut caller = world.caller().await;
     let answer = ask_within(&mut caller, "/once/a", "u1", 300, &[]).await;
@@ -170,7 +170,7 @@
     let (world, _app, pool) = World::start().await;
     let other = Engine::start("pool-2").await;
     other.register(&world.store, "pool", "ready", Some("decode"));
-    pool.act(Act::CutAfter(2));
+    pool.set_behaviour(Behaviour::CutAfter(2));
     until(async || {
         let id = world.fresh_id();
         let answer = world.generate("/resume/a", &id).await;
@@ -181,11 +181,11 @@
             .filter_map(|line| line.strip_prefix("id: "))
             .collect();
         assert_eq!(ids, ["1", "2", "3", "4"]);
-        pool.runs(&id) == 1 && other.runs(&id) == 1
+        pool.run_count(&id) == 1 && other.run_count(&id) == 1
     })
     .await;
-    let resumed = other.got();
-    assert!(resumed.iter().any(|got| got.resumes_after() == Some("2")));
+    let resumed = other.received();
+    assert!(resumed.iter().any(|got| got.last_event_id() == Some("2")));
 }
 
 #[actix_rt::test]
@@ -193,12 +193,12 @@
     let (world, _app, pool) = World::start().await;
     let other = Engine::start("pool-2").await;
     other.register(&world.store, "pool", "ready", Some("decode"));
-    pool.act(Act::CutAfter(2));
-    other.act(Act::CutAfter(2));
+    pool.set_behaviour(Behaviour::CutAfter(2));
+    other.set_behaviour(Behaviour::CutAfter(2));
     let answer = world.generate("/stream/a", "g1").await;
     assert_eq!(answer.status, 200);
     assert!(answer.body.is_err());
-    assert_eq!(pool.runs("g1") + other.runs("g1"), 1);
+    assert_eq!(pool.run_count("g1") + other.run_count("g1"), 1);
 }
 
 /// Symptom: engines work for callers that have left. Sequence: a caller closes while its call is at
@@ -206,16 +206,16 @@
 #[actix_rt::test]
 async fn a_callers_leaving_ends_its_call_at_the_engine() {
     let (world, app, _pool) = World::start().await;
-    app.act(Act::Hang);
+    app.set_behaviour(Behaviour::Hang);
     let caller = world.caller().await;
     let asking = async {
         let mut caller = caller;
         ask(&mut caller, "/once/a", "u1", &[]).await;
     };
     drop(tokio::time::timeout(Duration::from_millis(300), asking).await);
-    app.act(Act::Run);
+    app.set_behaviour(Behaviour::Run);
     until(async || world.call("/once/a", "u2", &[]).await.status == 200).await;
-    assert_eq!(app.runs("u1"), 1);
+    assert_eq!(app.run_count("u1"), 1);
 }
 
 #[actix_rt::test]
@@ -228,20 +228,25 @@
         // Parts that no engine has read, so that there is something to read.
         let id = world.fresh_id();
         let prefix = format!("aa{id}:40000,bb{id}:10000");
-        let mut headers = request::generation("50000,20", &prefix).to_vec();
-        headers.extend(FORGED);
-        headers.push(READS_ONLY);
+        let mut headers = request::generation_headers("50000,20", &prefix).to_vec();
+        headers.extend(FORGED_HEADERS);
+        headers.push(PREFILL_ONLY);
         world.call("/stream/a", &id, &headers).await;
-        !prefill.got().is_empty()
+        !prefill.received().is_empty()
     })
     .await;
-    let read = &prefill.got()[0];
-    let generated = pool.got().into_iter().find(|got| got.id == read.id);
+    let read = &prefill.received()[0];
+    let generated = pool.received().into_iter().find(|got| got.id == read.id);
     let source = format!("{}/h{}", prefill.address, read.id);
     let generated = generated.expect("the call was generated");
-    assert_eq!(generated.memory(), Some(source.as_str()));
-    assert!(!generated.reads_only());
-    assert!(!pool.got().iter().any(Got::is_forged));
+    assert_eq!(generated.kv_source(), Some(source.as_str()));
+    assert!(!generated.is_prefill_only());
+    assert!(
+        !pool
+            .received()
+            .iter()
+            .any(ReceivedRequest::has_forged_header)
+    );
 }
 
 /// Symptom: a request ends nowhere in the logs. Sequence: its caller closes the connection while an engine works. Cause: what
@@ -249,7 +254,7 @@
 #[actix_rt::test]
 async fn a_caller_that_leaves_is_told_of() {
     let (world, app, _pool) = World::start().await;
-    app.act(Act::Hang);
+    app.set_behaviour(Behaviour::Hang);
     let mut caller = world.caller().await;
     let head = floor::request::call("/once/a", "gone-1", 20_000, &[]);
     let body = bytes::Bytes::new();
@@ -257,7 +262,7 @@
         let asking = caller.send(head, &body);
         tokio::select! {
             _ = asking => panic!("the engine does not answer"),
-            () = until(async || app.runs("gone-1") == 1) => {}
+            () = until(async || app.run_count("gone-1") == 1) => {}
         }
     }
     drop(caller);
@@ -270,7 +275,7 @@
 #[actix_rt::test]
 async fn the_end_of_a_callers_time_is_no_lost_answer() {
     let (world, app, _pool) = World::start().await;
-    app.act(Act::Hang);
+    app.set_behaviour(Behaviour::Hang);
     for (path, id) in [("/once/a", "late-1"), ("/safe/a", "late-2")] {
         let mut caller = world.caller().await;
         let answer = ask_within(&mut caller, path, id, 400, &[]).await;
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -174,7 +174,7 @@
 async fn tokens_rise_and_reports_stay_when_the_store_comes_back_from_a_copy() {
     let (cloud, world, _app, _pool) = start().await;
     until(async || !cloud.calls("/usage").is_empty()).await;
-    let copy = world.store.copy();
+    let copy = world.store.backup();
     calls(&world, 0, 2).await;
     let before = cloud.calls("/usage").len();
     until(async || cloud.calls("/usage").len() > before + 1).await;
--- a/crates/gateway/tests/ending.rs
+++ b/crates/gateway/tests/ending.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use floor::engine::Act;
+use floor::engine::Behaviour;
 use floor::store::Fault;
 use floor::{Engine, Store};
 use wire::Message as _;
@@ -47,18 +47,21 @@
     async fn add(&mut self, store: &Store) {
         self.started += 1;
         let engine = Engine::start(&format!("pool-{}", self.started + 1)).await;
-        engine.ends_on(FATAL);
+        engine.end_on_path(FATAL);
         engine.register(store, "pool", "ready", Some("decode"));
         self.engines.push(engine);
     }
 
     fn ended(&self) -> usize {
-        let ended = self.engines.iter().filter(|engine| engine.has_ended());
+        let ended = self.engines.iter().filter(|engine| engine.has_stopped());
         ended.count()
     }
 
     fn reached(&self, path: &str) -> usize {
-        self.engines.iter().map(|engine| engine.reached(path)).sum()
+        self.engines
+            .iter()
+            .map(|engine| engine.request_count(path))
+            .sum()
     }
 
     /// Starts as many as have ended, under new names.
@@ -66,7 +69,7 @@
         while self.engines.len() - self.ended() < ENGINES {
             self.add(store).await;
         }
-        for engine in self.engines.iter().filter(|engine| engine.has_ended()) {
+        for engine in self.engines.iter().filter(|engine| engine.has_stopped()) {
             store.put("keyed.servers", &engine.id, None);
         }
     }
@@ -104,7 +107,7 @@
 /// Three instances, of which the last asks the others for places, before engines that a call ends.
 async fn three_instances() -> ([World; 3], Pool) {
     let (first, _app, other) = World::start().await;
-    other.ends_on(FATAL);
+    other.end_on_path(FATAL);
     let mut pool = Pool::start(&first.store).await;
     pool.engines.push(other);
     let (second, third) = (first.beside(), first.slow_beside());
@@ -218,7 +221,7 @@
     .await;
     pool.replace(&first.store).await;
     for engine in &pool.engines {
-        engine.ends_on("/stream/none");
+        engine.end_on_path("/stream/none");
     }
     until(async || {
         first.generate_same(FATAL, &first.fresh_id()).await;
@@ -226,7 +229,7 @@
     })
     .await;
     for engine in &pool.engines {
-        engine.ends_on(FATAL);
+        engine.end_on_path(FATAL);
     }
     until_held(first, &mut pool, FATAL).await;
     until(async || is_kept(&worlds)).await;
@@ -274,13 +277,13 @@
 /// Sends the call to an instance, leaves it once an engine has it, and ends that engine.
 async fn leave_and_end(world: &World, pool: &Pool, path: &str) {
     let id = world.fresh_id();
-    let reached = || pool.engines.iter().find(|engine| engine.runs(&id) > 0);
+    let reached = || pool.engines.iter().find(|engine| engine.run_count(&id) > 0);
     tokio::select! {
         answer = world.generate_same(path, &id) => panic!("engines do not answer: {answer:?}"),
         () = until(async || reached().is_some()) => {}
     }
     until(async || world.log_lines(&format!("the caller left id={id}")) > 0).await;
-    reached().expect("an engine has it").end();
+    reached().expect("an engine has it").stop();
 }
 
 /// Guards against a call that ends engines unseen because its caller leaves first.
@@ -296,7 +299,7 @@
     let noted = "an engine ended with the call in hand";
     until(async || first.log_lines_with(noted, "ended=2") > 0).await;
     for engine in &pool.engines {
-        engine.act(Act::Hang);
+        engine.set_behaviour(Behaviour::Hang);
     }
     leave_and_end(first, &pool, FATAL).await;
     // Nothing is sent meanwhile: a call that met the ended engine would tell its end.
@@ -319,7 +322,7 @@
     const RESUMED: &str = "/resume/fatal";
     let (worlds, mut pool) = three_instances().await;
     for engine in &pool.engines {
-        engine.ends_on(RESUMED);
+        engine.end_on_path(RESUMED);
     }
     let first = worlds[0].generate_same(RESUMED, "resumed-1").await;
     assert_eq!(pool.reached(RESUMED), 2, "{first:?}");
@@ -335,7 +338,7 @@
     let (worlds, mut pool) = three_instances().await;
     let prefill = Engine::start("prefill-1").await;
     prefill.register(&worlds[0].store, "pool", "ready", Some("prefill"));
-    let long = floor::request::generation("50000,20", "aa:40000,bb:10000");
+    let long = floor::request::generation_headers("50000,20", "aa:40000,bb:10000");
     let world = &worlds[0];
     until(async || {
         let answer = world.call(FATAL, &world.fresh_id(), &long).await;
@@ -343,7 +346,7 @@
         answer.status == 503 && answer.text().contains("ended")
     })
     .await;
-    let read = prefill.reached(FATAL);
+    let read = prefill.request_count(FATAL);
     for world in &worlds {
         until(async || {
             let answer = world.call(FATAL, &world.fresh_id(), &long).await;
@@ -351,7 +354,7 @@
         })
         .await;
     }
-    assert_eq!((prefill.reached(FATAL), pool.ended()), (read, ENDED));
+    assert_eq!((prefill.request_count(FATAL), pool.ended()), (read, ENDED));
 }
 
 /// Operators see which calls are held, and let one go whose cause is mended. An instance that starts reads of it and tells those that
@@ -393,9 +396,9 @@
         engines.push(engine);
     }
     for engine in &engines {
-        engine.ends_on(PLAIN);
+        engine.end_on_path(PLAIN);
     }
-    let ended = || engines.iter().filter(|engine| engine.has_ended()).count();
+    let ended = || engines.iter().filter(|engine| engine.has_stopped()).count();
     until(async || {
         let answer = world.call(PLAIN, &world.fresh_id(), &[]).await;
         answer.status == 503 && answer.text().contains("ended")
@@ -410,30 +413,34 @@
 #[actix_rt::test]
 async fn what_breaks_without_an_end_holds_no_call() {
     let (world, _app, pool) = World::start().await;
-    for act in [Act::LoseAnswer, Act::CutAfter(1), Act::Fail(500)] {
-        pool.act(act);
+    for act in [
+        Behaviour::CloseUnanswered,
+        Behaviour::CutAfter(1),
+        Behaviour::Fail(500),
+    ] {
+        pool.set_behaviour(act);
         for _ in 0..2 * ENDED {
             let answer = world.generate_same(FATAL, &world.fresh_id()).await;
             assert!(!answer.status.to_string().starts_with('4'), "{answer:?}");
         }
     }
-    pool.act(Act::Run);
+    pool.set_behaviour(Behaviour::Run);
     for number in 0..2 * ENDED {
         let leaving = Engine::start(&format!("leaving-{number}")).await;
-        leaving.streams(1_000, Duration::from_millis(20));
+        leaving.set_stream(1_000, Duration::from_millis(20));
         leaving.register(&world.store, "pool", "ready", Some("decode"));
         pool.register(&world.store, "pool", "draining", Some("decode"));
         let id = world.fresh_id();
-        until(async || leaving.reached("/stream/none") > 0 || {
+        until(async || leaving.request_count("/stream/none") > 0 || {
             let asked = async { world.generate_same(FATAL, &id).await };
-            let until_sent = until(async || leaving.runs(&id) > 0);
+            let until_sent = until(async || leaving.run_count(&id) > 0);
             tokio::select! {
                 _ = asked => {}
                 () = async {
                     until_sent.await;
                     leaving.register(&world.store, "pool", "draining", Some("decode"));
                     until(async || world.log_lines(&format!("engine=leaving-{number} state=Draining")) > 0).await;
-                    leaving.end();
+                    leaving.stop();
                     std::future::pending::<()>().await;
                 } => {}
             }
--- a/crates/gateway/tests/era.rs
+++ b/crates/gateway/tests/era.rs
@@ -13,13 +13,13 @@
 #[actix_rt::test]
 async fn a_configuration_in_force_does_not_go_back_and_the_next_one_is_read() {
     let (world, _app, _pool) = World::start().await;
-    let copy = world.store.copy();
+    let copy = world.store.backup();
     let second = floor::Engine::start("second-1").await;
     second.register(&world.store, "second", "ready", None);
     world.configure(2, "second");
     until(async || {
         let id = world.fresh_id();
-        world.call("/safe/a", &id, &[]).await.status == 200 && second.runs(&id) == 1
+        world.call("/safe/a", &id, &[]).await.status == 200 && second.run_count(&id) == 1
     })
     .await;
     world.store.restore(copy);
@@ -28,14 +28,14 @@
     for _ in 0..20 {
         let id = world.fresh_id();
         assert_eq!(world.call("/safe/a", &id, &[]).await.status, 200);
-        assert_eq!(second.runs(&id), 1);
+        assert_eq!(second.run_count(&id), 1);
     }
     // What the operator wrote is written again, and so is what comes after it.
     world.configure(2, "second");
     world.configure(3, "app");
     until(async || {
         let id = world.fresh_id();
-        world.call("/safe/a", &id, &[]).await.status == 200 && second.runs(&id) == 0
+        world.call("/safe/a", &id, &[]).await.status == 200 && second.run_count(&id) == 0
     })
     .await;
 }
@@ -45,7 +45,7 @@
 #[actix_rt::test]
 async fn records_at_offsets_that_are_given_out_again_are_news() {
     let (world, app, _pool) = World::start().await;
-    let copy = world.store.copy();
+    let copy = world.store.backup();
     for _ in 0..5 {
         app.register(&world.store, "app", "ready", None);
     }
@@ -68,17 +68,17 @@
     let other = floor::Engine::start("app-2").await;
     other.register(&world.store, "app", "ready", None);
     until(async || world.page().await.contains("tarragon_engines 3")).await;
-    let copy = world.store.copy();
+    let copy = world.store.backup();
     app.register(&world.store, "app", "draining", None);
     until(async || world.page().await.contains("tarragon_engines 2")).await;
     world.store.restore(copy);
     until(async || world.log_lines(WENT_BACK) == 1).await;
-    let before = app.got().len();
+    let before = app.received().len();
     for _ in 0..40 {
         let id = world.fresh_id();
         assert_eq!(world.call("/safe/a", &id, &[]).await.status, 200);
     }
-    assert_eq!(app.got().len(), before);
+    assert_eq!(app.received().len(), before);
 }
 
 /// Symptom: an instance that starts later knows some of the others only. Sequence: instances register; the store comes back from a copy of before.
@@ -86,7 +86,7 @@
 #[actix_rt::test]
 async fn instances_register_again() {
     let world = World::bare().await;
-    let empty = world.store.copy();
+    let empty = world.store.backup();
     world.configure(1, "app");
     let app = floor::Engine::start("app-1").await;
     app.register(&world.store, "app", "ready", None);
@@ -106,17 +106,17 @@
 #[actix_rt::test]
 async fn held_calls_are_written_again() {
     let (world, _app, pool) = World::start().await;
-    let copy = world.store.copy();
+    let copy = world.store.backup();
     let held = async || {
         let keys = world.store.newest("keyed.instances");
         keys.iter().any(|key| key.starts_with("held/"))
     };
-    pool.ends_on("/resume/fatal");
+    pool.end_on_path("/resume/fatal");
     let mut engines = Vec::new();
     for n in 0..4 {
         let engine = floor::Engine::start(&format!("more-{n}")).await;
         engine.register(&world.store, "pool", "ready", Some("decode"));
-        engine.ends_on("/resume/fatal");
+        engine.end_on_path("/resume/fatal");
         engines.push(engine);
     }
     until(async || world.page().await.contains("tarragon_engines 6")).await;
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use floor::engine::Act;
+use floor::engine::Behaviour;
 use floor::{Engine, request};
 use tokio::time::{Instant, sleep};
 use world::{World, until};
@@ -53,7 +53,7 @@
         let prefix = format!("aa{id}:40000,bb{id}:10000");
         let headers = match self {
             Self::Run => Vec::new(),
-            _ => request::generation("50000,20", &prefix).to_vec(),
+            _ => request::generation_headers("50000,20", &prefix).to_vec(),
         };
         world.call(self.path(), &id, &headers).await.status
     }
@@ -80,18 +80,18 @@
         let limited = engines.add(&first, "limited", service, stage).await;
         if way == Way::Read {
             let generating = engines.add(&first, "other-2", "pool", Some("decode")).await;
-            generating.reads_in(READING);
+            generating.set_prefill_time(READING);
         }
         first.configure(1, "app");
         first.until_ready(true).await;
         let (second, third) = (first.beside(), first.slow_beside());
         let worlds = [first, second, third];
         engines.until_known(&worlds).await;
-        limited.limit(Some(&LIMIT.to_string()));
+        limited.announce_limit(Some(&LIMIT.to_string()));
         announce(way, &worlds).await;
         engines.add_rest(way, &worlds[0]).await;
         if way == Way::TakeOver {
-            limited.reads_in(READING);
+            limited.set_prefill_time(READING);
         }
         engines.until_known(&worlds).await;
         Self {
@@ -133,14 +133,14 @@
         self.add(world, "other-1", "app", None).await;
         if way != Way::Read {
             let generating = self.add(world, "other-2", "pool", Some("decode")).await;
-            generating.reads_in(READING);
+            generating.set_prefill_time(READING);
         }
         if way == Way::TakeOver {
             self.add(world, "other-3", "pool", Some("prefill")).await;
         }
         if way == Way::Resume {
             let broken = self.add(world, "broken", "pool", Some("decode")).await;
-            broken.act(Act::CutAfter(1));
+            broken.set_behaviour(Behaviour::CutAfter(1));
         }
     }
 
@@ -207,7 +207,7 @@
         world.until_ready(true).await;
         until(async || world.page().await.contains("tarragon_engines 2\n")).await;
     }
-    app.limit(Some(limit));
+    app.announce_limit(Some(limit));
     until(async || {
         for world in &worlds {
             Way::Run.call(world).await;
@@ -242,10 +242,10 @@
             if answer.status == 503 {
                 assert!(answer.retry_after.is_some());
                 assert!(answer.text().contains("rate limits are used up"));
-                assert_eq!(app.runs(&id), 0);
+                assert_eq!(app.run_count(&id), 0);
                 refused += 1;
             } else {
-                assert_eq!((answer.status, app.runs(&id)), (200, 1));
+                assert_eq!((answer.status, app.run_count(&id)), (200, 1));
             }
         }
     }
@@ -257,7 +257,7 @@
 #[actix_rt::test]
 async fn an_engine_that_lifts_its_limit_gets_calls_again_from_all() {
     let (worlds, app) = with_one_engine("2").await;
-    app.limit(None);
+    app.announce_limit(None);
     until(async || {
         for world in &worlds {
             Way::Run.call(world).await;
--- a/crates/gateway/tests/metrics.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use floor::engine::Act;
+use floor::engine::Behaviour;
 use world::{World, until};
 
 #[actix_rt::test]
@@ -10,8 +10,8 @@
     let (world, app, pool) = World::start().await;
     world.call("/once/a", "a", &[]).await;
     world.generate("/stream/a", "b").await;
-    app.act(Act::Full);
-    pool.act(Act::CutAfter(2));
+    app.set_behaviour(Behaviour::Full);
+    pool.set_behaviour(Behaviour::CutAfter(2));
     world.call("/once/a", "c", &[]).await;
     world.generate("/stream/a", "d").await;
     let page = world.page().await;
--- a/crates/gateway/tests/organisations.rs
+++ b/crates/gateway/tests/organisations.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use floor::Engine;
-use floor::engine::Got;
+use floor::engine::ReceivedRequest;
 use serde_json::{Value, json};
 use world::{World, configuration, generation, until};
 
@@ -34,8 +34,8 @@
     (world, app, pool)
 }
 
-fn of_id(engine: &Engine, id: &str) -> Vec<Got> {
-    let mut got = engine.got();
+fn of_id(engine: &Engine, id: &str) -> Vec<ReceivedRequest> {
+    let mut got = engine.received();
     got.retain(|got| got.id == id);
     got
 }
@@ -75,7 +75,7 @@
     let (world, app, _pool) = start().await;
     assert_eq!(status(&world, "/once/a", None).await, 401);
     assert_eq!(status(&world, "/once/a", Some("key-of-a-7f3")).await, 401);
-    assert_eq!(app.got().len(), 0);
+    assert_eq!(app.received().len(), 0);
     assert_eq!(
         world
             .call("/safe/a", "open", &[("key", "unknown")])
@@ -136,7 +136,7 @@
     world.store.fault(floor::store::Fault::Busy);
     until(async || status(&world, "/once/a", Some("new")).await == 503).await;
     assert_eq!(status(&world, "/once/a", Some(KEY)).await, 200);
-    assert_eq!(app.got().len(), 1);
+    assert_eq!(app.received().len(), 1);
     world.store.fault(floor::store::Fault::None);
     until(async || status(&world, "/once/a", Some("new")).await == 401).await;
 }
--- a/crates/gateway/tests/roles.rs
+++ b/crates/gateway/tests/roles.rs
@@ -70,7 +70,7 @@
     let changing = engines.iter().filter(|engine| !engine.orders().is_empty());
     for engine in changing {
         assert!(
-            engine.got().iter().all(|got| got.id.is_empty()),
+            engine.received().iter().all(|got| got.id.is_empty()),
             "{}",
             engine.id
         );
@@ -91,5 +91,5 @@
     let id = world.fresh_id();
     let answer = world.call("/once/a", &id, &[]).await;
     assert_eq!(answer.status, 200);
-    assert_eq!(app.runs(&id), 1);
+    assert_eq!(app.run_count(&id), 1);
 }
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -74,7 +74,7 @@
         ready: address(),
         port: world::free_port(),
         grace_s: 8,
-        slack: 0,
+        retry_slack: 0,
         lease_ms: 0,
         duties: None,
     };
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use floor::configuration::{Duties, HOST, Route, Settings};
-use floor::request::{self, Header, Seen};
+use floor::request::{self, Header, ResponseSummary};
 use floor::{Engine, Store};
 use http1::{Client, Failure, Patience};
 use serde_json::Value;
@@ -154,7 +154,7 @@
             ready,
             port: free_port(),
             grace_s: 8,
-            slack: SLACK,
+            retry_slack: SLACK,
             lease_ms: 0,
             duties,
         };
@@ -291,7 +291,7 @@
     /// Sends a generation of 100 tokens, whose parts no engine has read.
     pub(crate) async fn generate(&self, path: &str, id: &str) -> Answer {
         let prefix = format!("a{id}:80,b{id}:20");
-        let headers = request::generation("100,20", &prefix);
+        let headers = request::generation_headers("100,20", &prefix);
         self.call(path, id, &headers).await
     }
 
@@ -394,7 +394,7 @@
 
 /// Headers of a generation.
 pub(crate) fn generation() -> [Header<'static>; 3] {
-    request::generation("100,20", "aa:80,bb:20")
+    request::generation_headers("100,20", "aa:80,bb:20")
 }
 
 /// Sends a call on an open connection and reads its answer.
@@ -418,7 +418,7 @@
     let head = request::call(path, id, deadline, headers);
     let answer = caller.send(head, &Bytes::new()).await;
     let answer = answer.expect("every call gets an answer");
-    let seen = Seen::from(&answer.head);
+    let seen = ResponseSummary::from(&answer.head);
     Answer {
         status: seen.status,
         retry_after: seen.retry_after,
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use floor::request::{self, FORGED, Seen};
+use floor::request::{self, FORGED_HEADERS, ResponseSummary};
 use http1::{Client, Failure, Patience};
 use rand::RngExt as _;
 use rand::rngs::StdRng;
@@ -196,10 +196,10 @@
     };
     let mut headers = vec![("key", key.as_str())];
     if ask.is_stream() {
-        headers.extend(request::generation("100,20", &parts));
+        headers.extend(request::generation_headers("100,20", &parts));
     }
     if forged {
-        headers.extend(FORGED);
+        headers.extend(FORGED_HEADERS);
     }
     let head = request::call(&path(ask), id, DEADLINE, &headers);
     let answer = match client.send(head, &Bytes::new()).await {
@@ -220,7 +220,7 @@
         }
         Err(_) => return (End::Closed, None),
     };
-    let seen = Seen::from(&answer.head);
+    let seen = ResponseSummary::from(&answer.head);
     let body = client.body(MOST).await.ok();
     let client = body.is_some().then_some(client);
     let end = End::Answer {
--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -125,7 +125,7 @@
             ready,
             port: mesh.port(),
             grace_s: GRACE,
-            slack: SLACK,
+            retry_slack: SLACK,
             lease_ms: LEASE,
             duties: Some(duties),
         };
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -8,7 +8,7 @@
 
 use floor::cloud::{self, Cloud};
 use floor::configuration::{Duties, Route, configuration};
-use floor::engine::Act;
+use floor::engine::Behaviour;
 use floor::{Engine, Store, store};
 use rustix::process::Signal;
 use serde_json::json;
@@ -51,7 +51,7 @@
     store: Store,
     cloud: Cloud,
     /// What the store held when it was last copied.
-    copy: RefCell<Option<store::Copy>>,
+    copy: RefCell<Option<store::Backup>>,
     /// When engines write again what a copy lacks.
     rewrite: Cell<Option<Instant>>,
     /// The gateways.
@@ -158,8 +158,8 @@
 
     /// Puts an engine behind a link of its own and registers it.
     async fn add(&self, engine: Engine, service: &'static str, stage: Option<&'static str>) {
-        engine.streams(check::EVENTS, PAUSE);
-        engine.ends_on(FATAL);
+        engine.set_stream(check::EVENTS, PAUSE);
+        engine.end_on_path(FATAL);
         let link = Proxy::start(engine.address).await;
         engine.register_at(link.address, &self.store, service, "ready", stage);
         self.places.borrow_mut().push(Place {
@@ -214,7 +214,9 @@
             Kind::Store(fault) => self.store.fault(store_fault(fault)),
             Kind::Compact => TOPICS.iter().for_each(|topic| self.store.compact(topic)),
             Kind::EngineLink(number, link) => self.place(number, |place| place.link.set(link)),
-            Kind::Engine(number, trouble) => self.place(number, |p| p.engine.act(act(trouble))),
+            Kind::Engine(number, trouble) => {
+                self.place(number, |p| p.engine.set_behaviour(act(trouble)))
+            }
             Kind::Leave(number) => self.leave(number).await,
             Kind::Crash(number) => self.crash(number).await,
             Kind::Reborn(number) => self.reborn(number).await,
@@ -222,7 +224,7 @@
             Kind::Fatal => self.is_fatal.set(true),
             Kind::Limit(number, taken) => self.limit(number, taken),
             Kind::Configure => self.configure(),
-            Kind::GoesBack => drop(self.copy.replace(Some(self.store.copy()))),
+            Kind::GoesBack => drop(self.copy.replace(Some(self.store.backup()))),
             Kind::Cloud(fault) => self.cloud.fault(cloud_fault(fault)),
         }
     }
@@ -239,7 +241,9 @@
                     place.link.set(Link::Pass);
                 }
             }),
-            Kind::Engine(number, _) => self.place(number, |place| place.engine.act(Act::Run)),
+            Kind::Engine(number, _) => {
+                self.place(number, |place| place.engine.set_behaviour(Behaviour::Run))
+            }
             Kind::Leave(number) => self.unregister(number),
             Kind::Crash(number) => self.unregister(number),
             Kind::Foreign(number) => self.write_own(number),
@@ -289,7 +293,7 @@
         self.place(number, |place| {
             place
                 .engine
-                .limit(Some(&(f64::from(taken) / 10.0).to_string()));
+                .announce_limit(Some(&(f64::from(taken) / 10.0).to_string()));
             self.history.borrow_mut().limits.push(Limit {
                 engine: place.engine.id.clone(),
                 taken,
@@ -302,7 +306,7 @@
     fn lift_limit(&self, number: usize) {
         let until = self.begun.get().elapsed();
         self.place(number, |place| {
-            place.engine.limit(None);
+            place.engine.announce_limit(None);
             let mut history = self.history.borrow_mut();
             let limits = history.limits.iter_mut();
             for limit in limits.filter(|limit| limit.engine == place.engine.id) {
@@ -354,7 +358,7 @@
         };
         let id = self.places.borrow()[number].engine.id.clone();
         self.place(number, |place| {
-            if !place.engine.has_ended() {
+            if !place.engine.has_stopped() {
                 place.link.set(Link::Reset);
             }
         });
@@ -362,13 +366,13 @@
         self.places.borrow_mut()[number].is_replaced = true;
         // One that starts again has a later place than the start before.
         let born = self.places.borrow().len() as u64;
-        let engine = Engine::start_born(&id, born).await;
+        let engine = Engine::start_with_timestamp(&id, born).await;
         self.add(engine, service, stage).await;
     }
 
     /// Starts engines in the place of those that a call has ended: one half under their names, the other under new ones.
     pub async fn replace_ended(&self) {
-        let is_ended = |place: &Place| place.engine.has_ended() && !place.left;
+        let is_ended = |place: &Place| place.engine.has_stopped() && !place.left;
         let ended: Vec<usize> = {
             let places = self.places.borrow();
             let ended = places.iter().enumerate();
@@ -488,13 +492,13 @@
             history
                 .orders
                 .extend(orders.into_iter().map(|order| (id.clone(), order)));
-            let got = place.engine.got();
+            let got = place.engine.received();
             history.runs.extend(got.into_iter().map(|got| Run {
                 engine: id.clone(),
                 service: place.service,
                 at: got.at.saturating_duration_since(self.begun.get()),
                 ran: got.ran,
-                forged: got.is_forged() || got.header("key").is_some(),
+                forged: got.has_forged_header() || got.header("key").is_some(),
                 organisation: got.header("tenant-id").unwrap_or_default().to_owned(),
                 id: got.id,
             }));
@@ -547,13 +551,13 @@
     }
 }
 
-fn act(trouble: plan::Engine) -> Act {
+fn act(trouble: plan::Engine) -> Behaviour {
     match trouble {
-        plan::Engine::Full => Act::Full,
-        plan::Engine::LosesAnswers => Act::LoseAnswer,
-        plan::Engine::Cuts => Act::CutAfter(2),
-        plan::Engine::Crosses => Act::Crossed,
-        plan::Engine::Fails => Act::Fail(500),
-        plan::Engine::Hangs => Act::Hang,
+        plan::Engine::Full => Behaviour::Full,
+        plan::Engine::LosesAnswers => Behaviour::CloseUnanswered,
+        plan::Engine::Cuts => Behaviour::CutAfter(2),
+        plan::Engine::Crosses => Behaviour::AnswerOther,
+        plan::Engine::Fails => Behaviour::Fail(500),
+        plan::Engine::Hangs => Behaviour::Hang,
     }
 }
