--- a/crates/gateway/tests/beliefs.rs
+++ b/crates/gateway/tests/beliefs.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use floor::Engine;
-use floor::engine::Behaviour;
-use floor::store::Fault;
+use platform_standin::Engine;
+use platform_standin::engine::Behaviour;
+use platform_standin::store::Fault;
 use serde_json::json;
 use world::{World, ask, generation, until};
 
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use floor::Engine;
-use floor::engine::{Behaviour, ReceivedRequest};
-use floor::request::{self, FORGED_HEADERS, PREFILL_ONLY};
+use platform_standin::Engine;
+use platform_standin::engine::{Behaviour, ReceivedRequest};
+use platform_standin::request::{self, FORGED_HEADERS, PREFILL_ONLY};
 use world::{World, ask, ask_within, generation, until};
 
 #[actix_rt::test]
@@ -256,7 +256,7 @@
     let (world, app, _pool) = World::start().await;
     app.set_behaviour(Behaviour::Hang);
     let mut caller = world.caller().await;
-    let head = floor::request::call("/once/a", "gone-1", 20_000, &[]);
+    let head = platform_standin::request::call("/once/a", "gone-1", 20_000, &[]);
     let body = bytes::Bytes::new();
     {
         let asking = caller.send(head, &body);
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -4,9 +4,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use floor::cloud::{Call, Fault};
-use floor::configuration::Duties;
-use floor::{Cloud, Engine};
+use platform_standin::cloud::{Call, Fault};
+use platform_standin::configuration::Duties;
+use platform_standin::{Cloud, Engine};
 use serde_json::{Value, json};
 use world::{World, configuration, generation, until};
 
--- a/crates/gateway/tests/ending.rs
+++ b/crates/gateway/tests/ending.rs
@@ -4,9 +4,9 @@
 
 use std::time::{Duration, SystemTime};
 
-use floor::engine::Behaviour;
-use floor::store::Fault;
-use floor::{Engine, Store};
+use platform_standin::engine::Behaviour;
+use platform_standin::store::Fault;
+use platform_standin::{Engine, Store};
 use wire::Message as _;
 use wire::gateway::Suspect;
 use world::{World, until};
@@ -338,7 +338,7 @@
     let (worlds, mut pool) = three_instances().await;
     let prefill = Engine::start("prefill-1").await;
     prefill.register(&worlds[0].store, "pool", "ready", Some("prefill"));
-    let long = floor::request::generation_headers("50000,20", "aa:40000,bb:10000");
+    let long = platform_standin::request::generation_headers("50000,20", "aa:40000,bb:10000");
     let world = &worlds[0];
     until(async || {
         let answer = world.call(FATAL, &world.fresh_id(), &long).await;
--- a/crates/gateway/tests/era.rs
+++ b/crates/gateway/tests/era.rs
@@ -14,7 +14,7 @@
 async fn a_configuration_in_force_does_not_go_back_and_the_next_one_is_read() {
     let (world, _app, _pool) = World::start().await;
     let copy = world.store.backup();
-    let second = floor::Engine::start("second-1").await;
+    let second = platform_standin::Engine::start("second-1").await;
     second.register(&world.store, "second", "ready", None);
     world.configure(2, "second");
     until(async || {
@@ -49,12 +49,12 @@
     for _ in 0..5 {
         app.register(&world.store, "app", "ready", None);
     }
-    let leaving = floor::Engine::start("app-2").await;
+    let leaving = platform_standin::Engine::start("app-2").await;
     leaving.register(&world.store, "app", "ready", None);
     until(async || world.page().await.contains("tarragon_engines 3")).await;
     world.store.restore(copy);
     until(async || world.log_lines(WENT_BACK) == 1).await;
-    let third = floor::Engine::start("app-3").await;
+    let third = platform_standin::Engine::start("app-3").await;
     third.register(&world.store, "app", "ready", None);
     leaving.register(&world.store, "app", "ready", None);
     until(async || world.page().await.contains("tarragon_engines 4")).await;
@@ -65,7 +65,7 @@
 #[actix_rt::test]
 async fn an_engine_that_said_it_leaves_gets_no_calls_when_the_store_forgets_it() {
     let (world, app, _pool) = World::start().await;
-    let other = floor::Engine::start("app-2").await;
+    let other = platform_standin::Engine::start("app-2").await;
     other.register(&world.store, "app", "ready", None);
     until(async || world.page().await.contains("tarragon_engines 3")).await;
     let copy = world.store.backup();
@@ -88,7 +88,7 @@
     let world = World::bare().await;
     let empty = world.store.backup();
     world.configure(1, "app");
-    let app = floor::Engine::start("app-1").await;
+    let app = platform_standin::Engine::start("app-1").await;
     app.register(&world.store, "app", "ready", None);
     world.until_ready(true).await;
     let registered = async || !world.store.newest("keyed.instances").is_empty();
@@ -114,7 +114,7 @@
     pool.end_on_path("/resume/fatal");
     let mut engines = Vec::new();
     for n in 0..4 {
-        let engine = floor::Engine::start(&format!("more-{n}")).await;
+        let engine = platform_standin::Engine::start(&format!("more-{n}")).await;
         engine.register(&world.store, "pool", "ready", Some("decode"));
         engine.end_on_path("/resume/fatal");
         engines.push(engine);
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use floor::engine::Behaviour;
-use floor::{Engine, request};
+use platform_standin::engine::Behaviour;
+use platform_standin::{Engine, request};
 use tokio::time::{Instant, sleep};
 use world::{World, until};
 
--- a/crates/gateway/tests/metrics.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use floor::engine::Behaviour;
+use platform_standin::engine::Behaviour;
 use world::{World, until};
 
 #[actix_rt::test]
--- a/crates/gateway/tests/organisations.rs
+++ b/crates/gateway/tests/organisations.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use floor::Engine;
-use floor::engine::ReceivedRequest;
+use platform_standin::Engine;
+use platform_standin::engine::ReceivedRequest;
 use serde_json::{Value, json};
 use world::{World, configuration, generation, until};
 
@@ -133,11 +133,11 @@
 #[actix_rt::test]
 async fn an_instance_that_is_behind_sends_unknown_keys_elsewhere() {
     let (world, app, _pool) = start().await;
-    world.store.fault(floor::store::Fault::Busy);
+    world.store.fault(platform_standin::store::Fault::Busy);
     until(async || status(&world, "/once/a", Some("new")).await == 503).await;
     assert_eq!(status(&world, "/once/a", Some(KEY)).await, 200);
     assert_eq!(app.received().len(), 1);
-    world.store.fault(floor::store::Fault::None);
+    world.store.fault(platform_standin::store::Fault::None);
     until(async || status(&world, "/once/a", Some("new")).await == 401).await;
 }
 
--- a/crates/gateway/tests/placers.rs
+++ b/crates/gateway/tests/placers.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use floor::Engine;
+use platform_standin::Engine;
 use world::{World, until};
 
 /// Three gateways on one store, of which the third is the last in the common order, with an engine of plain calls and one
--- a/crates/gateway/tests/roles.rs
+++ b/crates/gateway/tests/roles.rs
@@ -2,8 +2,8 @@
 
 mod world;
 
-use floor::Engine;
-use floor::engine::Order;
+use platform_standin::Engine;
+use platform_standin::engine::Order;
 use world::{World, until};
 
 const PREFILL: usize = 4;
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-use floor::configuration::Settings;
+use platform_standin::configuration::Settings;
 use rustix::fs::{CWD, FileType, Mode};
 use rustix::process::{Pid, Signal, kill_process};
 use tempfile::TempDir;
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use floor::configuration::{Duties, HOST, Route, Settings};
-use floor::request::{self, Header, ResponseSummary};
-use floor::{Engine, Store};
 use http1::{Client, Failure, Patience};
+use platform_standin::configuration::{Duties, HOST, Route, Settings};
+use platform_standin::request::{self, Header, ResponseSummary};
+use platform_standin::{Engine, Store};
 use serde_json::Value;
 use tempfile::NamedTempFile;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -119,7 +119,7 @@
         route("/stream/", "streaming", "pool", 1, false),
         route("/resume/", "streaming", "pool", 2, true),
     ];
-    floor::configuration::configuration(version, &routes, &[app])
+    platform_standin::configuration::configuration(version, &routes, &[app])
 }
 
 impl World {
@@ -218,7 +218,7 @@
     /// Registers an engine that has ended and whose record stands.
     pub(crate) fn lost_engine(&self, id: &str, service: &str) {
         let address = SocketAddr::from(([127, 0, 0, 1], free_port()));
-        floor::engine::register(&self.store, id, address, service, "ready", None);
+        platform_standin::engine::register(&self.store, id, address, service, "ready", None);
     }
 
     pub(crate) async fn until_ready(&self, ready: bool) {
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use floor::request::{self, FORGED_HEADERS, ResponseSummary};
 use http1::{Client, Failure, Patience};
+use platform_standin::request::{self, FORGED_HEADERS, ResponseSummary};
 use rand::RngExt as _;
 use rand::rngs::StdRng;
 use tokio::time::{Instant, sleep, timeout};
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use floor::cloud;
+use platform_standin::cloud;
 
 use crate::history::{Ask, Call, End, History, Run};
 use crate::plan::Kind;
--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Duration;
 
-use floor::configuration::{Duties, Settings};
+use platform_standin::configuration::{Duties, Settings};
 use rustix::process::{Pid, Signal, kill_process};
 
 /// A gateway and the files that it needs.
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use floor::cloud;
-use floor::engine::Order;
+use platform_standin::cloud;
+use platform_standin::engine::Order;
 
 use crate::plan::Fault;
 
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use floor::cloud::{self, Cloud};
-use floor::configuration::{Duties, Route, configuration};
-use floor::engine::Behaviour;
-use floor::{Engine, Store, store};
+use platform_standin::cloud::{self, Cloud};
+use platform_standin::configuration::{Duties, Route, configuration};
+use platform_standin::engine::Behaviour;
+use platform_standin::{Engine, Store, store};
 use rustix::process::Signal;
 use serde_json::json;
 use tokio::time::Instant;
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use floor::cloud;
-use floor::engine::Order;
+use platform_standin::cloud;
+use platform_standin::engine::Order;
 use serde_json::json;
 use soak::check::{self, Finding, Promise};
 use soak::history::{Ask, Call, End, History, Limit, Run};
