--- a/crates/gateway/src/claim_log.rs
+++ b/crates/gateway/src/claim_log.rs
@@ -5,7 +5,7 @@
 
 use adapter::orders::EngineCounts;
 use clock::Moment;
-use serving::turn::Fence;
+use serving::claim::Fence;
 use wire::gateway;
 
 use crate::sizes::Sizes;
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of the right to order engines and to perform duties, in the store. [`serving::turn`] decides who may claim.
+//! Claims of the right to order engines and to perform duties, in the store. [`serving::claim`] decides who may claim.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 };
 use adapter::store::{self, Era, KeyedRecord, Offset, Store, StoreError};
 use clock::{Clock as _, Moment, System};
-use serving::turn::{self, Fence, Turns};
+use serving::claim::{self, Fence, Turns};
 use serving::usage::Report;
 
 /// Why nothing may be ordered now.
@@ -122,7 +122,7 @@
                 None
             }
         });
-        let claim = record.map(|record| turn::Claim {
+        let claim = record.map(|record| claim::Claim {
             fence: fence(record.offset),
             holder: held.as_ref().map_or("", |claim| &claim.holder),
         });
@@ -154,7 +154,7 @@
         reports: &[Report],
         numbers: Vec<EngineCounts>,
     ) -> Result<Grant, Denied> {
-        let until = self.clock.now_boottime() + turn::ORDERS;
+        let until = self.clock.now_boottime() + claim::ORDERS;
         let claim = orders::Claim {
             holder: self.holder.clone(),
             incarnation: self.incarnation,
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -7,9 +7,9 @@
 use adapter::upstream;
 use clock::Moment;
 use http1::{Client, Failure, Patience};
+use serving::claim::Fence;
 use serving::engine::Changing;
 use serving::roles::{Change, Changes, Planner};
-use serving::turn::Fence;
 use serving::{Record, ServiceName};
 use tokio::time::timeout;
 
--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -10,9 +10,9 @@
 
 use crate::fleet::PeerId;
 use crate::health::{Health, Told};
-use crate::line;
 use crate::pauses::Reading;
 use crate::quarantine::Build;
+use crate::queue;
 use crate::{EngineId, ServiceName, Zone, hash};
 
 /// Which half of a generation an engine does.
@@ -229,7 +229,7 @@
 
     /// Time from now until a new job has been read, if a millisecond reads `rate` tokens of work.
     pub fn read_in(&self, new: Job, rate: f64) -> Duration {
-        line::read_in(&self.jobs(), self.freed, new, rate / self.pace)
+        queue::read_in(&self.jobs(), self.freed, new, rate / self.pace)
     }
 
     /// Takes in whether there are prompts to read from now on.
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -14,7 +14,7 @@
 use crate::pauses::Pauses;
 use crate::speed::Speed;
 use crate::throttle::{Rate, Throttles};
-use crate::{EngineId, ServiceName, hash, line};
+use crate::{EngineId, ServiceName, hash, queue};
 
 mod remote;
 mod streams;
@@ -223,7 +223,7 @@
         let rate = self.speed(engine).rate;
         Some(Pending {
             job,
-            expected: line::read_in(&jobs, engine.freed, job, rate),
+            expected: queue::read_in(&jobs, engine.freed, job, rate),
             alone: jobs.is_empty(),
         })
     }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -8,6 +8,7 @@
 //! is done here; the moment is an argument. See `docs/design/placement.md`.
 
 pub mod budget;
+pub mod claim;
 mod cost;
 pub mod engine;
 mod fetch;
@@ -17,23 +18,22 @@
 mod flow;
 pub mod hash;
 pub mod health;
-pub mod line;
 pub mod organisation;
 mod overrun;
 pub mod parts;
 pub mod pauses;
 pub mod place;
 pub mod placer;
+pub mod prior_wait;
 pub mod quarantine;
+pub mod queue;
 pub mod registry;
 pub mod roles;
 pub mod route;
 pub mod scaling;
 pub mod speed;
 pub mod throttle;
-pub mod turn;
 pub mod usage;
-pub mod usual;
 pub mod watch;
 
 pub use engine::{Record, Stage, State};
--- a/crates/serving/tests/line.rs
+++ b/crates/serving/tests/line.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serving::engine::Job;
-use serving::line::read_in;
+use serving::queue::read_in;
 
 /// Tokens a millisecond.
 const RATE: f64 = 50.0;
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use common::{fleet, id, ms, service};
+use serving::claim::{Claim, Turns};
 use serving::engine::Changing;
 use serving::roles::{Changes, Planner};
-use serving::turn::{Claim, Turns};
 use serving::{Fleet, Stage};
 
 /// A fleet of this many engines that read, `r0` and on, and that generate, `g0` and on.
--- a/crates/serving/tests/turn.rs
+++ b/crates/serving/tests/turn.rs
@@ -8,7 +8,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
-use serving::turn::{Claim, Era, Fence, ORDERS, Turns};
+use serving::claim::{Claim, Era, Fence, ORDERS, Turns};
 
 /// Milliseconds of true time.
 type Millis = u64;
--- a/crates/serving/tests/usual.rs
+++ b/crates/serving/tests/usual.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::ms;
-use serving::usual::Usual;
+use serving::prior_wait::Usual;
 
 #[test]
 fn a_caller_that_waits_less_than_others_has_waited_before() {
