--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -195,7 +195,7 @@
             .map_or(route.timeout, |d| d.min(route.timeout));
         let before = call.deadline.map_or(Duration::ZERO, |left| {
             let mut usual = instance.usual.borrow_mut();
-            usual.waited(&route.name, left, instance.now())
+            usual.estimate(&route.name, left, instance.now())
         });
         Ok(Self {
             until: arrival.begun + patience,
@@ -323,7 +323,7 @@
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             Self::Unreachable => Outcome::Unreachable,
-            Self::Full => Outcome::Full,
+            Self::Full => Outcome::Overloaded,
             Self::Ended => Outcome::Ended,
         }
     }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -139,7 +139,7 @@
 fn is_leaving(instance: &Instance, engine: &EngineId) -> bool {
     let fleet = instance.fleet.borrow();
     let known = fleet.get(engine);
-    known.is_none_or(|known| known.gone || known.record.state == State::Draining)
+    known.is_none_or(|known| known.record_gone || known.record.state == State::Draining)
 }
 
 /// Says whether an engine has ended, once that is known. All calls that break at once share one try.
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -360,7 +360,7 @@
     };
     let state = engine.state;
     let stage = engine.stage;
-    let born = engine.born;
+    let born = engine.started_ms;
     let changed = registry.put(&mut fleet, engine) == Change::Put;
     if changed {
         registry.reached(record.offset);
--- a/crates/gateway/src/frame.rs
+++ b/crates/gateway/src/frame.rs
@@ -48,7 +48,7 @@
 pub(crate) fn job(job: &wire::gateway::Job, now: Moment) -> Job {
     Job {
         ticket: job.ticket,
-        sent: before(now, job.age_ms),
+        sent_at: before(now, job.age_ms),
         rank: Rank::try_from(job.rank).unwrap_or(Rank::MAX),
         work: job.work,
     }
@@ -60,7 +60,7 @@
         ticket: job.ticket,
         work: job.work,
         rank: u32::from(job.rank),
-        age_ms: since(job.sent, now),
+        age_ms: since(job.sent_at, now),
     }
 }
 
@@ -110,8 +110,8 @@
 pub(crate) fn outcome(told: wire::gateway::Outcome) -> Option<Outcome> {
     match told {
         wire::gateway::Outcome::None => None,
-        wire::gateway::Outcome::Good => Some(Outcome::Good),
-        wire::gateway::Outcome::Full => Some(Outcome::Full),
+        wire::gateway::Outcome::Good => Some(Outcome::Success),
+        wire::gateway::Outcome::Full => Some(Outcome::Overloaded),
         wire::gateway::Outcome::Unreachable => Some(Outcome::Unreachable),
         wire::gateway::Outcome::Failed => Some(Outcome::Failed),
         wire::gateway::Outcome::Ended => Some(Outcome::Ended),
@@ -122,8 +122,8 @@
 pub(crate) fn told_outcome(outcome: Option<Outcome>) -> wire::gateway::Outcome {
     match outcome {
         None => wire::gateway::Outcome::None,
-        Some(Outcome::Good) => wire::gateway::Outcome::Good,
-        Some(Outcome::Full) => wire::gateway::Outcome::Full,
+        Some(Outcome::Success) => wire::gateway::Outcome::Good,
+        Some(Outcome::Overloaded) => wire::gateway::Outcome::Full,
         Some(Outcome::Unreachable) => wire::gateway::Outcome::Unreachable,
         Some(Outcome::Failed) => wire::gateway::Outcome::Failed,
         Some(Outcome::Ended) => wire::gateway::Outcome::Ended,
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -289,7 +289,7 @@
             return Prompt::Lost;
         };
         held.first("read");
-        held.note(Outcome::Good);
+        held.note(Outcome::Success);
         attempt::give(self.instance, &engine.id, client, &reply);
         self.weights = self.weights.or(read.weight_version);
         let memory = KvLocation {
@@ -369,7 +369,7 @@
             held.note(if reply.status >= 500 {
                 Outcome::Failed
             } else {
-                Outcome::Good
+                Outcome::Success
             });
             self.instance
                 .suspects
@@ -385,7 +385,7 @@
         self.weights = self.weights.or(reply.weight_version);
         match self.relay.pass(&mut answered, &held).await {
             relay::End::Whole => {
-                held.note(Outcome::Good);
+                held.note(Outcome::Success);
                 self.instance
                     .suspects
                     .ended_well(self.asked, engine, suspects::now(self.instance));
--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/held.rs
@@ -8,7 +8,7 @@
 use serving::engine::Ticket;
 use serving::fleet::Sent;
 use serving::health::Outcome;
-use serving::pauses::Mark;
+use serving::pauses::StreamMark;
 use serving::place::Target;
 use tokio::time::Instant;
 
@@ -55,7 +55,7 @@
     outcome: Option<Outcome>,
     placed_by: Option<(SocketAddr, Ticket)>,
     /// Where the stream was at its last event.
-    last: Cell<Option<Mark>>,
+    last: Cell<Option<StreamMark>>,
 }
 
 impl<'a> Held<'a> {
@@ -127,8 +127,8 @@
         log::info!(
             id = self.asked.call.id.as_str(), engine = &*self.sent.engine, step = step,
             ms:% = self.begun.elapsed().as_millis(), expected_ms:% = self.expected.as_millis(),
-            unread = self.unread, pace:? = engine.map(|engine| engine.pace),
-            stage:? = engine.map(|engine| engine.record.stage), running = engine.map_or(0, |e| e.running());
+            unread = self.unread, pace:? = engine.map(|engine| engine.slowdown),
+            stage:? = engine.map(|engine| engine.record.stage), running = engine.map_or(0, |e| e.running_calls());
             "engine began"
         );
     }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -12,7 +12,7 @@
 use serving::organisation::{Directory, Name};
 use serving::parts::Part;
 use serving::placer::{self, Member, Placers};
-use serving::prior_wait::Usual;
+use serving::prior_wait::PriorWaits;
 use serving::registry::Registry;
 use serving::usage::{Ledger, Unix, Window};
 use serving::watch::{self, Known};
@@ -69,7 +69,7 @@
     /// Whether another instance said that the configuration is to be read.
     pub must_read: Cell<bool>,
     pub budgets: RefCell<Budgets>,
-    pub usual: RefCell<Usual>,
+    pub usual: RefCell<PriorWaits>,
     pub pool: Pool,
     /// Calls that end engines.
     pub suspects: Suspects,
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -190,7 +190,7 @@
     let fleet = instance.fleet.borrow();
     // Health as seen from here counts too: the path to an engine may be broken from this instance only.
     let resting = fleet.ready(demand.service);
-    let resting = resting.filter(|engine| !engine.is_open(now));
+    let resting = resting.filter(|engine| !engine.is_available(now));
     let resting = resting.map(|engine| &engine.record.id);
     let avoid = demand.avoid.iter().chain(resting);
     Ask {
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -258,7 +258,7 @@
 fn outcome(one: &One) -> Outcome {
     match one {
         One::Whole(answered, _) if answered.reply.status >= 500 => Outcome::Failed,
-        One::Whole(..) => Outcome::Good,
+        One::Whole(..) => Outcome::Success,
         One::NotRun(why) => why.outcome(),
         One::Lost | One::Late => Outcome::Failed,
     }
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -5,7 +5,7 @@
 use adapter::store::{self, KeyedRecord};
 use bytes::Bytes;
 use clock::Moment;
-use serving::engine::{Changing, Stage};
+use serving::engine::{Stage, StageChange};
 use serving::fleet::Change;
 use serving::parts::Part;
 use wire::gateway::{Frame, News, State};
@@ -147,7 +147,7 @@
         } else {
             Stage::Decode
         };
-        let changing = Changing {
+        let changing = StageChange {
             stage,
             since: now,
             own: false,
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -8,7 +8,7 @@
 use clock::Moment;
 use http1::{Client, Failure, Patience};
 use serving::claim::Fence;
-use serving::engine::Changing;
+use serving::engine::StageChange;
 use serving::roles::{Change, Changes, Planner};
 use serving::{Record, ServiceName};
 use tokio::time::timeout;
@@ -92,7 +92,7 @@
     change: &Change,
     fence: Fence,
 ) -> Option<Answer> {
-    let changing = Changing {
+    let changing = StageChange {
         stage: change.stage,
         since: instance.now(),
         own: true,
@@ -102,7 +102,7 @@
         fleet.change(&change.engine, changing);
         fleet
             .get(&change.engine)
-            .map_or(0, |engine| engine.running())
+            .map_or(0, |engine| engine.running_calls())
     };
     instance.stirred.notify_one();
     let answer = timeout(ANSWER, send(instance, engine, change, fence)).await;
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -82,7 +82,7 @@
         upstream::announced_limit(&response.head),
     );
     let body = client.body(MOST).await.ok()?;
-    upstream::parse_held_parts(&body, engine.born)
+    upstream::parse_held_parts(&body, engine.started_ms)
 }
 
 fn record(instance: &Instance, engine: &EngineId, parts: &[Part]) {
--- a/crates/gateway/tests/reports.rs
+++ b/crates/gateway/tests/reports.rs
@@ -29,7 +29,7 @@
         own.begun((placer(port), ticket));
     }
     own.read((placer(1), 10), ms(5));
-    own.ended((placer(1), 10), Some(Outcome::Good));
+    own.ended((placer(1), 10), Some(Outcome::Success));
     let reports = own.take_reports(ms(8));
     assert_eq!(reports.len(), 1, "the other one has nothing to be told");
     let (to, told) = &reports[0];
--- a/crates/serving/src/cost.rs
+++ b/crates/serving/src/cost.rs
@@ -5,7 +5,7 @@
 
 use clock::Moment;
 
-use crate::engine::{Engine, Job, LATE, Stage};
+use crate::engine::{Engine, Job, LATE_RANK, Stage};
 use crate::fetch::{self, Sources};
 use crate::parts::Part;
 use crate::place::{self, Demand, Generation, Target};
@@ -62,11 +62,11 @@
     let fetch = fetch::quickest(fleet, engine, size, sources, &speed);
     let unread = fetch.unread;
     let work = speed::work(unread, size.tokens);
-    let reading = speed.time(u64::from(work)) * engine.pace;
+    let reading = speed.time(u64::from(work)) * engine.slowdown;
     let read = wait(fleet, engine, demand, work, now);
     let limit_wait = place::limit_wait(fleet, engine, demand, now).unwrap_or_default();
     let expected =
-        millis(limit_wait) + speed.setup + slot_wait(engine) * engine.pace + fetch.takes + read;
+        millis(limit_wait) + speed.setup + slot_wait(engine) * engine.slowdown + fetch.takes + read;
     let copied = speed.time(u64::from(speed::work(fetch.tokens, size.tokens)));
     let total = haste(demand) * expected
         + COPY_WEIGHT * copied
@@ -97,7 +97,7 @@
 /// read as soon as what is there now is read; in a peak that never comes, its caller waits to the end for nothing, and
 /// one notices it by calls that fail while hardly any are refused.
 fn overrun(fleet: &Fleet, demand: &Demand, now: Moment) -> f64 {
-    if demand.priority < LATE {
+    if demand.priority < LATE_RANK {
         return 1.0;
     }
     fleet.overrun(demand.service, now)
@@ -107,17 +107,17 @@
 fn wait(fleet: &Fleet, engine: &Engine, demand: &Demand, work: u32, now: Moment) -> f64 {
     let new = Job {
         ticket: 0,
-        sent: now,
+        sent_at: now,
         rank: demand.priority,
         work,
     };
-    millis(engine.read_in(new, fleet.speed(engine).rate))
+    millis(engine.time_until_read(new, fleet.speed(engine).rate))
 }
 
 /// How much a millisecond of waiting counts for a call. One that cannot be on time is worth the same whenever its
 /// answer comes, so that it must not make others late to be there sooner.
 fn haste(demand: &Demand) -> f64 {
-    if demand.priority < LATE {
+    if demand.priority < LATE_RANK {
         1.0
     } else {
         LATE_HASTE
@@ -129,7 +129,7 @@
     if is_prefill(engine) {
         return 0.0;
     }
-    fleet.strain(engine) * reading * f64::from(engine.running())
+    fleet.strain(engine) * reading * f64::from(engine.running_calls())
 }
 
 fn far(engine: &Engine, demand: &Demand) -> f64 {
@@ -150,7 +150,7 @@
 
 /// Calls beyond the slots wait for one to end; each is taken to need a tenth of a second.
 fn slot_wait(engine: &Engine) -> f64 {
-    let over = (engine.running() + 1).saturating_sub(engine.record.slots);
+    let over = (engine.running_calls() + 1).saturating_sub(engine.record.slots);
     100.0 * f64::from(over)
 }
 
@@ -173,11 +173,11 @@
     best(takers.map(|engine| {
         let far = engine.record.zone != *source;
         let way = if far { 2.0 * moved } else { moved };
-        let batch = f64::from(engine.running()) + slot_wait(engine);
+        let batch = f64::from(engine.running_calls()) + slot_wait(engine);
         let limit_wait = place::limit_wait(fleet, engine, demand, now).unwrap_or_default();
         let total = millis(limit_wait)
             + way
-            + batch * engine.pace
+            + batch * engine.slowdown
             + wait(fleet, engine, demand, 0, now)
             + connect(engine, demand)
             + millis(HANDOVER);
--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -9,7 +9,7 @@
 use smallvec::SmallVec;
 
 use crate::fleet::PeerId;
-use crate::health::{Health, Told};
+use crate::health::{Health, PeerReports};
 use crate::pauses::Reading;
 use crate::quarantine::Build;
 use crate::queue;
@@ -42,7 +42,7 @@
     pub name: Rc<str>,
     /// Its start, in milliseconds since the Unix epoch, where it says so. Of two incarnations with one name
     /// the later one counts.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// What it serves.
     pub service: ServiceName,
     /// Where it listens.
@@ -76,7 +76,7 @@
 
 /// Ranks by which a call that cannot be on time yields to calls that can: its answer is worth the same a second
 /// later, and a long prompt that cannot be on time would make ten short ones late.
-pub const LATE: Rank = 4;
+pub const LATE_RANK: Rank = 4;
 
 /// Number of a call in the books of the instance that sent it.
 pub type Ticket = u32;
@@ -87,7 +87,7 @@
     /// Number of the call.
     pub ticket: Ticket,
     /// When it was sent, on this instance's clock.
-    pub sent: Moment,
+    pub sent_at: Moment,
     /// Its urgency.
     pub rank: Rank,
     /// Work that it is, in tokens of [`crate::speed::work`].
@@ -114,7 +114,7 @@
 
 /// A change that an engine has been ordered to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Changing {
+pub struct StageChange {
     /// What it will do.
     pub stage: Stage,
     /// When it was ordered, or heard of, on this instance's clock.
@@ -131,13 +131,13 @@
     /// Outcomes of this instance's calls.
     pub health: Health,
     /// Outcomes of the calls of others.
-    pub told: Told,
+    pub peer_reports: PeerReports,
     /// Whether its record is gone; kept until its last call ends.
-    pub gone: bool,
+    pub record_gone: bool,
     /// Set while it changes what it does.
-    pub changing: Option<Changing>,
+    pub stage_change: Option<StageChange>,
     /// Time that work takes here against what the speed of its stage gives; 1 is as expected.
-    pub pace: f64,
+    pub slowdown: f64,
     pub(crate) calls: u32,
     pub(crate) pending: SmallVec<[Pending; 8]>,
     pub(crate) others: BTreeMap<PeerId, Work>,
@@ -163,10 +163,10 @@
         Self {
             record,
             health: Health::default(),
-            told: Told::default(),
-            gone: false,
-            changing: None,
-            pace: 1.0,
+            peer_reports: PeerReports::default(),
+            record_gone: false,
+            stage_change: None,
+            slowdown: 1.0,
             calls: 0,
             pending: SmallVec::new(),
             others: BTreeMap::new(),
@@ -176,33 +176,35 @@
     }
 
     /// What it does, or will do once it has changed.
-    pub fn stage_to_be(&self) -> Option<Stage> {
-        self.changing
+    pub fn target_stage(&self) -> Option<Stage> {
+        self.stage_change
             .map_or(self.record.stage, |changing| Some(changing.stage))
     }
 
     /// Whether it takes new calls, or will once it has changed: its record says so, and nothing that it has ended.
-    pub fn stands(&self) -> bool {
-        !self.gone && !self.health.has_ended() && self.record.state == State::Ready
+    pub fn is_active(&self) -> bool {
+        !self.record_gone && !self.health.has_ended() && self.record.state == State::Ready
     }
 
     /// Whether it takes new calls now.
     pub fn takes_calls(&self) -> bool {
-        self.stands() && self.changing.is_none()
+        self.is_active() && self.stage_change.is_none()
     }
 
     /// Whether nothing that calls came to speaks against one more now.
-    pub fn is_open(&self, now: Moment) -> bool {
-        self.health.is_open(now) && self.told.is_open(now)
+    pub fn is_available(&self, now: Moment) -> bool {
+        self.health.is_available(now) && self.peer_reports.is_open(now)
     }
 
     /// Share of recent calls that failed, from 0 to 1.
     pub fn failures(&self, now: Moment) -> f64 {
-        self.health.failures(now).max(self.told.failures(now))
+        self.health
+            .failures(now)
+            .max(self.peer_reports.failures(now))
     }
 
     /// This instance's work here.
-    pub fn own(&self) -> Work {
+    pub fn own_work(&self) -> Work {
         Work {
             calls: self.calls,
             jobs: self.pending.iter().map(|pending| pending.job).collect(),
@@ -210,26 +212,26 @@
     }
 
     /// Calls of all instances here.
-    pub fn running(&self) -> u32 {
+    pub fn running_calls(&self) -> u32 {
         let others = self.others.values().map(|work| work.calls);
         self.calls + others.sum::<u32>()
     }
 
     /// Prompts of all instances that are not read yet, the oldest first.
-    pub fn jobs(&self) -> SmallVec<[Job; 16]> {
+    pub fn pending_jobs(&self) -> SmallVec<[Job; 16]> {
         let own = self.pending.iter().map(|pending| pending.job);
         let others = self
             .others
             .values()
             .flat_map(|work| work.jobs.iter().copied());
         let mut jobs: SmallVec<[Job; 16]> = own.chain(others).collect();
-        jobs.sort_by_key(|job| job.sent);
+        jobs.sort_by_key(|job| job.sent_at);
         jobs
     }
 
     /// Time from now until a new job has been read, if a millisecond reads `rate` tokens of work.
-    pub fn read_in(&self, new: Job, rate: f64) -> Duration {
-        queue::read_in(&self.jobs(), self.freed, new, rate / self.pace)
+    pub fn time_until_read(&self, new: Job, rate: f64) -> Duration {
+        queue::time_until_read(&self.pending_jobs(), self.freed, new, rate / self.slowdown)
     }
 
     /// Takes in whether there are prompts to read from now on.
@@ -251,7 +253,7 @@
             PACE_WEIGHT_BEHIND
         };
         let ratio = (took / expected).clamp(PACE_STEP.0, PACE_STEP.1);
-        let next = self.pace * (ratio / self.pace).powf(weight);
-        self.pace = next.clamp(PACE_RANGE.0, PACE_RANGE.1);
+        let next = self.slowdown * (ratio / self.slowdown).powf(weight);
+        self.slowdown = next.clamp(PACE_RANGE.0, PACE_RANGE.1);
     }
 }
--- a/crates/serving/src/fetch.rs
+++ b/crates/serving/src/fetch.rs
@@ -47,7 +47,7 @@
     let mut sources = Sources::new();
     for engine in fleet.ready(demand.service) {
         let kept = fleet.parts.kept(&engine.record.id, size.prompt);
-        if kept == 0 || !engine.is_open(now) {
+        if kept == 0 || !engine.is_available(now) {
             continue;
         }
         let near = |source: &&mut Source| source.engine.record.zone == engine.record.zone;
@@ -78,7 +78,7 @@
     };
     let time = |fetch: &Fetch| {
         let work = speed::work(fetch.unread, size.tokens);
-        fetch.takes + speed.time(u64::from(work)) * engine.pace
+        fetch.takes + speed.time(u64::from(work)) * engine.slowdown
     };
     let fetches = sources
         .iter()
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -6,7 +6,9 @@
 
 use clock::Moment;
 
-use crate::engine::{Changing, Engine, Job, LATE, Pending, Rank, Record, Stage, Ticket, Work};
+use crate::engine::{
+    Engine, Job, LATE_RANK, Pending, Rank, Record, Stage, StageChange, Ticket, Work,
+};
 use crate::flow::Flow;
 use crate::health::Outcome;
 use crate::overrun::Overrun;
@@ -98,11 +100,11 @@
     pub fn put(&mut self, record: Record) -> bool {
         match self.engines.get_mut(&record.id) {
             Some(engine) => {
-                let changed = engine.gone || engine.record != record;
-                engine.gone = false;
+                let changed = engine.record_gone || engine.record != record;
+                engine.record_gone = false;
                 engine.record = record;
-                let done = |changing: &mut Changing| engine.record.stage == Some(changing.stage);
-                engine.changing.take_if(done);
+                let done = |changing: &mut StageChange| engine.record.stage == Some(changing.stage);
+                engine.stage_change.take_if(done);
                 changed
             }
             None => {
@@ -119,15 +121,15 @@
         let Some(engine) = self.engines.get_mut(id) else {
             return false;
         };
-        let changed = !engine.gone;
-        engine.gone = true;
+        let changed = !engine.record_gone;
+        engine.record_gone = true;
         self.sweep();
         changed
     }
 
     /// Names of all engines whose records stand.
     pub fn names(&self) -> Vec<Rc<str>> {
-        let standing = self.engines.values().filter(|engine| !engine.gone);
+        let standing = self.engines.values().filter(|engine| !engine.record_gone);
         standing.map(|engine| engine.record.name.clone()).collect()
     }
 
@@ -150,16 +152,16 @@
     /// Engines of a service that take new calls, or will once they have changed.
     pub fn standing<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Engine> {
         let engines = self.engines.values();
-        engines.filter(move |engine| engine.stands() && engine.record.service == *service)
+        engines.filter(move |engine| engine.is_active() && engine.record.service == *service)
     }
 
     /// Takes in that an engine was ordered to change what it does. It gets no calls until its record
     /// says that it has, or for [`CHANGE`].
-    pub fn change(&mut self, id: &str, changing: Changing) {
+    pub fn change(&mut self, id: &str, changing: StageChange) {
         if let Some(engine) = self.engines.get_mut(id)
             && engine.record.stage != Some(changing.stage)
         {
-            engine.changing.get_or_insert(changing);
+            engine.stage_change.get_or_insert(changing);
             self.changing.insert(engine.record.id.clone());
         }
     }
@@ -167,7 +169,7 @@
     /// Takes in that an engine does not change after all.
     pub fn change_failed(&mut self, id: &str) {
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.changing = None;
+            engine.stage_change = None;
         }
     }
 
@@ -177,7 +179,7 @@
             let changing = self
                 .engines
                 .get(id)?
-                .changing
+                .stage_change
                 .filter(|changing| changing.own)?;
             Some((id, changing.stage))
         })
@@ -194,7 +196,7 @@
         let ticket = self.next_ticket;
         let job = Job {
             ticket,
-            sent: now,
+            sent_at: now,
             rank,
             work,
         };
@@ -219,11 +221,11 @@
     /// A prompt at an engine, with when it will be read if the engine keeps the pace of its stage.
     fn pending(&self, id: &EngineId, job: Job) -> Option<Pending> {
         let engine = self.engines.get(id)?;
-        let jobs = engine.jobs();
+        let jobs = engine.pending_jobs();
         let rate = self.speed(engine).rate;
         Some(Pending {
             job,
-            expected: queue::read_in(&jobs, engine.freed, job, rate),
+            expected: queue::time_until_read(&jobs, engine.freed, job, rate),
             alone: jobs.is_empty(),
         })
     }
@@ -252,7 +254,7 @@
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
-        let took = at.saturating_sub(pending.job.sent);
+        let took = at.saturating_sub(pending.job.sent_at);
         let stage = engine.record.stage.unwrap_or(Stage::Decode);
         let key = (engine.record.service.clone(), stage);
         let speed = self.speeds.entry(key).or_insert_with(|| Speed::new(stage));
@@ -262,7 +264,7 @@
         let setup = Duration::from_secs_f64(speed.setup / 1_000.0);
         engine.freed = engine.freed.max(at.saturating_sub(setup));
         let expected = pending.expected + setup;
-        if pending.job.rank >= LATE {
+        if pending.job.rank >= LATE_RANK {
             let overrun = self.overruns.entry(engine.record.service.clone());
             let factor = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
             overrun.or_default().observe(factor, at);
@@ -284,11 +286,11 @@
                 if outcome == Outcome::Ended && !engine.health.has_ended() {
                     self.changes.push(Change::Gone(sent.engine.clone()));
                 }
-                engine.health.note(outcome, now);
+                engine.health.record(outcome, now);
             }
             let ended = Change::Ended(sent.engine.clone(), sent.ticket, outcome);
             self.changes.push(ended);
-            if engine.gone {
+            if engine.record_gone {
                 self.sweep();
             }
         }
@@ -299,13 +301,13 @@
         let Some(engine) = self.engines.get(&sent.engine) else {
             return;
         };
-        let yields = |pending: &&Pending| pending.job.rank >= LATE && pending.job.work > 0;
+        let yields = |pending: &&Pending| pending.job.rank >= LATE_RANK && pending.job.work > 0;
         let mut own = engine.pending.iter().filter(yields);
         let Some(pending) = own.find(|pending| pending.job.ticket == sent.ticket) else {
             return;
         };
         let expected = pending.expected.as_secs_f64() + self.speed(engine).setup / 1_000.0;
-        let took = now.saturating_sub(pending.job.sent).as_secs_f64();
+        let took = now.saturating_sub(pending.job.sent_at).as_secs_f64();
         let overrun = self.overruns.entry(engine.record.service.clone());
         overrun.or_default().left(took / expected.max(1e-3), now);
     }
@@ -327,7 +329,7 @@
             let id = &engine.record.id;
             engine.pending.iter().map(move |p| (id.clone(), p.job))
         });
-        jobs.filter(|(_, job)| job.work > 0 && now.saturating_sub(job.sent) < age)
+        jobs.filter(|(_, job)| job.work > 0 && now.saturating_sub(job.sent_at) < age)
             .collect()
     }
 
@@ -353,9 +355,9 @@
             let Some(engine) = engines.get_mut(id) else {
                 return false;
             };
-            let is_over = |changing: &mut Changing| now.saturating_sub(changing.since) > CHANGE;
-            engine.changing.take_if(is_over);
-            engine.changing.is_some()
+            let is_over = |changing: &mut StageChange| now.saturating_sub(changing.since) > CHANGE;
+            engine.stage_change.take_if(is_over);
+            engine.stage_change.is_some()
         });
         let heard = self.heard.iter();
         let silent = heard.filter(|(_, heard)| now.saturating_sub(**heard) > PEER_WORK_AGE);
@@ -368,7 +370,7 @@
     /// What this instance has at the engines, for the others.
     pub fn own(&self) -> Vec<(EngineId, Work)> {
         self.busy()
-            .map(|engine| (engine.record.id.clone(), engine.own()))
+            .map(|engine| (engine.record.id.clone(), engine.own_work()))
             .collect()
     }
 
@@ -388,7 +390,7 @@
         let throttles = &mut self.throttles;
         let by_short = &mut self.by_short;
         self.engines.retain(|id, engine| {
-            let keep = !engine.gone || engine.calls > 0;
+            let keep = !engine.record_gone || engine.calls > 0;
             if !keep {
                 parts.forget(id);
                 throttles.forget(id);
--- a/crates/serving/src/fleet/remote.rs
+++ b/crates/serving/src/fleet/remote.rs
@@ -62,7 +62,7 @@
         let certain = outcome.filter(|outcome| *outcome == Outcome::Ended);
         self.end(&sent, certain, now);
         if let (Some(engine), Some(outcome)) = (self.engines.get_mut(&sent.engine), outcome) {
-            engine.told.note(peer, outcome, now);
+            engine.peer_reports.record(peer, outcome, now);
         }
     }
 
--- a/crates/serving/src/fleet/streams.rs
+++ b/crates/serving/src/fleet/streams.rs
@@ -7,14 +7,14 @@
 use super::Fleet;
 use crate::EngineId;
 use crate::engine::Engine;
-use crate::pauses::{self, Mark, Pauses};
+use crate::pauses::{self, Pauses, StreamMark};
 
 impl Fleet {
     /// Where a stream at an engine is now.
-    pub fn mark(&self, id: &EngineId, now: Moment) -> Option<Mark> {
+    pub fn mark(&self, id: &EngineId, now: Moment) -> Option<StreamMark> {
         let engine = self.engines.get(id)?;
         let read = engine.reading.total(now);
-        Some(Mark { at: now, read })
+        Some(StreamMark { at: now, read })
     }
 
     /// Takes in that an event of a stream came, which may pause for `longest`. Gives the time since the last one in which
@@ -22,7 +22,7 @@
     pub fn event(
         &mut self,
         id: &EngineId,
-        last: &mut Mark,
+        last: &mut StreamMark,
         longest: Duration,
         now: Moment,
     ) -> Duration {
@@ -37,7 +37,7 @@
             .or_default()
             .observe(part(read.saturating_sub(last.read)), pause);
         let beside = read.saturating_sub(last.read);
-        *last = Mark { at: now, read };
+        *last = StreamMark { at: now, read };
         beside
     }
 
@@ -45,6 +45,8 @@
     pub(crate) fn strain(&self, engine: &Engine) -> f64 {
         let pauses = self.pauses.get(&engine.record.service);
         let beside = pauses.and_then(Pauses::beside_reading);
-        beside.map_or(0.0, |beside| pauses::strain(beside * engine.pace.max(1.0)))
+        beside.map_or(0.0, |beside| {
+            pauses::strain(beside * engine.slowdown.max(1.0))
+        })
     }
 }
--- a/crates/serving/src/fleet/told.rs
+++ b/crates/serving/src/fleet/told.rs
@@ -64,7 +64,7 @@
             Change::Ended(id, ticket, outcome) => self.ended(peer, id, *ticket, *outcome, now),
             Change::Gone(id) => {
                 if let Some(engine) = self.engines.get_mut(id) {
-                    engine.health.note(Outcome::Ended, now);
+                    engine.health.record(Outcome::Ended, now);
                 }
             }
         }
@@ -125,7 +125,7 @@
             work.jobs.retain(|job| job.ticket != ticket);
         }
         if let Some(outcome) = outcome {
-            engine.told.note(peer, outcome, now);
+            engine.peer_reports.record(peer, outcome, now);
         }
         engine.note_reading(now);
     }
--- a/crates/serving/src/health.rs
+++ b/crates/serving/src/health.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// An answer of its own, also one that refuses.
-    Good,
+    Success,
     /// A refusal for want of room.
-    Full,
+    Overloaded,
     /// No connection opened.
     Unreachable,
     /// Another incarnation answered at its address, so this one has ended.
@@ -58,12 +58,12 @@
 
 impl Health {
     /// Takes in an outcome.
-    pub fn note(&mut self, outcome: Outcome, now: Moment) {
+    pub fn record(&mut self, outcome: Outcome, now: Moment) {
         self.failures = self.failures(now);
         self.noted = now;
         match outcome {
-            Outcome::Good => self.good(),
-            Outcome::Full => self.until = self.until.max(now + FULL_REST),
+            Outcome::Success => self.good(),
+            Outcome::Overloaded => self.until = self.until.max(now + FULL_REST),
             Outcome::Unreachable => self.rest(UNREACHABLE_REST, now),
             Outcome::Ended => self.ended = true,
             Outcome::Failed => self.failed(now),
@@ -71,7 +71,7 @@
     }
 
     /// Whether a call may be sent here.
-    pub fn is_open(&self, now: Moment) -> bool {
+    pub fn is_available(&self, now: Moment) -> bool {
         now >= self.until && !self.ended
     }
 
@@ -123,15 +123,15 @@
 /// by its word; one would notice it by refusals while all engines are idle. So a failure counts only behind
 /// one that another instance told of.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct PeerReports {
     health: Health,
     failed: Option<(PeerId, Moment)>,
 }
 
-impl Told {
+impl PeerReports {
     /// Whether a call may be sent here by what others tell.
     pub fn is_open(&self, now: Moment) -> bool {
-        self.health.is_open(now)
+        self.health.is_available(now)
     }
 
     /// Share of recent calls of others that failed, from 0 to 1.
@@ -140,9 +140,9 @@
     }
 
     /// Takes in an outcome that another instance tells.
-    pub fn note(&mut self, peer: PeerId, outcome: Outcome, now: Moment) {
+    pub fn record(&mut self, peer: PeerId, outcome: Outcome, now: Moment) {
         match outcome {
-            Outcome::Good | Outcome::Full => self.health.note(outcome, now),
+            Outcome::Success | Outcome::Overloaded => self.health.record(outcome, now),
             Outcome::Failed | Outcome::Unreachable => self.failed(peer, now),
             // Told by itself, and once.
             Outcome::Ended => {}
@@ -154,7 +154,7 @@
         let agrees =
             |(other, at): (PeerId, Moment)| other != peer && now.saturating_sub(at) <= AGREES;
         if before.is_some_and(agrees) {
-            self.health.note(Outcome::Failed, now);
+            self.health.record(Outcome::Failed, now);
         }
     }
 }
--- a/crates/serving/src/pauses.rs
+++ b/crates/serving/src/pauses.rs
@@ -36,7 +36,7 @@
 
 /// Where a stream was when its last event came.
 #[derive(Clone, Copy, Debug)]
-pub struct Mark {
+pub struct StreamMark {
     pub(crate) at: Moment,
     pub(crate) read: Duration,
 }
--- a/crates/serving/src/place.rs
+++ b/crates/serving/src/place.rs
@@ -7,7 +7,7 @@
 
 use clock::Moment;
 
-use crate::engine::{Engine, LATE, Rank, Stage, Ticket};
+use crate::engine::{Engine, LATE_RANK, Rank, Stage, Ticket};
 use crate::parts::Part;
 use crate::route::Model;
 use crate::throttle::Permit;
@@ -198,7 +198,7 @@
 fn choose_alone(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
     let quietest = {
         let engines = open(fleet, demand, now).filter(|engine| !cost::is_prefill(engine));
-        engines.min_by_key(|engine| engine.running())
+        engines.min_by_key(|engine| engine.running_calls())
     };
     let others = fleet.ready(demand.service).map(|engine| &engine.record.id);
     let others = others.filter(|id| quietest.is_some_and(|quietest| quietest.record.id != **id));
@@ -216,7 +216,7 @@
 /// calls an operator has put there would be taken for late on an idle fleet, and refused in the next peak.
 fn in_time<'a>(demand: &Demand<'a>) -> Demand<'a> {
     Demand {
-        priority: demand.priority.min(LATE - 1),
+        priority: demand.priority.min(LATE_RANK - 1),
         ..*demand
     }
 }
@@ -224,7 +224,7 @@
 fn open<'a>(fleet: &'a Fleet, demand: &'a Demand, now: Moment) -> impl Iterator<Item = &'a Engine> {
     fleet
         .ready(demand.service)
-        .filter(move |engine| engine.is_open(now) && takes(fleet, engine, demand, now))
+        .filter(move |engine| engine.is_available(now) && takes(fleet, engine, demand, now))
 }
 
 /// If every engine rests, the one that rests soonest over is better than none.
@@ -239,7 +239,7 @@
 /// An engine resets connections beyond those it takes from all instances, and a call that had been sent on
 /// one may have run. One notices it by resets of calls at the fullest engines of a burst.
 fn takes(fleet: &Fleet, engine: &Engine, demand: &Demand, now: Moment) -> bool {
-    engine.running() < demand.connections
+    engine.running_calls() < demand.connections
         && !demand.avoid.contains(&engine.record.id)
         && limit_wait(fleet, engine, demand, now).is_some()
 }
@@ -260,7 +260,7 @@
 /// A queue longer than this would make every call late in it, and serve no more of them. One that is late anyway takes what no
 /// other waits for.
 fn longest_wait(demand: &Demand) -> Duration {
-    if demand.priority >= LATE {
+    if demand.priority >= LATE_RANK {
         return Duration::ZERO;
     }
     let on_time = demand.target.mul_f64(LIMIT_WAIT_SHARE);
@@ -315,7 +315,7 @@
 
 /// Calls before this one, in units of the engine's slots, and what speaks against the engine.
 fn plain_cost(fleet: &Fleet, engine: &Engine, demand: &Demand, now: Moment) -> f64 {
-    let load = f64::from(engine.running() + 1) / f64::from(engine.record.slots.max(1));
+    let load = f64::from(engine.running_calls() + 1) / f64::from(engine.record.slots.max(1));
     let far = if engine.record.zone == *demand.zone {
         0.0
     } else {
@@ -331,7 +331,7 @@
     let choice = match expected(&choice) {
         Some(expected) if expected > demand.target => {
             let late = Demand {
-                priority: demand.priority.saturating_add(LATE),
+                priority: demand.priority.saturating_add(LATE_RANK),
                 ..*demand
             };
             at_rank(fleet, &late, size, now)
--- a/crates/serving/src/prior_wait.rs
+++ b/crates/serving/src/prior_wait.rs
@@ -19,7 +19,7 @@
 
 /// The times that callers of each route wait.
 #[derive(Clone, Debug, Default)]
-pub struct Usual {
+pub struct PriorWaits {
     routes: HashMap<String, Times>,
 }
 
@@ -33,7 +33,7 @@
     counts: [f64; STEPS],
 }
 
-impl Usual {
+impl PriorWaits {
     /// Takes in that a caller of a route waits for `left` more. Gives the time that it has waited
     /// before.
     ///
@@ -42,7 +42,7 @@
     /// make new calls late as well; one would notice it by late calls long after an outage. New ones differ, too, where each
     /// has a patience of its own: taken for ones that have waited, most would yield from the beginning, and one
     /// would notice it by ranks that say nothing. So a caller has waited only if it waits less than new ones do.
-    pub fn waited(&mut self, route: &str, left: Duration, now: Moment) -> Duration {
+    pub fn estimate(&mut self, route: &str, left: Duration, now: Moment) -> Duration {
         let Some(times) = self.routes.get_mut(route) else {
             self.routes.insert(route.to_owned(), Times::new(left, now));
             return Duration::ZERO;
--- a/crates/serving/src/queue.rs
+++ b/crates/serving/src/queue.rs
@@ -21,7 +21,7 @@
 /// Time from the sending of a new job until it has been read. `jobs` are the others, the oldest
 /// first; `freed` is when the engine was last known to have finished one; `rate` is in tokens of work a
 /// millisecond.
-pub fn read_in(jobs: &[Job], freed: Moment, new: Job, rate: f64) -> Duration {
+pub fn time_until_read(jobs: &[Job], freed: Moment, new: Job, rate: f64) -> Duration {
     let mut waiting: SmallVec<[Job; 16]> = SmallVec::from_slice(jobs);
     waiting.push(new);
     let mut at = freed;
@@ -30,9 +30,9 @@
             return Duration::ZERO;
         };
         let job = waiting.remove(next);
-        at = at.max(job.sent) + time(job.work, rate);
+        at = at.max(job.sent_at) + time(job.work, rate);
         if job == new && next == waiting.len() {
-            return at.saturating_sub(new.sent);
+            return at.saturating_sub(new.sent_at);
         }
     }
 }
@@ -40,9 +40,17 @@
 /// The job that the engine begins at a moment: the most urgent one that is there, the oldest of
 /// these; if none is there, the one that comes first.
 fn next(waiting: &[Job], at: Moment) -> Option<usize> {
-    let there = waiting.iter().enumerate().filter(|(_, job)| job.sent <= at);
-    let most_urgent = there.min_by_key(|(_, job)| (job.rank, job.sent));
-    let first = || waiting.iter().enumerate().min_by_key(|(_, job)| job.sent);
+    let there = waiting
+        .iter()
+        .enumerate()
+        .filter(|(_, job)| job.sent_at <= at);
+    let most_urgent = there.min_by_key(|(_, job)| (job.rank, job.sent_at));
+    let first = || {
+        waiting
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, job)| job.sent_at)
+    };
     most_urgent.or_else(first).map(|(index, _)| index)
 }
 
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -148,7 +148,7 @@
         if let Some(life) = self.lives.get(&record.name)
             && life.id != record.id
         {
-            if life.born > record.born {
+            if life.born > record.started_ms {
                 return Change::None;
             }
             self.doubted.remove(&life.id);
@@ -156,7 +156,7 @@
         }
         let life = Life {
             id: record.id.clone(),
-            born: record.born,
+            born: record.started_ms,
         };
         self.lives.insert(record.name.clone(), life);
         self.known.insert(record.name.clone(), digest(&record));
--- a/crates/serving/src/roles.rs
+++ b/crates/serving/src/roles.rs
@@ -83,8 +83,8 @@
             changing: 0,
         };
         for engine in fleet.standing(service) {
-            split.changing += usize::from(engine.changing.is_some());
-            match engine.stage_to_be() {
+            split.changing += usize::from(engine.stage_change.is_some());
+            match engine.target_stage() {
                 Some(Stage::Decode) => split.decode.push(engine),
                 Some(Stage::Prefill) => split.prefill.push(engine),
                 None => {}
@@ -107,7 +107,7 @@
     fn fill(&self) -> f64 {
         let (mut running, mut slots) = (0, 0);
         for engine in &self.decode {
-            running += engine.running();
+            running += engine.running_calls();
             slots += engine.record.slots;
         }
         f64::from(running) / f64::from(slots.max(1))
@@ -161,7 +161,7 @@
     fn changed_blindly(&self, fleet: &Fleet) -> usize {
         let reads = |id: &&EngineId| {
             let engine = fleet.get(id);
-            engine.is_some_and(|engine| engine.stage_to_be() == Some(Stage::Prefill))
+            engine.is_some_and(|engine| engine.target_stage() == Some(Stage::Prefill))
         };
         self.blind.iter().filter(reads).count()
     }
@@ -220,7 +220,11 @@
     while changes.len() < most {
         let best = from.iter().enumerate().min_by_key(|(_, engine)| {
             let zone = left.get(&engine.record.zone).copied().unwrap_or_default();
-            (std::cmp::Reverse(zone), engine.running(), &engine.record.id)
+            (
+                std::cmp::Reverse(zone),
+                engine.running_calls(),
+                &engine.record.id,
+            )
         });
         let Some((at, _)) = best else { break };
         let engine = from.swap_remove(at);
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -30,7 +30,7 @@
     Record {
         id: Rc::from(id),
         name: Rc::from(id),
-        born: None,
+        started_ms: None,
         service: service(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 1)),
         zone: zone(),
--- a/crates/serving/tests/line.rs
+++ b/crates/serving/tests/line.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serving::engine::Job;
-use serving::queue::read_in;
+use serving::queue::time_until_read;
 
 /// Tokens a millisecond.
 const RATE: f64 = 50.0;
@@ -11,14 +11,14 @@
 fn job(ticket: u32, sent_ms: u64, rank: u8, work: u32) -> Job {
     Job {
         ticket,
-        sent: Duration::from_millis(sent_ms),
+        sent_at: Duration::from_millis(sent_ms),
         rank,
         work,
     }
 }
 
 fn wait(jobs: &[Job], freed_ms: u64, new: Job) -> u128 {
-    read_in(jobs, Duration::from_millis(freed_ms), new, RATE).as_millis()
+    time_until_read(jobs, Duration::from_millis(freed_ms), new, RATE).as_millis()
 }
 
 #[test]
--- a/crates/serving/tests/overrun.rs
+++ b/crates/serving/tests/overrun.rs
@@ -6,7 +6,7 @@
 
 use assert_matches::assert_matches;
 use common::{demand, fleet, generation, id, ms, prompt, service, zone};
-use serving::engine::{LATE, Rank};
+use serving::engine::{LATE_RANK, Rank};
 use serving::place::{Refusal, choose};
 use serving::{Choice, Demand, Fleet, Stage};
 
@@ -25,7 +25,7 @@
     let r = id("r");
     let mut now = from;
     for _ in 0..2 {
-        let yielding = [(); 10].map(|()| fleet.begin(&r, 600, LATE, now));
+        let yielding = [(); 10].map(|()| fleet.begin(&r, 600, LATE_RANK, now));
         for _ in 0..10 {
             let urgent = fleet.begin(&r, WORK, URGENT, now);
             now += ms(100);
@@ -40,7 +40,7 @@
 
 /// What becomes of a call that cannot be on time, behind one prompt, whose caller waits for 1.3 s more.
 fn late_call(fleet: &mut Fleet, now: Duration) -> Choice {
-    let before = fleet.begin(&id("r"), 20_000, LATE, now);
+    let before = fleet.begin(&id("r"), 20_000, LATE_RANK, now);
     let parts = prompt(&[(1, 12_000)]);
     let (service, zone) = (service(), zone());
     let demand = Demand {
--- a/crates/serving/tests/place.rs
+++ b/crates/serving/tests/place.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use common::{demand, fleet, generation, id, ms, prompt, record, service, zone};
-use serving::engine::{LATE, Work};
+use serving::engine::{LATE_RANK, Work};
 use serving::health::Outcome;
 use serving::place::{self, Refusal, choose};
 use serving::{Choice, Demand, Fleet, Stage, State};
@@ -195,7 +195,7 @@
     let sent = fleet.begin(&id("a"), 0, 0, NOW);
     fleet.end(&sent, Some(Outcome::Failed), NOW);
     assert_matches!(target(&fleet, &[(1, 9_000)]), Choice::Direct(t) if &*t.engine == "b");
-    assert!(fleet.get("a").unwrap().health.is_open(NOW + ms(5_000)));
+    assert!(fleet.get("a").unwrap().health.is_available(NOW + ms(5_000)));
 }
 
 #[test]
@@ -207,7 +207,7 @@
     };
     let job = serving::engine::Job {
         ticket: 1,
-        sent: NOW,
+        sent_at: NOW,
         rank: 0,
         work: 40_000,
     };
@@ -215,11 +215,11 @@
     fleet.apply_change(9, &change, NOW);
     // Told again, as every frame tells recent prompts.
     fleet.apply_change(9, &change, NOW);
-    assert_eq!(fleet.get(&free.engine).unwrap().jobs().len(), 1);
+    assert_eq!(fleet.get(&free.engine).unwrap().pending_jobs().len(), 1);
     assert_matches!(target(&fleet, &[(1, 2_000)]), Choice::Direct(t) if t.engine != free.engine);
     let read = serving::fleet::Change::Read(free.engine.clone(), 1, NOW);
     fleet.apply_change(9, &read, NOW);
-    assert_eq!(fleet.get(&free.engine).unwrap().jobs().len(), 0);
+    assert_eq!(fleet.get(&free.engine).unwrap().pending_jobs().len(), 0);
 }
 
 #[test]
@@ -230,9 +230,9 @@
         ..Default::default()
     };
     fleet.apply_works(9, vec![(id("a"), work)], NOW);
-    assert_eq!(fleet.get("a").unwrap().running(), 5);
+    assert_eq!(fleet.get("a").unwrap().running_calls(), 5);
     fleet.fade(NOW + ms(5_000));
-    assert_eq!(fleet.get("a").unwrap().running(), 0);
+    assert_eq!(fleet.get("a").unwrap().running_calls(), 0);
 }
 
 #[test]
@@ -277,7 +277,7 @@
     }
     fleet.begin(&id("b"), 0, 0, NOW);
     let sent = fleet.begin(&id("a"), 0, 0, NOW);
-    fleet.end(&sent, Some(Outcome::Full), NOW);
+    fleet.end(&sent, Some(Outcome::Overloaded), NOW);
     let (service, zone) = (service(), zone());
     let demand = demand(&service, &zone, None);
     assert_matches!(choose(&fleet, &demand, NOW + ms(10)), Choice::Direct(t) if &*t.engine == "b");
@@ -340,7 +340,7 @@
             ..demand(&service, &zone, Some(generation(&parts)))
         };
         let choice = choose(&fleet, &demand, NOW);
-        assert_matches!(choice, Choice::Direct(t) if t.rank < LATE);
+        assert_matches!(choice, Choice::Direct(t) if t.rank < LATE_RANK);
     }
 }
 
--- a/crates/serving/tests/registry.rs
+++ b/crates/serving/tests/registry.rs
@@ -102,12 +102,12 @@
 fn start(name: &str, born: u64) -> Record {
     let mut record = record(&format!("{name}.{born}"), Some(Stage::Decode));
     record.name = name.into();
-    record.born = Some(born);
+    record.started_ms = Some(born);
     record
 }
 
 fn at(fleet: &Fleet, id: &str) -> Option<u32> {
-    fleet.get(id).map(|engine| engine.running())
+    fleet.get(id).map(|engine| engine.running_calls())
 }
 
 /// Symptom: an engine that has just started gets no calls, or calls that expect parts it does not hold. Sequence: an
@@ -139,7 +139,7 @@
     assert!(
         fleet
             .get("e.20")
-            .is_some_and(|engine| engine.health.is_open(ms(1_300)))
+            .is_some_and(|engine| engine.health.is_available(ms(1_300)))
     );
     assert_eq!(at(&fleet, "e.10"), None);
 }
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -239,7 +239,7 @@
             let engine = &self.engines[engine].id;
             self.fleets[instance]
                 .get(engine)
-                .map_or(0, serving::engine::Engine::running)
+                .map_or(0, serving::engine::Engine::running_calls)
         };
         let less = |a: usize, b: usize| if load(b) < load(a) { b } else { a };
         let chosen = match self.way {
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -6,7 +6,7 @@
 
 use common::{fleet, id, ms, service};
 use serving::claim::{Claim, Turns};
-use serving::engine::Changing;
+use serving::engine::StageChange;
 use serving::roles::{Changes, Planner};
 use serving::{Fleet, Stage};
 
@@ -46,7 +46,7 @@
 fn change(fleet: &mut Fleet, engine: &str, stage: Stage, now: u64) {
     let since = ms(now);
     let own = true;
-    fleet.change(&id(engine), Changing { stage, since, own });
+    fleet.change(&id(engine), StageChange { stage, since, own });
 }
 
 /// Symptom: prompts wait while most slots are empty. Sequence: a fleet starts with a third of its engines
--- a/crates/serving/tests/streams.rs
+++ b/crates/serving/tests/streams.rs
@@ -13,7 +13,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use serving::fleet::Sent;
 use serving::parts::Part;
-use serving::pauses::Mark;
+use serving::pauses::StreamMark;
 use serving::place::{self, Demand, Generation};
 use serving::{Choice, EngineId, Fleet, Stage, speed};
 
@@ -117,7 +117,7 @@
     made: u64,
     sent: Sent,
     first_due: bool,
-    last: Option<(Micros, Mark)>,
+    last: Option<(Micros, StreamMark)>,
     late: bool,
 }
 
--- a/crates/serving/tests/told.rs
+++ b/crates/serving/tests/told.rs
@@ -5,7 +5,7 @@
 use common::{demand, fleet, generation, id, ms, prompt, service, zone};
 use serving::engine::{Job, Work};
 use serving::fleet::Change;
-use serving::health::{Outcome, Told};
+use serving::health::{Outcome, PeerReports};
 use serving::place::choose;
 use serving::{Choice, EngineId, Fleet, Stage};
 
@@ -21,7 +21,7 @@
 }
 
 fn running(fleet: &Fleet) -> u32 {
-    fleet.get("a").expect("it is there").running()
+    fleet.get("a").expect("it is there").running_calls()
 }
 
 /// Symptom: prompts wait for each other at one engine while others are idle. Sequence: two instances ask within a moment where to
@@ -41,8 +41,8 @@
     fleet.begin_for(7, 1, &id("a"), 10_000, 1, NOW);
     fleet.begin_for(7, 2, &id("a"), 0, 1, NOW);
     assert_eq!(running(&fleet), 2);
-    fleet.end_for(7, 1, Some(Outcome::Good), NOW + ms(300));
-    fleet.end_for(7, 1, Some(Outcome::Good), NOW + ms(310));
+    fleet.end_for(7, 1, Some(Outcome::Success), NOW + ms(300));
+    fleet.end_for(7, 1, Some(Outcome::Success), NOW + ms(310));
     assert_eq!(running(&fleet), 1);
 }
 
@@ -67,14 +67,14 @@
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     let job = |ticket| Job {
         ticket,
-        sent: NOW,
+        sent_at: NOW,
         rank: 1,
         work: 0,
     };
     let started = [1, 2].map(|ticket| Change::Started(id("a"), job(ticket)));
     fleet.apply_frame(7, &started, None, NOW);
     assert_eq!(running(&fleet), 2);
-    let ended = [Change::Ended(id("a"), 1, Some(Outcome::Good))];
+    let ended = [Change::Ended(id("a"), 1, Some(Outcome::Success))];
     let left = Work {
         calls: 1,
         ..Work::default()
@@ -105,7 +105,7 @@
         fleet.begin_for(peer, number, &id("a"), work, 1, sent);
         let at = sent + ms(10 + u64::from(work) / 100);
         fleet.first_for(peer, number, at);
-        fleet.end_for(peer, number, Some(Outcome::Good), at);
+        fleet.end_for(peer, number, Some(Outcome::Success), at);
     }
     let after = fleet.speed(fleet.get("a").expect("it is there"));
     assert!((after.rate - 100.0).abs() < 5.0, "{before:?} to {after:?}");
@@ -129,10 +129,10 @@
 /// one after the other. Cause: the others believed it alone.
 #[test]
 fn one_instance_whose_calls_fail_closes_nothing() {
-    let mut told = Told::default();
+    let mut told = PeerReports::default();
     for _ in 0..50 {
-        told.note(7, Outcome::Failed, NOW);
-        told.note(7, Outcome::Unreachable, NOW);
+        told.record(7, Outcome::Failed, NOW);
+        told.record(7, Outcome::Unreachable, NOW);
     }
     assert!(told.is_open(NOW));
 }
--- a/crates/serving/tests/usual.rs
+++ b/crates/serving/tests/usual.rs
@@ -5,34 +5,34 @@
 use std::time::Duration;
 
 use common::ms;
-use serving::prior_wait::Usual;
+use serving::prior_wait::PriorWaits;
 
 #[test]
 fn a_caller_that_waits_less_than_others_has_waited_before() {
-    let mut usual = Usual::default();
-    assert_eq!(usual.waited("r", ms(4_000), ms(0)), Duration::ZERO);
-    assert_eq!(usual.waited("r", ms(2_700), ms(10)), ms(1_300));
-    assert_eq!(usual.waited("other", ms(600), ms(10)), Duration::ZERO);
-    assert_eq!(usual.waited("r", ms(4_000), ms(20)), Duration::ZERO);
+    let mut usual = PriorWaits::default();
+    assert_eq!(usual.estimate("r", ms(4_000), ms(0)), Duration::ZERO);
+    assert_eq!(usual.estimate("r", ms(2_700), ms(10)), ms(1_300));
+    assert_eq!(usual.estimate("other", ms(600), ms(10)), Duration::ZERO);
+    assert_eq!(usual.estimate("r", ms(4_000), ms(20)), Duration::ZERO);
 }
 
 /// Symptom: after a start all callers that come back count as new for good. Sequence: the first caller after an
 /// outage has waited; new ones follow. Cause: the first time seen was kept.
 #[test]
 fn the_most_patient_caller_sets_what_is_usual() {
-    let mut usual = Usual::default();
-    usual.waited("r", ms(2_700), ms(0));
-    usual.waited("r", ms(4_000), ms(10));
-    assert_eq!(usual.waited("r", ms(2_700), ms(20)), ms(1_300));
+    let mut usual = PriorWaits::default();
+    usual.estimate("r", ms(2_700), ms(0));
+    usual.estimate("r", ms(4_000), ms(10));
+    assert_eq!(usual.estimate("r", ms(2_700), ms(20)), ms(1_300));
 }
 
 #[test]
 fn a_time_that_nobody_has_any_more_is_forgotten() {
-    let mut usual = Usual::default();
-    usual.waited("r", ms(8_000), ms(0));
-    assert_eq!(usual.waited("r", ms(4_000), ms(59_000)), ms(4_000));
-    assert_eq!(usual.waited("r", ms(4_000), ms(61_000)), Duration::ZERO);
-    assert_eq!(usual.waited("r", ms(4_000), ms(62_000)), Duration::ZERO);
+    let mut usual = PriorWaits::default();
+    usual.estimate("r", ms(8_000), ms(0));
+    assert_eq!(usual.estimate("r", ms(4_000), ms(59_000)), ms(4_000));
+    assert_eq!(usual.estimate("r", ms(4_000), ms(61_000)), Duration::ZERO);
+    assert_eq!(usual.estimate("r", ms(4_000), ms(62_000)), Duration::ZERO);
 }
 
 /// Symptom: at idle engines most calls yield to others, and in a peak all are late together. Sequence: each caller waits
@@ -40,21 +40,21 @@
 /// one was taken to have waited already, by more than the target of the call.
 #[test]
 fn callers_whose_patience_differs_have_not_waited() {
-    let mut usual = Usual::default();
+    let mut usual = PriorWaits::default();
     let patience = |n: u64| ms(1_700 + n * 37 % 301);
     for n in 0..200 {
-        usual.waited("r", patience(n), ms(n));
+        usual.estimate("r", patience(n), ms(n));
     }
     for n in 200..300 {
-        assert_eq!(usual.waited("r", patience(n), ms(n)), Duration::ZERO);
+        assert_eq!(usual.estimate("r", patience(n), ms(n)), Duration::ZERO);
     }
-    assert!(usual.waited("r", ms(1_200), ms(300)) > ms(500));
+    assert!(usual.estimate("r", ms(1_200), ms(300)) > ms(500));
 }
 
 /// As above, while every third caller is one that comes back.
 #[test]
 fn those_who_come_back_are_told_from_those_with_less_patience() {
-    let mut usual = Usual::default();
+    let mut usual = PriorWaits::default();
     let patience = |n: u64| ms(1_700 + n * 37 % 301);
     let (mut new, mut back) = (0, 0);
     for n in 0..600 {
@@ -64,7 +64,7 @@
         } else {
             patience(n)
         };
-        let waited = usual.waited("r", left, ms(n)) > Duration::ZERO;
+        let waited = usual.estimate("r", left, ms(n)) > Duration::ZERO;
         if n >= 300 && waited {
             *(if is_back { &mut back } else { &mut new }) += 1;
         }
