--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -283,7 +283,7 @@
 /// The service of a call on a route with several: by the request's id, so that the same request
 /// goes the same way at every instance.
 fn service(table: &Table, route: &Route, call: &Call) -> Service {
-    let drawn = serving::hash::share(&call.id).min(1.0 - f64::EPSILON);
+    let drawn = serving::hash::unit_interval(&call.id).min(1.0 - f64::EPSILON);
     let name = route.service(drawn);
     table.service(name).cloned().unwrap_or_else(|| Service {
         name: name.clone(),
--- a/crates/gateway/src/bootstrap.rs
+++ b/crates/gateway/src/bootstrap.rs
@@ -85,7 +85,7 @@
         let peers = instance.peers.borrow();
         peers.rank(instance.order(), instance.now()) < SEEDERS
     };
-    hash::short(&instance.zone) == state.zone || state.placing && is_seeder()
+    hash::hash32(&instance.zone) == state.zone || state.placing && is_seeder()
 }
 
 fn configuration(instance: &Instance, news: &News) -> Frame {
--- a/crates/gateway/src/frame.rs
+++ b/crates/gateway/src/frame.rs
@@ -7,7 +7,7 @@
 use clock::Moment;
 use serving::engine::{Job, Rank, Stage, Ticket, Work};
 use serving::fingerprint::Fingerprint;
-use serving::fleet::Change;
+use serving::fleet::WorkChange;
 use serving::health::Outcome;
 use serving::parts::Part;
 use serving::quarantine::{Crash, Entry, Good};
@@ -75,7 +75,7 @@
 /// The work at an engine as it is told.
 pub(crate) fn told_work(engine: &EngineId, work: &Work, now: Moment) -> wire::gateway::Work {
     wire::gateway::Work {
-        engine: hash::short(engine),
+        engine: hash::hash32(engine),
         calls: work.calls,
         jobs: work.jobs.iter().map(|job| told_job(job, now)).collect(),
     }
@@ -99,7 +99,7 @@
 
 fn ticket(engine: &EngineId, ticket: Ticket) -> wire::gateway::Ticket {
     wire::gateway::Ticket {
-        engine: hash::short(engine),
+        engine: hash::hash32(engine),
         ticket,
         age_ms: 0,
         outcome: wire::gateway::Outcome::None.into(),
@@ -133,23 +133,23 @@
 /// Adds changes to a frame. Gives the prompts that were read, with their moments.
 pub(crate) fn add_changes(
     frame: &mut Frame,
-    changes: Vec<Change>,
+    changes: Vec<WorkChange>,
     now: Moment,
 ) -> Vec<(wire::gateway::Ticket, Moment)> {
     let mut reads = Vec::new();
     for change in changes {
         match change {
             // Prompts are told as long as they are recent.
-            Change::Started(_, job) if job.work > 0 => {}
-            Change::Started(engine, job) => frame.started.push(started(&engine, &job, now)),
-            Change::Read(engine, number, at) => reads.push((ticket(&engine, number), at)),
-            Change::Ended(engine, number, outcome) => {
+            WorkChange::Started(_, job) if job.work > 0 => {}
+            WorkChange::Started(engine, job) => frame.started.push(started(&engine, &job, now)),
+            WorkChange::Read(engine, number, at) => reads.push((ticket(&engine, number), at)),
+            WorkChange::Ended(engine, number, outcome) => {
                 frame.ended.push(wire::gateway::Ticket {
                     outcome: told_outcome(outcome).into(),
                     ..ticket(&engine, number)
                 });
             }
-            Change::Gone(engine) => frame.gone.push(hash::short(&engine)),
+            WorkChange::EngineEnded(engine) => frame.gone.push(hash::hash32(&engine)),
         }
     }
     reads
@@ -158,7 +158,7 @@
 /// A prompt that was sent, as it is told.
 pub(crate) fn started(engine: &EngineId, job: &Job, now: Moment) -> Started {
     Started {
-        engine: hash::short(engine),
+        engine: hash::hash32(engine),
         job: Some(told_job(job, now)),
     }
 }
@@ -166,7 +166,7 @@
 /// An engine that changes, as it is told.
 pub(crate) fn told_changing((engine, stage): (&EngineId, Stage)) -> wire::gateway::Changing {
     wire::gateway::Changing {
-        engine: hash::short(engine),
+        engine: hash::hash32(engine),
         reads: stage == Stage::Prefill,
     }
 }
--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/held.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use serving::engine::Ticket;
-use serving::fleet::Sent;
+use serving::fleet::SentCall;
 use serving::health::Outcome;
 use serving::pauses::StreamMark;
 use serving::place::Target;
@@ -48,7 +48,7 @@
 pub(crate) struct Held<'a> {
     instance: &'a Rc<Instance>,
     asked: &'a Asked,
-    sent: Sent,
+    sent: SentCall,
     expected: Duration,
     unread: u32,
     begun: Instant,
@@ -67,7 +67,7 @@
     ) -> Self {
         let now = instance.now();
         let mut fleet = instance.fleet.borrow_mut();
-        let sent = fleet.begin(&target.engine, target.work, target.rank, now);
+        let sent = fleet.begin_call(&target.engine, target.work, target.rank, now);
         log::info!(
             id = asked.call.id.as_str(), engine = &*target.engine, step = step.name(),
             waited_ms:% = asked.waited().as_millis(), left_ms:% = asked.left().as_millis(),
@@ -100,10 +100,10 @@
         let now = self.instance.now();
         let mut fleet = self.instance.fleet.borrow_mut();
         let (Some(mut last), Some(longest)) = (self.last.get(), self.asked.route.gap) else {
-            self.last.set(fleet.mark(&self.sent.engine, now));
+            self.last.set(fleet.stream_mark(&self.sent.engine, now));
             return Duration::ZERO;
         };
-        let read = fleet.event(&self.sent.engine, &mut last, longest, now);
+        let read = fleet.record_stream_event(&self.sent.engine, &mut last, longest, now);
         self.last.set(Some(last));
         read
     }
@@ -118,7 +118,7 @@
     pub(crate) fn first(&self, step: &str) {
         let now = self.instance.now();
         let mut fleet = self.instance.fleet.borrow_mut();
-        fleet.first(&self.sent, now);
+        fleet.prompt_read(&self.sent, now);
         if let Some(placed_by) = self.placed_by {
             self.instance.reports.read(placed_by, now);
             self.instance.stirred.notify_one();
@@ -143,7 +143,7 @@
     fn drop(&mut self) {
         let now = self.instance.now();
         let mut fleet = self.instance.fleet.borrow_mut();
-        fleet.end(&self.sent, self.outcome, now);
+        fleet.end_call(&self.sent, self.outcome, now);
         drop(fleet);
         if self.outcome.is_none() {
             crashes::given_up(self.instance, self.asked, &self.sent.engine);
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -184,7 +184,7 @@
     pub(crate) fn elect(&self) -> bool {
         let own = Member {
             address: self.address,
-            place: hash::short(&self.zone),
+            place: hash::hash32(&self.zone),
             order: self.order(),
             lives: true,
         };
@@ -297,7 +297,7 @@
             .zip(table.as_ref())
             .and_then(|(name, table)| table.service(&name));
         if let Some(model) = service.and_then(|service| service.model) {
-            fleet.reads(engine, parts, model.memory_tokens, now);
+            fleet.record_cached_parts(engine, parts, model.memory_tokens, now);
         }
     }
 
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -48,7 +48,7 @@
 /// Merges what another instance knows of limits.
 pub(crate) fn receive(instance: &Instance, limits: &[RateLimit], now: Moment) {
     for limit in limits {
-        let engine = instance.fleet.borrow().by_short(limit.engine);
+        let engine = instance.fleet.borrow().by_hash(limit.engine);
         let Some(engine) = engine else {
             continue;
         };
@@ -90,7 +90,7 @@
 /// Limits as frames tell them.
 pub(crate) fn to_wire(said: Vec<(EngineId, Announcement)>, now: Moment) -> Vec<RateLimit> {
     let limits = said.into_iter().map(|(engine, said)| RateLimit {
-        engine: hash::short(&engine),
+        engine: hash::hash32(&engine),
         limit: said.limit.map(Rate::per_second),
         age_ms: frame::since(said.at, now),
     });
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -9,7 +9,7 @@
 
 use clock::Moment;
 use serving::Fleet;
-use serving::fleet::Change;
+use serving::fleet::WorkChange;
 use serving::hash;
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
@@ -108,7 +108,7 @@
         }
         sleep_until(earliest).await;
         let now = instance.now();
-        instance.fleet.borrow_mut().fade(now);
+        instance.fleet.borrow_mut().expire(now);
         let is_greeting = instance.greeting_due.take() | instance.elect();
         tell_news(&instance, &socket, now);
         tell_suspects(&instance, &socket);
@@ -174,7 +174,7 @@
 /// other. Any other instance tells the placers of its data centre that it lives, and all once it has started.
 fn send(instance: &Instance, socket: &UdpSocket, frame: Frame, is_greeting: bool) -> usize {
     let placers = instance.placers.borrow();
-    let own = hash::short(&instance.zone);
+    let own = hash::hash32(&instance.zone);
     let mut told = placers.others.clone();
     if !placers.own && !is_greeting {
         told.retain(|(_, place)| *place == own);
@@ -222,14 +222,14 @@
         frame.state = Some(state(instance, &fleet, peers.knows, now));
         frame.rate_limits = limits::to_wire(fleet.throttles.repeated(), now);
     } else {
-        let recent = fleet.recent(RECENT, now);
+        let recent = fleet.recent_jobs(RECENT, now);
         let recent = recent.iter().map(|(engine, job)| started(engine, job, now));
         frame.started = recent.collect();
         reads = add_changes(&mut frame, changes, now);
     }
     frame.read = peers.take_read(reads, now);
     frame.parts = peers.take_parts();
-    frame.changing = fleet.changing().map(told_changing).collect();
+    frame.changing = fleet.own_stage_changes().map(told_changing).collect();
     let is_empty = frame.state.is_none()
         && frame.started.is_empty()
         && frame.read.is_empty()
@@ -241,15 +241,22 @@
 }
 
 /// Whether a state does not say this.
-fn is_told_besides(change: &Change) -> bool {
-    matches!(change, Change::Gone(_) | Change::Ended(_, _, Some(_)))
+fn is_told_besides(change: &WorkChange) -> bool {
+    matches!(
+        change,
+        WorkChange::EngineEnded(_) | WorkChange::Ended(_, _, Some(_))
+    )
 }
 
 fn state(instance: &Instance, fleet: &Fleet, knows: bool, now: Moment) -> State {
     let engines = instance.knows(Topic::Engines);
     let placing = instance.is_placing();
     let (claimed, numbers) = instance.claim_log.snapshot();
-    let works = if placing { fleet.own() } else { Vec::new() };
+    let works = if placing {
+        fleet.own_work()
+    } else {
+        Vec::new()
+    };
     let works = works
         .iter()
         .map(|(engine, work)| told_work(engine, work, now));
@@ -262,7 +269,7 @@
         configuration_age_ms: age(instance.configuration_read.get(), now),
         engines_age_ms: age(instance.engines_read.get(), now),
         knows,
-        zone: hash::short(&instance.zone),
+        zone: hash::hash32(&instance.zone),
         order: instance.order(),
         leaving: instance.phase.is_leaving(),
         placing,
@@ -379,7 +386,7 @@
         .filter(|engine| instance.has_share(&engine.record.id));
     let reads = share.flat_map(|engine| {
         let id = &engine.record.id;
-        let held = fleet.parts.held(id);
+        let held = fleet.parts.cached_parts(id);
         held.into_iter().map(move |part| peers::told_part(id, part))
     });
     reads.collect()
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -144,7 +144,7 @@
 pub(crate) fn order(address: SocketAddr, link_mbps: f64) -> u64 {
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let slow = u64::from(u16::MAX) - (link_mbps.clamp(0.0, f64::from(u16::MAX)) as u64);
-    slow << 48 | hash::number(&address.to_string()) >> 16
+    slow << 48 | hash::hash64(&address.to_string()) >> 16
 }
 
 impl Peers {
@@ -327,7 +327,7 @@
 /// A part at an engine, as it is told.
 pub(crate) fn told_part(engine: &EngineId, part: Part) -> wire::gateway::Part {
     wire::gateway::Part {
-        engine: hash::short(engine),
+        engine: hash::hash32(engine),
         part: part.id,
         tokens: part.tokens,
     }
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -104,7 +104,7 @@
         let beginning = demand.generation.as_ref().and_then(|g| g.prompt.first());
         let beginning = beginning.map_or(0, |part| part.id);
         let placers = instance.placers.borrow();
-        placer::order(&placers.others, hash::short(&instance.zone), beginning)
+        placer::order(&placers.others, hash::hash32(&instance.zone), beginning)
     };
     let candidates = order
         .into_iter()
@@ -209,11 +209,11 @@
         zone: demand.zone.to_string(),
         may_split: demand.may_split,
         sending_us: micros(demand.sending),
-        avoid: avoid.map(|id| hash::short(id)).collect(),
+        avoid: avoid.map(|id| hash::hash32(id)).collect(),
         read_in: read_in.map(ToString::to_string).unwrap_or_default(),
-        connected: demand.connected.iter().map(|id| hash::short(id)).collect(),
+        connected: demand.connected.iter().map(|id| hash::hash32(id)).collect(),
         alone: demand.alone,
-        reserved: demand.reserved.map_or(0, |id| hash::short(id)),
+        reserved: demand.reserved.map_or(0, |id| hash::hash32(id)),
     }
 }
 
@@ -226,7 +226,7 @@
             let prefill = split.prefill.as_ref().and_then(target);
             prefill.map(|prefill| Choice::Split {
                 prefill,
-                reserved: fleet.by_short(split.reserved),
+                reserved: fleet.by_hash(split.reserved),
                 expected: Duration::from_micros(split.expected_us.into()),
             })
         }
@@ -251,7 +251,7 @@
     told: &gateway::Target,
     placed_by: (SocketAddr, Ticket),
 ) -> Option<Target> {
-    let engine = fleet.by_short(told.engine)?;
+    let engine = fleet.by_hash(told.engine)?;
     let takes_calls = fleet
         .get(&engine)
         .is_some_and(serving::engine::Engine::takes_calls);
@@ -265,7 +265,7 @@
         rank: Rank::try_from(told.rank).unwrap_or(Rank::MAX),
         wait: Duration::from_millis(told.wait_ms.into()),
         expected: Duration::from_micros(told.expected_us.into()),
-        fetch: fleet.by_short(told.fetch),
+        fetch: fleet.by_hash(told.fetch),
         placed_by: Some(placed_by),
     })
 }
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -18,13 +18,13 @@
     let now = instance.now();
     let mut fleet = instance.fleet.borrow_mut();
     for read in &reports.read {
-        fleet.first_for(peer, read.ticket, frame::before(now, read.age_ms));
+        fleet.remote_prompt_read(peer, read.ticket, frame::before(now, read.age_ms));
     }
     for ended in &reports.ended {
-        fleet.end_for(peer, ended.ticket, frame::outcome(ended.outcome()), now);
+        fleet.end_remote_call(peer, ended.ticket, frame::outcome(ended.outcome()), now);
     }
     if reports.says_open {
-        fleet.retain_for(peer, &reports.open, now);
+        fleet.retain_remote_calls(peer, &reports.open, now);
     }
     drop(fleet);
     instance.stirred.notify_one();
@@ -72,12 +72,12 @@
         let avoid = request
             .avoid
             .iter()
-            .filter_map(|short| fleet.by_short(*short));
+            .filter_map(|short| fleet.by_hash(*short));
         let avoid: SmallVec<[EngineId; 4]> = avoid.collect();
         let connected = request.connected.iter();
-        let connected = connected.filter_map(|short| fleet.by_short(*short));
+        let connected = connected.filter_map(|short| fleet.by_hash(*short));
         let connected: Vec<EngineId> = connected.collect();
-        let reserved = fleet.by_short(request.reserved);
+        let reserved = fleet.by_hash(request.reserved);
         let demand = Demand {
             service: &service,
             generation,
@@ -106,7 +106,7 @@
         let mut fleet = instance.fleet.borrow_mut();
         let ticket = request.ticket;
         let sent = now + target.wait;
-        fleet.begin_for(peer, ticket, &target.engine, target.work, target.rank, sent);
+        fleet.begin_remote_call(peer, ticket, &target.engine, target.work, target.rank, sent);
         drop(fleet);
         instance.uses(&target.engine, &prompt);
         instance.stirred.notify_one();
@@ -129,7 +129,7 @@
             reserved,
             expected,
         } => answer::Choice::Split(Split {
-            reserved: reserved.as_deref().map_or(0, hash::short),
+            reserved: reserved.as_deref().map_or(0, hash::hash32),
             prefill: Some(encode_target(prefill)),
             expected_us: micros(*expected),
         }),
@@ -144,12 +144,12 @@
 
 fn encode_target(target: &Target) -> gateway::Target {
     gateway::Target {
-        engine: hash::short(&target.engine),
+        engine: hash::hash32(&target.engine),
         unread: target.unread,
         work: target.work,
         rank: u32::from(target.rank),
         wait_ms: millis(target.wait),
         expected_us: micros(target.expected),
-        fetch: target.fetch.as_deref().map_or(0, hash::short),
+        fetch: target.fetch.as_deref().map_or(0, hash::hash32),
     }
 }
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use clock::Moment;
 use serving::engine::{Stage, StageChange};
-use serving::fleet::Change;
+use serving::fleet::WorkChange;
 use serving::parts::Part;
 use wire::gateway::{Frame, News, State};
 
@@ -34,7 +34,7 @@
     }
     apply_work(instance, &frame, now);
     for part in &frame.parts {
-        let engine = instance.fleet.borrow().by_short(part.engine);
+        let engine = instance.fleet.borrow().by_hash(part.engine);
         if let Some(engine) = engine {
             let part = Part {
                 id: part.part,
@@ -109,28 +109,32 @@
 fn apply_work(instance: &Instance, frame: &Frame, now: Moment) {
     let mut fleet = instance.fleet.borrow_mut();
     let started = frame.started.iter().filter_map(|started| {
-        let engine = fleet.by_short(started.engine)?;
-        Some(Change::Started(engine, job(started.job.as_ref()?, now)))
+        let engine = fleet.by_hash(started.engine)?;
+        Some(WorkChange::Started(engine, job(started.job.as_ref()?, now)))
     });
     let read = frame.read.iter().filter_map(|read| {
-        let engine = fleet.by_short(read.engine)?;
-        Some(Change::Read(engine, read.ticket, before(now, read.age_ms)))
+        let engine = fleet.by_hash(read.engine)?;
+        Some(WorkChange::Read(
+            engine,
+            read.ticket,
+            before(now, read.age_ms),
+        ))
     });
     let ended = frame.ended.iter().filter_map(|ended| {
-        let engine = fleet.by_short(ended.engine)?;
-        Some(Change::Ended(
+        let engine = fleet.by_hash(ended.engine)?;
+        Some(WorkChange::Ended(
             engine,
             ended.ticket,
             outcome(ended.outcome()),
         ))
     });
     let gone = frame.gone.iter();
-    let gone = gone.filter_map(|gone| Some(Change::Gone(fleet.by_short(*gone)?)));
-    let changes: Vec<Change> = started.chain(read).chain(ended).chain(gone).collect();
+    let gone = gone.filter_map(|gone| Some(WorkChange::EngineEnded(fleet.by_hash(*gone)?)));
+    let changes: Vec<WorkChange> = started.chain(read).chain(ended).chain(gone).collect();
     let works = frame.state.as_ref().map(|state| {
         let works = state.works.iter();
         let works =
-            works.filter_map(|work_at| Some((fleet.by_short(work_at.engine)?, work(work_at, now))));
+            works.filter_map(|work_at| Some((fleet.by_hash(work_at.engine)?, work(work_at, now))));
         works.collect()
     });
     fleet.apply_frame(frame.incarnation, &changes, works, now);
@@ -139,7 +143,7 @@
 fn apply_stage_changes(instance: &Instance, frame: &Frame, now: Moment) {
     let mut fleet = instance.fleet.borrow_mut();
     for change in &frame.changing {
-        let Some(engine) = fleet.by_short(change.engine) else {
+        let Some(engine) = fleet.by_hash(change.engine) else {
             continue;
         };
         let stage = if change.reads {
@@ -152,7 +156,7 @@
             since: now,
             own: false,
         };
-        fleet.change(&engine, changing);
+        fleet.begin_stage_change(&engine, changing);
     }
 }
 
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -99,7 +99,7 @@
     };
     let running = {
         let mut fleet = instance.fleet.borrow_mut();
-        fleet.change(&change.engine, changing);
+        fleet.begin_stage_change(&change.engine, changing);
         fleet
             .get(&change.engine)
             .map_or(0, |engine| engine.running_calls())
@@ -124,7 +124,10 @@
         Some(_) => Ordered::Refused,
     });
     if answer.is_some_and(|answer| !matches!(answer, Answer::Accepted | Answer::Holds)) {
-        instance.fleet.borrow_mut().change_failed(&change.engine);
+        instance
+            .fleet
+            .borrow_mut()
+            .cancel_stage_change(&change.engine);
     }
     answer
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -109,11 +109,11 @@
     pub(crate) fn crashed(&self, subject: &Subject, engine: &Record, at: Moment) {
         let call = subject.fingerprint;
         let crash = Crash {
-            engine: hash::short(&engine.id),
+            engine: hash::hash32(&engine.id),
             build: engine.build(),
             at,
         };
-        let caller = hash::short(&subject.caller.to_string());
+        let caller = hash::hash32(&subject.caller.to_string());
         let was_held = self.is_held(call);
         if !self.quarantine.borrow_mut().crashed(call, caller, crash) {
             return;
--- a/crates/serving/src/cost.rs
+++ b/crates/serving/src/cost.rs
@@ -156,7 +156,7 @@
 
 fn spread(engine: &Engine, prompt: &[Part]) -> f64 {
     let first = prompt.first().map_or(0, |part| part.id);
-    millis(SPREAD) * hash::share(&format!("{first}{}", engine.record.id))
+    millis(SPREAD) * hash::unit_interval(&format!("{first}{}", engine.record.id))
 }
 
 /// The engine to which a prompt's memory is handed at least cost.
--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -67,7 +67,7 @@
     /// What it runs: a call that ends one build may run well on the next.
     pub fn build(&self) -> Build {
         let software = self.software.as_deref().unwrap_or_default();
-        hash::short(&format!("{software} {:?}", self.weights))
+        hash::hash32(&format!("{software} {:?}", self.weights))
     }
 }
 
--- a/crates/serving/src/fetch.rs
+++ b/crates/serving/src/fetch.rs
@@ -46,7 +46,7 @@
 ) -> Sources<'a> {
     let mut sources = Sources::new();
     for engine in fleet.ready(demand.service) {
-        let kept = fleet.parts.kept(&engine.record.id, size.prompt);
+        let kept = fleet.parts.cached_tokens(&engine.record.id, size.prompt);
         if kept == 0 || !engine.is_available(now) {
             continue;
         }
@@ -68,7 +68,7 @@
     sources: &Sources,
     speed: &Speed,
 ) -> Fetch {
-    let kept = fleet.parts.kept(&engine.record.id, size.prompt);
+    let kept = fleet.parts.cached_tokens(&engine.record.id, size.prompt);
     let kept = kept.min(size.tokens);
     let whole = Fetch {
         from: None,
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -12,7 +12,7 @@
 use crate::flow::Flow;
 use crate::health::Outcome;
 use crate::overrun::Overrun;
-use crate::parts::{Part, Parts};
+use crate::parts::{CachedParts, Part};
 use crate::pauses::Pauses;
 use crate::speed::Speed;
 use crate::throttle::{Rate, Throttles};
@@ -37,7 +37,7 @@
 
 /// A call that was sent to an engine, in the books.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentCall {
     /// Where it went.
     pub engine: EngineId,
     ticket: Ticket,
@@ -49,7 +49,7 @@
     engines: BTreeMap<EngineId, Engine>,
     by_short: HashMap<u32, EngineId>,
     /// Which engine has read what.
-    pub parts: Parts,
+    pub parts: CachedParts,
     /// Rate limits that engines have announced.
     pub throttles: Throttles,
     next_ticket: Ticket,
@@ -67,7 +67,7 @@
     remote: HashMap<PeerId, HashMap<Ticket, Remote>>,
     /// Work of prompts sent by all instances, by service.
     reading: HashMap<ServiceName, Flow>,
-    changes: Vec<Change>,
+    changes: Vec<WorkChange>,
     /// How much longer calls that yield wait, by service.
     overruns: HashMap<ServiceName, Overrun>,
     /// Pauses of streams, by service.
@@ -76,7 +76,7 @@
 
 /// Something that changed in this instance's work at the engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum WorkChange {
     /// A prompt was sent.
     Started(EngineId, Job),
     /// A prompt was read, at this moment.
@@ -84,7 +84,7 @@
     /// A call ended, with what it tells of the engine.
     Ended(EngineId, Ticket, Option<Outcome>),
     /// An engine has ended although its record stands.
-    Gone(EngineId),
+    EngineEnded(EngineId),
 }
 
 impl Fleet {
@@ -109,7 +109,7 @@
             }
             None => {
                 self.by_short
-                    .insert(hash::short(&record.id), record.id.clone());
+                    .insert(hash::hash32(&record.id), record.id.clone());
                 self.engines.insert(record.id.clone(), Engine::new(record));
                 true
             }
@@ -139,7 +139,7 @@
     }
 
     /// The engine whose id has this short number.
-    pub fn by_short(&self, short: u32) -> Option<EngineId> {
+    pub fn by_hash(&self, short: u32) -> Option<EngineId> {
         self.by_short.get(&short).cloned()
     }
 
@@ -150,14 +150,14 @@
     }
 
     /// Engines of a service that take new calls, or will once they have changed.
-    pub fn standing<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Engine> {
+    pub fn active<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Engine> {
         let engines = self.engines.values();
         engines.filter(move |engine| engine.is_active() && engine.record.service == *service)
     }
 
     /// Takes in that an engine was ordered to change what it does. It gets no calls until its record
     /// says that it has, or for [`CHANGE`].
-    pub fn change(&mut self, id: &str, changing: StageChange) {
+    pub fn begin_stage_change(&mut self, id: &str, changing: StageChange) {
         if let Some(engine) = self.engines.get_mut(id)
             && engine.record.stage != Some(changing.stage)
         {
@@ -167,14 +167,14 @@
     }
 
     /// Takes in that an engine does not change after all.
-    pub fn change_failed(&mut self, id: &str) {
+    pub fn cancel_stage_change(&mut self, id: &str) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.stage_change = None;
         }
     }
 
     /// Engines that this instance has ordered to change what they do.
-    pub fn changing(&self) -> impl Iterator<Item = (&EngineId, Stage)> {
+    pub fn own_stage_changes(&self) -> impl Iterator<Item = (&EngineId, Stage)> {
         self.changing.iter().filter_map(|id| {
             let changing = self
                 .engines
@@ -191,7 +191,7 @@
     }
 
     /// Enters a call that is about to be sent, with the work that its prompt is there.
-    pub fn begin(&mut self, id: &EngineId, work: u32, rank: Rank, now: Moment) -> Sent {
+    pub fn begin_call(&mut self, id: &EngineId, work: u32, rank: Rank, now: Moment) -> SentCall {
         self.next_ticket = self.next_ticket.wrapping_add(1);
         let ticket = self.next_ticket;
         let job = Job {
@@ -206,13 +206,13 @@
             self.busy.insert(id.clone());
             engine.pending.push(pending);
             engine.note_reading(now);
-            self.changes.push(Change::Started(id.clone(), job));
+            self.changes.push(WorkChange::Started(id.clone(), job));
             if work > 0 {
                 let service = engine.record.service.clone();
                 self.reading.entry(service).or_default().add(work, now);
             }
         }
-        Sent {
+        SentCall {
             engine: id.clone(),
             ticket,
         }
@@ -231,7 +231,7 @@
     }
 
     /// Takes in that the first answer of a call is there, so that its prompt has been read.
-    pub fn first(&mut self, sent: &Sent, now: Moment) {
+    pub fn prompt_read(&mut self, sent: &SentCall, now: Moment) {
         let Some(engine) = self.engines.get_mut(&sent.engine) else {
             return;
         };
@@ -245,7 +245,7 @@
         }
         engine.note_reading(now);
         self.changes
-            .push(Change::Read(sent.engine.clone(), sent.ticket, now));
+            .push(WorkChange::Read(sent.engine.clone(), sent.ticket, now));
         self.learn(&sent.engine, &pending, now);
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Takes in that a call has ended.
-    pub fn end(&mut self, sent: &Sent, outcome: Option<Outcome>, now: Moment) {
+    pub fn end_call(&mut self, sent: &SentCall, outcome: Option<Outcome>, now: Moment) {
         self.note_unread(sent, now);
         if let Some(engine) = self.engines.get_mut(&sent.engine) {
             engine.pending.retain(|p| p.job.ticket != sent.ticket);
@@ -284,11 +284,12 @@
             }
             if let Some(outcome) = outcome {
                 if outcome == Outcome::Ended && !engine.health.has_ended() {
-                    self.changes.push(Change::Gone(sent.engine.clone()));
+                    self.changes
+                        .push(WorkChange::EngineEnded(sent.engine.clone()));
                 }
                 engine.health.record(outcome, now);
             }
-            let ended = Change::Ended(sent.engine.clone(), sent.ticket, outcome);
+            let ended = WorkChange::Ended(sent.engine.clone(), sent.ticket, outcome);
             self.changes.push(ended);
             if engine.record_gone {
                 self.sweep();
@@ -297,7 +298,7 @@
     }
 
     /// Takes in how long a call that yields had waited if it ends before its prompt was read.
-    fn note_unread(&mut self, sent: &Sent, now: Moment) {
+    fn note_unread(&mut self, sent: &SentCall, now: Moment) {
         let Some(engine) = self.engines.get(&sent.engine) else {
             return;
         };
@@ -319,12 +320,12 @@
     }
 
     /// What changed since the last question.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<WorkChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// This instance's prompts that are not read yet and were sent less than `age` ago.
-    pub fn recent(&self, age: Duration, now: Moment) -> Vec<(EngineId, Job)> {
+    pub fn recent_jobs(&self, age: Duration, now: Moment) -> Vec<(EngineId, Job)> {
         let jobs = self.busy().flat_map(|engine| {
             let id = &engine.record.id;
             engine.pending.iter().map(move |p| (id.clone(), p.job))
@@ -334,7 +335,7 @@
     }
 
     /// Tokens of work that all instances have had read lately, in a millisecond.
-    pub fn reading(&self, service: &ServiceName, now: Moment) -> f64 {
+    pub fn work_rate(&self, service: &ServiceName, now: Moment) -> f64 {
         self.reading.get(service).map_or(0.0, |flow| flow.rate(now))
     }
 
@@ -348,7 +349,7 @@
     }
 
     /// Drops what silent instances said, and orders that had no effect.
-    pub fn fade(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Moment) {
         self.throttles.fade(now);
         let engines = &mut self.engines;
         self.changing.retain(|id| {
@@ -368,7 +369,7 @@
     }
 
     /// What this instance has at the engines, for the others.
-    pub fn own(&self) -> Vec<(EngineId, Work)> {
+    pub fn own_work(&self) -> Vec<(EngineId, Work)> {
         self.busy()
             .map(|engine| (engine.record.id.clone(), engine.own_work()))
             .collect()
@@ -379,9 +380,15 @@
     }
 
     /// Takes in that an engine reads these parts.
-    pub fn reads(&mut self, id: &EngineId, prompt: &[Part], memory_tokens: u64, now: Moment) {
+    pub fn record_cached_parts(
+        &mut self,
+        id: &EngineId,
+        prompt: &[Part],
+        memory_tokens: u64,
+        now: Moment,
+    ) {
         if self.engines.contains_key(id) {
-            self.parts.read(id, prompt, memory_tokens, now);
+            self.parts.record(id, prompt, memory_tokens, now);
         }
     }
 
@@ -394,7 +401,7 @@
             if !keep {
                 parts.forget(id);
                 throttles.forget(id);
-                by_short.remove(&hash::short(id));
+                by_short.remove(&hash::hash32(id));
             }
             keep
         });
--- a/crates/serving/src/fleet/remote.rs
+++ b/crates/serving/src/fleet/remote.rs
@@ -8,7 +8,7 @@
 
 use clock::Moment;
 
-use super::{Fleet, PeerId, Sent};
+use super::{Fleet, PeerId, SentCall};
 use crate::EngineId;
 use crate::engine::{Rank, Ticket};
 use crate::health::Outcome;
@@ -16,7 +16,7 @@
 /// A call of another instance.
 #[derive(Clone, Debug)]
 pub(super) struct Remote {
-    sent: Sent,
+    sent: SentCall,
     since: Moment,
 }
 
@@ -26,7 +26,7 @@
 
 impl Fleet {
     /// Enters a call of another instance that is sent at a moment, by the number that it has there.
-    pub fn begin_for(
+    pub fn begin_remote_call(
         &mut self,
         peer: PeerId,
         ticket: Ticket,
@@ -36,38 +36,44 @@
         at: Moment,
     ) {
         self.heard.insert(peer, at);
-        let sent = self.begin(id, work, rank, at);
+        let sent = self.begin_call(id, work, rank, at);
         let remote = Remote { sent, since: at };
         self.remote.entry(peer).or_default().insert(ticket, remote);
     }
 
     /// Takes in that the prompt of another instance's call was read at a moment.
-    pub fn first_for(&mut self, peer: PeerId, ticket: Ticket, at: Moment) {
+    pub fn remote_prompt_read(&mut self, peer: PeerId, ticket: Ticket, at: Moment) {
         let remote = self
             .remote
             .get(&peer)
             .and_then(|remote| remote.get(&ticket));
         if let Some(sent) = remote.map(|remote| remote.sent.clone()) {
-            self.first(&sent, at);
+            self.prompt_read(&sent, at);
         }
     }
 
     /// Takes in that another instance's call has ended.
-    pub fn end_for(&mut self, peer: PeerId, ticket: Ticket, outcome: Option<Outcome>, now: Moment) {
+    pub fn end_remote_call(
+        &mut self,
+        peer: PeerId,
+        ticket: Ticket,
+        outcome: Option<Outcome>,
+        now: Moment,
+    ) {
         let remote = self.remote.get_mut(&peer);
         let Some(Remote { sent, .. }) = remote.and_then(|remote| remote.remove(&ticket)) else {
             return;
         };
         // That an engine has ended is certain, whoever says it.
         let certain = outcome.filter(|outcome| *outcome == Outcome::Ended);
-        self.end(&sent, certain, now);
+        self.end_call(&sent, certain, now);
         if let (Some(engine), Some(outcome)) = (self.engines.get_mut(&sent.engine), outcome) {
             engine.peer_reports.record(peer, outcome, now);
         }
     }
 
     /// Takes in all calls that another instance has in hand of those that this one placed for it.
-    pub fn retain_for(&mut self, peer: PeerId, open: &[Ticket], now: Moment) {
+    pub fn retain_remote_calls(&mut self, peer: PeerId, open: &[Ticket], now: Moment) {
         let Some(remote) = self.remote.get(&peer) else {
             return;
         };
@@ -78,14 +84,14 @@
             .filter(|(ticket, remote)| is_settled(remote) && !open.contains(ticket));
         let over: Vec<Ticket> = over.map(|(ticket, _)| *ticket).collect();
         for ticket in over {
-            self.end_for(peer, ticket, None, now);
+            self.end_remote_call(peer, ticket, None, now);
         }
     }
 
     /// Ends all calls of an instance that has ended or fallen silent.
     pub(super) fn end_all_for(&mut self, peer: PeerId, now: Moment) {
         for remote in self.remote.remove(&peer).into_iter().flatten() {
-            self.end(&remote.1.sent, None, now);
+            self.end_call(&remote.1.sent, None, now);
         }
     }
 }
--- a/crates/serving/src/fleet/streams.rs
+++ b/crates/serving/src/fleet/streams.rs
@@ -11,7 +11,7 @@
 
 impl Fleet {
     /// Where a stream at an engine is now.
-    pub fn mark(&self, id: &EngineId, now: Moment) -> Option<StreamMark> {
+    pub fn stream_mark(&self, id: &EngineId, now: Moment) -> Option<StreamMark> {
         let engine = self.engines.get(id)?;
         let read = engine.reading.total(now);
         Some(StreamMark { at: now, read })
@@ -19,7 +19,7 @@
 
     /// Takes in that an event of a stream came, which may pause for `longest`. Gives the time since the last one in which
     /// the engine had prompts to read.
-    pub fn event(
+    pub fn record_stream_event(
         &mut self,
         id: &EngineId,
         last: &mut StreamMark,
--- a/crates/serving/src/fleet/told.rs
+++ b/crates/serving/src/fleet/told.rs
@@ -5,7 +5,7 @@
 
 use clock::Moment;
 
-use super::{Change, Fleet, PeerId};
+use super::{Fleet, PeerId, WorkChange};
 use crate::EngineId;
 use crate::engine::{Job, Ticket, Work};
 use crate::health::Outcome;
@@ -18,7 +18,7 @@
     pub fn apply_frame(
         &mut self,
         peer: PeerId,
-        changes: &[Change],
+        changes: &[WorkChange],
         works: Option<Vec<(EngineId, Work)>>,
         now: Moment,
     ) {
@@ -26,12 +26,12 @@
             self.apply_change(peer, change, now);
         }
         if let Some(works) = works {
-            self.apply_works(peer, works, now);
+            self.apply_all_work(peer, works, now);
         }
     }
 
     /// Replaces a peer's work at all engines. Engines that are not listed have none of it.
-    pub fn apply_works(&mut self, peer: PeerId, works: Vec<(EngineId, Work)>, now: Moment) {
+    pub fn apply_all_work(&mut self, peer: PeerId, works: Vec<(EngineId, Work)>, now: Moment) {
         self.heard.insert(peer, now);
         self.clear(peer, now);
         let mut at = Vec::with_capacity(works.len());
@@ -56,13 +56,13 @@
     }
 
     /// Applies one change of a peer's work.
-    pub fn apply_change(&mut self, peer: PeerId, change: &Change, now: Moment) {
+    pub fn apply_change(&mut self, peer: PeerId, change: &WorkChange, now: Moment) {
         self.heard.insert(peer, now);
         match change {
-            Change::Started(id, job) => self.started(peer, id, *job, now),
-            Change::Read(id, ticket, at) => self.read(peer, id, *ticket, *at, now),
-            Change::Ended(id, ticket, outcome) => self.ended(peer, id, *ticket, *outcome, now),
-            Change::Gone(id) => {
+            WorkChange::Started(id, job) => self.started(peer, id, *job, now),
+            WorkChange::Read(id, ticket, at) => self.read(peer, id, *ticket, *at, now),
+            WorkChange::Ended(id, ticket, outcome) => self.ended(peer, id, *ticket, *outcome, now),
+            WorkChange::EngineEnded(id) => {
                 if let Some(engine) = self.engines.get_mut(id) {
                     engine.health.record(Outcome::Ended, now);
                 }
--- a/crates/serving/src/parts.rs
+++ b/crates/serving/src/parts.rs
@@ -15,7 +15,7 @@
 /// use. Short, because instances tell each other of every part of every prompt; two parts that
 /// share an id cost one wrong estimate.
 pub fn id(model: &str, part: &str) -> PartId {
-    hash::short(&format!("{model}\n{part}"))
+    hash::hash32(&format!("{model}\n{part}"))
 }
 
 /// One part of a prompt.
@@ -71,13 +71,13 @@
 
 /// The parts of all engines.
 #[derive(Clone, Debug, Default)]
-pub struct Parts {
+pub struct CachedParts {
     memories: HashMap<EngineId, Memory>,
 }
 
-impl Parts {
+impl CachedParts {
     /// Takes in that an engine reads these parts.
-    pub fn read(&mut self, engine: &EngineId, prompt: &[Part], memory_tokens: u64, now: Moment) {
+    pub fn record(&mut self, engine: &EngineId, prompt: &[Part], memory_tokens: u64, now: Moment) {
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -92,7 +92,7 @@
 
     /// Tokens at the beginning of the prompt that the engine need not read again. A part is of use
     /// only behind all parts before it.
-    pub fn kept(&self, engine: &EngineId, prompt: &[Part]) -> u32 {
+    pub fn cached_tokens(&self, engine: &EngineId, prompt: &[Part]) -> u32 {
         let Some(memory) = self.memories.get(engine) else {
             return 0;
         };
@@ -104,7 +104,7 @@
     }
 
     /// All parts that an engine holds, the one used longest ago first.
-    pub fn held(&self, engine: &EngineId) -> Vec<Part> {
+    pub fn cached_parts(&self, engine: &EngineId) -> Vec<Part> {
         let Some(memory) = self.memories.get(engine) else {
             return Vec::new();
         };
--- a/crates/serving/src/placer.rs
+++ b/crates/serving/src/placer.rs
@@ -98,7 +98,7 @@
 /// Placers that come before one in the order of an engine. All compute it alike from those that they know, so that what is
 /// divided among placers needs no word between them.
 pub fn rank(engine: &EngineId, own: SocketAddr, others: &[(SocketAddr, Place)]) -> usize {
-    let weight = |address: SocketAddr| hash::number(&format!("{address} {engine}"));
+    let weight = |address: SocketAddr| hash::hash64(&format!("{address} {engine}"));
     let own = weight(own);
     let before = others.iter().filter(|(other, _)| weight(*other) > own);
     before.count()
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -359,7 +359,7 @@
         self.suspects().fold(0, |digest, (call, entry)| {
             let standing = entry.standing().min(CRASHES);
             digest
-                ^ hash::number(&format!(
+                ^ hash::hash64(&format!(
                     "{call:x} {standing} {} {}",
                     entry.trials, entry.failed
                 ))
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -251,7 +251,7 @@
 }
 
 fn digest(record: &Record) -> u64 {
-    hash::number(&format!(
+    hash::hash64(&format!(
         "{} {} {} {:?} {:?}",
         record.id, record.service, record.address, record.state, record.stage
     ))
--- a/crates/serving/src/roles.rs
+++ b/crates/serving/src/roles.rs
@@ -82,7 +82,7 @@
             prefill: Vec::new(),
             changing: 0,
         };
-        for engine in fleet.standing(service) {
+        for engine in fleet.active(service) {
             split.changing += usize::from(engine.stage_change.is_some());
             match engine.target_stage() {
                 Some(Stage::Decode) => split.decode.push(engine),
@@ -120,7 +120,7 @@
     /// Without any load up to [`BLIND`] engines change at once, since nobody waits for them.
     pub fn plan(&mut self, fleet: &Fleet, service: &ServiceName, now: Moment) -> Changes {
         let split = Split::new(fleet, service);
-        let read = fleet.reading(service, now) / split.speed(fleet).max(1.0);
+        let read = fleet.work_rate(service, now) / split.speed(fleet).max(1.0);
         self.look(split.fill(), read, now);
         let count = split.count();
         let more = if count < FEWEST || split.prefill.is_empty() {
--- a/crates/serving/src/scaling.rs
+++ b/crates/serving/src/scaling.rs
@@ -176,7 +176,7 @@
         if range.reclaimable_price.is_none_or(|price| price > WORTH_IT) {
             return orders;
         }
-        let counts = counts(fleet.standing(service));
+        let counts = counts(fleet.active(service));
         self.find(&counts, now);
         self.note_lost(&counts, range, now);
         let mut may_go = LET_GO.saturating_sub(self.leaving(&counts));
--- a/crates/serving/tests/overrun.rs
+++ b/crates/serving/tests/overrun.rs
@@ -25,22 +25,22 @@
     let r = id("r");
     let mut now = from;
     for _ in 0..2 {
-        let yielding = [(); 10].map(|()| fleet.begin(&r, 600, LATE_RANK, now));
+        let yielding = [(); 10].map(|()| fleet.begin_call(&r, 600, LATE_RANK, now));
         for _ in 0..10 {
-            let urgent = fleet.begin(&r, WORK, URGENT, now);
+            let urgent = fleet.begin_call(&r, WORK, URGENT, now);
             now += ms(100);
-            fleet.first(&urgent, now);
-            fleet.end(&urgent, None, now);
+            fleet.prompt_read(&urgent, now);
+            fleet.end_call(&urgent, None, now);
         }
         for call in yielding {
-            fleet.end(&call, None, now);
+            fleet.end_call(&call, None, now);
         }
     }
 }
 
 /// What becomes of a call that cannot be on time, behind one prompt, whose caller waits for 1.3 s more.
 fn late_call(fleet: &mut Fleet, now: Duration) -> Choice {
-    let before = fleet.begin(&id("r"), 20_000, LATE_RANK, now);
+    let before = fleet.begin_call(&id("r"), 20_000, LATE_RANK, now);
     let parts = prompt(&[(1, 12_000)]);
     let (service, zone) = (service(), zone());
     let demand = Demand {
@@ -49,7 +49,7 @@
         ..demand(&service, &zone, Some(generation(&parts)))
     };
     let choice = choose(fleet, &demand, now);
-    fleet.end(&before, None, now);
+    fleet.end_call(&before, None, now);
     choice
 }
 
--- a/crates/serving/tests/pauses.rs
+++ b/crates/serving/tests/pauses.rs
@@ -21,19 +21,19 @@
 fn learned(alone: Duration, beside: Duration) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     let a = id("a");
-    fleet.reads(&a, &prompt(&[(7, 2_000)]), 400_000, ms(0));
+    fleet.record_cached_parts(&a, &prompt(&[(7, 2_000)]), 400_000, ms(0));
     for _ in 0..STREAMS {
-        fleet.begin(&a, 0, 1, ms(0));
+        fleet.begin_call(&a, 0, 1, ms(0));
     }
     let mut now = ms(0);
     for _ in 0..PAUSES {
-        let mut last = fleet.mark(&a, now).expect("the engine is known");
+        let mut last = fleet.stream_mark(&a, now).expect("the engine is known");
         now += alone;
-        fleet.event(&a, &mut last, LONGEST, now);
-        let read = fleet.begin(&a, 4_000, 0, now);
+        fleet.record_stream_event(&a, &mut last, LONGEST, now);
+        let read = fleet.begin_call(&a, 4_000, 0, now);
         now += beside;
-        fleet.event(&a, &mut last, LONGEST, now);
-        fleet.end(&read, None, now);
+        fleet.record_stream_event(&a, &mut last, LONGEST, now);
+        fleet.end_call(&read, None, now);
     }
     fleet
 }
@@ -70,9 +70,9 @@
 #[test]
 fn nothing_is_avoided_before_pauses_were_seen() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.reads(&id("a"), &prompt(&[(7, 2_000)]), 400_000, ms(0));
+    fleet.record_cached_parts(&id("a"), &prompt(&[(7, 2_000)]), 400_000, ms(0));
     for _ in 0..STREAMS {
-        fleet.begin(&id("a"), 0, 1, ms(0));
+        fleet.begin_call(&id("a"), 0, 1, ms(0));
     }
     assert_eq!(place(&fleet), "a");
 }
@@ -88,7 +88,7 @@
     fleet.remove("b");
     let now = ms(60_000);
     for _ in 0..6 {
-        fleet.begin(&id("r"), 24_000, 0, now);
+        fleet.begin_call(&id("r"), 24_000, 0, now);
     }
     let parts = prompt(&[(9, 6_000)]);
     let (service, zone) = (service(), zone());
@@ -108,12 +108,12 @@
     let a = id("a");
     let mut now = ms(50_000);
     for _ in 0..5 {
-        let mut last = fleet.mark(&a, now).expect("the engine is known");
-        let read = fleet.begin(&a, 4_000, 0, now);
+        let mut last = fleet.stream_mark(&a, now).expect("the engine is known");
+        let read = fleet.begin_call(&a, 4_000, 0, now);
         now += ms(1_000);
-        fleet.event(&a, &mut last, LONGEST, now);
-        fleet.end(&read, None, now);
+        fleet.record_stream_event(&a, &mut last, LONGEST, now);
+        fleet.end_call(&read, None, now);
     }
     assert_eq!(place(&fleet), "a");
-    assert_matches!(fleet.mark(&id("none"), now), None);
+    assert_matches!(fleet.stream_mark(&id("none"), now), None);
 }
--- a/crates/serving/tests/place.rs
+++ b/crates/serving/tests/place.rs
@@ -29,7 +29,7 @@
             ("b", Stage::Decode),
             ("c", Stage::Decode),
         ]);
-        fleet.reads(&id(reader), &prompt(&[(7, 13_000)]), 400_000, NOW);
+        fleet.record_cached_parts(&id(reader), &prompt(&[(7, 13_000)]), 400_000, NOW);
         let choice = target(&fleet, &[(7, 13_000), (8, 3_000)]);
         assert_matches!(choice, Choice::Direct(t) if &*t.engine == reader && t.unread == 3_000);
     }
@@ -38,7 +38,7 @@
 #[test]
 fn a_part_behind_one_that_was_not_read_is_read_again() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    fleet.reads(&id("a"), &prompt(&[(7, 1_000)]), 400_000, NOW);
+    fleet.record_cached_parts(&id("a"), &prompt(&[(7, 1_000)]), 400_000, NOW);
     let choice = target(&fleet, &[(6, 1_000), (7, 1_000)]);
     assert_matches!(choice, Choice::Direct(t) if t.unread == 2_000);
 }
@@ -46,12 +46,15 @@
 #[test]
 fn what_was_used_longest_ago_yields_first() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    fleet.reads(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(1));
-    fleet.reads(&id("a"), &prompt(&[(2, 300)]), 1_000, ms(2));
-    fleet.reads(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(3));
-    fleet.reads(&id("a"), &prompt(&[(3, 400)]), 1_000, ms(4));
-    assert_eq!(fleet.parts.kept(&id("a"), &prompt(&[(1, 300)])), 300);
-    assert_eq!(fleet.parts.kept(&id("a"), &prompt(&[(2, 300)])), 0);
+    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(1));
+    fleet.record_cached_parts(&id("a"), &prompt(&[(2, 300)]), 1_000, ms(2));
+    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(3));
+    fleet.record_cached_parts(&id("a"), &prompt(&[(3, 400)]), 1_000, ms(4));
+    assert_eq!(
+        fleet.parts.cached_tokens(&id("a"), &prompt(&[(1, 300)])),
+        300
+    );
+    assert_eq!(fleet.parts.cached_tokens(&id("a"), &prompt(&[(2, 300)])), 0);
 }
 
 /// Symptom: short calls are late on every engine of a fleet that is half idle. Sequence: long prompts
@@ -82,7 +85,7 @@
 fn a_refusal_tells_of_both_halves() {
     let mut fleet = fleet(&[("reads", Stage::Prefill), ("full", Stage::Decode)]);
     for _ in 0..64 + 50 {
-        fleet.begin(&id("full"), 0, 1, NOW);
+        fleet.begin_call(&id("full"), 0, 1, NOW);
     }
     let choice = target(&fleet, &[(1, 60_000)]);
     assert_matches!(
@@ -109,7 +112,7 @@
 #[test]
 fn an_engine_whose_connections_are_taken_gets_nothing_more() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.reads(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
+    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
     let works = |calls| {
         vec![(
             id("a"),
@@ -119,10 +122,10 @@
             },
         )]
     };
-    fleet.apply_works(1, works(359), NOW);
+    fleet.apply_all_work(1, works(359), NOW);
     let choice = target(&fleet, &[(1, 9_000)]);
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b");
-    fleet.begin(&id("a"), 0, 1, NOW);
+    fleet.begin_call(&id("a"), 0, 1, NOW);
     let (service, zone) = (service(), zone());
     let parts = prompt(&[(1, 9_000)]);
     let last = [id("b")];
@@ -139,7 +142,7 @@
     let mut leaving = record("a", Some(Stage::Decode));
     leaving.state = State::Draining;
     fleet.put(leaving);
-    fleet.reads(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
+    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
     let choice = target(&fleet, &[(1, 9_000)]);
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b");
 }
@@ -172,8 +175,8 @@
 #[test]
 fn an_engine_that_has_ended_gets_nothing_although_its_record_stands() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    let sent = fleet.begin(&id("a"), 100, 0, NOW);
-    fleet.end(&sent, Some(Outcome::Ended), NOW);
+    let sent = fleet.begin_call(&id("a"), 100, 0, NOW);
+    fleet.end_call(&sent, Some(Outcome::Ended), NOW);
     let choice = target(&fleet, &[(1, 100)]);
     assert_matches!(
         choice,
@@ -187,13 +190,13 @@
 #[test]
 fn an_engine_that_fails_rests_and_is_taken_back() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.reads(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
+    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
     for _ in 0..2 {
-        let sent = fleet.begin(&id("a"), 0, 0, NOW);
-        fleet.end(&sent, Some(Outcome::Failed), NOW);
+        let sent = fleet.begin_call(&id("a"), 0, 0, NOW);
+        fleet.end_call(&sent, Some(Outcome::Failed), NOW);
     }
-    let sent = fleet.begin(&id("a"), 0, 0, NOW);
-    fleet.end(&sent, Some(Outcome::Failed), NOW);
+    let sent = fleet.begin_call(&id("a"), 0, 0, NOW);
+    fleet.end_call(&sent, Some(Outcome::Failed), NOW);
     assert_matches!(target(&fleet, &[(1, 9_000)]), Choice::Direct(t) if &*t.engine == "b");
     assert!(fleet.get("a").unwrap().health.is_available(NOW + ms(5_000)));
 }
@@ -211,13 +214,13 @@
         rank: 0,
         work: 40_000,
     };
-    let change = serving::fleet::Change::Started(free.engine.clone(), job);
+    let change = serving::fleet::WorkChange::Started(free.engine.clone(), job);
     fleet.apply_change(9, &change, NOW);
     // Told again, as every frame tells recent prompts.
     fleet.apply_change(9, &change, NOW);
     assert_eq!(fleet.get(&free.engine).unwrap().pending_jobs().len(), 1);
     assert_matches!(target(&fleet, &[(1, 2_000)]), Choice::Direct(t) if t.engine != free.engine);
-    let read = serving::fleet::Change::Read(free.engine.clone(), 1, NOW);
+    let read = serving::fleet::WorkChange::Read(free.engine.clone(), 1, NOW);
     fleet.apply_change(9, &read, NOW);
     assert_eq!(fleet.get(&free.engine).unwrap().pending_jobs().len(), 0);
 }
@@ -229,9 +232,9 @@
         calls: 5,
         ..Default::default()
     };
-    fleet.apply_works(9, vec![(id("a"), work)], NOW);
+    fleet.apply_all_work(9, vec![(id("a"), work)], NOW);
     assert_eq!(fleet.get("a").unwrap().running_calls(), 5);
-    fleet.fade(NOW + ms(5_000));
+    fleet.expire(NOW + ms(5_000));
     assert_eq!(fleet.get("a").unwrap().running_calls(), 0);
 }
 
@@ -241,7 +244,7 @@
     for name in ["a", "b"] {
         fleet.put(record(name, None));
     }
-    fleet.begin(&id("a"), 0, 0, NOW);
+    fleet.begin_call(&id("a"), 0, 0, NOW);
     let (service, zone) = (service(), zone());
     let choice = choose(&fleet, &demand(&service, &zone, None), NOW);
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b");
@@ -257,10 +260,10 @@
         fleet.put(record(name, None));
     }
     for _ in 0..3 {
-        let sent = fleet.begin(&id("a"), 0, 0, NOW);
-        fleet.end(&sent, Some(Outcome::Failed), NOW);
+        let sent = fleet.begin_call(&id("a"), 0, 0, NOW);
+        fleet.end_call(&sent, Some(Outcome::Failed), NOW);
     }
-    fleet.begin(&id("b"), 0, 0, NOW);
+    fleet.begin_call(&id("b"), 0, 0, NOW);
     let (service, zone) = (service(), zone());
     let demand = demand(&service, &zone, None);
     let soon = choose(&fleet, &demand, NOW + ms(100));
@@ -275,9 +278,9 @@
     for name in ["a", "b"] {
         fleet.put(record(name, None));
     }
-    fleet.begin(&id("b"), 0, 0, NOW);
-    let sent = fleet.begin(&id("a"), 0, 0, NOW);
-    fleet.end(&sent, Some(Outcome::Overloaded), NOW);
+    fleet.begin_call(&id("b"), 0, 0, NOW);
+    let sent = fleet.begin_call(&id("a"), 0, 0, NOW);
+    fleet.end_call(&sent, Some(Outcome::Overloaded), NOW);
     let (service, zone) = (service(), zone());
     let demand = demand(&service, &zone, None);
     assert_matches!(choose(&fleet, &demand, NOW + ms(10)), Choice::Direct(t) if &*t.engine == "b");
@@ -287,9 +290,9 @@
 /// Engine `a` keeps the first part of a prompt and has so many prompts to read; `b` is idle.
 fn kept_at_a(jobs: usize) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.reads(&id("a"), &prompt(&[(7, 9_000)]), 400_000, NOW);
+    fleet.record_cached_parts(&id("a"), &prompt(&[(7, 9_000)]), 400_000, NOW);
     for _ in 0..jobs {
-        fleet.begin(&id("a"), 12_000, 0, NOW);
+        fleet.begin_call(&id("a"), 12_000, 0, NOW);
     }
     fleet
 }
@@ -374,8 +377,8 @@
         ("c", Stage::Prefill),
     ]);
     let parts = prompt(&[(7, 13_000)]);
-    fleet.reads(&id("a"), &parts, 400_000, NOW);
-    fleet.begin(&id("a"), 0, 1, NOW);
+    fleet.record_cached_parts(&id("a"), &parts, 400_000, NOW);
+    fleet.begin_call(&id("a"), 0, 1, NOW);
     let (service, zone) = (service(), zone());
     let together = demand(&service, &zone, Some(generation(&parts)));
     let alone = Demand {
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -415,7 +415,7 @@
             for run in &broken {
                 innocent.broken += 1;
                 // Each caller has an address of its own.
-                let caller = hash::short(&run.call.to_string());
+                let caller = hash::hash32(&run.call.to_string());
                 quarantine.crashed(run.call, caller, crash(engine, OLD, now));
             }
             lives[ends] += 1;
--- a/crates/serving/tests/registry.rs
+++ b/crates/serving/tests/registry.rs
@@ -117,9 +117,9 @@
 fn an_engine_that_starts_again_holds_and_runs_nothing() {
     let (mut registry, mut fleet) = known();
     registry.put(&mut fleet, start("e", 10));
-    let sent = fleet.begin(&id("e.10"), 5_000, 0, ms(1_200));
-    fleet.reads(&id("e.10"), &prompt(&[(7, 900)]), 400_000, ms(1_200));
-    fleet.apply_works(
+    let sent = fleet.begin_call(&id("e.10"), 5_000, 0, ms(1_200));
+    fleet.record_cached_parts(&id("e.10"), &prompt(&[(7, 900)]), 400_000, ms(1_200));
+    fleet.apply_all_work(
         1,
         vec![(
             id("e.10"),
@@ -132,9 +132,12 @@
     );
     assert_eq!(registry.put(&mut fleet, start("e", 20)), Change::Put);
     assert_eq!(at(&fleet, "e.20"), Some(0));
-    assert_eq!(fleet.parts.kept(&id("e.20"), &prompt(&[(7, 900)])), 0);
+    assert_eq!(
+        fleet.parts.cached_tokens(&id("e.20"), &prompt(&[(7, 900)])),
+        0
+    );
     // The call of before ends at the start that it was sent to.
-    fleet.end(&sent, Some(Outcome::Failed), ms(1_300));
+    fleet.end_call(&sent, Some(Outcome::Failed), ms(1_300));
     assert_eq!(at(&fleet, "e.20"), Some(0));
     assert!(
         fleet
@@ -150,10 +153,10 @@
 fn what_others_tell_of_the_start_before_is_not_of_this_one() {
     let (mut registry, mut fleet) = known();
     registry.put(&mut fleet, start("e", 10));
-    let told = hash::short("e.10");
+    let told = hash::hash32("e.10");
     registry.put(&mut fleet, start("e", 20));
-    assert_eq!(fleet.by_short(told), None);
-    assert_eq!(fleet.by_short(hash::short("e.20")), Some(id("e.20")));
+    assert_eq!(fleet.by_hash(told), None);
+    assert_eq!(fleet.by_hash(hash::hash32("e.20")), Some(id("e.20")));
 }
 
 /// Symptom: calls go to an address that nobody listens at any more. Sequence: a heartbeat of the start before reaches the
--- a/crates/serving/tests/replay/engine.rs
+++ b/crates/serving/tests/replay/engine.rs
@@ -38,12 +38,12 @@
         let kept = self
             .memory
             .parts
-            .kept(&self.id, &call.prompt)
+            .cached_tokens(&self.id, &call.prompt)
             .min(call.tokens);
         let unread = if reads { call.tokens - kept } else { 0 };
         let now_time = Duration::from_micros(now);
         self.memory
-            .reads(&self.id, &call.prompt, MODEL.memory_tokens, now_time);
+            .record_cached_parts(&self.id, &call.prompt, MODEL.memory_tokens, now_time);
         self.waiting.push(Waiting {
             call: number,
             at: now,
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -7,7 +7,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt as _, SeedableRng as _};
-use serving::fleet::{Change, Sent};
+use serving::fleet::{SentCall, WorkChange};
 use serving::parts::Part;
 use serving::place::{self, Demand, Generation, Target};
 use serving::placer::Placers;
@@ -55,7 +55,7 @@
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     order: u64,
     /// The engine and the books' entry of each call that is under way, and whether only its prompt is read.
-    under_way: BTreeMap<usize, (usize, Sent, bool)>,
+    under_way: BTreeMap<usize, (usize, SentCall, bool)>,
     told: Vec<(usize, Told)>,
     /// Engines that are to generate for calls whose prompts are read apart, where these have a limit.
     reserved: BTreeMap<usize, EngineId>,
@@ -70,7 +70,7 @@
 
 #[derive(Clone)]
 pub(crate) enum Told {
-    Change(Change),
+    Change(WorkChange),
     Parts(EngineId, Vec<Part>),
 }
 
@@ -257,7 +257,7 @@
             }
             _ => {
                 let part = self.calls[number].prompt[0].id;
-                let weight = |e: &usize| hash::number(&format!("{part} {}", self.engines[*e].id));
+                let weight = |e: &usize| hash::hash64(&format!("{part} {}", self.engines[*e].id));
                 (from..from + count)
                     .max_by_key(weight)
                     .expect("it is known")
@@ -280,11 +280,14 @@
         let id = self.engines[engine].id.clone();
         let time = Duration::from_micros(now);
         let fleet = &mut self.fleets[call.instance];
-        let kept = fleet.parts.kept(&id, &call.prompt).min(call.tokens);
+        let kept = fleet
+            .parts
+            .cached_tokens(&id, &call.prompt)
+            .min(call.tokens);
         let unread = if reads { call.tokens - kept } else { 0 };
         let is_new = kept < call.prompt[0].tokens;
-        let sent = fleet.begin(&id, speed::work(unread, call.tokens), rank, time);
-        fleet.reads(&id, &call.prompt, MODEL.memory_tokens, time);
+        let sent = fleet.begin_call(&id, speed::work(unread, call.tokens), rank, time);
+        fleet.record_cached_parts(&id, &call.prompt, MODEL.memory_tokens, time);
         self.engines[engine].take(number, call, rank, reads, now);
         self.under_way.insert(number, (engine, sent, only_reads));
         match self.way {
@@ -310,8 +313,8 @@
         let (_, sent, only_reads) = self.under_way.remove(&number).expect("it is known");
         let time = Duration::from_micros(now);
         let fleet = &mut self.fleets[call.instance];
-        fleet.first(&sent, time);
-        fleet.end(&sent, None, time);
+        fleet.prompt_read(&sent, time);
+        fleet.end_call(&sent, None, time);
         self.tell_changes(number, now);
         if only_reads {
             self.at(now + TRANSFER, Event::Generate(number));
@@ -387,7 +390,9 @@
         let fleet = &mut self.fleets[instance];
         match told {
             Told::Change(change) => fleet.apply_change(from as u64, &change, time),
-            Told::Parts(engine, parts) => fleet.reads(&engine, &parts, MODEL.memory_tokens, time),
+            Told::Parts(engine, parts) => {
+                fleet.record_cached_parts(&engine, &parts, MODEL.memory_tokens, time)
+            }
         }
     }
 }
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -31,22 +31,22 @@
 /// Has calls running at an engine whose prompts were read elsewhere.
 fn run(fleet: &mut Fleet, engine: &str, calls: u32) {
     for _ in 0..calls {
-        fleet.begin(&id(engine), 0, 1, ms(0));
+        fleet.begin_call(&id(engine), 0, 1, ms(0));
     }
 }
 
 /// Has so much work sent to engines that read as is scarce.
 fn read(fleet: &mut Fleet, now: u64) {
     for _ in 0..40 {
-        let sent = fleet.begin(&id("r0"), 60_000, 1, ms(now));
-        fleet.end(&sent, None, ms(now));
+        let sent = fleet.begin_call(&id("r0"), 60_000, 1, ms(now));
+        fleet.end_call(&sent, None, ms(now));
     }
 }
 
 fn change(fleet: &mut Fleet, engine: &str, stage: Stage, now: u64) {
     let since = ms(now);
     let own = true;
-    fleet.change(&id(engine), StageChange { stage, since, own });
+    fleet.begin_stage_change(&id(engine), StageChange { stage, since, own });
 }
 
 /// Symptom: prompts wait while most slots are empty. Sequence: a fleet starts with a third of its engines
@@ -175,7 +175,7 @@
     fleet.put(common::record("g0", Some(Stage::Prefill)));
     assert_eq!(ready(&fleet), 2);
     change(&mut fleet, "g0", Stage::Decode, 0);
-    fleet.fade(Duration::from_secs(60));
+    fleet.expire(Duration::from_secs(60));
     assert_eq!(ready(&fleet), 2, "an order that has no effect is forgotten");
 }
 
--- a/crates/serving/tests/scaling.rs
+++ b/crates/serving/tests/scaling.rs
@@ -77,7 +77,7 @@
 
     fn of(&self, name: &str, reclaimable: bool) -> Vec<Rc<str>> {
         let service = service();
-        let engines = self.fleet.standing(&service);
+        let engines = self.fleet.active(&service);
         let of = engines.filter(|engine| {
             let record = &engine.record;
             &*record.zone == name && record.reclaimable == reclaimable
--- a/crates/serving/tests/speed.rs
+++ b/crates/serving/tests/speed.rs
@@ -27,9 +27,9 @@
     let mut fleet = fleet(&[("a", Stage::Prefill), ("b", Stage::Decode)]);
     let mut now = ms(0);
     for work in WORKS.iter().cycle().take(count) {
-        let sent = fleet.begin(&id("a"), *work, 0, now);
-        fleet.first(&sent, now + takes(*work));
-        fleet.end(&sent, None, now + takes(*work));
+        let sent = fleet.begin_call(&id("a"), *work, 0, now);
+        fleet.prompt_read(&sent, now + takes(*work));
+        fleet.end_call(&sent, None, now + takes(*work));
         now += ms(200);
     }
     fleet
--- a/crates/serving/tests/streams.rs
+++ b/crates/serving/tests/streams.rs
@@ -11,7 +11,7 @@
 use common::{MODEL, demand, fleet, id, service, zone};
 use rand::rngs::SmallRng;
 use rand::{RngExt as _, SeedableRng as _};
-use serving::fleet::Sent;
+use serving::fleet::SentCall;
 use serving::parts::Part;
 use serving::pauses::StreamMark;
 use serving::place::{self, Demand, Generation};
@@ -108,14 +108,14 @@
     call: usize,
     rank: u8,
     left: u64,
-    sent: Sent,
+    sent: SentCall,
     only_reads: bool,
 }
 
 struct Stream {
     call: usize,
     made: u64,
-    sent: Sent,
+    sent: SentCall,
     first_due: bool,
     last: Option<(Micros, StreamMark)>,
     late: bool,
@@ -228,10 +228,10 @@
         };
         let now = self.moment();
         self.fleet
-            .reads(&target.engine, &call.prompt, MODEL.memory_tokens, now);
+            .record_cached_parts(&target.engine, &call.prompt, MODEL.memory_tokens, now);
         let sent = self
             .fleet
-            .begin(&target.engine, target.work, target.rank, now);
+            .begin_call(&target.engine, target.work, target.rank, now);
         let at = self.engine(&target.engine);
         self.engines[at].prompts.push(Prompt {
             call: number,
@@ -287,14 +287,14 @@
         let mut to = at;
         let mut sent = prompt.sent;
         if prompt.only_reads {
-            self.fleet.first(&sent, now);
-            self.fleet.end(&sent, None, now);
+            self.fleet.prompt_read(&sent, now);
+            self.fleet.end_call(&sent, None, now);
             let call = &self.calls[prompt.call];
             let (service, zone) = (service(), zone());
             let demand = with(call, demand(&service, &zone, None));
             let target = place::decode(&self.fleet, &demand, &zone, now);
             let target = target.expect("engines generate");
-            sent = self.fleet.begin(&target.engine, 0, target.rank, now);
+            sent = self.fleet.begin_call(&target.engine, 0, target.rank, now);
             to = self.engine(&target.engine);
         }
         self.engines[to].streams.push(Stream {
@@ -317,10 +317,10 @@
         for mut stream in streams {
             let call = &self.calls[stream.call];
             if std::mem::take(&mut stream.first_due) {
-                self.fleet.first(&stream.sent, now);
+                self.fleet.prompt_read(&stream.sent, now);
                 let target = if call.is_stream { TARGETS.1 } else { TARGETS.0 };
                 stream.late |= micros - call.at > target * 1_000;
-                stream.last = self.fleet.mark(&id, now).map(|mark| (micros, mark));
+                stream.last = self.fleet.stream_mark(&id, now).map(|mark| (micros, mark));
             }
             stream.made += 1;
             if stream.made.is_multiple_of(EVENT)
@@ -328,7 +328,7 @@
             {
                 stream.late |= micros - before > LONGEST.as_micros() as Micros;
                 if self.learns {
-                    self.fleet.event(&id, &mut mark, LONGEST, now);
+                    self.fleet.record_stream_event(&id, &mut mark, LONGEST, now);
                 }
                 stream.last = Some((micros, mark));
             }
@@ -336,7 +336,7 @@
                 left.push(stream);
                 continue;
             }
-            self.fleet.end(&stream.sent, None, now);
+            self.fleet.end_call(&stream.sent, None, now);
             let counted = if call.is_stream {
                 &mut self.counts.streams
             } else {
--- a/crates/serving/tests/told.rs
+++ b/crates/serving/tests/told.rs
@@ -4,7 +4,7 @@
 
 use common::{demand, fleet, generation, id, ms, prompt, service, zone};
 use serving::engine::{Job, Work};
-use serving::fleet::Change;
+use serving::fleet::WorkChange;
 use serving::health::{Outcome, PeerReports};
 use serving::place::choose;
 use serving::{Choice, EngineId, Fleet, Stage};
@@ -30,7 +30,7 @@
 fn two_calls_that_come_at_once_are_placed_with_each_other_in_mind() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     let first = chosen(&fleet);
-    fleet.begin_for(7, 1, &first, 10_000, 1, NOW);
+    fleet.begin_remote_call(7, 1, &first, 10_000, 1, NOW);
     let second = chosen(&fleet);
     assert_ne!(first, second);
 }
@@ -38,11 +38,11 @@
 #[test]
 fn a_call_of_another_instance_ends_by_its_report() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    fleet.begin_for(7, 1, &id("a"), 10_000, 1, NOW);
-    fleet.begin_for(7, 2, &id("a"), 0, 1, NOW);
+    fleet.begin_remote_call(7, 1, &id("a"), 10_000, 1, NOW);
+    fleet.begin_remote_call(7, 2, &id("a"), 0, 1, NOW);
     assert_eq!(running(&fleet), 2);
-    fleet.end_for(7, 1, Some(Outcome::Success), NOW + ms(300));
-    fleet.end_for(7, 1, Some(Outcome::Success), NOW + ms(310));
+    fleet.end_remote_call(7, 1, Some(Outcome::Success), NOW + ms(300));
+    fleet.end_remote_call(7, 1, Some(Outcome::Success), NOW + ms(310));
     assert_eq!(running(&fleet), 1);
 }
 
@@ -51,11 +51,11 @@
 #[test]
 fn a_report_that_is_lost_is_made_good_by_the_next_state() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    fleet.begin_for(7, 1, &id("a"), 0, 1, NOW);
-    fleet.begin_for(7, 2, &id("a"), 0, 1, NOW);
-    fleet.retain_for(7, &[], NOW + ms(5));
+    fleet.begin_remote_call(7, 1, &id("a"), 0, 1, NOW);
+    fleet.begin_remote_call(7, 2, &id("a"), 0, 1, NOW);
+    fleet.retain_remote_calls(7, &[], NOW + ms(5));
     assert_eq!(running(&fleet), 2, "the sender may not know the place yet");
-    fleet.retain_for(7, &[2], NOW + ms(700));
+    fleet.retain_remote_calls(7, &[2], NOW + ms(700));
     assert_eq!(running(&fleet), 1);
 }
 
@@ -71,10 +71,10 @@
         rank: 1,
         work: 0,
     };
-    let started = [1, 2].map(|ticket| Change::Started(id("a"), job(ticket)));
+    let started = [1, 2].map(|ticket| WorkChange::Started(id("a"), job(ticket)));
     fleet.apply_frame(7, &started, None, NOW);
     assert_eq!(running(&fleet), 2);
-    let ended = [Change::Ended(id("a"), 1, Some(Outcome::Success))];
+    let ended = [WorkChange::Ended(id("a"), 1, Some(Outcome::Success))];
     let left = Work {
         calls: 1,
         ..Work::default()
@@ -86,10 +86,10 @@
 #[test]
 fn calls_of_an_instance_that_falls_silent_are_forgotten() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    fleet.begin_for(7, 1, &id("a"), 0, 1, NOW);
-    fleet.fade(NOW + ms(3_000));
+    fleet.begin_remote_call(7, 1, &id("a"), 0, 1, NOW);
+    fleet.expire(NOW + ms(3_000));
     assert_eq!(running(&fleet), 1);
-    fleet.fade(NOW + ms(3_500));
+    fleet.expire(NOW + ms(3_500));
     assert_eq!(running(&fleet), 0);
 }
 
@@ -102,10 +102,10 @@
     for number in 0..200 {
         let (peer, sent) = (u64::from(number), NOW + ms(1_000 * u64::from(number)));
         let work = if number % 2 == 0 { 2_000 } else { 10_000 };
-        fleet.begin_for(peer, number, &id("a"), work, 1, sent);
+        fleet.begin_remote_call(peer, number, &id("a"), work, 1, sent);
         let at = sent + ms(10 + u64::from(work) / 100);
-        fleet.first_for(peer, number, at);
-        fleet.end_for(peer, number, Some(Outcome::Success), at);
+        fleet.remote_prompt_read(peer, number, at);
+        fleet.end_remote_call(peer, number, Some(Outcome::Success), at);
     }
     let after = fleet.speed(fleet.get("a").expect("it is there"));
     assert!((after.rate - 100.0).abs() < 5.0, "{before:?} to {after:?}");
@@ -119,8 +119,8 @@
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     let first = chosen(&fleet);
     for peer in 1..=3 {
-        fleet.begin_for(peer, 1, &first, 0, 1, NOW);
-        fleet.end_for(peer, 1, Some(Outcome::Failed), NOW);
+        fleet.begin_remote_call(peer, 1, &first, 0, 1, NOW);
+        fleet.end_remote_call(peer, 1, Some(Outcome::Failed), NOW);
     }
     assert_ne!(chosen(&fleet), first);
 }
