--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -271,7 +271,7 @@
         if !self.route.kind.is_stream() {
             return self.left();
         }
-        let patience = self.route.patience().saturating_sub(self.waited());
+        let patience = self.route.event_timeout().saturating_sub(self.waited());
         patience.min(self.left())
     }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -401,6 +401,6 @@
             instance.pool.shared_by(connections, instances);
         }
         let instances = u32::try_from(instances).unwrap_or(u32::MAX);
-        instance.budgets.borrow_mut().shared_by(instances);
+        instance.budgets.borrow_mut().set_instances(instances);
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -80,8 +80,8 @@
     limits.map_or(LIMITS, |limits| Limits {
         head: limits.head_bytes,
         body: limits.body_bytes,
-        head_time: limits.head_time,
-        idle: limits.idle,
+        head_time: limits.head_timeout,
+        idle: limits.idle_timeout,
     })
 }
 
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -85,8 +85,8 @@
             log::info!(
                 id = id, route = route, ms:% = ms,
                 first_ms:% = first.unwrap_or_default().as_millis(),
-                target_ms:% = asked.route.target.as_millis(), gap_ms:% = times.gap.as_millis(),
-                most_gap_ms:% = asked.route.gap.unwrap_or_default().as_millis(), events = times.events,
+                target_ms:% = asked.route.latency_target.as_millis(), gap_ms:% = times.gap.as_millis(),
+                most_gap_ms:% = asked.route.max_gap.unwrap_or_default().as_millis(), events = times.events,
                 beside_ms:% = times.beside.as_millis(),
                 rank = asked.priority(), organisation = asked.principal.name();
                 "streamed"
@@ -157,7 +157,10 @@
 
     async fn run(mut self) -> Done {
         let service = &self.asked.service.name;
-        self.instance.budgets.borrow_mut().earn(service);
+        self.instance
+            .budgets
+            .borrow_mut()
+            .record_first_attempt(service);
         loop {
             let choice =
                 placement::place(self.instance, self.asked, &self.avoid, self.may_split).await;
@@ -166,7 +169,11 @@
                 Choice::Split {
                     prefill, reserved, ..
                 } => self.split(&prefill, reserved).await,
-                Choice::Refuse { after, why, best } => Next::Done(self.refused(after, why, best)),
+                Choice::Refuse {
+                    retry_after: after,
+                    reason: why,
+                    best_target: best,
+                } => Next::Done(self.refused(after, why, best)),
             };
             if let Next::Done(done) = next {
                 return done;
@@ -181,7 +188,7 @@
         if self.runs > 0 {
             return Done::Unserved(End::Unknown("No further engine takes the call."));
         }
-        let why = why.text();
+        let why = why.message();
         Done::Unserved(End::NotRun { after, why, best })
     }
 
@@ -253,7 +260,7 @@
             remaining: self.asked.left(),
             priority: Some(target.rank),
             prefill_only: true,
-            fetch_from: placement::address(self.instance, target.fetch.as_ref()),
+            fetch_from: placement::address(self.instance, target.fetch_from.as_ref()),
             ..RequestOptions::default()
         };
         let answered = match attempt::send(self.instance, self.asked, &engine, &sending).await {
@@ -326,7 +333,7 @@
             priority: Some(target.rank),
             kv_source: memory.map(|guard| &guard.memory),
             resume_after: self.relay.last(),
-            fetch_from: placement::address(self.instance, target.fetch.as_ref()),
+            fetch_from: placement::address(self.instance, target.fetch_from.as_ref()),
             weight_version: self.weights,
             ..RequestOptions::default()
         };
@@ -458,7 +465,7 @@
     fn may_repeat(&self) -> bool {
         let route = &self.asked.route;
         route.kind.is_idempotent()
-            && self.runs < route.attempts
+            && self.runs < route.max_attempts
             && take_repeat(self.instance, self.asked)
     }
 }
--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/held.rs
@@ -71,8 +71,8 @@
         log::info!(
             id = asked.call.id.as_str(), engine = &*target.engine, step = step.name(),
             waited_ms:% = asked.waited().as_millis(), left_ms:% = asked.left().as_millis(),
-            expected_ms:% = target.expected.as_millis(), unread = target.unread, rank = target.rank,
-            fetch = target.fetch.as_deref().unwrap_or_default(),
+            expected_ms:% = target.expected_latency.as_millis(), unread = target.prefill_tokens, rank = target.rank,
+            fetch = target.fetch_from.as_deref().unwrap_or_default(),
             configuration = instance.table.borrow().as_ref().map_or(0, |table| table.version);
             "sent"
         );
@@ -86,8 +86,8 @@
             instance,
             asked,
             sent,
-            expected: target.expected,
-            unread: target.unread,
+            expected: target.expected_latency,
+            unread: target.prefill_tokens,
             begun: Instant::now(),
             outcome: None,
             placed_by: target.placed_by,
@@ -99,7 +99,7 @@
     pub(crate) fn event(&self) -> Duration {
         let now = self.instance.now();
         let mut fleet = self.instance.fleet.borrow_mut();
-        let (Some(mut last), Some(longest)) = (self.last.get(), self.asked.route.gap) else {
+        let (Some(mut last), Some(longest)) = (self.last.get(), self.asked.route.max_gap) else {
             self.last.set(fleet.stream_mark(&self.sent.engine, now));
             return Duration::ZERO;
         };
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -8,7 +8,7 @@
 use adapter::settings::Settings;
 use adapter::store::Era;
 use clock::{Clock as _, Moment, System};
-use serving::budget::Budgets;
+use serving::budget::RepeatBudgets;
 use serving::organisation::{Directory, Name};
 use serving::parts::Part;
 use serving::placer::{self, Member, Placers};
@@ -68,7 +68,7 @@
     pub is_registered: Cell<bool>,
     /// Whether another instance said that the configuration is to be read.
     pub must_read: Cell<bool>,
-    pub budgets: RefCell<Budgets>,
+    pub budgets: RefCell<RepeatBudgets>,
     pub usual: RefCell<PriorWaits>,
     pub pool: Pool,
     /// Calls that end engines.
@@ -117,7 +117,7 @@
             snapshot: RefCell::default(),
             is_registered: Cell::new(false),
             must_read: Cell::new(false),
-            budgets: RefCell::new(Budgets::new(settings.bounds.retry_budget, INSTANCES)),
+            budgets: RefCell::new(RepeatBudgets::new(settings.bounds.retry_budget, INSTANCES)),
             usual: RefCell::default(),
             pool: Pool::default(),
             suspects: Suspects::default(),
@@ -195,7 +195,7 @@
         let before = self.placers.replace(placers);
         let after = self.placers.borrow();
         let throttles = &mut self.fleet.borrow_mut().throttles;
-        throttles.divide(self.address, &after, now);
+        throttles.set_placers(self.address, &after, now);
         if before != *after {
             log::info!(own = after.own, others = after.others.len(); "instances that place calls");
         }
@@ -297,7 +297,7 @@
             .zip(table.as_ref())
             .and_then(|(name, table)| table.service(&name));
         if let Some(model) = service.and_then(|service| service.model) {
-            fleet.record_cached_parts(engine, parts, model.memory_tokens, now);
+            fleet.record_cached_parts(engine, parts, model.kv_capacity_tokens, now);
         }
     }
 
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -117,15 +117,15 @@
 
 /// Waits until a call may be sent to its engine. Says whether the engine takes calls then.
 pub(crate) async fn wait(instance: &Instance, asked: &Asked, target: &Target) -> bool {
-    if target.wait.is_zero() {
+    if target.limit_wait.is_zero() {
         return true;
     }
     instance.metrics.throttled(Throttled::Waited);
     log::info!(
-        id = asked.call.id.as_str(), engine = &*target.engine, wait_ms:% = target.wait.as_millis();
+        id = asked.call.id.as_str(), engine = &*target.engine, wait_ms:% = target.limit_wait.as_millis();
         "waits for the engine's rate limit"
     );
-    sleep(target.wait).await;
+    sleep(target.limit_wait).await;
     let fleet = instance.fleet.borrow();
     let engine = fleet.get(&target.engine);
     engine.is_some_and(serving::engine::Engine::takes_calls)
@@ -134,7 +134,7 @@
 /// Counts a refusal by rate limits.
 pub(crate) fn note_refusal(instance: &Instance, choice: &Choice) {
     if let Choice::Refuse {
-        why: Refusal::Limited,
+        reason: Refusal::RateLimited,
         ..
     } = choice
     {
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -220,7 +220,7 @@
         let besides = changes.into_iter().filter(is_told_besides);
         add_changes(&mut frame, besides.collect(), now);
         frame.state = Some(state(instance, &fleet, peers.knows, now));
-        frame.rate_limits = limits::to_wire(fleet.throttles.repeated(), now);
+        frame.rate_limits = limits::to_wire(fleet.throttles.to_repeat(), now);
     } else {
         let recent = fleet.recent_jobs(RECENT, now);
         let recent = recent.iter().map(|(engine, job)| started(engine, job, now));
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -42,16 +42,16 @@
     let admission = admission::admit(instance, asked).await;
     if let Admission::Held(after) = admission {
         return Choice::Refuse {
-            after,
-            why: place::Refusal::Held,
-            best: None,
+            retry_after: after,
+            reason: place::Refusal::Held,
+            best_target: None,
         };
     }
     let avoid = avoided(avoid, &admission);
     let connected = instance.pool.connected(instance.now());
     let demand = Demand {
         may_split,
-        alone: matches!(admission, Admission::Alone),
+        isolated: matches!(admission, Admission::Alone),
         ..demand(instance, asked, &avoid, &connected)
     };
     client::choose(instance, &demand).await
@@ -110,17 +110,17 @@
         generation,
         connections: u32::try_from(asked.service.connections).unwrap_or(u32::MAX),
         priority: asked.priority(),
-        target: asked
+        latency_target: asked
             .route
-            .target
+            .latency_target
             .saturating_sub(asked.before + asked.waited()),
         zone: &instance.zone,
         may_split: true,
-        sending: instance.sending(asked.body.len()),
-        avoid,
+        send_time: instance.sending(asked.body.len()),
+        excluded: avoid,
         connected,
-        left: asked.first_left(),
-        alone: false,
+        time_left: asked.first_left(),
+        isolated: false,
         reserved: None,
     }
 }
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -83,7 +83,7 @@
         Some(Choice::Split { .. }) | None => {
             let now = instance.now();
             let mut fleet = instance.fleet.borrow_mut();
-            let target = place::decode(&fleet, demand, read_in, now)?;
+            let target = place::choose_decode(&fleet, demand, read_in, now)?;
             place::charge(&mut fleet, demand, &target, now);
             Some(target)
         }
@@ -192,7 +192,7 @@
     let resting = fleet.ready(demand.service);
     let resting = resting.filter(|engine| !engine.is_available(now));
     let resting = resting.map(|engine| &engine.record.id);
-    let avoid = demand.avoid.iter().chain(resting);
+    let avoid = demand.excluded.iter().chain(resting);
     Ask {
         ticket,
         service: demand.service.to_string(),
@@ -204,15 +204,15 @@
                 tokens: generation.tokens,
             }),
         priority: u32::from(demand.priority),
-        target_ms: millis(demand.target),
-        left_ms: millis(demand.left),
+        target_ms: millis(demand.latency_target),
+        left_ms: millis(demand.time_left),
         zone: demand.zone.to_string(),
         may_split: demand.may_split,
-        sending_us: micros(demand.sending),
+        sending_us: micros(demand.send_time),
         avoid: avoid.map(|id| hash::hash32(id)).collect(),
         read_in: read_in.map(ToString::to_string).unwrap_or_default(),
         connected: demand.connected.iter().map(|id| hash::hash32(id)).collect(),
-        alone: demand.alone,
+        alone: demand.isolated,
         reserved: demand.reserved.map_or(0, |id| hash::hash32(id)),
     }
 }
@@ -231,13 +231,13 @@
             })
         }
         Some(answer::Choice::Refusal(refusal)) => Some(Choice::Refuse {
-            after: Duration::from_millis(refusal.after_ms.into()),
-            why: match (refusal.no_engine, refusal.limited) {
+            retry_after: Duration::from_millis(refusal.after_ms.into()),
+            reason: match (refusal.no_engine, refusal.limited) {
                 (true, _) => Refusal::NoEngine,
-                (_, true) => Refusal::Limited,
+                (_, true) => Refusal::RateLimited,
                 _ => Refusal::TooMuchWork,
             },
-            best: refusal.best.as_ref().and_then(target).map(Box::new),
+            best_target: refusal.best.as_ref().and_then(target).map(Box::new),
         }),
         None => return Placed::Declined,
     };
@@ -255,17 +255,17 @@
     let takes_calls = fleet
         .get(&engine)
         .is_some_and(serving::engine::Engine::takes_calls);
-    if !takes_calls || demand.avoid.contains(&engine) {
+    if !takes_calls || demand.excluded.contains(&engine) {
         return None;
     }
     Some(Target {
         engine,
-        unread: told.unread,
+        prefill_tokens: told.unread,
         work: told.work,
         rank: Rank::try_from(told.rank).unwrap_or(Rank::MAX),
-        wait: Duration::from_millis(told.wait_ms.into()),
-        expected: Duration::from_micros(told.expected_us.into()),
-        fetch: fleet.by_hash(told.fetch),
+        limit_wait: Duration::from_millis(told.wait_ms.into()),
+        expected_latency: Duration::from_micros(told.expected_us.into()),
+        fetch_from: fleet.by_hash(told.fetch),
         placed_by: Some(placed_by),
     })
 }
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -83,21 +83,21 @@
             generation,
             connections: u32::try_from(known.connections).unwrap_or(u32::MAX),
             priority: Rank::try_from(request.priority).unwrap_or(Rank::MAX),
-            target: Duration::from_millis(request.target_ms.into()),
+            latency_target: Duration::from_millis(request.target_ms.into()),
             zone: &zone,
             may_split: request.may_split,
-            sending: Duration::from_micros(request.sending_us.into()),
-            avoid: &avoid,
+            send_time: Duration::from_micros(request.sending_us.into()),
+            excluded: &avoid,
             connected: &connected,
-            left: Duration::from_millis(request.left_ms.into()),
-            alone: request.alone,
+            time_left: Duration::from_millis(request.left_ms.into()),
+            isolated: request.alone,
             reserved: reserved.as_ref(),
         };
         let mut choice = if request.read_in.is_empty() {
             place::choose(&fleet, &demand, now)
         } else {
             let read_in = Zone::from(request.read_in.as_str());
-            place::decode(&fleet, &demand, &read_in, now).map_or(NO_ENGINE, Choice::Direct)
+            place::choose_decode(&fleet, &demand, &read_in, now).map_or(NO_ENGINE, Choice::Direct)
         };
         place::commit(&mut fleet, &demand, &mut choice, now);
         choice
@@ -105,7 +105,7 @@
     if let Some(target) = choice.target() {
         let mut fleet = instance.fleet.borrow_mut();
         let ticket = request.ticket;
-        let sent = now + target.wait;
+        let sent = now + target.limit_wait;
         fleet.begin_remote_call(peer, ticket, &target.engine, target.work, target.rank, sent);
         drop(fleet);
         instance.uses(&target.engine, &prompt);
@@ -116,9 +116,9 @@
 
 /// Refusal when no engine can take a prompt over.
 const NO_ENGINE: Choice = Choice::Refuse {
-    after: Duration::ZERO,
-    why: Refusal::NoEngine,
-    best: None,
+    retry_after: Duration::ZERO,
+    reason: Refusal::NoEngine,
+    best_target: None,
 };
 
 fn encode(choice: &Choice) -> answer::Choice {
@@ -133,10 +133,14 @@
             prefill: Some(encode_target(prefill)),
             expected_us: micros(*expected),
         }),
-        Choice::Refuse { after, why, best } => answer::Choice::Refusal(gateway::Refusal {
+        Choice::Refuse {
+            retry_after: after,
+            reason: why,
+            best_target: best,
+        } => answer::Choice::Refusal(gateway::Refusal {
             after_ms: millis(*after),
             no_engine: *why == Refusal::NoEngine,
-            limited: *why == Refusal::Limited,
+            limited: *why == Refusal::RateLimited,
             best: best.as_deref().map(encode_target),
         }),
     }
@@ -145,11 +149,11 @@
 fn encode_target(target: &Target) -> gateway::Target {
     gateway::Target {
         engine: hash::hash32(&target.engine),
-        unread: target.unread,
+        unread: target.prefill_tokens,
         work: target.work,
         rank: u32::from(target.rank),
-        wait_ms: millis(target.wait),
-        expected_us: micros(target.expected),
-        fetch: target.fetch.as_deref().map_or(0, hash::hash32),
+        wait_ms: millis(target.limit_wait),
+        expected_us: micros(target.expected_latency),
+        fetch: target.fetch_from.as_deref().map_or(0, hash::hash32),
     }
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -123,11 +123,11 @@
 
 /// Tells of a refusal, with what was expected where: else nobody can tell a long prompt from a full fleet.
 pub(crate) fn tell_refused(asked: &Asked, after: Duration, why: &str, best: Option<&Target>) {
-    let expected = best.map_or(Duration::ZERO, |best| best.expected);
+    let expected = best.map_or(Duration::ZERO, |best| best.expected_latency);
     log::info!(
         id = asked.call.id.as_str(), route = asked.route.name.as_str(), ms:% = asked.waited().as_millis(),
         after_ms:% = after.as_millis(), expected_ms:% = expected.as_millis(), left_ms:% = asked.left().as_millis(),
-        unread = best.map_or(0, |best| best.unread), rank = best.map_or(asked.priority(), |best| best.rank),
+        unread = best.map_or(0, |best| best.prefill_tokens), rank = best.map_or(asked.priority(), |best| best.rank),
         engine = best.map_or("", |best| &*best.engine), why = why;
         "refused"
     );
@@ -137,24 +137,31 @@
     let mut avoid = Avoid::new();
     let mut runs = 0;
     let mut rejections = Rejections::default();
-    instance.budgets.borrow_mut().earn(&asked.service.name);
+    instance
+        .budgets
+        .borrow_mut()
+        .record_first_attempt(&asked.service.name);
     loop {
         let target = match placement::place(instance, asked, &avoid, false).await {
             Choice::Direct(target) => target,
             Choice::Split { prefill, .. } => prefill,
-            Choice::Refuse { after, why, .. } => {
+            Choice::Refuse {
+                retry_after: after,
+                reason: why,
+                ..
+            } => {
                 return if runs > 0 {
                     End::Unknown("No further engine takes the call.")
                 } else {
                     End::NotRun {
                         after,
-                        why: why.text(),
+                        why: why.message(),
                         best: None,
                     }
                 };
             }
         };
-        let more = runs + 1 < asked.route.attempts && asked.route.kind.is_idempotent();
+        let more = runs + 1 < asked.route.max_attempts && asked.route.kind.is_idempotent();
         let tried = one(instance, asked, &target, more).await;
         avoid.push(target.engine);
         match tried {
@@ -191,7 +198,10 @@
 }
 
 pub(crate) fn take_repeat(instance: &Instance, asked: &Asked) -> bool {
-    instance.budgets.borrow_mut().take(&asked.service.name)
+    instance
+        .budgets
+        .borrow_mut()
+        .take_repeat(&asked.service.name)
 }
 
 fn is_failure(answered: &Finished) -> bool {
@@ -226,7 +236,7 @@
         remaining: asked.left(),
         ..RequestOptions::default()
     };
-    let stuck = Instant::now() + asked.route.target.mul_f64(STUCK);
+    let stuck = Instant::now() + asked.route.latency_target.mul_f64(STUCK);
     let until = if more {
         stuck.min(asked.until)
     } else {
--- a/crates/serving/src/budget.rs
+++ b/crates/serving/src/budget.rs
@@ -8,7 +8,7 @@
 
 /// What all instances together may send beyond the first attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RepeatLimit {
     /// Repeats per call.
     pub ratio: f64,
     /// Repeats beyond that, for all instances together.
@@ -23,15 +23,15 @@
 
 /// Repeats left to this instance, by service.
 #[derive(Debug)]
-pub struct Budgets {
-    bound: Bound,
+pub struct RepeatBudgets {
+    bound: RepeatLimit,
     instances: u32,
     services: HashMap<ServiceName, Budget>,
 }
 
-impl Budgets {
+impl RepeatBudgets {
     /// Budgets of one of `instances` instances.
-    pub fn new(bound: Bound, instances: u32) -> Self {
+    pub fn new(bound: RepeatLimit, instances: u32) -> Self {
         Self {
             bound,
             instances: instances.max(1),
@@ -40,7 +40,7 @@
     }
 
     /// Takes in a changed bound. What was earned under the one before is gone only if it changed.
-    pub fn bind(&mut self, bound: Bound) {
+    pub fn set_limit(&mut self, bound: RepeatLimit) {
         if self.bound != bound {
             self.bound = bound;
             self.services.clear();
@@ -49,7 +49,7 @@
 
     /// Takes in how many instances share the budgets. The share only ever shrinks: an instance that
     /// is not heard of may still send.
-    pub fn shared_by(&mut self, instances: u32) {
+    pub fn set_instances(&mut self, instances: u32) {
         if instances > self.instances {
             self.instances = instances;
             self.services.clear();
@@ -57,12 +57,12 @@
     }
 
     /// Counts a call's first attempt.
-    pub fn earn(&mut self, service: &ServiceName) {
+    pub fn record_first_attempt(&mut self, service: &ServiceName) {
         self.budget(service).deposit();
     }
 
     /// Takes one repeat, if one is left.
-    pub fn take(&mut self, service: &ServiceName) -> bool {
+    pub fn take_repeat(&mut self, service: &ServiceName) -> bool {
         self.budget(service).withdraw(1)
     }
 
--- a/crates/serving/src/cost.rs
+++ b/crates/serving/src/cost.rs
@@ -62,12 +62,15 @@
     let fetch = fetch::quickest(fleet, engine, size, sources, &speed);
     let unread = fetch.unread;
     let work = speed::work(unread, size.tokens);
-    let reading = speed.time(u64::from(work)) * engine.slowdown;
+    let reading = speed.millis(u64::from(work)) * engine.slowdown;
     let read = wait(fleet, engine, demand, work, now);
     let limit_wait = place::limit_wait(fleet, engine, demand, now).unwrap_or_default();
-    let expected =
-        millis(limit_wait) + speed.setup + slot_wait(engine) * engine.slowdown + fetch.takes + read;
-    let copied = speed.time(u64::from(speed::work(fetch.tokens, size.tokens)));
+    let expected = millis(limit_wait)
+        + speed.setup_ms
+        + slot_wait(engine) * engine.slowdown
+        + fetch.takes
+        + read;
+    let copied = speed.millis(u64::from(speed::work(fetch.tokens, size.tokens)));
     let total = haste(demand) * expected
         + COPY_WEIGHT * copied
         + READ_WEIGHT * reading
@@ -80,12 +83,12 @@
         total,
         target: Target {
             engine: engine.record.id.clone(),
-            unread,
+            prefill_tokens: unread,
             work,
             rank: demand.priority,
-            wait: limit_wait,
-            expected: from_millis(expected * overrun(fleet, demand, now)),
-            fetch: fetch.from,
+            limit_wait,
+            expected_latency: from_millis(expected * overrun(fleet, demand, now)),
+            fetch_from: fetch.from,
             placed_by: None,
         },
     }
@@ -111,7 +114,7 @@
         rank: demand.priority,
         work,
     };
-    millis(engine.time_until_read(new, fleet.speed(engine).rate))
+    millis(engine.time_until_read(new, fleet.speed(engine).tokens_per_ms))
 }
 
 /// How much a millisecond of waiting counts for a call. One that cannot be on time is worth the same whenever its
@@ -185,12 +188,12 @@
             total,
             target: Target {
                 engine: engine.record.id.clone(),
-                unread: 0,
+                prefill_tokens: 0,
                 work: 0,
                 rank: demand.priority,
-                wait: limit_wait,
-                expected: from_millis(total),
-                fetch: None,
+                limit_wait,
+                expected_latency: from_millis(total),
+                fetch_from: None,
                 placed_by: None,
             },
         }
--- a/crates/serving/src/fetch.rs
+++ b/crates/serving/src/fetch.rs
@@ -78,7 +78,7 @@
     };
     let time = |fetch: &Fetch| {
         let work = speed::work(fetch.unread, size.tokens);
-        fetch.takes + speed.time(u64::from(work)) * engine.slowdown
+        fetch.takes + speed.millis(u64::from(work)) * engine.slowdown
     };
     let fetches = sources
         .iter()
@@ -107,6 +107,6 @@
 /// Time that the memory of some tokens takes over the link, in milliseconds.
 pub(crate) fn transfer(model: &Model, tokens: u32) -> f64 {
     #[allow(clippy::cast_precision_loss)]
-    let bits = f64::from(tokens) * model.token_bytes as f64 * 8.0;
+    let bits = f64::from(tokens) * model.kv_bytes_per_token as f64 * 8.0;
     bits / (model.link_mbps.max(1.0) * 1_000.0)
 }
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -222,7 +222,7 @@
     fn pending(&self, id: &EngineId, job: Job) -> Option<Pending> {
         let engine = self.engines.get(id)?;
         let jobs = engine.pending_jobs();
-        let rate = self.speed(engine).rate;
+        let rate = self.speed(engine).tokens_per_ms;
         Some(Pending {
             job,
             expected: queue::time_until_read(&jobs, engine.freed, job, rate),
@@ -261,7 +261,7 @@
         if pending.alone {
             speed.observe(pending.job.work, took);
         }
-        let setup = Duration::from_secs_f64(speed.setup / 1_000.0);
+        let setup = Duration::from_secs_f64(speed.setup_ms / 1_000.0);
         engine.freed = engine.freed.max(at.saturating_sub(setup));
         let expected = pending.expected + setup;
         if pending.job.rank >= LATE_RANK {
@@ -307,7 +307,7 @@
         let Some(pending) = own.find(|pending| pending.job.ticket == sent.ticket) else {
             return;
         };
-        let expected = pending.expected.as_secs_f64() + self.speed(engine).setup / 1_000.0;
+        let expected = pending.expected.as_secs_f64() + self.speed(engine).setup_ms / 1_000.0;
         let took = now.saturating_sub(pending.job.sent_at).as_secs_f64();
         let overrun = self.overruns.entry(engine.record.service.clone());
         overrun.or_default().left(took / expected.max(1e-3), now);
@@ -350,7 +350,7 @@
 
     /// Drops what silent instances said, and orders that had no effect.
     pub fn expire(&mut self, now: Moment) {
-        self.throttles.fade(now);
+        self.throttles.expire(now);
         let engines = &mut self.engines;
         self.changing.retain(|id| {
             let Some(engine) = engines.get_mut(id) else {
--- a/crates/serving/src/fleet/told.rs
+++ b/crates/serving/src/fleet/told.rs
@@ -95,7 +95,7 @@
     }
 
     fn read(&mut self, peer: PeerId, id: &EngineId, ticket: Ticket, at: Moment, now: Moment) {
-        let Some(setup) = self.engines.get(id).map(|e| self.speed(e).setup) else {
+        let Some(setup) = self.engines.get(id).map(|e| self.speed(e).setup_ms) else {
             return;
         };
         let Some(engine) = self.engines.get_mut(id) else {
--- a/crates/serving/src/organisation.rs
+++ b/crates/serving/src/organisation.rs
@@ -12,22 +12,22 @@
 pub type Name = Rc<str>;
 
 /// Bytes of a [`Salt`].
-pub const SALT: usize = 32;
+pub const SALT_BYTES: usize = 32;
 
 /// What digests of keys are made with, drawn anew for each reading of a configuration: equal keys of two configurations have
 /// nothing in common then.
-pub type Salt = [u8; SALT];
+pub type Salt = [u8; SALT_BYTES];
 
 /// Bytes of a [`Digest`]. A key that is guessed meets one of 10,000 digests of this length by a chance of 1 in 2^114.
-pub const DIGEST: usize = 16;
+pub const DIGEST_BYTES: usize = 16;
 
 /// What is known of a key.
-pub type Digest = [u8; DIGEST];
+pub type Digest = [u8; DIGEST_BYTES];
 
 /// The digest of a key.
 pub fn digest(salt: &Salt, key: &[u8]) -> Digest {
-    let mut digest = [0; DIGEST];
-    digest.copy_from_slice(&blake3::keyed_hash(salt, key).as_bytes()[..DIGEST]);
+    let mut digest = [0; DIGEST_BYTES];
+    digest.copy_from_slice(&blake3::keyed_hash(salt, key).as_bytes()[..DIGEST_BYTES]);
     digest
 }
 
--- a/crates/serving/src/place.rs
+++ b/crates/serving/src/place.rs
@@ -25,22 +25,22 @@
     /// Its rank; 0 is the most urgent.
     pub priority: Rank,
     /// Time within which its first answer is on time.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// This instance's data centre.
     pub zone: &'a Zone,
     /// Whether its prompt may be read at one engine for another one. A call whose prompt was read and
     /// then found no engine is not read once more: each further read counts as a repeat.
     pub may_split: bool,
     /// Time that sending the prompt to one engine takes this instance's link.
-    pub sending: Duration,
+    pub send_time: Duration,
     /// Engines that it must not go to again.
-    pub avoid: &'a [EngineId],
+    pub excluded: &'a [EngineId],
     /// Engines to which its sender has a connection that is idle.
     pub connected: &'a [EngineId],
     /// Time that its caller still waits.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether it goes where the fewest calls run, since it may end its engine.
-    pub alone: bool,
+    pub isolated: bool,
     /// Engine with a rate limit at which a request has been counted for it.
     pub reserved: Option<&'a EngineId>,
 }
@@ -77,11 +77,11 @@
     /// No engine can serve it in time.
     Refuse {
         /// Time after which there may be room.
-        after: Duration,
+        retry_after: Duration,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
         /// The place that it would have had, for the log.
-        best: Option<Box<Target>>,
+        best_target: Option<Box<Target>>,
     },
 }
 
@@ -95,7 +95,7 @@
     /// It ended the engines that ran it.
     Held,
     /// The engines take no more requests by the rate limits that they announce.
-    Limited,
+    RateLimited,
 }
 
 impl Choice {
@@ -113,12 +113,12 @@
 
 impl Refusal {
     /// What a caller is told.
-    pub fn text(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
             Self::NoEngine => "No engine takes the call.",
             Self::TooMuchWork => "There is too much work before this call.",
             Self::Held => "Engines that ran this call ended.",
-            Self::Limited => "The engines' rate limits are used up.",
+            Self::RateLimited => "The engines' rate limits are used up.",
         }
     }
 }
@@ -129,17 +129,17 @@
     /// The engine.
     pub engine: EngineId,
     /// Prompt tokens that it must read.
-    pub unread: u32,
+    pub prefill_tokens: u32,
     /// Work that the prompt is there, in tokens of [`speed::work`].
     pub work: u32,
     /// Its urgency there.
     pub rank: Rank,
     /// Time after which it may be sent there, by the engine's rate limit.
-    pub wait: Duration,
+    pub limit_wait: Duration,
     /// Time to its first answer, with that wait.
-    pub expected: Duration,
+    pub expected_latency: Duration,
     /// Engine from which it fetches parts of the prompt.
-    pub fetch: Option<EngineId>,
+    pub fetch_from: Option<EngineId>,
     /// The instance that placed it, which has it in its books by this number.
     pub placed_by: Option<(SocketAddr, Ticket)>,
 }
@@ -156,7 +156,7 @@
 /// Finds the place for a call.
 pub fn choose(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
     let demand = in_time(demand);
-    if demand.alone {
+    if demand.isolated {
         return choose_alone(fleet, &demand, now);
     }
     match &demand.generation {
@@ -179,8 +179,8 @@
             }
         }
         Choice::Refuse {
-            after,
-            why: Refusal::Limited,
+            retry_after: after,
+            reason: Refusal::RateLimited,
             ..
         } => *after = fleet.defer(demand.service, now).max(*after),
         Choice::Refuse { .. } => {}
@@ -202,11 +202,11 @@
     };
     let others = fleet.ready(demand.service).map(|engine| &engine.record.id);
     let others = others.filter(|id| quietest.is_some_and(|quietest| quietest.record.id != **id));
-    let avoid: Vec<EngineId> = demand.avoid.iter().chain(others).cloned().collect();
+    let avoid: Vec<EngineId> = demand.excluded.iter().chain(others).cloned().collect();
     let demand = Demand {
-        avoid: &avoid,
+        excluded: &avoid,
         may_split: false,
-        alone: false,
+        isolated: false,
         ..*demand
     };
     choose(fleet, &demand, now)
@@ -240,7 +240,7 @@
 /// one may have run. One notices it by resets of calls at the fullest engines of a burst.
 fn takes(fleet: &Fleet, engine: &Engine, demand: &Demand, now: Moment) -> bool {
     engine.running_calls() < demand.connections
-        && !demand.avoid.contains(&engine.record.id)
+        && !demand.excluded.contains(&engine.record.id)
         && limit_wait(fleet, engine, demand, now).is_some()
 }
 
@@ -263,15 +263,15 @@
     if demand.priority >= LATE_RANK {
         return Duration::ZERO;
     }
-    let on_time = demand.target.mul_f64(LIMIT_WAIT_SHARE);
-    on_time.min(demand.left.mul_f64(IN_TIME))
+    let on_time = demand.latency_target.mul_f64(LIMIT_WAIT_SHARE);
+    on_time.min(demand.time_left.mul_f64(IN_TIME))
 }
 
 /// The refusal of a call that no engine takes.
 fn refuse(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
     let engines = fleet
         .ready(demand.service)
-        .filter(|engine| !demand.avoid.contains(&engine.record.id));
+        .filter(|engine| !demand.excluded.contains(&engine.record.id));
     let waits = engines.filter_map(
         |engine| match fleet.throttles.permit(&engine.record.id, now) {
             Permit::After(wait) if wait.is_zero() => None,
@@ -280,13 +280,13 @@
         },
     );
     let (after, why) = match waits.min() {
-        Some(wait) => (wait.max(MIN_LIMITED_AFTER), Refusal::Limited),
+        Some(wait) => (wait.max(MIN_LIMITED_AFTER), Refusal::RateLimited),
         None => (NO_ENGINE_AFTER, Refusal::NoEngine),
     };
     Choice::Refuse {
-        after,
-        why,
-        best: None,
+        retry_after: after,
+        reason: why,
+        best_target: None,
     }
 }
 
@@ -298,12 +298,12 @@
     match best {
         Some(engine) => Choice::Direct(Target {
             engine: engine.record.id.clone(),
-            unread: 0,
+            prefill_tokens: 0,
             work: 0,
             rank: demand.priority,
-            wait: limit_wait(fleet, engine, demand, now).unwrap_or_default(),
-            expected: Duration::ZERO,
-            fetch: None,
+            limit_wait: limit_wait(fleet, engine, demand, now).unwrap_or_default(),
+            expected_latency: Duration::ZERO,
+            fetch_from: None,
             placed_by: None,
         }),
         None => refuse(fleet, demand, now),
@@ -322,14 +322,14 @@
         0.1
     };
     let wait = limit_wait(fleet, engine, demand, now).unwrap_or_default();
-    let late = wait.as_secs_f64() / demand.target.max(SHORTEST_TARGET).as_secs_f64();
+    let late = wait.as_secs_f64() / demand.latency_target.max(SHORTEST_TARGET).as_secs_f64();
     load + far + late + 4.0 * engine.failures(now)
 }
 
 fn generate(fleet: &Fleet, demand: &Demand, size: &Generation, now: Moment) -> Choice {
     let choice = at_rank(fleet, demand, size, now);
     let choice = match expected(&choice) {
-        Some(expected) if expected > demand.target => {
+        Some(expected) if expected > demand.latency_target => {
             let late = Demand {
                 priority: demand.priority.saturating_add(LATE_RANK),
                 ..*demand
@@ -343,7 +343,7 @@
 
 fn expected(choice: &Choice) -> Option<Duration> {
     match choice {
-        Choice::Direct(target) => Some(target.expected),
+        Choice::Direct(target) => Some(target.expected_latency),
         Choice::Split { expected, .. } => Some(*expected),
         Choice::Refuse { .. } => None,
     }
@@ -380,11 +380,11 @@
     });
     match split {
         Some((prefill, decode))
-            if prefill.total + decode.total + cost::millis(demand.sending) < direct.total =>
+            if prefill.total + decode.total + cost::millis(demand.send_time) < direct.total =>
         {
             let engine = decode.target.engine;
             Choice::Split {
-                expected: prefill.target.expected + decode.target.expected,
+                expected: prefill.target.expected_latency + decode.target.expected_latency,
                 prefill: prefill.target,
                 reserved: fleet.throttles.limit(&engine).map(|_| engine),
             }
@@ -395,7 +395,7 @@
 
 /// Finds the engine that takes over the memory of a prompt that was read in a data centre: the one that was reserved, else the best
 /// one now.
-pub fn decode(fleet: &Fleet, demand: &Demand, source: &Zone, now: Moment) -> Option<Target> {
+pub fn choose_decode(fleet: &Fleet, demand: &Demand, source: &Zone, now: Moment) -> Option<Target> {
     let demand = in_time(demand);
     let size = demand.generation.as_ref()?;
     if let Some(target) = reserved(fleet, &demand) {
@@ -410,16 +410,16 @@
 
 /// The engine that was reserved for a call, if it still takes calls.
 fn reserved(fleet: &Fleet, demand: &Demand) -> Option<Target> {
-    let reserved = demand.reserved.filter(|id| !demand.avoid.contains(id))?;
+    let reserved = demand.reserved.filter(|id| !demand.excluded.contains(id))?;
     let engine = fleet.get(reserved).filter(|engine| engine.takes_calls())?;
     Some(Target {
         engine: engine.record.id.clone(),
-        unread: 0,
+        prefill_tokens: 0,
         work: 0,
         rank: demand.priority,
-        wait: Duration::ZERO,
-        expected: Duration::ZERO,
-        fetch: None,
+        limit_wait: Duration::ZERO,
+        expected_latency: Duration::ZERO,
+        fetch_from: None,
         placed_by: None,
     })
 }
@@ -428,19 +428,24 @@
     let Some(expected) = expected(&choice) else {
         return choice;
     };
-    let bound = demand.left.mul_f64(IN_TIME);
+    let bound = demand.time_left.mul_f64(IN_TIME);
     if expected <= bound {
         return choice;
     }
     Choice::Refuse {
-        after: expected - bound,
-        why: Refusal::TooMuchWork,
-        best: match choice {
+        retry_after: expected - bound,
+        reason: Refusal::TooMuchWork,
+        best_target: match choice {
             Choice::Direct(target)
             | Choice::Split {
                 prefill: target, ..
-            } => Some(Box::new(Target { expected, ..target })),
-            Choice::Refuse { best, .. } => best,
+            } => Some(Box::new(Target {
+                expected_latency: expected,
+                ..target
+            })),
+            Choice::Refuse {
+                best_target: best, ..
+            } => best,
         },
     }
 }
--- a/crates/serving/src/roles.rs
+++ b/crates/serving/src/roles.rs
@@ -100,7 +100,7 @@
     /// Tokens of work that the engines of a data centre, or all, read in a millisecond.
     fn speed(&self, fleet: &Fleet) -> f64 {
         let all = self.decode.iter().chain(&self.prefill);
-        all.map(|engine| fleet.speed(engine).rate).sum()
+        all.map(|engine| fleet.speed(engine).tokens_per_ms).sum()
     }
 
     /// Share of the slots that are taken at engines that generate.
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -60,11 +60,11 @@
     /// The longest that a caller is kept waiting.
     pub timeout: Duration,
     /// The first answer earns its full benefit within this time.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// The longest pause between events that is still on time.
-    pub gap: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Engines on which one call may run.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Whether callers need no key.
@@ -83,9 +83,9 @@
 impl Route {
     /// How long callers wait for the first event of a stream, or for the next one. Origin: the
     /// users' page on streams; a call whose first event comes later is work for nobody.
-    pub fn patience(&self) -> Duration {
-        let by_target = self.target * PATIENCE_TARGETS;
-        let by_gap = self.gap.unwrap_or_default() * PATIENCE_GAPS;
+    pub fn event_timeout(&self) -> Duration {
+        let by_target = self.latency_target * PATIENCE_TARGETS;
+        let by_gap = self.max_gap.unwrap_or_default() * PATIENCE_GAPS;
         PATIENCE.max(by_target).max(by_gap)
     }
 
@@ -107,9 +107,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Model {
     /// Tokens that an engine's memory holds.
-    pub memory_tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Bytes of memory a token takes.
-    pub token_bytes: u64,
+    pub kv_bytes_per_token: u64,
     /// Rate of the link that moves memory, in megabits a second.
     pub link_mbps: f64,
     /// How long a prompt that was read for another engine is kept.
@@ -139,9 +139,9 @@
     /// Largest body, in bytes.
     pub body_bytes: usize,
     /// Longest time for a head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest silence between two requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -150,8 +150,8 @@
         Self {
             head_bytes: 16 * 1024,
             body_bytes: 4 * 1024 * 1024,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/serving/src/speed.rs
+++ b/crates/serving/src/speed.rs
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Speed {
     /// Time before the first answer that no other call waits for, in milliseconds.
-    pub setup: f64,
+    pub setup_ms: f64,
     /// Tokens of work in a millisecond.
-    pub rate: f64,
+    pub tokens_per_ms: f64,
     /// Milliseconds against thousands of tokens of work.
     seen: Fit,
 }
@@ -53,22 +53,26 @@
 impl Speed {
     /// The speed of a stage before anything is learned.
     pub fn new(stage: Stage) -> Self {
-        let (setup, rate) = match stage {
+        let (setup_ms, tokens_per_ms) = match stage {
             Stage::Prefill => PREFILL,
             Stage::Decode => DECODE,
         };
         let mut seen = Fit::default();
         for work in ASSUMED {
-            seen.observe(work, setup + work * 1_000.0 / rate, KEPT);
+            seen.observe(work, setup_ms + work * 1_000.0 / tokens_per_ms, KEPT);
+        }
+        Self {
+            setup_ms,
+            tokens_per_ms,
+            seen,
         }
-        Self { setup, rate, seen }
     }
 
     /// Time for work, in milliseconds, without the setup.
-    pub fn time(&self, work: u64) -> f64 {
+    pub fn millis(&self, work: u64) -> f64 {
         #[allow(clippy::cast_precision_loss)]
         let work = work as f64;
-        work / self.rate
+        work / self.tokens_per_ms
     }
 
     /// Takes in how long an engine took that had nothing else before this work.
@@ -78,17 +82,17 @@
     /// to others, while all engines stand idle.
     pub fn observe(&mut self, work: u32, took: Duration) {
         let took = took.as_secs_f64() * 1_000.0;
-        let expected = self.setup + self.time(u64::from(work));
+        let expected = self.setup_ms + self.millis(u64::from(work));
         let took = took.clamp(expected / STEP, expected * STEP);
         self.seen.observe(f64::from(work) / 1_000.0, took, KEPT);
         if let Some(slope) = self.seen.slope(LEAST_SPREAD) {
             let rate = if slope > 0.0 { 1_000.0 / slope } else { RATE.1 };
-            self.rate = rate.clamp(RATE.0, RATE.1);
+            self.tokens_per_ms = rate.clamp(RATE.0, RATE.1);
         }
         // Of works of one size the rate is not known, but their time is.
         if let Some((work, took)) = self.seen.mean() {
-            let setup = took - work * 1_000.0 / self.rate;
-            self.setup = setup.clamp(SETUP.0, SETUP.1);
+            let setup = took - work * 1_000.0 / self.tokens_per_ms;
+            self.setup_ms = setup.clamp(SETUP.0, SETUP.1);
         }
     }
 }
--- a/crates/serving/src/throttle.rs
+++ b/crates/serving/src/throttle.rs
@@ -21,16 +21,16 @@
 
 /// A number that is no rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Invalid(pub f64);
+pub struct InvalidRate(pub f64);
 
 impl TryFrom<f64> for Rate {
-    type Error = Invalid;
+    type Error = InvalidRate;
 
-    fn try_from(per_second: f64) -> Result<Self, Invalid> {
+    fn try_from(per_second: f64) -> Result<Self, InvalidRate> {
         if per_second.is_finite() && per_second >= 0.0 {
             Ok(Self(per_second))
         } else {
-            Err(Invalid(per_second))
+            Err(InvalidRate(per_second))
         }
     }
 }
@@ -136,7 +136,7 @@
 
 impl Throttles {
     /// Divides all limits anew among those that place calls.
-    pub fn divide(&mut self, own: SocketAddr, placers: &Placers, now: Moment) {
+    pub fn set_placers(&mut self, own: SocketAddr, placers: &Placers, now: Moment) {
         if self.own == Some(own) && self.placers == *placers {
             return;
         }
@@ -239,7 +239,7 @@
     }
 
     /// Announcements that this instance repeats to all others. Each one is repeated by [`REPEATERS`] placers.
-    pub fn repeated(&self) -> Vec<(EngineId, Announcement)> {
+    pub fn to_repeat(&self) -> Vec<(EngineId, Announcement)> {
         let own = self.own.filter(|_| self.placers.own);
         let Some(own) = own else {
             return Vec::new();
@@ -253,7 +253,7 @@
     }
 
     /// Forgets limits that were lifted a while ago.
-    pub fn fade(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Moment) {
         self.limits.retain(|_, limit| {
             limit.last.limit.is_some() || now.saturating_sub(limit.last.at) < LIFTED_MEMORY
         });
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -11,8 +11,8 @@
 use serving::{EngineId, Fleet, ServiceName, Stage, State, Zone};
 
 pub(crate) const MODEL: Model = Model {
-    memory_tokens: 400_000,
-    token_bytes: 35_000,
+    kv_capacity_tokens: 400_000,
+    kv_bytes_per_token: 35_000,
     link_mbps: 300_000.0,
     handle_ttl: Duration::from_secs(5),
     backups: true,
@@ -93,14 +93,14 @@
         generation,
         connections: 360,
         priority: 1,
-        target: ms(600),
+        latency_target: ms(600),
         zone,
         may_split: true,
-        sending: Duration::ZERO,
-        avoid: &[],
+        send_time: Duration::ZERO,
+        excluded: &[],
         connected: &[],
-        left: ms(4_000),
-        alone: false,
+        time_left: ms(4_000),
+        isolated: false,
         reserved: None,
     }
 }
--- a/crates/serving/tests/need.rs
+++ b/crates/serving/tests/need.rs
@@ -91,7 +91,9 @@
                     .map(|other| (address(other), 0))
                     .collect(),
             };
-            fleet.throttles.divide(address(own), &placers, Moment::ZERO);
+            fleet
+                .throttles
+                .set_placers(address(own), &placers, Moment::ZERO);
             for (number, (name, _)) in names.iter().enumerate() {
                 if number % 10 < limited {
                     let said = Announcement {
@@ -148,11 +150,13 @@
                 prefill, reserved, ..
             } => {
                 self.note(&prefill, now);
-                let read = now + prefill.wait + READING;
+                let read = now + prefill.limit_wait + READING;
                 self.events
                     .push(Reverse((read, Event::Read { call, reserved })));
             }
-            Choice::Refuse { after, .. } => self.refuse(call, again, after, now),
+            Choice::Refuse {
+                retry_after: after, ..
+            } => self.refuse(call, again, after, now),
         }
     }
 
@@ -162,8 +166,8 @@
         let parts = prompt(&[(u32::try_from(call).expect("few calls"), 4_000)]);
         let demand = serving::Demand {
             may_split,
-            target: TARGET.saturating_sub(waited),
-            left: DEADLINE.saturating_sub(waited),
+            latency_target: TARGET.saturating_sub(waited),
+            time_left: DEADLINE.saturating_sub(waited),
             ..demand(&service, &zone, Some(generation(&parts)))
         };
         let fleet = &mut self.fleets[self.calls[call].instance];
@@ -177,13 +181,13 @@
         let waited = now.saturating_sub(self.calls[call].at);
         let parts = prompt(&[(u32::try_from(call).expect("few calls"), 4_000)]);
         let demand = serving::Demand {
-            target: TARGET.saturating_sub(waited),
+            latency_target: TARGET.saturating_sub(waited),
             reserved,
-            left: DEADLINE.saturating_sub(waited),
+            time_left: DEADLINE.saturating_sub(waited),
             ..demand(&service, &zone, Some(generation(&parts)))
         };
         let fleet = &mut self.fleets[self.calls[call].instance];
-        if let Some(target) = place::decode(fleet, &demand, &zone, now) {
+        if let Some(target) = place::choose_decode(fleet, &demand, &zone, now) {
             place::charge(fleet, &demand, &target, now);
             self.send(call, &target, now);
             return;
@@ -196,13 +200,13 @@
     }
 
     fn note(&mut self, target: &Target, now: Moment) {
-        let sent = (target.engine.clone(), now + target.wait);
+        let sent = (target.engine.clone(), now + target.limit_wait);
         self.outcome.requests.push(sent);
     }
 
     fn send(&mut self, call: usize, target: &Target, now: Moment) {
         self.note(target, now);
-        if now + target.expected <= self.calls[call].at + TARGET {
+        if now + target.expected_latency <= self.calls[call].at + TARGET {
             self.outcome.on_time += 1;
         } else {
             self.outcome.late += 1;
--- a/crates/serving/tests/overrun.rs
+++ b/crates/serving/tests/overrun.rs
@@ -44,8 +44,8 @@
     let parts = prompt(&[(1, 12_000)]);
     let (service, zone) = (service(), zone());
     let demand = Demand {
-        target: ms(10),
-        left: ms(1_300),
+        latency_target: ms(10),
+        time_left: ms(1_300),
         ..demand(&service, &zone, Some(generation(&parts)))
     };
     let choice = choose(fleet, &demand, now);
@@ -66,7 +66,7 @@
     let choice = late_call(&mut fleet, ms(11_000));
     assert_matches!(
         choice,
-        Choice::Refuse { why: Refusal::TooMuchWork, after, .. } if after > ms(0)
+        Choice::Refuse { reason: Refusal::TooMuchWork, retry_after, .. } if retry_after > ms(0)
     );
 }
 
--- a/crates/serving/tests/pauses.rs
+++ b/crates/serving/tests/pauses.rs
@@ -93,7 +93,7 @@
     let parts = prompt(&[(9, 6_000)]);
     let (service, zone) = (service(), zone());
     let demand = Demand {
-        target: ms(100),
+        latency_target: ms(100),
         ..demand(&service, &zone, Some(generation(&parts)))
     };
     let choice = choose(&fleet, &demand, now);
--- a/crates/serving/tests/place.rs
+++ b/crates/serving/tests/place.rs
@@ -31,7 +31,7 @@
         ]);
         fleet.record_cached_parts(&id(reader), &prompt(&[(7, 13_000)]), 400_000, NOW);
         let choice = target(&fleet, &[(7, 13_000), (8, 3_000)]);
-        assert_matches!(choice, Choice::Direct(t) if &*t.engine == reader && t.unread == 3_000);
+        assert_matches!(choice, Choice::Direct(t) if &*t.engine == reader && t.prefill_tokens == 3_000);
     }
 }
 
@@ -40,7 +40,7 @@
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     fleet.record_cached_parts(&id("a"), &prompt(&[(7, 1_000)]), 400_000, NOW);
     let choice = target(&fleet, &[(6, 1_000), (7, 1_000)]);
-    assert_matches!(choice, Choice::Direct(t) if t.unread == 2_000);
+    assert_matches!(choice, Choice::Direct(t) if t.prefill_tokens == 2_000);
 }
 
 #[test]
@@ -64,7 +64,7 @@
 fn a_call_that_cannot_be_on_time_yields() {
     let fleet = fleet(&[("a", Stage::Decode)]);
     let choice = target(&fleet, &[(1, 30_000)]);
-    assert_matches!(choice, Choice::Direct(t) if t.rank > 1 && t.expected > ms(600));
+    assert_matches!(choice, Choice::Direct(t) if t.rank > 1 && t.expected_latency > ms(600));
     let choice = target(&fleet, &[(1, 3_000)]);
     assert_matches!(choice, Choice::Direct(t) if t.rank == 1);
 }
@@ -75,7 +75,7 @@
     let choice = target(&fleet, &[(1, 200_000)]);
     assert_matches!(
         choice,
-        Choice::Refuse { after, why: Refusal::TooMuchWork, best: Some(_) } if after > ms(0)
+        Choice::Refuse { retry_after, reason: Refusal::TooMuchWork, best_target: Some(_) } if retry_after > ms(0)
     );
 }
 
@@ -90,8 +90,8 @@
     let choice = target(&fleet, &[(1, 60_000)]);
     assert_matches!(
         choice,
-        Choice::Refuse { best: Some(best), .. }
-            if &*best.engine == "reads" && best.expected > ms(4_000)
+        Choice::Refuse { best_target: Some(best), .. }
+            if &*best.engine == "reads" && best.expected_latency > ms(4_000)
     );
 }
 
@@ -101,7 +101,7 @@
     assert_matches!(
         choice,
         Choice::Refuse {
-            why: Refusal::NoEngine,
+            reason: Refusal::NoEngine,
             ..
         }
     );
@@ -130,7 +130,7 @@
     let parts = prompt(&[(1, 9_000)]);
     let last = [id("b")];
     let demand = Demand {
-        avoid: &last,
+        excluded: &last,
         ..demand(&service, &zone, Some(generation(&parts)))
     };
     assert_matches!(choose(&fleet, &demand, NOW), Choice::Refuse { .. });
@@ -161,11 +161,11 @@
     let (service, zone) = (service(), zone());
     let demand = demand(&service, &zone, Some(generation(&parts)));
     assert_matches!(choose(&fleet, &demand, NOW), Choice::Split { .. });
-    let before = place::decode(&fleet, &demand, &zone, NOW).unwrap();
+    let before = place::choose_decode(&fleet, &demand, &zone, NOW).unwrap();
     let mut leaving = record(&before.engine, Some(Stage::Decode));
     leaving.state = State::Draining;
     fleet.put(leaving);
-    let after = place::decode(&fleet, &demand, &zone, NOW).unwrap();
+    let after = place::choose_decode(&fleet, &demand, &zone, NOW).unwrap();
     assert_ne!(before.engine, after.engine);
 }
 
@@ -181,7 +181,7 @@
     assert_matches!(
         choice,
         Choice::Refuse {
-            why: Refusal::NoEngine,
+            reason: Refusal::NoEngine,
             ..
         }
     );
@@ -306,7 +306,7 @@
     let choice = target(&fleet, &[(7, 9_000), (8, 3_000)]);
     assert_matches!(
         choice,
-        Choice::Direct(t) if &*t.engine == "b" && t.unread == 3_000 && t.fetch == Some(id("a"))
+        Choice::Direct(t) if &*t.engine == "b" && t.prefill_tokens == 3_000 && t.fetch_from == Some(id("a"))
     );
 }
 
@@ -316,7 +316,7 @@
 fn a_part_is_not_copied_where_its_engine_has_time() {
     let fleet = kept_at_a(0);
     let choice = target(&fleet, &[(7, 9_000), (8, 3_000)]);
-    assert_matches!(choice, Choice::Direct(t) if &*t.engine == "a" && t.fetch.is_none());
+    assert_matches!(choice, Choice::Direct(t) if &*t.engine == "a" && t.fetch_from.is_none());
 }
 
 #[test]
@@ -327,7 +327,7 @@
         ..record("a", Some(Stage::Decode))
     });
     let choice = target(&fleet, &[(7, 9_000), (8, 3_000)]);
-    assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b" && t.fetch.is_none());
+    assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b" && t.fetch_from.is_none());
 }
 
 /// Symptom: calls of the least urgent routes are refused in a peak in which they would be on time. Sequence: an operator
@@ -359,7 +359,7 @@
             connected,
             ..demand(&service, &zone, Some(generation(&parts)))
         };
-        place::decode(&fleet, &demand, &zone, NOW).expect("there is one")
+        place::choose_decode(&fleet, &demand, &zone, NOW).expect("there is one")
     };
     for name in names {
         let connected = [id(name)];
@@ -382,7 +382,7 @@
     let (service, zone) = (service(), zone());
     let together = demand(&service, &zone, Some(generation(&parts)));
     let alone = Demand {
-        alone: true,
+        isolated: true,
         ..together
     };
     assert_matches!(choose(&fleet, &together, NOW), Choice::Direct(t) if &*t.engine == "a");
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -125,7 +125,7 @@
                 others: others.map(|other| (address(other), 0)).collect(),
             };
             let throttles = &mut fleet.throttles;
-            throttles.divide(address(own), &placers, Duration::ZERO);
+            throttles.set_placers(address(own), &placers, Duration::ZERO);
             for (number, engine) in self.engines.iter().enumerate() {
                 if number % 4 < of_four {
                     let said = Announcement {
@@ -186,7 +186,7 @@
         let (engine, rank, wait) = match self.way {
             Way::Placed | Way::Alone | Way::NewParts | Way::AllNew => {
                 match self.placed(number, now) {
-                    Some(target) => (self.index(&target.engine), target.rank, target.wait),
+                    Some(target) => (self.index(&target.engine), target.rank, target.limit_wait),
                     None => return,
                 }
             }
@@ -287,7 +287,7 @@
         let unread = if reads { call.tokens - kept } else { 0 };
         let is_new = kept < call.prompt[0].tokens;
         let sent = fleet.begin_call(&id, speed::work(unread, call.tokens), rank, time);
-        fleet.record_cached_parts(&id, &call.prompt, MODEL.memory_tokens, time);
+        fleet.record_cached_parts(&id, &call.prompt, MODEL.kv_capacity_tokens, time);
         self.engines[engine].take(number, call, rank, reads, now);
         self.under_way.insert(number, (engine, sent, only_reads));
         match self.way {
@@ -335,7 +335,7 @@
                 };
                 let fleet = &mut self.fleets[call.instance];
                 let time = Duration::from_micros(now);
-                let Some(target) = place::decode(fleet, &demand, &zone, time) else {
+                let Some(target) = place::choose_decode(fleet, &demand, &zone, time) else {
                     // Its limits are used up, and it was not reserved.
                     return;
                 };
@@ -391,7 +391,7 @@
         match told {
             Told::Change(change) => fleet.apply_change(from as u64, &change, time),
             Told::Parts(engine, parts) => {
-                fleet.record_cached_parts(&engine, &parts, MODEL.memory_tokens, time)
+                fleet.record_cached_parts(&engine, &parts, MODEL.kv_capacity_tokens, time)
             }
         }
     }
@@ -414,8 +414,8 @@
     let before = Duration::from_micros(before);
     Demand {
         priority: call.rank,
-        target: Duration::from_micros(call.target).saturating_sub(waited + before),
-        left: Duration::from_secs(4).saturating_sub(waited),
+        latency_target: Duration::from_micros(call.target).saturating_sub(waited + before),
+        time_left: Duration::from_secs(4).saturating_sub(waited),
         ..demand(service, zone, Some(generation))
     }
 }
--- a/crates/serving/tests/route.rs
+++ b/crates/serving/tests/route.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use common::{ms, service};
-use serving::budget::{Bound, Budgets};
+use serving::budget::{RepeatBudgets, RepeatLimit};
 use serving::route::{Limits, Share};
 use serving::speed::{self, Speed};
 use serving::{Kind, Route, Stage, Table};
@@ -20,9 +20,9 @@
         prefix: prefix.to_owned(),
         kind: Kind::Stream { resumable: false },
         timeout: ms(6_000),
-        target: ms(800),
-        gap: Some(ms(300)),
-        attempts: 1,
+        latency_target: ms(800),
+        max_gap: Some(ms(300)),
+        max_attempts: 1,
         priority: 0,
         public: false,
         shares: shares.collect(),
@@ -52,52 +52,52 @@
 
 #[test]
 fn callers_wait_four_targets_eight_pauses_or_two_seconds() {
-    assert_eq!(route("/", &[]).patience(), ms(3_200));
+    assert_eq!(route("/", &[]).event_timeout(), ms(3_200));
     let short = Route {
-        target: ms(100),
-        gap: None,
+        latency_target: ms(100),
+        max_gap: None,
         ..route("/", &[])
     };
-    assert_eq!(short.patience(), ms(2_000));
+    assert_eq!(short.event_timeout(), ms(2_000));
 }
 
 /// Symptom: a service gets more repeats than the users allow, summed over all instances. Sequence: each
 /// of eight instances spends the whole slack at the same time. Cause: none knew of the others.
 #[test]
 fn instances_together_stay_within_the_slack() {
-    let bound = Bound {
+    let bound = RepeatLimit {
         ratio: 0.2,
         slack: 52.0,
     };
-    let mut all: Vec<Budgets> = (0..8).map(|_| Budgets::new(bound, 8)).collect();
+    let mut all: Vec<RepeatBudgets> = (0..8).map(|_| RepeatBudgets::new(bound, 8)).collect();
     let mut repeats = 0;
     for budgets in &mut all {
-        while budgets.take(&service()) {
+        while budgets.take_repeat(&service()) {
             repeats += 1;
         }
     }
     assert!(repeats <= 52, "{repeats} repeats");
     for budgets in &mut all {
         for _ in 0..100 {
-            budgets.earn(&service());
+            budgets.record_first_attempt(&service());
         }
     }
-    let earned = all
-        .iter_mut()
-        .map(|budgets| std::iter::from_fn(|| budgets.take(&service()).then_some(())).count());
+    let earned = all.iter_mut().map(|budgets| {
+        std::iter::from_fn(|| budgets.take_repeat(&service()).then_some(())).count()
+    });
     assert!(earned.sum::<usize>() <= 8 * 20);
 }
 
 #[test]
 fn a_share_shrinks_with_more_instances() {
-    let bound = Bound {
+    let bound = RepeatLimit {
         ratio: 0.0,
         slack: 200.0,
     };
-    let mut budgets = Budgets::new(bound, 2);
-    budgets.shared_by(100);
-    assert!(budgets.take(&service()));
-    assert!(!budgets.take(&service()));
+    let mut budgets = RepeatBudgets::new(bound, 2);
+    budgets.set_instances(100);
+    assert!(budgets.take_repeat(&service()));
+    assert!(!budgets.take_repeat(&service()));
 }
 
 #[test]
@@ -107,8 +107,8 @@
         speed.observe(500, ms(40 + 5));
         speed.observe(20_000, ms(40 + 200));
     }
-    assert!((30.0..50.0).contains(&speed.setup), "{speed:?}");
-    assert!((90.0..110.0).contains(&speed.rate), "{speed:?}");
+    assert!((30.0..50.0).contains(&speed.setup_ms), "{speed:?}");
+    assert!((90.0..110.0).contains(&speed.tokens_per_ms), "{speed:?}");
 }
 
 #[test]
--- a/crates/serving/tests/speed.rs
+++ b/crates/serving/tests/speed.rs
@@ -45,7 +45,7 @@
     let (service, zone) = (service(), zone());
     let parts = prompt(&[(1, 9_000)]);
     let demand = Demand {
-        target: ms(100),
+        latency_target: ms(100),
         priority: 0,
         ..demand(&service, &zone, Some(generation(&parts)))
     };
@@ -59,8 +59,8 @@
     for work in WORKS.iter().cycle().take(120) {
         speed.observe(*work, takes(*work));
     }
-    assert!((speed.setup - SETUP).abs() < 2.0, "{speed:?}");
-    assert!((speed.rate - RATE).abs() < 15.0, "{speed:?}");
+    assert!((speed.setup_ms - SETUP).abs() < 2.0, "{speed:?}");
+    assert!((speed.tokens_per_ms - RATE).abs() < 15.0, "{speed:?}");
 }
 
 /// Symptom: one engine that stood still for a second makes all engines look slow, and calls are refused. Cause: its
@@ -71,9 +71,9 @@
     for work in WORKS.iter().cycle().take(60) {
         speed.observe(*work, takes(*work));
     }
-    let before = speed.setup + speed.time(9_000);
+    let before = speed.setup_ms + speed.millis(9_000);
     speed.observe(9_000, Duration::from_secs(2));
-    let after = speed.setup + speed.time(9_000);
+    let after = speed.setup_ms + speed.millis(9_000);
     assert!(after < before * 1.2, "{before} {after}");
 }
 
@@ -83,7 +83,7 @@
     for _ in 0..400 {
         speed.observe(6_000, takes(6_000));
     }
-    let known = speed.setup + speed.time(6_000);
+    let known = speed.setup_ms + speed.millis(6_000);
     assert!((known - 25.0).abs() < 3.0, "{speed:?}");
-    assert!(speed.rate.is_finite() && speed.time(u64::from(work(12_000, 12_000))) > 0.0);
+    assert!(speed.tokens_per_ms.is_finite() && speed.millis(u64::from(work(12_000, 12_000))) > 0.0);
 }
--- a/crates/serving/tests/streams.rs
+++ b/crates/serving/tests/streams.rs
@@ -228,7 +228,7 @@
         };
         let now = self.moment();
         self.fleet
-            .record_cached_parts(&target.engine, &call.prompt, MODEL.memory_tokens, now);
+            .record_cached_parts(&target.engine, &call.prompt, MODEL.kv_capacity_tokens, now);
         let sent = self
             .fleet
             .begin_call(&target.engine, target.work, target.rank, now);
@@ -236,7 +236,7 @@
         self.engines[at].prompts.push(Prompt {
             call: number,
             rank: target.rank,
-            left: u64::from(speed::work(target.unread, call.tokens)).max(1),
+            left: u64::from(speed::work(target.prefill_tokens, call.tokens)).max(1),
             sent,
             only_reads,
         });
@@ -292,7 +292,7 @@
             let call = &self.calls[prompt.call];
             let (service, zone) = (service(), zone());
             let demand = with(call, demand(&service, &zone, None));
-            let target = place::decode(&self.fleet, &demand, &zone, now);
+            let target = place::choose_decode(&self.fleet, &demand, &zone, now);
             let target = target.expect("engines generate");
             sent = self.fleet.begin_call(&target.engine, 0, target.rank, now);
             to = self.engine(&target.engine);
@@ -362,8 +362,8 @@
             tokens: call.tokens,
         }),
         priority: rank,
-        target: Duration::from_millis(target),
-        left: Duration::from_millis(left),
+        latency_target: Duration::from_millis(target),
+        time_left: Duration::from_millis(left),
         ..common
     }
 }
--- a/crates/serving/tests/throttle.rs
+++ b/crates/serving/tests/throttle.rs
@@ -40,7 +40,7 @@
 
 fn throttles(own: usize, all: &[usize]) -> Throttles {
     let mut throttles = Throttles::default();
-    throttles.divide(address(own), &placers(own, all), Moment::ZERO);
+    throttles.set_placers(address(own), &placers(own, all), Moment::ZERO);
     throttles
 }
 
@@ -140,7 +140,7 @@
             for own in 0..8 {
                 if hears[own].0 == now {
                     let seen = placers(own, &hears[own].1);
-                    instances[own].divide(address(own), &seen, now);
+                    instances[own].set_placers(address(own), &seen, now);
                 }
                 if send(&mut instances[own], now) {
                     sent.push(now);
@@ -182,7 +182,7 @@
     let mut throttles = throttles(0, &[0]);
     throttles.merge(&id("e"), said(1.0, ms(100)), ms(100));
     throttles.merge(&id("e"), said(None, ms(200)), ms(210));
-    throttles.fade(ms(900));
+    throttles.expire(ms(900));
     assert!(!throttles.merge(&id("e"), said(1.0, ms(150)), ms(900)));
     assert_eq!(throttles.count(), 0);
     assert!(throttles.merge(&id("e"), said(2.0, ms(300)), ms(900)));
@@ -217,20 +217,20 @@
     }
     let repeating = instances
         .iter()
-        .filter(|instance| instance.repeated().len() == 1);
+        .filter(|instance| instance.to_repeat().len() == 1);
     assert_eq!(repeating.count(), 2);
     let with_new: Vec<usize> = (0..7).collect();
     for (own, instance) in instances.iter_mut().enumerate() {
-        instance.divide(address(own), &placers(own, &with_new), ms(2));
+        instance.set_placers(address(own), &placers(own, &with_new), ms(2));
         assert_eq!(instance.take_changed().len(), 1);
-        instance.divide(address(own), &placers(own, &all), ms(3));
+        instance.set_placers(address(own), &placers(own, &all), ms(3));
         assert!(instance.take_changed().is_empty());
     }
 }
 
 fn limited(fleet: &mut Fleet, engine: &str, limit: f64) {
     let all = placers(0, &[0]);
-    fleet.throttles.divide(address(0), &all, NOW);
+    fleet.throttles.set_placers(address(0), &all, NOW);
     fleet.throttles.merge(&id(engine), said(limit, NOW), NOW);
 }
 
@@ -238,7 +238,7 @@
     let (service, zone) = (service(), zone());
     let parts = prompt(&[(1, 100)]);
     let demand = serving::Demand {
-        left,
+        time_left: left,
         ..demand(&service, &zone, Some(generation(&parts)))
     };
     place::choose(fleet, &demand, now)
@@ -253,7 +253,7 @@
     limited(&mut fleet, "a", 0.5);
     assert_matches!(choose(&fleet, ms(4_000), NOW), Choice::Direct(t) if &*t.engine == "b");
     let later = NOW + ms(2_000);
-    assert_matches!(choose(&fleet, ms(4_000), later), Choice::Direct(t) if &*t.engine == "a" && t.wait.is_zero());
+    assert_matches!(choose(&fleet, ms(4_000), later), Choice::Direct(t) if &*t.engine == "a" && t.limit_wait.is_zero());
 }
 
 /// Guards against calls that are refused although the only engine takes them soon enough.
@@ -261,7 +261,7 @@
 fn a_call_waits_for_the_limit_of_the_only_engine() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     limited(&mut fleet, "a", 4.0);
-    assert_matches!(choose(&fleet, ms(4_000), NOW), Choice::Direct(t) if t.wait > ms(0) && t.expected > t.wait);
+    assert_matches!(choose(&fleet, ms(4_000), NOW), Choice::Direct(t) if t.limit_wait > ms(0) && t.expected_latency > t.limit_wait);
 }
 
 /// Guards against calls that wait to their deadline for an engine that will not take them.
@@ -271,19 +271,19 @@
     limited(&mut fleet, "a", 0.5);
     assert_matches!(
         choose(&fleet, ms(300), NOW),
-        Choice::Refuse { after, why: Refusal::Limited, .. } if after > ms(1_000) && after < ms(2_000)
+        Choice::Refuse { retry_after, reason: Refusal::RateLimited, .. } if retry_after > ms(1_000) && retry_after < ms(2_000)
     );
     let mut plain = Fleet::default();
     plain.put(record("p", None));
     limited(&mut plain, "p", 0.5);
     let (service, zone) = (service(), zone());
     let demand = serving::Demand {
-        left: ms(300),
+        time_left: ms(300),
         ..demand(&service, &zone, None)
     };
     assert_matches!(
         place::choose(&plain, &demand, NOW),
-        Choice::Refuse { after, why: Refusal::Limited, .. } if after > ms(1_000)
+        Choice::Refuse { retry_after, reason: Refusal::RateLimited, .. } if retry_after > ms(1_000)
     );
 }
 
@@ -299,7 +299,7 @@
     let (service, zone) = (service(), zone());
     let parts = prompt(&[(1, 9_000)]);
     let demand = demand(&service, &zone, Some(generation(&parts)));
-    let target = place::decode(&fleet, &demand, &zone, NOW).unwrap();
+    let target = place::choose_decode(&fleet, &demand, &zone, NOW).unwrap();
     assert_eq!(&*target.engine, "b");
 }
 
--- a/crates/serving/tests/told.rs
+++ b/crates/serving/tests/told.rs
@@ -108,8 +108,14 @@
         fleet.end_remote_call(peer, number, Some(Outcome::Success), at);
     }
     let after = fleet.speed(fleet.get("a").expect("it is there"));
-    assert!((after.rate - 100.0).abs() < 5.0, "{before:?} to {after:?}");
-    assert!((after.setup - 10.0).abs() < 5.0, "{before:?} to {after:?}");
+    assert!(
+        (after.tokens_per_ms - 100.0).abs() < 5.0,
+        "{before:?} to {after:?}"
+    );
+    assert!(
+        (after.setup_ms - 10.0).abs() < 5.0,
+        "{before:?} to {after:?}"
+    );
 }
 
 /// Symptom: every instance sends calls to an engine that fails half of them, for minutes. Sequence: its record says that it is
