--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -31,12 +31,12 @@
         return Admission::Alone;
     }
     let admission = match instance.suspects.verdict(asked, suspects::now(instance)) {
-        Verdict::Due if trials::claim(instance, asked).await => {
+        Verdict::TrialDue if trials::claim(instance, asked).await => {
             log::info!(id = asked.call.id.as_str(), fingerprint = asked.fingerprint_text(); "a held call is tried");
             asked.on_trial.set(true);
             Admission::Alone
         }
-        Verdict::Due => Admission::Held(TRIED_AFTER),
+        Verdict::TrialDue => Admission::Held(TRIED_AFTER),
         decided => judge(instance, asked, decided),
     };
     if let Admission::Held(after) = &admission {
@@ -55,9 +55,15 @@
     match verdict {
         Verdict::Clear => Admission::Usual,
         Verdict::Suspected => Admission::Alone,
-        Verdict::Due => Admission::Held(TRIED_AFTER),
-        Verdict::Held { after, well_on } if well_on.is_empty() => Admission::Held(after),
-        Verdict::Held { well_on, .. } => Admission::Avoiding(all_but(instance, asked, &well_on)),
+        Verdict::TrialDue => Admission::Held(TRIED_AFTER),
+        Verdict::Held {
+            after,
+            good_builds: well_on,
+        } if well_on.is_empty() => Admission::Held(after),
+        Verdict::Held {
+            good_builds: well_on,
+            ..
+        } => Admission::Avoiding(all_but(instance, asked, &well_on)),
     }
 }
 
@@ -79,8 +85,8 @@
     let last = entry.last_crash().unwrap_or_default();
     log::info!(
         id = asked.call.id.as_str(), fingerprint = asked.fingerprint_text(), caller:% = asked.caller,
-        ended = entry.standing(), last_ms:% = suspects::now(instance).saturating_sub(last).as_millis(),
-        trials = entry.trials, failed = entry.failed, after_ms:% = after.as_millis();
+        ended = entry.uncleared_crashes(), last_ms:% = suspects::now(instance).saturating_sub(last).as_millis(),
+        trials = entry.trials, failed = entry.failed_trials, after_ms:% = after.as_millis();
         "held"
     );
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -17,7 +17,7 @@
 use serving::health::Outcome;
 use serving::organisation::Organisation;
 use serving::route::Version;
-use serving::usage::Unix;
+use serving::usage::UnixTime;
 use serving::{EngineId, Route, Service, Table};
 use tokio::time::Instant;
 
@@ -247,7 +247,7 @@
     }
 
     /// Takes in that an engine began it at a moment. It counts once, however many engines it goes to.
-    pub(crate) fn began(&self, instance: &Instance, at: Unix) {
+    pub(crate) fn began(&self, instance: &Instance, at: UnixTime) {
         if let Some(organisation) = self.principal.organisation()
             && !self.counted.replace(true)
         {
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -8,7 +8,7 @@
 };
 use adapter::store::{self, Era, KeyedRecord, Offset, Store, StoreError};
 use clock::{Clock as _, Moment, System};
-use serving::claim::{self, Fence, Turns};
+use serving::claim::{self, Claimant, Fence};
 use serving::usage::Report;
 
 /// Why nothing may be ordered now.
@@ -70,7 +70,7 @@
 /// This instance's part in the log of claims.
 pub(crate) struct Claims {
     store: Store,
-    turns: Turns,
+    turns: Claimant,
     clock: System,
     /// Under which other instances know this one.
     holder: String,
@@ -88,7 +88,7 @@
     ) -> Self {
         Self {
             store,
-            turns: Turns::new(lease, is_first_start),
+            turns: Claimant::new(lease, is_first_start),
             clock,
             holder,
             incarnation,
@@ -97,17 +97,17 @@
 
     /// Takes in a claim of another instance, of which that one told.
     pub(crate) fn heard(&mut self, fence: Fence) {
-        self.turns.heard(fence, self.clock.now());
+        self.turns.observe_claim(fence, self.clock.now());
     }
 
     /// Takes in the era of the store.
     pub(crate) fn on_era(&mut self, era: Era) {
-        self.turns.on_era(era, self.clock.now());
+        self.turns.observe_era(era, self.clock.now());
     }
 
     /// How long it is of no use to read.
     pub(crate) fn rests(&self) -> Duration {
-        self.turns.rests(self.clock.now())
+        self.turns.time_to_wait(self.clock.now())
     }
 
     /// Reads the newest claim, and looks whether this instance may claim after it.
@@ -127,7 +127,7 @@
             holder: held.as_ref().map_or("", |claim| &claim.holder),
         });
         let now = self.clock.now();
-        self.turns.on_era(store::era(newest.end), now);
+        self.turns.observe_era(store::era(newest.end), now);
         if !self.turns.may_claim(claim, &self.holder, now) {
             return Err(Denied::NotOurTurn);
         }
@@ -154,7 +154,7 @@
         reports: &[Report],
         numbers: Vec<EngineCounts>,
     ) -> Result<Grant, Denied> {
-        let until = self.clock.now_boottime() + claim::ORDERS;
+        let until = self.clock.now_boottime() + claim::ORDER_WINDOW;
         let claim = orders::Claim {
             holder: self.holder.clone(),
             incarnation: self.incarnation,
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -9,8 +9,8 @@
 use adapter::settings;
 use adapter::store::Store;
 use clock::Moment;
-use serving::roles::Changes;
-use serving::scaling::Why;
+use serving::roles::RoleChanges;
+use serving::scaling::Reason;
 use serving::usage::Report;
 use tokio::time::sleep;
 
@@ -35,7 +35,7 @@
 
 /// What is due now.
 struct Due {
-    changes: Changes,
+    changes: RoleChanges,
     reports: bool,
     sizes: bool,
 }
@@ -121,7 +121,7 @@
         let is_synced = instance.engines_known.get() && instance.is_placing();
         if !is_synced {
             return Due {
-                changes: Changes::new(),
+                changes: RoleChanges::new(),
                 reports: false,
                 sizes: false,
             };
@@ -165,7 +165,7 @@
         let grant = self.claims.claim(&standing, &reports, numbers).await?;
         self.instance.claim_log.record(grant.fence);
         if let Some(ledger) = self.instance.usage.borrow_mut().as_mut() {
-            ledger.hear_fixed(reports);
+            ledger.merge_fixed(reports);
         }
         Ok(grant)
     }
@@ -178,8 +178,8 @@
             return fixed.unwrap_or_default();
         };
         match fixed {
-            Some(fixed) => ledger.hear_fixed(fixed),
-            None => ledger.lost_fixed(unix),
+            Some(fixed) => ledger.merge_fixed(fixed),
+            None => ledger.fixed_reports_lost(unix),
         }
         ledger.propose(unix)
     }
@@ -239,14 +239,14 @@
                 return false;
             }
             if let Some(ledger) = instance.usage.borrow_mut().as_mut() {
-                ledger.taken(report.window);
+                ledger.mark_taken(report.window);
             }
         }
         true
     }
 }
 
-fn plan_sizes(instance: &Instance) -> Vec<(EngineTarget, Why)> {
+fn plan_sizes(instance: &Instance) -> Vec<(EngineTarget, Reason)> {
     let duties = instance.settings.borrow().duties;
     let table = instance
         .table()
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -317,8 +317,8 @@
     let mut kept = instance.snapshot.borrow_mut();
     kept.clear_engines();
     for record in records {
-        registry.is_news(&record.key, record.offset);
-        registry.reached(record.offset);
+        registry.is_newer(&record.key, record.offset);
+        registry.advance_to(record.offset);
         kept.apply(news(Topic::Engines, record));
     }
     drop(kept);
@@ -335,7 +335,7 @@
 
 /// Takes in an engine's record. Says whether it changed something.
 fn take_engine(instance: &Instance, registry: &mut Registry, record: &KeyedRecord) -> bool {
-    if !registry.is_news(&record.key, record.offset) {
+    if !registry.is_newer(&record.key, record.offset) {
         return false;
     }
     instance
@@ -346,7 +346,7 @@
     if record.value.is_none() {
         let change = registry.remove(&mut fleet, &record.key, instance.now());
         if change != Change::None {
-            registry.reached(record.offset);
+            registry.advance_to(record.offset);
             log::info!(engine = record.key.as_str(), change:? = change; "engine's record is gone");
         }
         return change != Change::None;
@@ -354,7 +354,7 @@
     let was_readable = !registry.is_unreadable(&record.key);
     let Some(engine) = engine(&mut fleet, registry, record) else {
         if was_readable {
-            registry.reached(record.offset);
+            registry.advance_to(record.offset);
         }
         return was_readable;
     };
@@ -363,7 +363,7 @@
     let born = engine.started_ms;
     let changed = registry.put(&mut fleet, engine) == Change::Put;
     if changed {
-        registry.reached(record.offset);
+        registry.advance_to(record.offset);
         log::info!(engine = record.key.as_str(), state:? = state, stage:? = stage, born = born.unwrap_or_default(); "engine changed");
     }
     changed
@@ -375,7 +375,7 @@
     match records::parse_engine(&record.key, value) {
         Ok(engine) => Some(engine),
         Err(error) => {
-            if registry.unreadable(fleet, &record.key) {
+            if registry.mark_unreadable(fleet, &record.key) {
                 log::error!(entry:? = record.key, error:% = error; "an entry names no engine");
             }
             None
--- a/crates/gateway/src/frame.rs
+++ b/crates/gateway/src/frame.rs
@@ -10,7 +10,7 @@
 use serving::fleet::WorkChange;
 use serving::health::Outcome;
 use serving::parts::Part;
-use serving::quarantine::{Crash, Entry, Good};
+use serving::quarantine::{Crash, Entry, GoodRun};
 use serving::{EngineId, hash};
 use wire::gateway::{Frame, Piece, Started, Suspect};
 
@@ -178,7 +178,7 @@
         build: crash.build,
         age_ms: since(crash.at, now),
     });
-    let good = entry.good.iter().map(|good| wire::gateway::Good {
+    let good = entry.good_runs.iter().map(|good| wire::gateway::Good {
         build: good.build,
         age_ms: since(good.at, now),
     });
@@ -192,9 +192,9 @@
         good: good.collect(),
         released_age_ms: age(entry.released, now),
         trials: entry.trials,
-        tried_age_ms: age(entry.tried, now),
+        tried_age_ms: age(entry.last_trial, now),
         written_unix_ms: 0,
-        failed: entry.failed,
+        failed: entry.failed_trials,
     }
 }
 
@@ -206,18 +206,18 @@
         build: crash.build,
         at: before(now, crash.age_ms),
     });
-    let good = told.good.iter().map(|good| Good {
+    let good = told.good.iter().map(|good| GoodRun {
         build: good.build,
         at: before(now, good.age_ms),
     });
     let entry = Entry {
         caller: told.caller,
         crashes: crashes.collect(),
-        good: good.collect(),
+        good_runs: good.collect(),
         released: moment(told.released_age_ms, now),
         trials: told.trials,
-        tried: moment(told.tried_age_ms, now),
-        failed: told.failed,
+        last_trial: moment(told.tried_age_ms, now),
+        failed_trials: told.failed,
     };
     (call, entry)
 }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -14,8 +14,8 @@
 use serving::placer::{self, Member, Placers};
 use serving::prior_wait::PriorWaits;
 use serving::registry::Registry;
-use serving::usage::{Ledger, Unix, Window};
-use serving::watch::{self, Known};
+use serving::usage::{Ledger, UnixTime, Window};
+use serving::watch::{self, TopicState};
 use serving::{EngineId, Fleet, Table, Zone, hash};
 use tokio::sync::Notify;
 use wire::gateway::Frame;
@@ -48,7 +48,7 @@
     /// Claims, and what was ordered under them.
     pub claim_log: ClaimLog,
     /// True time when the process started.
-    started: Unix,
+    started: UnixTime,
     /// Who places calls.
     pub placers: RefCell<Placers>,
     /// Placement requests that await their responses.
@@ -138,12 +138,12 @@
 
     /// True time, as it was when the process started and has gone on since. The time of day may be set meanwhile, and back again; windows of
     /// true time would come twice or not at all.
-    pub(crate) fn unix(&self) -> Unix {
+    pub(crate) fn unix(&self) -> UnixTime {
         self.started + self.clock.now_boottime()
     }
 
     /// Takes in that an engine began a request of an organisation.
-    pub(crate) fn used(&self, organisation: &Name, at: Unix) {
+    pub(crate) fn used(&self, organisation: &Name, at: UnixTime) {
         let table = self.table.borrow();
         let directory = table
             .as_ref()
@@ -151,14 +151,14 @@
         let known = directory.map_or(0, Directory::len);
         self.metrics.begun(organisation, known);
         if let Some(ledger) = self.usage.borrow_mut().as_mut() {
-            ledger.began(organisation, at);
+            ledger.count_request(organisation, at);
         }
     }
 
     /// Windows whose use the platform has been told.
     pub(crate) fn reported(&self) -> Vec<Window> {
         let ledger = self.usage.borrow();
-        ledger.iter().flat_map(Ledger::all_taken).collect()
+        ledger.iter().flat_map(Ledger::taken_windows).collect()
     }
 
     /// A frame that tells nothing yet.
@@ -171,7 +171,7 @@
 
     /// Whether this instance places calls itself.
     pub(crate) fn is_placing(&self) -> bool {
-        self.placers.borrow().own
+        self.placers.borrow().includes_self
     }
 
     /// Whether an engine is in this instance's share, of all that place calls. Each engine is in the share of one, which
@@ -184,22 +184,22 @@
     pub(crate) fn elect(&self) -> bool {
         let own = Member {
             address: self.address,
-            place: hash::hash32(&self.zone),
+            zone: hash::hash32(&self.zone),
             order: self.order(),
-            lives: true,
+            alive: true,
         };
         let now = self.now();
         let mut placers = self.peers.borrow_mut().elect(&own, now);
         // Whoever does not know the others yet would take itself for the first.
-        placers.own &= !self.phase.is_leaving() && self.is_registered.get();
+        placers.includes_self &= !self.phase.is_leaving() && self.is_registered.get();
         let before = self.placers.replace(placers);
         let after = self.placers.borrow();
         let throttles = &mut self.fleet.borrow_mut().throttles;
         throttles.set_placers(self.address, &after, now);
         if before != *after {
-            log::info!(own = after.own, others = after.others.len(); "instances that place calls");
+            log::info!(own = after.includes_self, others = after.others.len(); "instances that place calls");
         }
-        before.own != after.own
+        before.includes_self != after.includes_self
     }
 
     /// This instance's place in the order in which instances read the store.
@@ -232,10 +232,10 @@
     }
 
     /// What this instance knows of a topic, as instances compare it.
-    pub(crate) fn knows(&self, topic: Topic) -> Known {
+    pub(crate) fn knows(&self, topic: Topic) -> TopicState {
         match topic {
             Topic::Configuration => peers::version(self.table().map_or(0, |table| table.version)),
-            Topic::Engines => self.registry.borrow().knows(),
+            Topic::Engines => self.registry.borrow().topic_state(),
         }
     }
 
@@ -261,9 +261,9 @@
         }
         log::warn!(era = era; "the store has come back from an older copy");
         let now = self.now();
-        self.registry.borrow_mut().went_back(now);
+        self.registry.borrow_mut().store_rolled_back(now);
         if let Some(ledger) = self.usage.borrow_mut().as_mut() {
-            ledger.lost_fixed(self.unix());
+            ledger.fixed_reports_lost(self.unix());
         }
         if self.peers.borrow().before(self.order(), now) == 0 {
             self.suspects.write_again();
@@ -276,7 +276,7 @@
     /// served elsewhere.
     pub(crate) fn is_current(&self) -> bool {
         let now = self.now();
-        let is_recent = |read: Moment| now.saturating_sub(read) <= watch::FRESH;
+        let is_recent = |read: Moment| now.saturating_sub(read) <= watch::FRESH_AGE;
         let own = self.configuration_read.get();
         let peers = self.peers.borrow();
         own.is_some_and(is_recent)
@@ -333,7 +333,7 @@
 }
 
 /// Time since the Unix epoch.
-fn unix(time: SystemTime) -> Unix {
+fn unix(time: SystemTime) -> UnixTime {
     // A clock before the epoch shows nothing.
     time.duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -163,7 +163,7 @@
         return 0;
     }
     let frame = Frame {
-        usage: Some(usage::encode(ledger.tell(instance.unix()))),
+        usage: Some(usage::encode(ledger.take_update(instance.unix()))),
         ..instance.frame()
     };
     broadcast(socket, &frame, &reporters)
@@ -176,7 +176,7 @@
     let placers = instance.placers.borrow();
     let own = hash::hash32(&instance.zone);
     let mut told = placers.others.clone();
-    if !placers.own && !is_greeting {
+    if !placers.includes_self && !is_greeting {
         told.retain(|(_, place)| *place == own);
     }
     let told: Vec<SocketAddr> = told.into_iter().map(|(address, _)| address).collect();
--- a/crates/gateway/src/operate.rs
+++ b/crates/gateway/src/operate.rs
@@ -63,7 +63,7 @@
     let lines = calls.iter().map(|Known { call, entry, .. }| {
         let state = if entry.is_held() { "held" } else { "let go" };
         let last = NOW.saturating_sub(entry.last_crash().unwrap_or(NOW));
-        let (ended, trials) = (entry.standing(), entry.trials);
+        let (ended, trials) = (entry.uncleared_crashes(), entry.trials);
         let call = text(*call);
         format!(
             "{call} {state} ended={ended} last_s={} trials={trials}",
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -6,8 +6,8 @@
 
 use clock::Moment;
 use serving::parts::Part;
-use serving::placer::{Election, Member, Place, Placers};
-use serving::watch::{Deferred, Known, Said};
+use serving::placer::{Election, Member, Placers, ZoneHash};
+use serving::watch::{Deferred, ReaderReport, TopicState};
 use serving::{EngineId, hash};
 use wire::gateway::{News, State, Ticket};
 
@@ -54,14 +54,14 @@
     knows: bool,
     configuration: u64,
     configuration_read: Option<Moment>,
-    engines: Known,
+    engines: TopicState,
     engines_read: Option<Moment>,
 }
 
 /// A registered instance.
 #[derive(Clone, Debug)]
 struct Registered {
-    place: Place,
+    place: ZoneHash,
     /// Missing where only its address is known.
     order: Option<u64>,
     added: Moment,
@@ -72,7 +72,7 @@
 }
 
 impl Registered {
-    fn new(place: Place, order: Option<u64>, now: Moment) -> Self {
+    fn new(place: ZoneHash, order: Option<u64>, now: Moment) -> Self {
         Self {
             place,
             order,
@@ -96,9 +96,9 @@
         };
         Some(Member {
             address,
-            place: self.place,
+            zone: self.place,
             order: self.order?,
-            lives,
+            alive: lives,
         })
     }
 }
@@ -109,16 +109,16 @@
         self.placing && !self.knows
     }
 
-    fn said(&self, order: u64, topic: Topic) -> Said {
+    fn said(&self, order: u64, topic: Topic) -> ReaderReport {
         let (knows, read) = match topic {
             Topic::Configuration => (version(self.configuration), self.configuration_read),
             Topic::Engines => (self.engines, self.engines_read),
         };
-        Said {
+        ReaderReport {
             order,
-            heard: self.heard,
-            read,
-            knows,
+            heard_at: self.heard,
+            read_at: read,
+            state: knows,
         }
     }
 }
@@ -185,7 +185,7 @@
     pub(crate) fn add(
         &mut self,
         address: SocketAddr,
-        place: Place,
+        place: ZoneHash,
         order: Option<u64>,
         now: Moment,
     ) {
@@ -198,7 +198,7 @@
         let members = self.by_address.iter();
         let members = members.filter_map(|(address, known)| known.member(*address, now));
         let members: Vec<Member> = members.collect();
-        self.election.look(own, &members, now)
+        self.election.update(own, &members, now)
     }
 
     /// Takes in that an instance did not answer.
@@ -246,7 +246,7 @@
     }
 
     /// What the others said of their reading of a topic.
-    pub(crate) fn said(&self, topic: Topic) -> impl Iterator<Item = Said> {
+    pub(crate) fn said(&self, topic: Topic) -> impl Iterator<Item = ReaderReport> {
         let known = self.by_address.values();
         known.filter_map(move |known| Some(known.peer.as_ref()?.said(known.order?, topic)))
     }
@@ -317,8 +317,8 @@
 }
 
 /// How far a version of the configuration goes.
-pub(crate) fn version(version: u64) -> Known {
-    Known {
+pub(crate) fn version(version: u64) -> TopicState {
+    TopicState {
         upto: version,
         digest: version,
     }
@@ -342,7 +342,7 @@
         knows: state.knows,
         configuration: state.configuration,
         configuration_read: moment(state.configuration_age_ms, now),
-        engines: Known {
+        engines: TopicState {
             upto: state.engines_upto,
             digest: state.engines_digest,
         },
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -47,7 +47,7 @@
 
     /// Notes a record that another reader is to tell, and how far whoever has read it knows the topic.
     pub(crate) fn defer_news(&mut self, news: News, upto: u64, now: Moment) {
-        self.deferred.leave(news, upto, now);
+        self.deferred.defer(news, upto, now);
     }
 
     /// Takes over what the readers before `order` do not know although they have had time to read it.
@@ -56,9 +56,9 @@
         let known = |news: &News| {
             let before = self.said(Topic::of(news)).filter(|said| said.order < order);
             let fresh = before.filter(|said| said.is_fresh(now));
-            fresh.map(|said| said.knows.upto).max()
+            fresh.map(|said| said.state.upto).max()
         };
-        let due = deferred.take(known, now);
+        let due = deferred.take_due(known, now);
         self.deferred = deferred;
         for news in due {
             self.add_news(news);
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -104,7 +104,7 @@
         let beginning = demand.generation.as_ref().and_then(|g| g.prompt.first());
         let beginning = beginning.map_or(0, |part| part.id);
         let placers = instance.placers.borrow();
-        placer::order(&placers.others, hash::hash32(&instance.zone), beginning)
+        placer::ask_order(&placers.others, hash::hash32(&instance.zone), beginning)
     };
     let candidates = order
         .into_iter()
@@ -227,7 +227,7 @@
             prefill.map(|prefill| Choice::Split {
                 prefill,
                 reserved: fleet.by_hash(split.reserved),
-                expected: Duration::from_micros(split.expected_us.into()),
+                expected_latency: Duration::from_micros(split.expected_us.into()),
             })
         }
         Some(answer::Choice::Refusal(refusal)) => Some(Choice::Refuse {
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -127,7 +127,7 @@
         Choice::Split {
             prefill,
             reserved,
-            expected,
+            expected_latency: expected,
         } => answer::Choice::Split(Split {
             reserved: reserved.as_deref().map_or(0, hash::hash32),
             prefill: Some(encode_target(prefill)),
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -66,7 +66,7 @@
     instance.claim_log.merge(state.claimed, &state.numbers, now);
     if let Some(ledger) = instance.usage.borrow_mut().as_mut() {
         for window in &state.reported {
-            ledger.taken(*window);
+            ledger.mark_taken(*window);
         }
     }
     // A reader that has not read yet knows no era.
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -9,7 +9,7 @@
 use http1::{Client, Failure, Patience};
 use serving::claim::Fence;
 use serving::engine::StageChange;
-use serving::roles::{Change, Changes, Planner};
+use serving::roles::{Planner, RoleChange, RoleChanges};
 use serving::{Record, ServiceName};
 use tokio::time::timeout;
 
@@ -39,7 +39,7 @@
 
 impl Roles {
     /// Engines that should change now.
-    pub(crate) fn plan(&mut self, instance: &Instance, now: Moment) -> Changes {
+    pub(crate) fn plan(&mut self, instance: &Instance, now: Moment) -> RoleChanges {
         let fleet = instance.fleet.borrow();
         let with_stage = fleet.all().filter(|engine| engine.record.stage.is_some());
         // Entries may name services that no configuration knows; their engines are nobody's to order.
@@ -51,7 +51,7 @@
         let services = with_stage.map(|engine| engine.record.service.clone());
         let services: BTreeSet<ServiceName> = services.filter(is_known).collect();
         self.planners.retain(|name, _| services.contains(name));
-        let mut changes = Changes::new();
+        let mut changes = RoleChanges::new();
         for service in services {
             let planner = self.planners.entry(service.clone()).or_default();
             changes.extend(planner.plan(&fleet, &service, now));
@@ -63,7 +63,7 @@
     pub(crate) async fn order_all(
         &self,
         instance: &Instance,
-        changes: &Changes,
+        changes: &RoleChanges,
         grant: Grant,
     ) -> bool {
         let mut taken = true;
@@ -89,7 +89,7 @@
 async fn order(
     instance: &Instance,
     engine: &Record,
-    change: &Change,
+    change: &RoleChange,
     fence: Fence,
 ) -> Option<Answer> {
     let changing = StageChange {
@@ -135,7 +135,7 @@
 async fn send(
     instance: &Instance,
     engine: &Record,
-    change: &Change,
+    change: &RoleChange,
     fence: Fence,
 ) -> Result<Answer, Failure> {
     let holder = instance.address.to_string();
--- a/crates/gateway/src/sizes.rs
+++ b/crates/gateway/src/sizes.rs
@@ -5,7 +5,7 @@
 use adapter::duties::{Answer, EngineTarget};
 use adapter::orders::{EngineCounts, ScalingOverrides};
 use clock::Moment;
-use serving::scaling::{Booked, Order, Planner, Why};
+use serving::scaling::{Order, Planner, Reason, ZoneState};
 use serving::{Fleet, ServiceName, Table, Zone};
 
 /// Plans of all services.
@@ -17,12 +17,8 @@
 
 impl Sizes {
     /// What should be ordered now.
-    pub(crate) fn plan(
-        &mut self,
-        table: &Table,
-        fleet: &Fleet,
-        now: Moment,
-    ) -> Vec<(EngineTarget, Why)> {
+    pub(crate) fn plan(&mut self, table: &Table, fleet: &Fleet, now: Moment,
+    ) -> Vec<(EngineTarget, Reason)> {
         if self.wishes.held {
             return Vec::new();
         }
@@ -31,7 +27,7 @@
             let planner = self.planners.entry(service.clone()).or_default();
             let orders = planner.plan(fleet, service, range, now);
             let orders = orders.into_iter();
-            sizes.extend(orders.map(|order| (size(service, &order), order.why)));
+            sizes.extend(orders.map(|order| (size(service, &order), order.reason)));
         }
         sizes
     }
@@ -48,10 +44,10 @@
             of_service.insert((one.zone.as_str().into(), one.reclaimable), one.engines);
         }
         for (service, planner) in &mut self.planners {
-            planner.fix(fixed.remove(service).unwrap_or_default());
+            planner.set_fixed(fixed.remove(service).unwrap_or_default());
         }
         for (service, fixed) in fixed {
-            self.planners.entry(service).or_default().fix(fixed);
+            self.planners.entry(service).or_default().set_fixed(fixed);
         }
         self.wishes = wishes;
     }
@@ -66,7 +62,7 @@
     pub(crate) fn numbers(&self) -> Vec<EngineCounts> {
         let planners = self.planners.iter();
         let numbers = planners.flat_map(|(service, planner)| {
-            let book = planner.book().into_iter();
+            let book = planner.zone_states().into_iter();
             book.map(|booked| EngineCounts::from_booked(service, &booked))
         });
         numbers.collect()
@@ -78,7 +74,7 @@
             let Some(first) = some.first() else { continue };
             let service = ServiceName::from(first.service.as_str());
             let planner = self.planners.entry(service).or_default();
-            let booked: Vec<Booked> = some.iter().map(EngineCounts::to_booked).collect();
+            let booked: Vec<ZoneState> = some.iter().map(EngineCounts::to_booked).collect();
             planner.adopt(&booked, now);
         }
     }
@@ -92,11 +88,11 @@
             zone: size.data_centre.clone(),
             reclaimable: size.reclaimable,
             engines: size.engines,
-            why: Why::Usual,
+            reason: Reason::Usual,
         };
         match answer {
-            Some(Answer::Taken) => planner.ordered(&order, now),
-            _ => planner.refused(&order, now),
+            Some(Answer::Taken) => planner.record_order(&order, now),
+            _ => planner.record_refusal(&order, now),
         }
     }
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -14,7 +14,7 @@
 use serving::engine::Record;
 use serving::fingerprint::Fingerprint;
 use serving::hash;
-use serving::quarantine::{Crash, Entry, Good, Quarantine, Verdict};
+use serving::quarantine::{Crash, Entry, GoodRun, Quarantine, Verdict};
 use wire::gateway::{Frame, State, Suspect};
 
 use crate::attempt::Asked;
@@ -115,10 +115,14 @@
         };
         let caller = hash::hash32(&subject.caller.to_string());
         let was_held = self.is_held(call);
-        if !self.quarantine.borrow_mut().crashed(call, caller, crash) {
+        if !self
+            .quarantine
+            .borrow_mut()
+            .record_crash(call, caller, crash)
+        {
             return;
         }
-        let standing = self.get(call).map_or(0, |entry| entry.standing());
+        let standing = self.get(call).map_or(0, |entry| entry.uncleared_crashes());
         log::info!(
             id = subject.id.as_str(), fingerprint = text(call), caller:% = subject.caller,
             engine = &*engine.id, ended = standing;
@@ -134,11 +138,11 @@
             return;
         }
         let call = asked.fingerprint();
-        let good = Good {
+        let good = GoodRun {
             build: engine.build(),
             at: now,
         };
-        let is_news = self.quarantine.borrow_mut().ended_well(call, good);
+        let is_news = self.quarantine.borrow_mut().record_good_run(call, good);
         if is_news {
             log::info!(
                 id = asked.call.id.as_str(), fingerprint = text(call), engine = &*engine.id;
@@ -150,12 +154,12 @@
 
     /// What is known of a held call once it is tried, if its trial is due.
     pub(crate) fn trial(&self, call: Fingerprint, now: Moment) -> Option<Entry> {
-        self.quarantine.borrow().trial(call, now)
+        self.quarantine.borrow().next_trial(call, now)
     }
 
     /// Takes in that this instance tries a held call, since its claim stands.
     pub(crate) fn begun_trial(&self, call: Fingerprint, entry: &Entry, now: Moment) {
-        self.quarantine.borrow_mut().join(call, entry);
+        self.quarantine.borrow_mut().merge(call, entry);
         self.news(call, now);
         self.count_digest();
     }
@@ -164,13 +168,13 @@
     pub(crate) fn merge(&self, told: &Suspect, source: &'static str, now: Moment) {
         let (call, entry) = frame::suspect(told, now);
         let was_held = self.is_held(call);
-        if self.quarantine.borrow_mut().join(call, &entry) {
+        if self.quarantine.borrow_mut().merge(call, &entry) {
             self.count_digest();
             self.note_held(call, was_held, source);
         }
         // Whoever told this has missed that the call was cleared, or let go.
-        let standing = self.get(call).map_or(0, |known| known.standing());
-        if standing < entry.standing() {
+        let standing = self.get(call).map_or(0, |known| known.uncleared_crashes());
+        if standing < entry.uncleared_crashes() {
             let telling = Telling::new(now);
             self.news.borrow_mut().entry(call).or_insert(telling);
         }
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/trials.rs
@@ -108,7 +108,7 @@
             {
                 Ok(_) => {
                     instance.suspects.written(call, &entry);
-                    log::info!(fingerprint = text(call), ended = entry.standing(); "the store knows of a call that ends engines");
+                    log::info!(fingerprint = text(call), ended = entry.uncleared_crashes(); "the store knows of a call that ends engines");
                 }
                 Err(trouble) => {
                     log::info!(fingerprint = text(call), trouble:% = trouble; "a held call could not be written yet");
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -8,8 +8,8 @@
 use adapter::duties::{self, Answer, Holder};
 use clock::System;
 use http1::{Client, Config, Failure, Patience};
-use serving::scaling::Why;
-use serving::usage::{Report, Told};
+use serving::scaling::Reason;
+use serving::usage::{CountUpdate, Report};
 use tokio::time::timeout;
 use wire::gateway;
 
@@ -54,7 +54,7 @@
     }
 
     /// Orders engines. Gives nothing as [`Platform::report`] does.
-    pub(crate) async fn order(&self, size: &duties::EngineTarget, why: Why) -> Option<Answer> {
+    pub(crate) async fn order(&self, size: &duties::EngineTarget, why: Reason) -> Option<Answer> {
         let (head, body) = duties::scale_call(self.address, self.as_holder(), size);
         let answer = self.call(head, &body).await;
         log::info!(
@@ -94,7 +94,7 @@
 }
 
 /// Encodes counts for peers.
-pub(crate) fn encode(counts: Told) -> gateway::Usage {
+pub(crate) fn encode(counts: CountUpdate) -> gateway::Usage {
     let windows = counts.counts.into_iter().map(|(window, counts)| {
         let counts = counts.into_iter();
         let counts = counts.map(|(organisation, begun)| gateway::UsageCount {
@@ -107,20 +107,20 @@
         }
     });
     gateway::Usage {
-        present: counts.present,
+        present: counts.current_window,
         windows: windows.collect(),
     }
 }
 
 /// Decodes a peer's counts.
-pub(crate) fn decode(usage: gateway::Usage) -> Told {
+pub(crate) fn decode(usage: gateway::Usage) -> CountUpdate {
     let windows = usage.windows.into_iter().map(|window| {
         let counts = window.counts.into_iter();
         let counts = counts.map(|count| (Rc::from(count.organisation), count.begun));
         (window.window, counts.collect())
     });
-    Told {
-        present: usage.present,
+    CountUpdate {
+        current_window: usage.present,
         counts: windows.collect(),
     }
 }
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -15,7 +15,7 @@
 
 /// Orders leave within this time of the moment before their claim was sent, as measured by a clock that
 /// also runs while the machine is suspended. Some orders and the store's answer fit.
-pub const ORDERS: Duration = Duration::from_millis(700);
+pub const ORDER_WINDOW: Duration = Duration::from_millis(700);
 
 /// Time that an order may be on its way after it left: to open a connection, and until the kernel gives
 /// an unacknowledged one up.
@@ -32,7 +32,7 @@
 
 /// What one instance knows of the turns.
 #[derive(Clone, Debug)]
-pub struct Turns {
+pub struct Claimant {
     wait: Duration,
     is_first_start: bool,
     seen: Option<(Fence, Moment)>,
@@ -43,12 +43,12 @@
     went_back: Option<Moment>,
 }
 
-impl Turns {
+impl Claimant {
     /// Turns of different instances that must be `lease` apart. `is_first_start` says that nobody can have claimed before this process began.
     pub fn new(lease: Duration, is_first_start: bool) -> Self {
         Self {
             is_first_start,
-            wait: lease + ORDERS + ON_THE_WAY,
+            wait: lease + ORDER_WINDOW + ON_THE_WAY,
             seen: None,
             is_own: false,
             era: None,
@@ -61,7 +61,7 @@
     /// A claim of another instance may be gone with what was written since, and its orders may still be on their way, so that nobody may claim
     /// by what the log says then until every such turn is over. Two instances that order within one lease would show it. Whoever has just
     /// started cannot know whether the log went back a moment ago.
-    pub fn on_era(&mut self, era: Era, now: Moment) {
+    pub fn observe_era(&mut self, era: Era, now: Moment) {
         let went_back = match self.era {
             Some(known) => known < era,
             None => !self.is_first_start,
@@ -73,7 +73,7 @@
     }
 
     /// Takes in a claim of another instance, of which that one told.
-    pub fn heard(&mut self, fence: Fence, now: Moment) {
+    pub fn observe_claim(&mut self, fence: Fence, now: Moment) {
         if self.seen.is_none_or(|(known, _)| known < fence) {
             self.seen = Some((fence, now));
             self.is_own = false;
@@ -81,7 +81,7 @@
     }
 
     /// How long it is of no use to look whether this instance may claim: another one did a moment ago, as it told. Looking costs a call.
-    pub fn rests(&self, now: Moment) -> Duration {
+    pub fn time_to_wait(&self, now: Moment) -> Duration {
         let heard = self.seen.filter(|_| !self.is_own);
         let until = heard.map_or(Duration::ZERO, |(_, at)| at + self.wait);
         until.saturating_sub(now)
--- a/crates/serving/src/place.rs
+++ b/crates/serving/src/place.rs
@@ -72,7 +72,7 @@
         /// allows may be used up once the prompt is read.
         reserved: Option<EngineId>,
         /// Time to the first answer, with the second engine's part.
-        expected: Duration,
+        expected_latency: Duration,
     },
     /// No engine can serve it in time.
     Refuse {
@@ -344,7 +344,9 @@
 fn expected(choice: &Choice) -> Option<Duration> {
     match choice {
         Choice::Direct(target) => Some(target.expected_latency),
-        Choice::Split { expected, .. } => Some(*expected),
+        Choice::Split {
+            expected_latency, ..
+        } => Some(*expected_latency),
         Choice::Refuse { .. } => None,
     }
 }
@@ -384,7 +386,7 @@
         {
             let engine = decode.target.engine;
             Choice::Split {
-                expected: prefill.target.expected_latency + decode.target.expected_latency,
+                expected_latency: prefill.target.expected_latency + decode.target.expected_latency,
                 prefill: prefill.target,
                 reserved: fleet.throttles.limit(&engine).map(|_| engine),
             }
--- a/crates/serving/src/placer.rs
+++ b/crates/serving/src/placer.rs
@@ -18,13 +18,13 @@
 
 /// Instances of a data centre that place calls. Two, so that the end of one leaves one that knows; each one more is told of
 /// every call as well, and may place a call in the moment before it hears of another one.
-pub const PLACERS: usize = 2;
+pub const PLACERS_PER_ZONE: usize = 2;
 /// How much longer than the one before it an instance waits before it fills a vacancy, where it cannot know
 /// whether the one before it lives. A new placer makes itself known in less.
 const STEP: Duration = Duration::from_millis(150);
 
 /// Hash of a data centre's name.
-pub type Place = u32;
+pub type ZoneHash = u32;
 
 /// An instance, as another one knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,20 +32,20 @@
     /// Where it listens for others.
     pub address: SocketAddr,
     /// Its data centre.
-    pub place: Place,
+    pub zone: ZoneHash,
     /// Its place in the common order; lower ones place first.
     pub order: u64,
     /// Whether it was heard of lately, or may have just started.
-    pub lives: bool,
+    pub alive: bool,
 }
 
 /// Who places, as one instance sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Placers {
     /// Whether the instance itself does.
-    pub own: bool,
+    pub includes_self: bool,
     /// Other instances that do.
-    pub others: Vec<(SocketAddr, Place)>,
+    pub others: Vec<(SocketAddr, ZoneHash)>,
 }
 
 /// How an instance follows who places.
@@ -61,26 +61,26 @@
     /// An instance hears of placers only, so that of those before itself it mostly does not know whether they live. If
     /// all filled a vacancy at once, a data centre would have as many placers as instances for a moment, and each
     /// call would be told to all of them. So each waits for as long as those before it need.
-    pub fn look(&mut self, own: &Member, others: &[Member], now: Moment) -> Placers {
-        let mut living: Vec<&Member> = others.iter().filter(|other| other.lives).collect();
-        living.sort_unstable_by_key(|other| (other.place, other.order));
-        let near = living.iter().filter(|other| other.place == own.place);
+    pub fn update(&mut self, own: &Member, others: &[Member], now: Moment) -> Placers {
+        let mut living: Vec<&Member> = others.iter().filter(|other| other.alive).collect();
+        living.sort_unstable_by_key(|other| (other.zone, other.order));
+        let near = living.iter().filter(|other| other.zone == own.zone);
         let before = near.filter(|other| other.order < own.order).count();
-        self.placing = before < PLACERS && self.may_fill(own, others, now);
-        if before >= PLACERS {
+        self.placing = before < PLACERS_PER_ZONE && self.may_fill(own, others, now);
+        if before >= PLACERS_PER_ZONE {
             self.vacant_since = None;
         }
         let mut placers = Placers {
-            own: self.placing,
+            includes_self: self.placing,
             others: Vec::new(),
         };
-        for some in living.chunk_by(|a, b| a.place == b.place) {
-            let is_own = some.first().is_some_and(|first| first.place == own.place);
-            let seats = PLACERS - usize::from(is_own && self.placing);
+        for some in living.chunk_by(|a, b| a.zone == b.zone) {
+            let is_own = some.first().is_some_and(|first| first.zone == own.zone);
+            let seats = PLACERS_PER_ZONE - usize::from(is_own && self.placing);
             let chosen = some.iter().take(seats);
             placers
                 .others
-                .extend(chosen.map(|chosen| (chosen.address, chosen.place)));
+                .extend(chosen.map(|chosen| (chosen.address, chosen.zone)));
         }
         placers
     }
@@ -89,7 +89,7 @@
         let since = *self.vacant_since.get_or_insert(now);
         let unknown = others
             .iter()
-            .filter(|other| !other.lives && other.place == own.place && other.order < own.order);
+            .filter(|other| !other.alive && other.zone == own.zone && other.order < own.order);
         let unknown = u32::try_from(unknown.count()).unwrap_or(u32::MAX);
         self.placing || now.saturating_sub(since) >= STEP.saturating_mul(unknown)
     }
@@ -97,7 +97,7 @@
 
 /// Placers that come before one in the order of an engine. All compute it alike from those that they know, so that what is
 /// divided among placers needs no word between them.
-pub fn rank(engine: &EngineId, own: SocketAddr, others: &[(SocketAddr, Place)]) -> usize {
+pub fn rank(engine: &EngineId, own: SocketAddr, others: &[(SocketAddr, ZoneHash)]) -> usize {
     let weight = |address: SocketAddr| hash::hash64(&format!("{address} {engine}"));
     let own = weight(own);
     let before = others.iter().filter(|(other, _)| weight(*other) > own);
@@ -106,7 +106,11 @@
 
 /// In which order placers are asked for a call: those of the own data centre first, calls with one beginning the same one
 /// first, so that two that come at once are placed with each other in mind.
-pub fn order(placers: &[(SocketAddr, Place)], own: Place, beginning: u32) -> Vec<SocketAddr> {
+pub fn ask_order(
+    placers: &[(SocketAddr, ZoneHash)],
+    own: ZoneHash,
+    beginning: u32,
+) -> Vec<SocketAddr> {
     let (mut near, mut far): (Vec<_>, Vec<_>) = placers.iter().partition(|(_, at)| *at == own);
     for some in [&mut near, &mut far] {
         if !some.is_empty() {
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -38,7 +38,7 @@
 
 /// A run of a call that its engine outlived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Good {
+pub struct GoodRun {
     /// What the engine ran.
     pub build: Build,
     /// When it ended.
@@ -53,15 +53,15 @@
     /// Ends of engines with it in hand.
     pub crashes: SmallVec<[Crash; 4]>,
     /// The last good run at each build.
-    pub good: SmallVec<[Good; 1]>,
+    pub good_runs: SmallVec<[GoodRun; 1]>,
     /// When an operator let it go.
     pub released: Option<Moment>,
     /// Trials begun while it was held.
     pub trials: u32,
     /// When the last trial began.
-    pub tried: Option<Moment>,
+    pub last_trial: Option<Moment>,
     /// Trials under which one more engine ended.
-    pub failed: u32,
+    pub failed_trials: u32,
 }
 
 /// What may be done with a call.
@@ -76,10 +76,10 @@
         /// Time until it may be tried.
         after: Duration,
         /// Builds on which it ran well.
-        well_on: Builds,
+        good_builds: Builds,
     },
     /// It may be tried, once and by one instance.
-    Due,
+    TrialDue,
 }
 
 /// Engines that end with a call in hand, without a good run in between, until it is held.
@@ -87,7 +87,7 @@
 /// At the first, a call is one of all that the engine had in hand. Of a replay of calls of half a second on eleven engines, one
 /// of which ends each 1.2 s for reasons of its own, 4 in 100 innocent calls that broke break again, and 2 in 1,000 a third time. Each further
 /// end of a fatal call costs an engine for seconds and its neighbours' calls.
-pub const CRASHES: usize = 3;
+pub const HOLD_CRASHES: usize = 3;
 /// Crashes from which on a call goes alone.
 const ALONE: usize = 2;
 /// Trials of a held call. Each may end one more engine, and three calls in all may reach engines; the third is left for one that
@@ -124,7 +124,7 @@
 
 impl Entry {
     /// Crashes that nothing speaks against.
-    pub fn standing(&self) -> usize {
+    pub fn uncleared_crashes(&self) -> usize {
         let standing = self.crashes.iter().filter(|crash| self.stands(crash));
         standing.count()
     }
@@ -136,21 +136,21 @@
 
     /// Whether it is kept from engines, or was until its trial is due.
     pub fn is_held(&self) -> bool {
-        self.standing() >= CRASHES
+        self.uncleared_crashes() >= HOLD_CRASHES
     }
 
     /// A run that ended well at the same build, or an operator's word, speaks against all crashes before it. A build that runs a call
     /// well says nothing of another one that it ends.
     fn stands(&self, crash: &Crash) -> bool {
-        let clears = |good: &Good| good.build == crash.build && good.at >= crash.at;
+        let clears = |good: &GoodRun| good.build == crash.build && good.at >= crash.at;
         let is_released = self.released.is_some_and(|at| at >= crash.at);
-        !is_released && !self.good.iter().any(clears)
+        !is_released && !self.good_runs.iter().any(clears)
     }
 
     /// What may be done with it if it is held for `hold` from its last crash or trial on.
     fn verdict(&self, hold: Duration, now: Moment) -> Verdict {
-        let standing = self.standing();
-        if standing < CRASHES {
+        let standing = self.uncleared_crashes();
+        if standing < HOLD_CRASHES {
             return if standing < ALONE {
                 Verdict::Clear
             } else {
@@ -159,25 +159,25 @@
         }
         let after = (self.held_since() + hold).saturating_sub(now);
         if after.is_zero() && self.spent() < TRIALS {
-            return Verdict::Due;
+            return Verdict::TrialDue;
         }
         let fatal = |build| {
             self.crashes
                 .iter()
                 .any(|crash| crash.build == build && self.stands(crash))
         };
-        let builds = self.good.iter().map(|good| good.build);
+        let builds = self.good_runs.iter().map(|good| good.build);
         Verdict::Held {
             after,
-            well_on: builds.filter(|build| !fatal(*build)).collect(),
+            good_builds: builds.filter(|build| !fatal(*build)).collect(),
         }
     }
 
     /// Trials that count: one that comes to nothing says nothing of the call, and is made again.
     fn spent(&self) -> usize {
-        let inconclusive = self.trials.saturating_sub(self.failed);
+        let inconclusive = self.trials.saturating_sub(self.failed_trials);
         let counted = inconclusive.saturating_sub(MAX_INCONCLUSIVE);
-        (self.failed + counted) as usize
+        (self.failed_trials + counted) as usize
     }
 
     fn hold(&self) -> Duration {
@@ -185,19 +185,19 @@
     }
 
     fn held_since(&self) -> Moment {
-        self.last_crash().max(self.tried).unwrap_or_default()
+        self.last_crash().max(self.last_trial).unwrap_or_default()
     }
 
     /// Whether it is held for ends of the same engines as another one.
     fn is_alike(&self, other: &Self) -> bool {
         let ended = |engine: u32| other.crashes.iter().any(|crash| crash.engine == engine);
         let standing = self.crashes.iter().filter(|crash| self.stands(crash));
-        other.is_held() && standing.filter(|crash| ended(crash.engine)).count() >= CRASHES
+        other.is_held() && standing.filter(|crash| ended(crash.engine)).count() >= HOLD_CRASHES
     }
 
     fn touched(&self) -> Moment {
-        let good = self.good.iter().map(|good| good.at).max();
-        let all = [self.last_crash(), good, self.released, self.tried];
+        let good = self.good_runs.iter().map(|good| good.at).max();
+        let all = [self.last_crash(), good, self.released, self.last_trial];
         all.into_iter().flatten().max().unwrap_or_default()
     }
 
@@ -227,18 +227,25 @@
     }
 
     /// Takes in a good run. Says whether it speaks against a crash.
-    fn ended_well(&mut self, good: Good) -> bool {
-        let before = self.standing();
-        match self.good.iter_mut().find(|known| known.build == good.build) {
+    fn ended_well(&mut self, good: GoodRun) -> bool {
+        let before = self.uncleared_crashes();
+        match self
+            .good_runs
+            .iter_mut()
+            .find(|known| known.build == good.build)
+        {
             Some(known) => known.at = known.at.max(good.at),
-            None => self.good.push(good),
+            None => self.good_runs.push(good),
         }
-        self.standing() < before
+        self.uncleared_crashes() < before
     }
 
     /// Takes in a good run that another instance tells of.
-    fn hear_good(&mut self, good: Good) -> bool {
-        let known = self.good.iter().find(|known| known.build == good.build);
+    fn hear_good(&mut self, good: GoodRun) -> bool {
+        let known = self
+            .good_runs
+            .iter()
+            .find(|known| known.build == good.build);
         if known.is_none_or(|known| good.at >= known.at + LATER) {
             self.ended_well(good);
             return true;
@@ -256,7 +263,7 @@
         for crash in &told.crashes {
             is_news |= self.crashed(*crash);
         }
-        for good in &told.good {
+        for good in &told.good_runs {
             is_news |= self.hear_good(*good);
         }
         let is_later = |at: Moment| self.released.is_none_or(|known| at >= known + LATER);
@@ -266,11 +273,11 @@
         }
         if told.trials > self.trials {
             self.trials = told.trials;
-            self.tried = told.tried;
+            self.last_trial = told.last_trial;
             is_news = true;
         }
-        if told.failed > self.failed {
-            self.failed = told.failed;
+        if told.failed_trials > self.failed_trials {
+            self.failed_trials = told.failed_trials;
             is_news = true;
         }
         is_news
@@ -303,38 +310,39 @@
     }
 
     /// Takes in that an engine ended with a call in hand. Says whether this is new.
-    pub fn crashed(&mut self, call: Fingerprint, caller: Caller, crash: Crash) -> bool {
+    pub fn record_crash(&mut self, call: Fingerprint, caller: Caller, crash: Crash) -> bool {
         let entry = self.entry(call, caller);
-        let fails_trial = entry.is_held() && entry.tried.is_some_and(|tried| crash.at >= tried);
+        let fails_trial =
+            entry.is_held() && entry.last_trial.is_some_and(|tried| crash.at >= tried);
         let is_new = entry.crashed(crash);
         if is_new && fails_trial {
-            entry.failed = (entry.failed + 1).min(entry.trials);
+            entry.failed_trials = (entry.failed_trials + 1).min(entry.trials);
         }
         is_new
     }
 
     /// Takes in that an engine outlived a run of a call. Says whether others should hear of it.
-    pub fn ended_well(&mut self, call: Fingerprint, good: Good) -> bool {
+    pub fn record_good_run(&mut self, call: Fingerprint, good: GoodRun) -> bool {
         let entry = self.entries.get_mut(&call);
         entry.is_some_and(|entry| entry.ended_well(good))
     }
 
     /// What is known of a call once it is tried from now on, if its trial is due. Nothing is noted yet: a claim of the trial that does not stand
     /// would have the call wait for the next one, twenty times as long.
-    pub fn trial(&self, call: Fingerprint, now: Moment) -> Option<Entry> {
-        if self.verdict(call, now) != Verdict::Due {
+    pub fn next_trial(&self, call: Fingerprint, now: Moment) -> Option<Entry> {
+        if self.verdict(call, now) != Verdict::TrialDue {
             return None;
         }
         let mut entry = self.get(call)?.clone();
         entry.trials += 1;
-        entry.tried = Some(now);
+        entry.last_trial = Some(now);
         Some(entry)
     }
 
     /// Takes in that a call is tried from now on. Says whether its trial is due, so that the one who asks may try it.
     pub fn begin_trial(&mut self, call: Fingerprint, now: Moment) -> bool {
-        let entry = self.trial(call, now);
-        entry.is_some_and(|entry| self.join(call, &entry))
+        let entry = self.next_trial(call, now);
+        entry.is_some_and(|entry| self.merge(call, &entry))
     }
 
     /// Takes in that an operator lets a call go.
@@ -344,24 +352,24 @@
     }
 
     /// Takes in what another instance knows of a call. Says whether something of it is new.
-    pub fn join(&mut self, call: Fingerprint, told: &Entry) -> bool {
+    pub fn merge(&mut self, call: Fingerprint, told: &Entry) -> bool {
         self.entry(call, told.caller).join(told)
     }
 
     /// Calls that all must know: held ones, and those that are one crash short of it.
     pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, &Entry)> {
         let entries = self.entries.iter().map(|(call, entry)| (*call, entry));
-        entries.filter(|(_, entry)| entry.standing() >= ALONE)
+        entries.filter(|(_, entry)| entry.uncleared_crashes() >= ALONE)
     }
 
     /// Digest of what all must know. Two instances with the same one would judge all calls alike.
     pub fn digest(&self) -> u64 {
         self.suspects().fold(0, |digest, (call, entry)| {
-            let standing = entry.standing().min(CRASHES);
+            let standing = entry.uncleared_crashes().min(HOLD_CRASHES);
             digest
                 ^ hash::hash64(&format!(
                     "{call:x} {standing} {} {}",
-                    entry.trials, entry.failed
+                    entry.trials, entry.failed_trials
                 ))
         })
     }
@@ -411,7 +419,7 @@
 
     fn drop_least(&mut self, of: impl Fn(&Entry) -> bool) {
         let all = self.entries.iter().filter(|(_, entry)| of(entry));
-        let least = all.min_by_key(|(_, entry)| (entry.standing(), entry.touched()));
+        let least = all.min_by_key(|(_, entry)| (entry.uncleared_crashes(), entry.touched()));
         if let Some(call) = least.map(|(call, _)| *call) {
             self.entries.remove(&call);
         }
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -7,7 +7,7 @@
 use clock::Moment;
 
 use crate::engine::{Engine, Record, State};
-use crate::watch::Known;
+use crate::watch::TopicState;
 use crate::{EngineId, Fleet, hash};
 
 /// Silence of the store after which lapsed records are doubted.
@@ -88,7 +88,7 @@
     /// What engines said since that copy was made is gone until they say it again: one that leaves stands there as ready, one that has
     /// ended is back, and one that has just started is missing. An instance that believed the copy would send calls to the
     /// first two and none to the third; one would notice it by calls at engines that had said they leave.
-    pub fn went_back(&mut self, now: Moment) {
+    pub fn store_rolled_back(&mut self, now: Moment) {
         self.doubt_until = now + RETURN;
         self.stale_until = now + STALE;
     }
@@ -100,7 +100,7 @@
 
     /// Whether news of a key are newer than what is known. The same record comes from the store
     /// and from several instances, in any order.
-    pub fn is_news(&mut self, name: &str, offset: u64) -> bool {
+    pub fn is_newer(&mut self, name: &str, offset: u64) -> bool {
         match self.offsets.get_mut(name) {
             Some(known) if *known >= offset => false,
             Some(known) => {
@@ -115,16 +115,16 @@
     }
 
     /// How far the records are known. Two instances share the digest if they know the same ones.
-    pub fn knows(&self) -> Known {
+    pub fn topic_state(&self) -> TopicState {
         let records = self.known.values();
-        Known {
+        TopicState {
             upto: self.upto,
             digest: records.fold(0, |digest, record| digest ^ record),
         }
     }
 
     /// Takes in that the record at an offset changed something, or that all up to there have been read.
-    pub fn reached(&mut self, offset: u64) {
+    pub fn advance_to(&mut self, offset: u64) {
         self.upto = self.upto.max(offset);
     }
 
@@ -197,7 +197,7 @@
     ///
     /// What it overwrote may be the record of an engine that lives, and that writes it again within seconds; until then
     /// nobody says that it is still there.
-    pub fn unreadable(&mut self, fleet: &mut Fleet, name: &str) -> bool {
+    pub fn mark_unreadable(&mut self, fleet: &mut Fleet, name: &str) -> bool {
         self.known.remove(name);
         if let Some(life) = self.lives.get(name) {
             self.doubted.remove(&life.id);
--- a/crates/serving/src/roles.rs
+++ b/crates/serving/src/roles.rs
@@ -14,7 +14,7 @@
 
 /// One engine that should change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct RoleChange {
     /// The engine.
     pub engine: EngineId,
     /// What it should do.
@@ -22,7 +22,7 @@
 }
 
 /// What is changed at once.
-pub type Changes = SmallVec<[Change; 4]>;
+pub type RoleChanges = SmallVec<[RoleChange; 4]>;
 
 /// Engines that generate, at the least, of all. The fewer they are, the more streams each failing one
 /// takes along and the sooner the rest of them is full. Origin: measured on both of the users'
@@ -118,7 +118,7 @@
     /// What should change now.
     ///
     /// Without any load up to [`BLIND`] engines change at once, since nobody waits for them.
-    pub fn plan(&mut self, fleet: &Fleet, service: &ServiceName, now: Moment) -> Changes {
+    pub fn plan(&mut self, fleet: &Fleet, service: &ServiceName, now: Moment) -> RoleChanges {
         let split = Split::new(fleet, service);
         let read = fleet.work_rate(service, now) / split.speed(fleet).max(1.0);
         self.look(split.fill(), read, now);
@@ -130,11 +130,11 @@
         };
         if more == 0 {
             self.off = None;
-            return Changes::new();
+            return RoleChanges::new();
         }
         let since = *self.off.get_or_insert(now);
         if now.saturating_sub(since) < HOLD {
-            return Changes::new();
+            return RoleChanges::new();
         }
         let is_idle = self.fill == 0.0 && self.read == 0.0;
         let room = if is_idle {
@@ -210,13 +210,13 @@
 
 /// The engines with the least to do, from the data centres that have the most of them, so that each
 /// keeps some of both.
-fn pick(mut from: Vec<&Engine>, most: usize, stage: Stage) -> Changes {
+fn pick(mut from: Vec<&Engine>, most: usize, stage: Stage) -> RoleChanges {
     let mut left: BTreeMap<Zone, usize> = BTreeMap::new();
     for engine in &from {
         *left.entry(engine.record.zone.clone()).or_default() += 1;
     }
     from.retain(|engine| engine.takes_calls());
-    let mut changes = Changes::new();
+    let mut changes = RoleChanges::new();
     while changes.len() < most {
         let best = from.iter().enumerate().min_by_key(|(_, engine)| {
             let zone = left.get(&engine.record.zone).copied().unwrap_or_default();
@@ -231,7 +231,7 @@
         if let Some(left) = left.get_mut(&engine.record.zone) {
             *left -= 1;
         }
-        changes.push(Change {
+        changes.push(RoleChange {
             engine: engine.record.id.clone(),
             stage,
         });
--- a/crates/serving/src/scaling.rs
+++ b/crates/serving/src/scaling.rs
@@ -34,12 +34,12 @@
     /// How many there should be.
     pub engines: u32,
     /// For what reason.
-    pub why: Why,
+    pub reason: Reason,
 }
 
 /// Why a number is ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum Reason {
     /// It is what a data centre should have while nothing is lost.
     Usual,
     /// Other data centres have lost their reclaimable engines.
@@ -52,13 +52,13 @@
 
 /// What is known of a data centre, for whoever orders next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Booked {
+pub struct ZoneState {
     /// The data centre.
     pub zone: Zone,
     /// Engines that it started with.
-    pub found: u32,
+    pub initial_engines: u32,
     /// What was ordered last of those that are not reclaimable.
-    pub firm: Option<u32>,
+    pub on_demand: Option<u32>,
     /// What was ordered last of those that are.
     pub reclaimable: Option<u32>,
 }
@@ -221,12 +221,12 @@
     }
 
     /// Takes in the numbers that an operator fixed, in place of those before.
-    pub fn fix(&mut self, fixed: BTreeMap<(Zone, bool), u32>) {
+    pub fn set_fixed(&mut self, fixed: BTreeMap<(Zone, bool), u32>) {
         self.fixed = fixed;
     }
 
     /// Takes in that a number was ordered.
-    pub fn ordered(&mut self, order: &Order, now: Moment) {
+    pub fn record_order(&mut self, order: &Order, now: Moment) {
         self.has_begun |= !order.reclaimable;
         let subject = self.subject(&order.zone, order.reclaimable);
         *subject = Subject {
@@ -236,23 +236,23 @@
     }
 
     /// Takes in that a number is not to be had, or that it is not known whether it was ordered.
-    pub fn refused(&mut self, order: &Order, now: Moment) {
+    pub fn record_refusal(&mut self, order: &Order, now: Moment) {
         let subject = self.subject(&order.zone, order.reclaimable);
         subject.refused = Some(now);
         subject.off_since = None;
     }
 
     /// What whoever orders next has to know.
-    pub fn book(&self) -> Vec<Booked> {
+    pub fn zone_states(&self) -> Vec<ZoneState> {
         let ordered = |zone: &Zone, reclaimable| {
             let subject = self.subjects.get(&(zone.clone(), reclaimable))?;
             Some(subject.ordered?.0)
         };
         let sites = self.sites.iter();
-        let booked = sites.map(|(zone, site)| Booked {
+        let booked = sites.map(|(zone, site)| ZoneState {
             zone: zone.clone(),
-            found: site.found,
-            firm: ordered(zone, false),
+            initial_engines: site.found,
+            on_demand: ordered(zone, false),
             reclaimable: ordered(zone, true),
         });
         booked.collect()
@@ -260,11 +260,11 @@
 
     /// Takes in what another instance knows that ordered later than this one. Without it this one would take what it finds for what
     /// the deployment started with, and order all anew.
-    pub fn adopt(&mut self, book: &[Booked], now: Moment) {
+    pub fn adopt(&mut self, book: &[ZoneState], now: Moment) {
         for booked in book {
-            self.sites.entry(booked.zone.clone()).or_default().found = booked.found;
-            self.has_begun |= booked.firm.is_some();
-            for (reclaimable, engines) in [(false, booked.firm), (true, booked.reclaimable)] {
+            self.sites.entry(booked.zone.clone()).or_default().found = booked.initial_engines;
+            self.has_begun |= booked.on_demand.is_some();
+            for (reclaimable, engines) in [(false, booked.on_demand), (true, booked.reclaimable)] {
                 let subject = self.subject(&booked.zone, reclaimable);
                 let is_known = subject.ordered.map(|(known, _)| known) == engines;
                 if let Some(engines) = engines.filter(|_| !is_known) {
@@ -355,13 +355,13 @@
         }
     }
 
-    fn why(&self, zone: &Zone, reclaimable: bool, now: Moment) -> Why {
+    fn why(&self, zone: &Zone, reclaimable: bool, now: Moment) -> Reason {
         let is_fixed = self.fixed.contains_key(&(zone.clone(), reclaimable));
         match self.sites.get(zone) {
-            _ if is_fixed => Why::Fixed,
-            Some(site) if site.lost.is_some() && !reclaimable => Why::Missing,
-            Some(site) if site.stands_in(now) && reclaimable => Why::StandsIn,
-            _ => Why::Usual,
+            _ if is_fixed => Reason::Fixed,
+            Some(site) if site.lost.is_some() && !reclaimable => Reason::Missing,
+            Some(site) if site.stands_in(now) && reclaimable => Reason::StandsIn,
+            _ => Reason::Usual,
         }
     }
 
@@ -427,7 +427,7 @@
             zone: zone.clone(),
             reclaimable,
             engines: wanted,
-            why,
+            reason: why,
         })
     }
 }
--- a/crates/serving/src/throttle.rs
+++ b/crates/serving/src/throttle.rs
@@ -12,7 +12,7 @@
 
 use clock::Moment;
 
-use crate::placer::{self, Place, Placers};
+use crate::placer::{self, Placers, ZoneHash};
 use crate::{EngineId, ServiceName};
 
 /// Requests a second that an engine takes from all instances together.
@@ -141,7 +141,7 @@
             return;
         }
         let known = &self.placers.others;
-        let is_new = |other: &(SocketAddr, Place)| !known.contains(other);
+        let is_new = |other: &(SocketAddr, ZoneHash)| !known.contains(other);
         let has_new = placers.others.iter().any(is_new);
         self.own = Some(own);
         self.placers = placers.clone();
@@ -150,7 +150,7 @@
             self.update_share(engine, now);
         }
         // A new placer knows no limits, and may be the one that is to repeat them.
-        if has_new && placers.own {
+        if has_new && placers.includes_self {
             self.changed = engines;
         }
     }
@@ -240,7 +240,7 @@
 
     /// Announcements that this instance repeats to all others. Each one is repeated by [`REPEATERS`] placers.
     pub fn to_repeat(&self) -> Vec<(EngineId, Announcement)> {
-        let own = self.own.filter(|_| self.placers.own);
+        let own = self.own.filter(|_| self.placers.includes_self);
         let Some(own) = own else {
             return Vec::new();
         };
@@ -296,7 +296,7 @@
         let holders = (limit as usize).saturating_add(MIN_HOLDERS);
         #[allow(clippy::cast_precision_loss)]
         let divided = |holders: usize| limit / holders as f64;
-        if self.placers.own {
+        if self.placers.includes_self {
             let holders = holders.min(1 + others.len());
             let rank = placer::rank(engine, own, others);
             (rank < holders).then(|| divided(holders))
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -12,7 +12,7 @@
 pub type Window = u64;
 
 /// Time since the Unix epoch.
-pub type Unix = Duration;
+pub type UnixTime = Duration;
 
 /// One start of an instance that counts.
 pub type Source = u64;
@@ -36,31 +36,31 @@
     /// Length of a window.
     pub length: Duration,
     /// Time after a window's end within which its report must have come.
-    pub late: Duration,
+    pub deadline: Duration,
 }
 
 impl Schedule {
     /// The window of a moment.
-    pub fn window(&self, at: Unix) -> Window {
+    pub fn window(&self, at: UnixTime) -> Window {
         let length = self.length.as_nanos().max(1);
         Window::try_from(at.as_nanos() / length).unwrap_or(Window::MAX)
     }
 
     /// When a window ends.
-    pub fn end(&self, window: Window) -> Unix {
+    pub fn end(&self, window: Window) -> UnixTime {
         let length = self.length.as_nanos();
         let nanos = length.saturating_mul(u128::from(window) + 1);
         Duration::from_nanos_u128(nanos.min(u128::from(u64::MAX)))
     }
 
     /// Until when those that have not told their counts are waited for.
-    fn complete_by(&self, window: Window) -> Unix {
-        self.end(window) + self.late.mul_f64(WAIT)
+    fn complete_by(&self, window: Window) -> UnixTime {
+        self.end(window) + self.deadline.mul_f64(WAIT)
     }
 
     /// When a report is no longer wanted.
-    fn over(&self, window: Window) -> Unix {
-        self.end(window) + self.late
+    fn over(&self, window: Window) -> UnixTime {
+        self.end(window) + self.deadline
     }
 }
 
@@ -77,9 +77,9 @@
 
 /// What an instance tells of what it counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct CountUpdate {
     /// The window in which it counts now; what it tells of those before is all.
-    pub present: Window,
+    pub current_window: Window,
     /// Its counts of some windows.
     pub counts: Vec<(Window, Counts)>,
 }
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Counter {
     present: Window,
-    heard: Unix,
+    heard: UnixTime,
 }
 
 /// What one instance knows of the use.
@@ -96,7 +96,7 @@
 pub struct Ledger {
     schedule: Schedule,
     /// Windows that ended before this may have been fixed before, and are reported only as they were then.
-    since: Unix,
+    since: UnixTime,
     own: BTreeMap<Window, Counts>,
     told: BTreeMap<Window, HashMap<Source, Counts>>,
     counters: HashMap<Source, Counter>,
@@ -111,7 +111,7 @@
 
 impl Ledger {
     /// A ledger of an instance that begins to count now.
-    pub fn new(schedule: Schedule, now: Unix) -> Self {
+    pub fn new(schedule: Schedule, now: UnixTime) -> Self {
         Self {
             schedule,
             since: now,
@@ -125,7 +125,7 @@
     }
 
     /// Counts a request of an organisation that an engine began at a moment.
-    pub fn began(&mut self, organisation: &Name, at: Unix) {
+    pub fn count_request(&mut self, organisation: &Name, at: UnixTime) {
         let window = self.schedule.window(at);
         let own = self.own.entry(window).or_default();
         let count = own.entry(organisation.clone()).or_default();
@@ -135,7 +135,7 @@
     }
 
     /// What is to be told now.
-    pub fn tell(&mut self, now: Unix) -> Told {
+    pub fn take_update(&mut self, now: UnixTime) -> CountUpdate {
         let present = self.schedule.window(now);
         let mut counts = std::mem::take(&mut self.grown);
         for (window, own) in self.own.range(..present) {
@@ -145,23 +145,23 @@
                 counts.insert(*window, own.clone());
             }
         }
-        Told {
-            present,
+        CountUpdate {
+            current_window: present,
             counts: counts.into_iter().collect(),
         }
     }
 
     /// Merges a peer's counts. Sums only grow, so late and repeated counts change nothing.
-    pub fn merge(&mut self, source: Source, told: Told, now: Unix) {
+    pub fn merge(&mut self, source: Source, told: CountUpdate, now: UnixTime) {
         let counter = self.counters.entry(source).or_insert(Counter {
-            present: told.present,
+            present: told.current_window,
             heard: now,
         });
-        counter.present = counter.present.max(told.present);
+        counter.present = counter.present.max(told.current_window);
         counter.heard = now;
         let oldest = self.oldest(now);
         for (window, counts) in told.counts {
-            if window < oldest || window > told.present {
+            if window < oldest || window > told.current_window {
                 continue;
             }
             let known = self.told.entry(window).or_default();
@@ -174,7 +174,7 @@
     }
 
     /// Takes in reports that were fixed, as the log of claims has them, or a claim of this instance's own that stands.
-    pub fn hear_fixed(&mut self, reports: Vec<Report>) {
+    pub fn merge_fixed(&mut self, reports: Vec<Report>) {
         for report in reports {
             match self.fixed.get_mut(&report.window) {
                 Some(known) if known.taken || !report.taken => {}
@@ -185,7 +185,7 @@
     }
 
     /// Takes in that the platform has taken the report of a window.
-    pub fn taken(&mut self, window: Window) {
+    pub fn mark_taken(&mut self, window: Window) {
         let report = Report {
             window,
             counts: Counts::new(),
@@ -195,7 +195,7 @@
     }
 
     /// Windows whose reports the platform has taken.
-    pub fn all_taken(&self) -> impl Iterator<Item = Window> {
+    pub fn taken_windows(&self) -> impl Iterator<Item = Window> {
         let taken = self.fixed.values().filter(|report| report.taken);
         taken.map(|report| report.window)
     }
@@ -205,12 +205,12 @@
     ///
     /// Whoever fixed one knows it and sends it as it was. Anybody else would make another one of what it was told, and the
     /// platform would get two for one window. So windows that could have been fixed are left to whoever did.
-    pub fn lost_fixed(&mut self, now: Unix) {
+    pub fn fixed_reports_lost(&mut self, now: UnixTime) {
         self.since = now;
     }
 
     /// Whether a report is to be fixed or sent now.
-    pub fn is_due(&self, now: Unix) -> bool {
+    pub fn is_due(&self, now: UnixTime) -> bool {
         self.unsent(now).next().is_some() || self.fixable(now).next().is_some()
     }
 
@@ -218,7 +218,7 @@
     ///
     /// Nothing is fixed before the claim stands. If it does not, another instance may have fixed a report of the same window, and two would reach the
     /// platform.
-    pub fn propose(&self, now: Unix) -> Vec<Report> {
+    pub fn propose(&self, now: UnixTime) -> Vec<Report> {
         let fixed = self.fixed.values().cloned();
         let new = self.fixable(now).map(|window| Report {
             window,
@@ -229,32 +229,32 @@
     }
 
     /// Reports that are fixed, not taken and not late yet.
-    pub fn unsent(&self, now: Unix) -> impl Iterator<Item = &Report> {
+    pub fn unsent(&self, now: UnixTime) -> impl Iterator<Item = &Report> {
         let fixed = self.fixed.values();
         fixed.filter(move |report| !report.taken && now < self.schedule.over(report.window))
     }
 
     /// Forgets what is over.
-    pub fn expire(&mut self, now: Unix) {
+    pub fn expire(&mut self, now: UnixTime) {
         let oldest = self.oldest(now);
         self.own.retain(|window, _| *window >= oldest);
         self.told.retain(|window, _| *window >= oldest);
         self.ended.retain(|window, _| *window >= oldest);
         self.fixed
             .retain(|window, _| *window + REMEMBERED >= oldest);
-        let (schedule, late) = (self.schedule, self.schedule.late);
+        let (schedule, late) = (self.schedule, self.schedule.deadline);
         self.counters
             .retain(|_, counter| now.saturating_sub(counter.heard) < schedule.length * 2 + late);
     }
 
     /// The first window whose report can still be wanted.
-    fn oldest(&self, now: Unix) -> Window {
-        let over = now.saturating_sub(self.schedule.late + self.schedule.length);
+    fn oldest(&self, now: UnixTime) -> Window {
+        let over = now.saturating_sub(self.schedule.deadline + self.schedule.length);
         self.schedule.window(over)
     }
 
     /// Windows whose reports nobody has fixed, and can be now.
-    fn fixable(&self, now: Unix) -> impl Iterator<Item = Window> {
+    fn fixable(&self, now: UnixTime) -> impl Iterator<Item = Window> {
         let schedule = self.schedule;
         let windows = self.oldest(now)..schedule.window(now);
         let windows = windows.filter(move |_| self.is_told(now));
@@ -268,7 +268,7 @@
 
     /// Whether at least half of those that count still tell. An instance that is cut off from the others, but not from the store, would report
     /// what it counted itself.
-    fn is_told(&self, now: Unix) -> bool {
+    fn is_told(&self, now: UnixTime) -> bool {
         let mut heard = self.counters.values().map(|counter| counter.heard);
         let all = heard.len();
         let fresh = heard.by_ref();
@@ -278,7 +278,7 @@
 
     /// Whether all that count have told their counts of a window, or have been waited for. One that is cut off for a
     /// moment tells them once it is back; of one that was killed what it told is all there is.
-    fn is_complete(&self, window: Window, now: Unix) -> bool {
+    fn is_complete(&self, window: Window, now: UnixTime) -> bool {
         if now < self.schedule.end(window) + TELLING {
             return false;
         }
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -15,7 +15,7 @@
 const WATCHERS: u32 = 2;
 /// A reader that has read within this time is fresh. It is the longest time from one answer of the
 /// store to the next and on to the frame that tells of it.
-pub const FRESH: Duration = Duration::from_millis(1_600);
+pub const FRESH_AGE: Duration = Duration::from_millis(1_600);
 /// What an instance said longer ago than this says nothing of now. It spans a few frames.
 const HEARD: Duration = Duration::from_millis(1_300);
 /// A difference in what is known that lasts for this long is not on its way to be told.
@@ -31,12 +31,12 @@
 /// As long as the others hear of no fresh reader they take the store for away, and doubt that an engine has gone whose record lapses.
 /// Where it only turned the readers away, engines that left would get calls for seconds more.
 pub fn is_resumption(before: Option<Moment>, now: Moment) -> bool {
-    before.is_none_or(|before| now.saturating_sub(before) > FRESH)
+    before.is_none_or(|before| now.saturating_sub(before) > FRESH_AGE)
 }
 
 /// How far an instance knows a topic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct TopicState {
     /// The newest record that changed something.
     pub upto: u64,
     /// Of all that it knows; equal ones know the same.
@@ -45,22 +45,23 @@
 
 /// What another instance said of its reading of one topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Said {
+pub struct ReaderReport {
     /// Its place in the order; lower ones read first.
     pub order: u64,
     /// When it was heard.
-    pub heard: Moment,
+    pub heard_at: Moment,
     /// When it last read the topic itself, on this instance's clock.
-    pub read: Option<Moment>,
+    pub read_at: Option<Moment>,
     /// What it knows.
-    pub knows: Known,
+    pub state: TopicState,
 }
 
-impl Said {
+impl ReaderReport {
     /// Whether it lives and has read the topic just now.
     pub fn is_fresh(&self, now: Moment) -> bool {
         let is_recent = |at: Moment, age| now.saturating_sub(at) <= age;
-        is_recent(self.heard, HEARD) && self.read.is_some_and(|read| is_recent(read, FRESH))
+        is_recent(self.heard_at, HEARD)
+            && self.read_at.is_some_and(|read| is_recent(read, FRESH_AGE))
     }
 }
 
@@ -91,17 +92,17 @@
         &mut self,
         own_order: u64,
         rank: u32,
-        others: impl Iterator<Item = Said>,
-        own: Known,
+        others: impl Iterator<Item = ReaderReport>,
+        own: TopicState,
         now: Moment,
     ) -> bool {
         let fresh = others.filter(|said| said.is_fresh(now) && said.order < own_order);
         let mut covered = 0;
-        let mut newest: Option<Known> = None;
+        let mut newest: Option<TopicState> = None;
         for said in fresh {
             covered += 1;
-            let is_more = newest.is_none_or(|newest| said.knows.upto > newest.upto);
-            newest = if is_more { Some(said.knows) } else { newest };
+            let is_more = newest.is_none_or(|newest| said.state.upto > newest.upto);
+            newest = if is_more { Some(said.state) } else { newest };
         }
         self.compare(own, newest, now);
         self.is_lacking(covered, rank, now) || self.is_correction_due(now)
@@ -120,7 +121,7 @@
 
     /// Compares with the reader that knows most. Two that read at different moments differ all the time while engines come and
     /// go, and so does whoever has had news of the one and a state of the other: what is on its way is no difference.
-    fn compare(&mut self, own: Known, newest: Option<Known>, now: Moment) {
+    fn compare(&mut self, own: TopicState, newest: Option<TopicState>, now: Moment) {
         let Some(newest) = newest.filter(|newest| newest.digest != own.digest) else {
             self.behind = None;
             self.gap_since = None;
@@ -180,7 +181,7 @@
 
 impl<T> Deferred<T> {
     /// Leaves something to the reader before. Whoever has read it knows the topic up to `upto`.
-    pub fn leave(&mut self, what: T, upto: u64, now: Moment) {
+    pub fn defer(&mut self, what: T, upto: u64, now: Moment) {
         self.0.push(Left {
             what,
             upto,
@@ -190,7 +191,7 @@
 
     /// What is to be told after all, since none of the readers before has read it in time. `knows` says how far the one of them
     /// that is fresh and knows most knows the topic of something.
-    pub fn take(&mut self, knows: impl Fn(&T) -> Option<u64>, now: Moment) -> Vec<T> {
+    pub fn take_due(&mut self, knows: impl Fn(&T) -> Option<u64>, now: Moment) -> Vec<T> {
         let mut due = Vec::new();
         for left in std::mem::take(&mut self.0) {
             if now.saturating_sub(left.since) < DEFERRED {
--- a/crates/serving/tests/need.rs
+++ b/crates/serving/tests/need.rs
@@ -85,7 +85,7 @@
         let fleets = (0..INSTANCES).map(|own| {
             let mut fleet = fleet(&known);
             let placers = Placers {
-                own: true,
+                includes_self: true,
                 others: (0..INSTANCES)
                     .filter(|other| *other != own)
                     .map(|other| (address(other), 0))
--- a/crates/serving/tests/placer.rs
+++ b/crates/serving/tests/placer.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::ms;
-use serving::placer::{Election, Member, PLACERS, Place, Placers, order};
+use serving::placer::{Election, Member, PLACERS_PER_ZONE, Placers, ZoneHash, ask_order};
 
 const NOW: Duration = Duration::from_secs(10);
 
@@ -14,17 +14,17 @@
     SocketAddr::from(([10, 0, 0, 1], number))
 }
 
-fn member(number: u16, place: Place, lives: bool) -> Member {
+fn member(number: u16, place: ZoneHash, lives: bool) -> Member {
     Member {
         address: address(number),
-        place,
+        zone: place,
         order: u64::from(number),
-        lives,
+        alive: lives,
     }
 }
 
 fn look(own: u16, others: &[Member]) -> Placers {
-    Election::default().look(&member(own, 1, true), others, NOW)
+    Election::default().update(&member(own, 1, true), others, NOW)
 }
 
 fn numbers(placers: &Placers) -> Vec<u16> {
@@ -40,7 +40,7 @@
     let others = [1, 2, 3].map(|n| member(n, 1, true));
     let far = [11, 12, 13].map(|n| member(n, 2, true));
     let placers = look(9, &[&others[..], &far].concat());
-    assert!(!placers.own);
+    assert!(!placers.includes_self);
     assert_eq!(numbers(&placers), [1, 2, 11, 12]);
 }
 
@@ -51,7 +51,7 @@
         2,
         &[member(1, 1, true), member(11, 2, true), member(12, 2, true)],
     );
-    assert!(placers.own);
+    assert!(placers.includes_self);
     assert_eq!(numbers(&placers), [1, 11, 12]);
 }
 
@@ -71,8 +71,8 @@
         let mut looks = (0..).step_by(50);
         let begins = looks.find(|after| {
             election
-                .look(&member(own, 1, true), &others, NOW + ms(*after))
-                .own
+                .update(&member(own, 1, true), &others, NOW + ms(*after))
+                .includes_self
         });
         begins.expect("each begins in the end")
     };
@@ -85,10 +85,10 @@
 fn whoever_hears_of_better_ones_ceases() {
     let mut election = Election::default();
     let own = member(9, 1, true);
-    assert!(election.look(&own, &[], NOW).own);
+    assert!(election.update(&own, &[], NOW).includes_self);
     let others = [1, 2].map(|n| member(n, 1, true));
-    assert!(!election.look(&own, &others, NOW + ms(100)).own);
-    assert_eq!(others.len(), PLACERS);
+    assert!(!election.update(&own, &others, NOW + ms(100)).includes_self);
+    assert_eq!(others.len(), PLACERS_PER_ZONE);
 }
 
 /// Symptom: calls of one data centre are placed blindly although all links are well. Sequence: both of its placers end at
@@ -101,8 +101,8 @@
         (address(11), 2),
         (address(12), 2),
     ];
-    let asked = |beginning| order(&placers, 1, beginning);
+    let asked = |beginning| ask_order(&placers, 1, beginning);
     assert_eq!(asked(0), [1, 2, 11, 12].map(address));
     assert_eq!(asked(1), [2, 1, 12, 11].map(address));
-    assert_eq!(order(&placers, 3, 0).len(), 4);
+    assert_eq!(ask_order(&placers, 3, 0).len(), 4);
 }
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use serving::fingerprint::Fingerprint;
 use serving::hash;
-use serving::quarantine::{CRASHES, Crash, Entry, Good, Quarantine, Verdict};
+use serving::quarantine::{Crash, Entry, GoodRun, HOLD_CRASHES, Quarantine, Verdict};
 
 const CALL: Fingerprint = 7;
 const CALLER: u32 = 1;
@@ -34,7 +34,7 @@
 fn ended(crashes: u32) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for engine in 1..=crashes {
-        quarantine.crashed(CALL, CALLER, crash(engine, OLD, u64::from(engine) * 1_000));
+        quarantine.record_crash(CALL, CALLER, crash(engine, OLD, u64::from(engine) * 1_000));
     }
     quarantine
 }
@@ -48,11 +48,11 @@
     assert_eq!(ended(0).verdict(CALL, ms(4_000)), Verdict::Clear);
     assert_eq!(ended(1).verdict(CALL, ms(4_000)), Verdict::Clear);
     assert_eq!(ended(2).verdict(CALL, ms(4_000)), Verdict::Suspected);
-    let well_on = smallvec::SmallVec::new();
+    let good_builds = smallvec::SmallVec::new();
     let after = ms(29_000);
     assert_eq!(
         ended(3).verdict(CALL, ms(4_000)),
-        Verdict::Held { after, well_on }
+        Verdict::Held { after, good_builds }
     );
     assert_eq!(ended(3).verdict(CALL + 1, ms(4_000)), Verdict::Clear);
 }
@@ -63,30 +63,30 @@
 fn one_engine_ends_once_however_many_tell_of_it() {
     let mut quarantine = Quarantine::default();
     for at in [1_000, 1_004, 1_350, 1_700] {
-        quarantine.crashed(CALL, CALLER, crash(1, OLD, at));
+        quarantine.record_crash(CALL, CALLER, crash(1, OLD, at));
     }
-    assert_eq!(quarantine.get(CALL).map(Entry::standing), Some(1));
+    assert_eq!(quarantine.get(CALL).map(Entry::uncleared_crashes), Some(1));
 }
 
 #[test]
 fn a_run_that_its_engine_outlives_clears_what_was_before_it() {
     let mut quarantine = ended(2);
-    let good = |at| Good {
+    let good = |at| GoodRun {
         build: OLD,
         at: ms(at),
     };
-    assert!(quarantine.ended_well(CALL, good(2_500)));
+    assert!(quarantine.record_good_run(CALL, good(2_500)));
     assert_eq!(quarantine.verdict(CALL, ms(2_600)), Verdict::Clear);
     for engine in 3..=4 {
-        quarantine.crashed(CALL, CALLER, crash(engine, OLD, u64::from(engine) * 1_000));
+        quarantine.record_crash(CALL, CALLER, crash(engine, OLD, u64::from(engine) * 1_000));
     }
     assert_eq!(quarantine.verdict(CALL, ms(4_100)), Verdict::Suspected);
-    quarantine.crashed(CALL, CALLER, crash(5, OLD, 5_000));
+    quarantine.record_crash(CALL, CALLER, crash(5, OLD, 5_000));
     assert!(is_held(&quarantine, 5_100));
-    assert!(!quarantine.ended_well(CALL + 1, good(6_000)));
-    assert!(quarantine.ended_well(CALL, good(6_000)));
+    assert!(!quarantine.record_good_run(CALL + 1, good(6_000)));
+    assert!(quarantine.record_good_run(CALL, good(6_000)));
     assert!(
-        !quarantine.ended_well(CALL, good(6_100)),
+        !quarantine.record_good_run(CALL, good(6_100)),
         "it clears nothing more"
     );
 }
@@ -96,18 +96,26 @@
 #[test]
 fn a_run_on_one_build_says_nothing_of_another_one() {
     let mut quarantine = ended(2);
-    let good = Good {
+    let good = GoodRun {
         build: NEW,
         at: ms(2_500),
     };
-    quarantine.ended_well(CALL, good);
-    quarantine.crashed(CALL, CALLER, crash(3, OLD, 3_000));
-    let Verdict::Held { well_on, .. } = quarantine.verdict(CALL, ms(3_100)) else {
+    quarantine.record_good_run(CALL, good);
+    quarantine.record_crash(CALL, CALLER, crash(3, OLD, 3_000));
+    let Verdict::Held {
+        good_builds: well_on,
+        ..
+    } = quarantine.verdict(CALL, ms(3_100))
+    else {
         panic!("it is held");
     };
     assert_eq!(well_on.as_slice(), [NEW]);
-    quarantine.crashed(CALL, CALLER, crash(4, NEW, 4_000));
-    let Verdict::Held { well_on, .. } = quarantine.verdict(CALL, ms(4_100)) else {
+    quarantine.record_crash(CALL, CALLER, crash(4, NEW, 4_000));
+    let Verdict::Held {
+        good_builds: well_on,
+        ..
+    } = quarantine.verdict(CALL, ms(4_100))
+    else {
         panic!("it is held");
     };
     assert!(well_on.is_empty());
@@ -117,13 +125,13 @@
 fn a_held_call_is_tried_twice_and_then_kept_for_a_day() {
     let mut quarantine = ended(3);
     assert!(!quarantine.begin_trial(CALL, ms(32_000)));
-    assert_eq!(quarantine.verdict(CALL, ms(33_000)), Verdict::Due);
+    assert_eq!(quarantine.verdict(CALL, ms(33_000)), Verdict::TrialDue);
     assert!(quarantine.begin_trial(CALL, ms(33_000)));
     assert!(!quarantine.begin_trial(CALL, ms(33_001)));
-    quarantine.crashed(CALL, CALLER, crash(4, OLD, 33_100));
+    quarantine.record_crash(CALL, CALLER, crash(4, OLD, 33_100));
     assert!(is_held(&quarantine, 600_000));
     assert!(quarantine.begin_trial(CALL, ms(633_100)));
-    quarantine.crashed(CALL, CALLER, crash(5, OLD, 633_200));
+    quarantine.record_crash(CALL, CALLER, crash(5, OLD, 633_200));
     let day = 24 * 60 * 60 * 1_000;
     assert!(is_held(&quarantine, 633_000 + day));
     assert!(!quarantine.begin_trial(CALL, ms(634_000 + day)));
@@ -136,12 +144,12 @@
 #[test]
 fn a_trial_whose_claim_does_not_stand_is_none() {
     let mut quarantine = ended(3);
-    assert!(quarantine.trial(CALL, ms(32_000)).is_none());
-    let entry = quarantine.trial(CALL, ms(33_000)).expect("it is due");
+    assert!(quarantine.next_trial(CALL, ms(32_000)).is_none());
+    let entry = quarantine.next_trial(CALL, ms(33_000)).expect("it is due");
     assert_eq!(entry.trials, 1);
-    assert_eq!(quarantine.verdict(CALL, ms(33_100)), Verdict::Due);
+    assert_eq!(quarantine.verdict(CALL, ms(33_100)), Verdict::TrialDue);
     // Once the claim stands it is noted, by whoever reads it too.
-    assert!(quarantine.join(CALL, &entry));
+    assert!(quarantine.merge(CALL, &entry));
     assert!(is_held(&quarantine, 33_100));
     assert!(is_held(&quarantine, 62_900));
 }
@@ -152,12 +160,12 @@
     let mut quarantine = ended(3);
     assert!(quarantine.begin_trial(CALL, ms(33_000)));
     assert!(is_held(&quarantine, 62_900));
-    assert_eq!(quarantine.verdict(CALL, ms(63_000)), Verdict::Due);
+    assert_eq!(quarantine.verdict(CALL, ms(63_000)), Verdict::TrialDue);
     assert!(quarantine.begin_trial(CALL, ms(63_000)));
     // An end counts against the call from then on.
-    quarantine.crashed(CALL, CALLER, crash(4, OLD, 63_100));
+    quarantine.record_crash(CALL, CALLER, crash(4, OLD, 63_100));
     assert!(is_held(&quarantine, 600_000));
-    assert_eq!(quarantine.verdict(CALL, ms(663_100)), Verdict::Due);
+    assert_eq!(quarantine.verdict(CALL, ms(663_100)), Verdict::TrialDue);
 }
 
 /// Guards against a call that ends engines for ever because nobody sees what comes of its trials.
@@ -180,24 +188,24 @@
     let mut quarantine = ended(3);
     for engine in 1..=3 {
         let at = u64::from(engine) * 1_000;
-        quarantine.crashed(CALL + 1, CALLER + 1, crash(engine, OLD, at));
+        quarantine.record_crash(CALL + 1, CALLER + 1, crash(engine, OLD, at));
     }
     assert!(quarantine.begin_trial(CALL, ms(4_000)));
     assert!(is_held(&quarantine, 5_900));
     assert!(quarantine.begin_trial(CALL, ms(6_000)));
     assert!(is_held(&quarantine, 9_900));
-    assert_eq!(quarantine.verdict(CALL, ms(10_000)), Verdict::Due);
+    assert_eq!(quarantine.verdict(CALL, ms(10_000)), Verdict::TrialDue);
 }
 
 #[test]
 fn a_trial_that_ends_well_lets_the_call_go() {
     let mut quarantine = ended(3);
     assert!(quarantine.begin_trial(CALL, ms(33_000)));
-    let good = Good {
+    let good = GoodRun {
         build: OLD,
         at: ms(33_500),
     };
-    quarantine.ended_well(CALL, good);
+    quarantine.record_good_run(CALL, good);
     assert_eq!(quarantine.verdict(CALL, ms(33_600)), Verdict::Clear);
 }
 
@@ -223,7 +231,7 @@
 fn one_caller_fills_only_its_share() {
     let mut quarantine = ended(3);
     for other in 0..5_000 {
-        quarantine.crashed(100 + other, 2, crash(9, OLD, 4_000));
+        quarantine.record_crash(100 + other, 2, crash(9, OLD, 4_000));
     }
     assert!(is_held(&quarantine, 5_000));
     let kept = (0..5_000).filter(|other| quarantine.get(100 + other).is_some());
@@ -236,7 +244,7 @@
     let mut quarantine = ended(3);
     for other in 0..5_000 {
         let caller = u32::try_from(other).unwrap() + 10;
-        quarantine.crashed(100 + other, caller, crash(9, OLD, 4_000));
+        quarantine.record_crash(100 + other, caller, crash(9, OLD, 4_000));
     }
     assert!(is_held(&quarantine, 5_000));
 }
@@ -252,14 +260,14 @@
             // An engine is of one build.
             .map(|(engine, build, at)| crash(engine * 2 + build, build, at))
             .collect(),
-        good: good
+        good_runs: good
             .into_iter()
-            .map(|(build, at)| Good { build, at: ms(at) })
+            .map(|(build, at)| GoodRun { build, at: ms(at) })
             .collect(),
         released: None,
         trials,
-        tried: (trials > 0).then(|| ms(u64::from(trials) * 30_000)),
-        failed: failed.min(trials),
+        last_trial: (trials > 0).then(|| ms(u64::from(trials) * 30_000)),
+        failed_trials: failed.min(trials),
     })
 }
 
@@ -282,19 +290,19 @@
         }
         let mut one = Quarantine::default();
         for entry in &told {
-            one.join(CALL, entry);
+            one.merge(CALL, entry);
         }
         let mut other = Quarantine::default();
         let first = order.index(told.len());
         for entry in told[first..].iter().chain(&told[..first]).chain(&told) {
-            other.join(CALL, entry);
+            other.merge(CALL, entry);
         }
         let engines = |quarantine: &Quarantine| {
             let entry = quarantine.get(CALL).cloned().unwrap_or_default();
             let mut engines: Vec<(u32, Moment)> =
                 entry.crashes.iter().map(|crash| (crash.engine, crash.at)).collect();
             engines.sort_unstable();
-            (engines, entry.trials, entry.tried, entry.failed)
+            (engines, entry.trials, entry.last_trial, entry.failed_trials)
         };
         // More ends than are kept tell nothing more.
         if engines(&one).0.len() < 8 {
@@ -305,22 +313,22 @@
     /// Entries that go back and forth get older on their way each time. One run must not seem a later one for it.
     #[test]
     fn what_is_told_back_and_forth_clears_no_later_end(delays in prop::collection::vec(1u64..60, 1..400)) {
-        let good = Good { build: OLD, at: ms(1_000) };
-        let mut entry = Entry { caller: CALLER, good: [good].into_iter().collect(), ..Entry::default() };
+        let good = GoodRun { build: OLD, at: ms(1_000) };
+        let mut entry = Entry { caller: CALLER, good_runs: [good].into_iter().collect(), ..Entry::default() };
         let mut one = Quarantine::default();
-        one.join(CALL, &entry);
-        one.crashed(CALL, CALLER, crash(1, OLD, 2_500));
+        one.merge(CALL, &entry);
+        one.record_crash(CALL, CALLER, crash(1, OLD, 2_500));
         for delay in delays {
             entry = one.get(CALL).cloned().unwrap();
-            for good in &mut entry.good {
+            for good in &mut entry.good_runs {
                 good.at += ms(delay);
             }
             for crash in &mut entry.crashes {
                 crash.at += ms(delay);
             }
-            one.join(CALL, &entry);
+            one.merge(CALL, &entry);
         }
-        prop_assert_eq!(one.get(CALL).map(Entry::standing), Some(1));
+        prop_assert_eq!(one.get(CALL).map(Entry::uncleared_crashes), Some(1));
     }
 }
 
@@ -332,24 +340,24 @@
     let mut quarantine = ended(3);
     for engine in 1..=3 {
         let at = u64::from(engine) * 1_000;
-        quarantine.crashed(CALL + 1, CALLER + 1, crash(engine, OLD, at));
-        quarantine.crashed(CALL + 2, CALLER + 1, crash(engine + 3, OLD, at));
+        quarantine.record_crash(CALL + 1, CALLER + 1, crash(engine, OLD, at));
+        quarantine.record_crash(CALL + 2, CALLER + 1, crash(engine + 3, OLD, at));
     }
     let due =
-        |quarantine: &Quarantine, call, now| quarantine.verdict(call, ms(now)) == Verdict::Due;
+        |quarantine: &Quarantine, call, now| quarantine.verdict(call, ms(now)) == Verdict::TrialDue;
     assert!(due(&quarantine, CALL, 4_000));
     assert!(!due(&quarantine, CALL + 1, 4_000));
     assert!(due(&quarantine, CALL + 1, 5_000));
     // That one had other engines end.
     assert!(!due(&quarantine, CALL + 2, 32_900));
     assert!(quarantine.begin_trial(CALL, ms(4_000)));
-    quarantine.crashed(CALL, CALLER, crash(9, OLD, 4_100));
+    quarantine.record_crash(CALL, CALLER, crash(9, OLD, 4_100));
     assert!(quarantine.begin_trial(CALL + 1, ms(5_000)));
-    let good = Good {
+    let good = GoodRun {
         build: OLD,
         at: ms(5_300),
     };
-    quarantine.ended_well(CALL + 1, good);
+    quarantine.record_good_run(CALL + 1, good);
     assert_eq!(quarantine.verdict(CALL + 1, ms(5_300)), Verdict::Clear);
     assert!(is_held(&quarantine, 600_000));
 }
@@ -416,7 +424,7 @@
                 innocent.broken += 1;
                 // Each caller has an address of its own.
                 let caller = hash::hash32(&run.call.to_string());
-                quarantine.crashed(run.call, caller, crash(engine, OLD, now));
+                quarantine.record_crash(run.call, caller, crash(engine, OLD, now));
             }
             lives[ends] += 1;
             back[ends] = now + BACK;
@@ -431,7 +439,7 @@
                     continue;
                 }
                 Verdict::Suspected => innocent.alone += 1,
-                Verdict::Clear | Verdict::Due => {}
+                Verdict::Clear | Verdict::TrialDue => {}
             }
             let mut engine = rng.random_range(0..ENGINES);
             while back[engine] > now {
@@ -447,11 +455,11 @@
         let (over, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|run| run.ends <= now);
         running = rest;
         for run in over {
-            let good = Good {
+            let good = GoodRun {
                 build: OLD,
                 at: ms(now),
             };
-            quarantine.ended_well(run.call, good);
+            quarantine.record_good_run(run.call, good);
         }
         if now % 1_000 == 0 {
             quarantine.expire(ms(now));
@@ -482,5 +490,5 @@
         println!("{innocent:?}");
         assert!(innocent.held * 100 <= innocent.broken, "{innocent:?}");
     }
-    assert_eq!(CRASHES, 3);
+    assert_eq!(HOLD_CRASHES, 3);
 }
--- a/crates/serving/tests/registry.rs
+++ b/crates/serving/tests/registry.rs
@@ -71,19 +71,19 @@
 #[test]
 fn the_same_record_from_several_sources_is_news_once() {
     let (mut registry, _) = known();
-    assert!(registry.is_news("a", 5));
-    assert!(!registry.is_news("a", 5));
-    assert!(!registry.is_news("a", 4));
-    assert!(registry.is_news("a", 6));
+    assert!(registry.is_newer("a", 5));
+    assert!(!registry.is_newer("a", 5));
+    assert!(!registry.is_newer("a", 4));
+    assert!(registry.is_newer("a", 6));
 }
 
 #[test]
 fn two_that_know_the_same_have_the_same_digest() {
     let (mut one, mut fleet) = known();
     let (other, _) = known();
-    assert_eq!(one.knows().digest, other.knows().digest);
+    assert_eq!(one.topic_state().digest, other.topic_state().digest);
     one.remove(&mut fleet, "a", ms(1_100));
-    assert_ne!(one.knows().digest, other.knows().digest);
+    assert_ne!(one.topic_state().digest, other.topic_state().digest);
 }
 
 #[test]
@@ -166,9 +166,9 @@
     let (mut registry, mut fleet) = known();
     registry.put(&mut fleet, start("e", 10));
     registry.put(&mut fleet, start("e", 20));
-    let digest = registry.knows().digest;
+    let digest = registry.topic_state().digest;
     assert_eq!(registry.put(&mut fleet, start("e", 10)), Change::None);
-    assert_eq!(registry.knows().digest, digest);
+    assert_eq!(registry.topic_state().digest, digest);
     assert_eq!(at(&fleet, "e.20"), Some(0));
     assert_eq!(at(&fleet, "e.10"), None);
     registry.remove(&mut fleet, "e", ms(1_400));
@@ -193,8 +193,8 @@
 #[test]
 fn an_entry_that_cannot_be_read_names_no_engine_and_is_told_once() {
     let (mut registry, mut fleet) = known();
-    assert!(registry.unreadable(&mut fleet, "a"));
-    assert!(!registry.unreadable(&mut fleet, "a"));
+    assert!(registry.mark_unreadable(&mut fleet, "a"));
+    assert!(!registry.mark_unreadable(&mut fleet, "a"));
     assert!(fleet.get("a").is_none());
     assert!(fleet.get("b").is_some());
     assert!(registry.expire(&mut fleet, ms(9_000)).is_empty());
@@ -203,7 +203,7 @@
         Change::Put
     );
     assert!(fleet.get("a").is_some());
-    assert!(registry.unreadable(&mut fleet, "a"));
+    assert!(registry.mark_unreadable(&mut fleet, "a"));
 }
 
 /// Symptom: calls go to an engine that had said it leaves, and to one that has ended. Sequence: both say so; the store comes back from a
@@ -217,7 +217,7 @@
     registry.put(&mut fleet, leaving);
     registry.remove(&mut fleet, "b", ms(1_200));
     registry.store_answered(ms(1_500));
-    registry.went_back(ms(1_500));
+    registry.store_rolled_back(ms(1_500));
     registry.replace(&mut fleet, vec![ready("a"), ready("b")], ms(1_500));
     assert_eq!(fleet.get("a").unwrap().record.state, State::Draining);
     assert!(fleet.get("b").is_none());
@@ -233,7 +233,7 @@
 fn an_engine_that_a_copy_lacks_is_doubted_and_not_gone() {
     let (mut registry, mut fleet) = known();
     registry.store_answered(ms(1_500));
-    registry.went_back(ms(1_500));
+    registry.store_rolled_back(ms(1_500));
     registry.replace(
         &mut fleet,
         vec![record("a", Some(Stage::Decode))],
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -121,7 +121,7 @@
         for (own, fleet) in self.fleets.iter_mut().enumerate() {
             let others = (0..INSTANCES).filter(|other| *other != own);
             let placers = Placers {
-                own: true,
+                includes_self: true,
                 others: others.map(|other| (address(other), 0)).collect(),
             };
             let throttles = &mut fleet.throttles;
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use common::{fleet, id, ms, service};
-use serving::claim::{Claim, Turns};
+use serving::claim::{Claim, Claimant};
 use serving::engine::StageChange;
-use serving::roles::{Changes, Planner};
+use serving::roles::{Planner, RoleChanges};
 use serving::{Fleet, Stage};
 
 /// A fleet of this many engines that read, `r0` and on, and that generate, `g0` and on.
@@ -21,7 +21,7 @@
 }
 
 /// The plan once a split has been off for long enough.
-fn plan(fleet: &Fleet) -> Changes {
+fn plan(fleet: &Fleet) -> RoleChanges {
     let mut planner = Planner::default();
     let first = planner.plan(fleet, &service(), ms(0));
     assert!(first.is_empty(), "a split that is off just now is left");
@@ -103,7 +103,7 @@
     let mut idle = engines(6, 12);
     let soon = planner.plan(&idle, &service(), ms(2_500));
     assert!(soon.is_empty());
-    let mut late = Changes::new();
+    let mut late = RoleChanges::new();
     for second in 3..40 {
         read(&mut idle, second * 1_000);
         late = planner.plan(&idle, &service(), Duration::from_secs(second));
@@ -183,7 +183,7 @@
 /// takes over at once. Cause: the time in which orders of the first may still arrive was not waited for.
 #[test]
 fn turns_of_different_instances_are_apart() {
-    let mut turns = Turns::new(ms(3_000), true);
+    let mut turns = Claimant::new(ms(3_000), true);
     let claim = |fence, holder| Some(Claim { fence, holder });
     assert!(turns.may_claim(None, "a", ms(0)));
     assert!(turns.may_claim(claim(7, "a"), "a", ms(0)));
--- a/crates/serving/tests/scaling.rs
+++ b/crates/serving/tests/scaling.rs
@@ -114,9 +114,9 @@
         for order in orders {
             let is_dry = order.reclaimable && self.dry.contains(&&*order.zone);
             if is_dry {
-                planner.refused(&order, self.now);
+                planner.record_refusal(&order, self.now);
             } else {
-                planner.ordered(&order, self.now);
+                planner.record_order(&order, self.now);
                 let key = (order.zone.clone(), order.reclaimable);
                 self.ordered.insert(key, (order.engines, self.now));
             }
@@ -248,8 +248,8 @@
     world.reclaim("c");
     let mut successor = Planner::default();
     successor.plan(&world.fleet, &service(), &world.range, world.now);
-    successor.adopt(&planner.book(), world.now);
-    assert_eq!(successor.book(), planner.book());
+    successor.adopt(&planner.zone_states(), world.now);
+    assert_eq!(successor.zone_states(), planner.zone_states());
     let before = world.log.len();
     world.dry.clear();
     world.run(&mut successor, 30);
--- a/crates/serving/tests/throttle.rs
+++ b/crates/serving/tests/throttle.rs
@@ -33,7 +33,7 @@
 fn placers(own: usize, all: &[usize]) -> Placers {
     let others = all.iter().filter(|other| **other != own);
     Placers {
-        own: all.contains(&own),
+        includes_self: all.contains(&own),
         others: others.map(|other| (address(*other), 0)).collect(),
     }
 }
--- a/crates/serving/tests/turn.rs
+++ b/crates/serving/tests/turn.rs
@@ -8,7 +8,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
-use serving::claim::{Claim, Era, Fence, ORDERS, Turns};
+use serving::claim::{Claim, Claimant, Era, Fence, ORDER_WINDOW};
 
 /// Milliseconds of true time.
 type Millis = u64;
@@ -89,7 +89,7 @@
 }
 
 struct Instance {
-    turns: Turns,
+    turns: Claimant,
     /// Time that its steady clock did not count.
     asleep: Millis,
 }
@@ -115,8 +115,8 @@
 impl<'a> World<'a> {
     fn new(tries: &'a [Try], restores: &[(Millis, usize)]) -> Self {
         let instance = |_: &&str| {
-            let mut turns = Turns::new(Duration::from_millis(LEASE), true);
-            turns.on_era(0, Duration::ZERO);
+            let mut turns = Claimant::new(Duration::from_millis(LEASE), true);
+            turns.observe_era(0, Duration::ZERO);
             Instance { turns, asleep: 0 }
         };
         let mut world = Self {
@@ -181,7 +181,7 @@
         });
         let instance = &mut self.instances[one.who];
         let steady = Duration::from_millis(now - instance.asleep);
-        instance.turns.on_era(era, steady);
+        instance.turns.observe_era(era, steady);
         if !instance.turns.may_claim(newest, NAMES[one.who], steady) {
             return self.next_try(one.who, number + 1, now);
         }
@@ -222,7 +222,7 @@
     fn order(&mut self, number: usize, fence: Fence, sent: Millis, now: Millis) {
         let one = &self.tries[number];
         // The clock that also runs while the machine is suspended.
-        if now - sent < u64::try_from(ORDERS.as_millis()).expect("it is short") {
+        if now - sent < u64::try_from(ORDER_WINDOW.as_millis()).expect("it is short") {
             self.arrivals.push((now + one.on_the_way, fence, one.who));
         }
         self.next_try(one.who, number + 1, now);
--- a/crates/serving/tests/usage.rs
+++ b/crates/serving/tests/usage.rs
@@ -7,14 +7,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serving::organisation::Name;
-use serving::usage::{Counts, Ledger, Report, Schedule, Told, Window};
+use serving::usage::{CountUpdate, Counts, Ledger, Report, Schedule, Window};
 
 /// So that a run decides the same every time.
 const SEED: u64 = 19;
 
 const SCHEDULE: Schedule = Schedule {
     length: Duration::from_secs(5),
-    late: Duration::from_secs(10),
+    deadline: Duration::from_secs(10),
 };
 
 /// A moment, in milliseconds after the beginning of window 1,000.
@@ -36,9 +36,9 @@
     of.iter().map(|(text, n)| (name(text), *n)).collect()
 }
 
-fn told(present: Window, window: Window, of: &[(&str, u32)]) -> Told {
-    Told {
-        present,
+fn told(present: Window, window: Window, of: &[(&str, u32)]) -> CountUpdate {
+    CountUpdate {
+        current_window: present,
         counts: vec![(window, counts(of))],
     }
 }
@@ -46,7 +46,7 @@
 /// Claims, and the claim stands.
 fn fix(ledger: &mut Ledger, now: Duration) -> Vec<Report> {
     let proposed = ledger.propose(now);
-    ledger.hear_fixed(proposed.clone());
+    ledger.merge_fixed(proposed.clone());
     proposed
 }
 
@@ -65,7 +65,7 @@
 #[test]
 fn a_window_is_fixed_with_what_all_counted_once_all_have_told() {
     let mut own = ledger();
-    own.began(&name("a"), at(100));
+    own.count_request(&name("a"), at(100));
     own.merge(7, told(FIRST, FIRST, &[("a", 2), ("b", 1)]), at(4_900));
     own.merge(7, told(FIRST + 1, FIRST, &[("a", 3), ("b", 1)]), at(5_400));
     assert!(!own.is_due(at(5_400)), "what is on its way is waited for");
@@ -125,7 +125,7 @@
 #[test]
 fn an_instance_that_hears_of_nobody_fixes_nothing() {
     let mut own = ledger();
-    own.began(&name("a"), at(100));
+    own.count_request(&name("a"), at(100));
     for source in 0..5 {
         own.merge(source, told(FIRST, FIRST, &[("a", 10)]), at(3_000));
     }
@@ -139,15 +139,15 @@
 #[test]
 fn a_successor_repeats_what_was_fixed() {
     let mut first = ledger();
-    first.began(&name("a"), at(100));
+    first.count_request(&name("a"), at(100));
     let fixed = fix(&mut first, at(6_600));
     let mut second = ledger();
     second.merge(1, told(FIRST + 1, FIRST, &[("a", 2)]), at(6_500));
     assert!(second.is_due(at(6_700)));
-    second.hear_fixed(fixed);
+    second.merge_fixed(fixed);
     fix(&mut second, at(6_700));
     assert_eq!(reports(&second, at(6_700))[0].counts, counts(&[("a", 1)]));
-    second.taken(FIRST);
+    second.mark_taken(FIRST);
     assert!(reports(&second, at(6_800)).is_empty());
     // What it learns of the window later changes nothing any more.
     second.merge(1, told(FIRST + 1, FIRST, &[("a", 9)]), at(6_900));
@@ -161,7 +161,7 @@
 fn a_window_that_may_have_been_fixed_before_the_store_went_back_is_left_alone() {
     let mut successor = ledger();
     successor.merge(1, told(FIRST + 1, FIRST, &[("a", 2)]), at(6_500));
-    successor.lost_fixed(at(7_000));
+    successor.fixed_reports_lost(at(7_000));
     assert!(!successor.is_due(at(7_100)));
     // The next window ended after that, so that nobody can have fixed it.
     successor.merge(1, told(FIRST + 2, FIRST + 1, &[("a", 3)]), at(10_500));
@@ -176,9 +176,9 @@
 #[test]
 fn an_instance_that_fixed_a_report_keeps_it_when_the_store_forgets_it() {
     let mut own = ledger();
-    own.began(&name("a"), at(100));
+    own.count_request(&name("a"), at(100));
     fix(&mut own, at(6_600));
-    own.lost_fixed(at(6_700));
+    own.fixed_reports_lost(at(6_700));
     assert_eq!(reports(&own, at(6_800))[0].counts, counts(&[("a", 1)]));
 }
 
@@ -187,12 +187,12 @@
 #[test]
 fn a_report_of_a_claim_that_does_not_stand_is_none() {
     let (mut first, mut second) = (ledger(), ledger());
-    first.began(&name("a"), at(100));
-    second.began(&name("b"), at(100));
+    first.count_request(&name("a"), at(100));
+    second.count_request(&name("b"), at(100));
     let overtaken = second.propose(at(6_600));
     assert_eq!(overtaken[0].counts, counts(&[("b", 1)]));
     let fixed = fix(&mut first, at(6_600));
-    second.hear_fixed(fixed);
+    second.merge_fixed(fixed);
     fix(&mut second, at(7_600));
     assert_eq!(reports(&second, at(7_600))[0].counts, counts(&[("a", 1)]));
 }
@@ -200,7 +200,7 @@
 #[test]
 fn a_report_that_is_late_is_not_sent_and_is_forgotten_in_the_end() {
     let mut own = ledger();
-    own.began(&name("a"), at(100));
+    own.count_request(&name("a"), at(100));
     fix(&mut own, at(6_600));
     assert!(reports(&own, at(15_100)).is_empty());
     own.expire(at(200_000));
@@ -212,22 +212,25 @@
 #[test]
 fn what_was_counted_is_told_as_it_grows_and_whole_at_the_end() {
     let mut own = ledger();
-    own.began(&name("a"), at(100));
-    own.began(&name("b"), at(200));
+    own.count_request(&name("a"), at(100));
+    own.count_request(&name("b"), at(200));
     assert_eq!(
-        own.tell(at(500)).counts,
+        own.take_update(at(500)).counts,
         [(FIRST, counts(&[("a", 1), ("b", 1)]))]
     );
-    own.began(&name("a"), at(600));
-    assert_eq!(own.tell(at(1_000)).counts, [(FIRST, counts(&[("a", 2)]))]);
-    assert!(own.tell(at(1_500)).counts.is_empty());
+    own.count_request(&name("a"), at(600));
+    assert_eq!(
+        own.take_update(at(1_000)).counts,
+        [(FIRST, counts(&[("a", 2)]))]
+    );
+    assert!(own.take_update(at(1_500)).counts.is_empty());
     for _ in 0..3 {
         assert_eq!(
-            own.tell(at(5_100)).counts,
+            own.take_update(at(5_100)).counts,
             [(FIRST, counts(&[("a", 2), ("b", 1)]))]
         );
     }
-    assert!(own.tell(at(6_600)).counts.is_empty());
+    assert!(own.take_update(at(6_600)).counts.is_empty());
 }
 
 /// What one instance of a run does.
@@ -285,9 +288,9 @@
         for (who, pause, step) in steps {
             now += Duration::from_millis(pause);
             match step {
-                Step::Began { organisation } => ledgers[who].began(&name(ORGANISATIONS[organisation]), now),
+                Step::Began { organisation } => ledgers[who].count_request(&name(ORGANISATIONS[organisation]), now),
                 Step::Tells { lost } => {
-                    let told = ledgers[who].tell(now);
+                    let told = ledgers[who].take_update(now);
                     for (other, is_lost) in lost.into_iter().enumerate() {
                         if other != who && !is_lost {
                             ledgers[other].merge(sources[who], told.clone(), now);
@@ -300,7 +303,7 @@
                     if !own.is_due(now) {
                         continue;
                     }
-                    own.hear_fixed(world.log.last().cloned().unwrap_or_default());
+                    own.merge_fixed(world.log.last().cloned().unwrap_or_default());
                     let proposed = own.propose(now);
                     if stands {
                         world.log.push(proposed.clone());
@@ -308,12 +311,12 @@
                     if !stands || !heard {
                         continue;
                     }
-                    own.hear_fixed(proposed);
+                    own.merge_fixed(proposed);
                     for report in reports(own, now) {
                         let before = world.got.entry(report.window).or_insert_with(|| report.counts.clone());
                         prop_assert_eq!(&*before, &report.counts, "window {}", report.window);
                         if answered {
-                            own.taken(report.window);
+                            own.mark_taken(report.window);
                         }
                     }
                 }
@@ -325,7 +328,7 @@
                     let kept = world.log.len().saturating_sub(2);
                     world.log.truncate(kept);
                     for ledger in &mut ledgers {
-                        ledger.lost_fixed(now);
+                        ledger.fixed_reports_lost(now);
                     }
                 }
             }
--- a/crates/serving/tests/watch.rs
+++ b/crates/serving/tests/watch.rs
@@ -3,32 +3,32 @@
 mod common;
 
 use common::ms;
-use serving::watch::{Deferred, Known, Said, Watch, is_resumption};
+use serving::watch::{Deferred, ReaderReport, TopicState, Watch, is_resumption};
 
 const OWN: u64 = 50;
 
 /// A version, of which equal ones say the same.
-fn known(version: u64) -> Known {
-    Known {
+fn known(version: u64) -> TopicState {
+    TopicState {
         upto: version,
         digest: version,
     }
 }
 
-fn said(order: u64, heard: u64, read: Option<u64>, knows: u64) -> Said {
-    Said {
+fn said(order: u64, heard: u64, read: Option<u64>, knows: u64) -> ReaderReport {
+    ReaderReport {
         order,
-        heard: ms(heard),
-        read: read.map(ms),
-        knows: known(knows),
+        heard_at: ms(heard),
+        read_at: read.map(ms),
+        state: known(knows),
     }
 }
 
-fn is_due(watch: &mut Watch, others: &[Said], now: u64) -> bool {
+fn is_due(watch: &mut Watch, others: &[ReaderReport], now: u64) -> bool {
     is_due_at(watch, 0, others, now)
 }
 
-fn is_due_at(watch: &mut Watch, rank: u32, others: &[Said], now: u64) -> bool {
+fn is_due_at(watch: &mut Watch, rank: u32, others: &[ReaderReport], now: u64) -> bool {
     let others = others.iter().copied();
     watch.is_due(OWN, rank, others, known(7), ms(now))
 }
@@ -135,7 +135,7 @@
     for step in 0..20 {
         let now = 10_000 + 100 * step;
         let reader = said(1, now, Some(now), step / 5);
-        let own = Known {
+        let own = TopicState {
             upto: step / 5,
             digest: 1_000 + step / 5,
         };
@@ -152,16 +152,16 @@
 #[test]
 fn what_the_first_reader_did_not_read_is_told_by_the_second() {
     let mut deferred = Deferred::default();
-    deferred.leave("read by both", 10, ms(1_000));
-    deferred.leave("read by the second", 11, ms(1_100));
+    deferred.defer("read by both", 10, ms(1_000));
+    deferred.defer("read by the second", 11, ms(1_100));
     let first_knows = |_: &&str| Some(10);
-    assert!(deferred.take(first_knows, ms(1_300)).is_empty());
-    assert!(deferred.take(first_knows, ms(1_460)).is_empty());
+    assert!(deferred.take_due(first_knows, ms(1_300)).is_empty());
+    assert!(deferred.take_due(first_knows, ms(1_460)).is_empty());
     assert_eq!(
-        deferred.take(first_knows, ms(1_600)),
+        deferred.take_due(first_knows, ms(1_600)),
         ["read by the second"]
     );
-    assert!(deferred.take(|_| None, ms(9_000)).is_empty());
+    assert!(deferred.take_due(|_| None, ms(9_000)).is_empty());
 }
 
 /// Guards against calls to engines that have left while the store turned its readers away: until another reader is heard of, the
