--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -110,7 +110,10 @@
 fn load_again(instance: &Instance, path: &Path) {
     match settings::load(path) {
         Ok(settings) => {
-            instance.budgets.borrow_mut().set_limit(settings.bounds.retry_budget);
+            instance
+                .budgets
+                .borrow_mut()
+                .set_limit(settings.bounds.retry_budget);
             *instance.settings.borrow_mut() = settings;
             log::info!("settings reloaded");
         }
--- a/crates/gateway/src/sizes.rs
+++ b/crates/gateway/src/sizes.rs
@@ -17,7 +17,11 @@
 
 impl Sizes {
     /// What should be ordered now.
-    pub(crate) fn plan(&mut self, table: &Table, fleet: &Fleet, now: Moment,
+    pub(crate) fn plan(
+        &mut self,
+        table: &Table,
+        fleet: &Fleet,
+        now: Moment,
     ) -> Vec<(EngineTarget, Reason)> {
         if self.wishes.held {
             return Vec::new();
