--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -391,7 +391,7 @@
         match told {
             Told::Change(change) => fleet.apply_change(from as u64, &change, time),
             Told::Parts(engine, parts) => {
-                fleet.record_cached_parts(&engine, &parts, MODEL.kv_capacity_tokens, time)
+                fleet.record_cached_parts(&engine, &parts, MODEL.kv_capacity_tokens, time);
             }
         }
     }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -215,7 +215,7 @@
             Kind::Compact => TOPICS.iter().for_each(|topic| self.store.compact(topic)),
             Kind::EngineLink(number, link) => self.place(number, |place| place.link.set(link)),
             Kind::Engine(number, trouble) => {
-                self.place(number, |p| p.engine.set_behaviour(act(trouble)))
+                self.place(number, |p| p.engine.set_behaviour(act(trouble)));
             }
             Kind::Leave(number) => self.leave(number).await,
             Kind::Crash(number) => self.crash(number).await,
@@ -242,7 +242,7 @@
                 }
             }),
             Kind::Engine(number, _) => {
-                self.place(number, |place| place.engine.set_behaviour(Behaviour::Run))
+                self.place(number, |place| place.engine.set_behaviour(Behaviour::Run));
             }
             Kind::Leave(number) => self.unregister(number),
             Kind::Crash(number) => self.unregister(number),
