--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,32 +1,32 @@
-//! The clock as an interface that is passed in, so that the pure crates never read time by
-//! themselves: the daemon passes [`System`], tests and the model checker pass [`Manual`].
+//! An injectable clock, so that the pure crates never read the time themselves: the daemon passes
+//! [`System`], tests and the model checker pass [`Manual`].
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Monotonic time since the start of the process. Only differences on one process mean anything,
-/// which is all that leases and timeouts may rely on.
+/// Monotonic time since the process started. Only moments of the same process can be compared, so
+/// leases and timeouts rely on differences alone.
 pub type Moment = Duration;
 
-/// Where time comes from.
+/// A source of time.
 pub trait Clock {
-    /// Monotonic time since the start of the process.
+    /// Monotonic time since the process started.
     fn now(&self) -> Moment;
 
-    /// As [`Clock::now`], but it also runs while the machine is suspended. What must not be done late
-    /// after a pause, like an order whose lease has lapsed meanwhile, is measured by it.
+    /// As [`Clock::now`], but including time spent suspended (`CLOCK_BOOTTIME`). For whatever must
+    /// not happen late after a suspension, such as an order whose lease has lapsed meanwhile.
     fn now_boottime(&self) -> Moment;
 
-    /// Wall-clock time, for people and for bucket names only; no decision of authority uses it.
+    /// Wall-clock time, for display and bucket names only; no authority decision depends on it.
     fn wall_time(&self) -> SystemTime;
 }
 
-/// The machine's clock.
+/// The system clock.
 #[derive(Clone, Copy, Debug)]
 pub struct System {
     start: Instant,
-    boot: Duration,
+    boottime_at_start: Duration,
 }
 
 impl System {
@@ -34,7 +34,7 @@
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
-            boot: since_boot(),
+            boottime_at_start: since_boot(),
         }
     }
 }
@@ -51,7 +51,7 @@
     }
 
     fn now_boottime(&self) -> Moment {
-        since_boot().saturating_sub(self.boot)
+        since_boot().saturating_sub(self.boottime_at_start)
     }
 
     fn wall_time(&self) -> SystemTime {
@@ -59,14 +59,14 @@
     }
 }
 
-/// Time since the machine started, with the time that it was suspended.
+/// Time since the machine booted, including time spent suspended.
 fn since_boot() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    // The time since a start is never negative.
+    // The time since boot is never negative.
     Duration::try_from(time).unwrap_or_default()
 }
 
-/// A clock that moves only when told to. Clones share the same time.
+/// A clock that only advances on request. Clones share the same time.
 #[derive(Clone, Debug, Default)]
 pub struct Manual {
     now: Rc<Cell<Moment>>,
@@ -79,12 +79,12 @@
         Self::default()
     }
 
-    /// Suspends the machine for some time.
+    /// Adds time spent suspended, which only [`Clock::now_boottime`] counts.
     pub fn suspend(&self, time: Duration) {
         self.suspended.set(self.suspended.get() + time);
     }
 
-    /// Moves the time forward.
+    /// Advances the clock.
     pub fn advance(&self, by: Duration) {
         self.now.set(self.now.get() + by);
     }
--- a/crates/fleet/src/drain.rs
+++ b/crates/fleet/src/drain.rs
@@ -1,5 +1,5 @@
-//! The confirmed drain: which entries must confirm that they send no new work to an upstream,
-//! and what is still waited for. An order may act only when nothing is.
+//! Confirmed drain: tracks which entries must confirm that they send no new work to an upstream,
+//! and what still blocks an order. An order may act only once nothing blocks it.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -12,11 +12,11 @@
 use crate::member::Sender;
 use crate::{Id, Incarnation, Offset};
 
-/// Bounds of a closing.
+/// Settings of a drain.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Settings {
-    /// Shortest time from folding the order to acting on it. An entry that nobody knows yet, but
-    /// that reads the log, has folded the order by then.
+    /// Minimum time between folding an order and acting on it. By then an entry that is not yet
+    /// known, but reads the log, has folded the order too.
     pub settle: Duration,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// What one entry said last of one order.
+/// Latest confirmation of one order by one entry.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Confirmation {
     incarnation: Incarnation,
@@ -49,19 +49,19 @@
 pub enum Blocker {
     /// The closing is younger than [`Settings::settle`].
     Settle {
-        /// Time left.
+        /// Time remaining.
         left: Duration,
     },
-    /// An entry has not confirmed with its newest incarnation.
+    /// The newest incarnation of an entry has not confirmed.
     Confirm {
         /// The entry.
         entry: Id,
     },
-    /// An entry still has work in hand there.
+    /// An entry still has open requests at the upstream.
     Open {
         /// The entry.
         entry: Id,
-        /// Requests that are open.
+        /// Number of open requests.
         open: u32,
     },
 }
@@ -76,25 +76,25 @@
     }
 }
 
-/// Where one closing stands, for operators.
+/// Status of one closing, for operators.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Status {
     /// Offset of the intent, or revision of the operator's drain.
     pub order: Offset,
-    /// The upstream that is closed.
+    /// The closed upstream.
     pub upstream: Id,
     /// When this process folded the order.
     pub since: Moment,
-    /// Entries that confirmed, with what they have open.
+    /// Entries that confirmed, with their open requests.
     pub confirmed: Vec<(Id, u32)>,
-    /// What is waited for; empty means that the order may act.
+    /// What blocks the order; empty if it may act.
     pub blockers: Vec<Blocker>,
 }
 
 /// All closings in force.
 ///
-/// [`Drain::begin`] and [`Drain::end`] follow the fold of the log; an entry that starts meanwhile
-/// folds them before it serves, and must confirm as every other.
+/// [`Drain::begin`] and [`Drain::end`] follow the fold of the log. An entry that starts meanwhile
+/// folds the closings before it serves, and must confirm like any other.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Drain {
     settings: Settings,
@@ -102,7 +102,7 @@
 }
 
 impl Drain {
-    /// No closing in force.
+    /// Starts with no closing in force.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// An intent, or an operator's drain, at this offset was folded. Folding it twice changes
-    /// nothing.
+    /// Starts the closing of an intent, or of an operator's drain, folded at this offset.
+    /// Idempotent.
     pub fn begin(&mut self, now: Moment, order: Offset, upstream: &str) {
         self.closings.entry(order).or_insert_with(|| Closing {
             upstream: upstream.to_owned(),
@@ -120,13 +120,13 @@
         });
     }
 
-    /// The outcome of the order was folded, or the drain was lifted.
+    /// Ends a closing, when the outcome of its order is folded or the drain is lifted.
     pub fn end(&mut self, order: Offset) {
         self.closings.remove(&order);
     }
 
-    /// Takes a confirmation in. A sender repeats it with each heartbeat while the order stands,
-    /// so one that comes before its order, or gets lost, does no harm.
+    /// Records a peer's confirmation. Senders repeat it with each heartbeat while the order is in
+    /// force, so one that arrives before its order, or is lost, does no harm.
     pub fn confirm(&mut self, frame: &Frame) {
         let (Some(from), Some(frame::Body::Confirm(confirm))) = (&frame.from, &frame.body) else {
             return;
@@ -139,30 +139,30 @@
         self.record(&from.instance, confirm, confirmation);
     }
 
-    /// Takes this process's own confirmation in, which no frame carries. The newest always
+    /// Records this process's own confirmation, which no frame carries. The newest always
     /// counts.
-    pub fn confirm_local(&mut self, own: &crate::member::LocalMember, confirm: &Confirm) {
+    pub fn confirm_local(&mut self, local: &crate::member::LocalMember, confirm: &Confirm) {
         let confirmation = Confirmation {
-            incarnation: own.incarnation,
+            incarnation: local.incarnation,
             sequence: u64::MAX,
             open: confirm.open,
         };
-        self.record(&own.id, confirm, confirmation);
+        self.record(&local.id, confirm, confirmation);
     }
 
-    /// What the order waits for, given the entries that may still send; [`None`] if no such
-    /// closing is in force. An order may act only on an empty list.
+    /// What blocks the order, given the entries that may still send; [`None`] if no such closing
+    /// is in force. An order may act only on an empty list.
     pub fn blockers(&self, now: Moment, order: Offset, senders: &[Sender]) -> Option<Vec<Blocker>> {
         let closing = self.closings.get(&order)?;
         let settled = closing.since + self.settings.settle;
         let settle = (now < settled).then(|| Blocker::Settle {
             left: settled - now,
         });
-        let entries = senders.iter().filter_map(|sender| closing.wait(sender));
+        let entries = senders.iter().filter_map(|sender| closing.blocker(sender));
         Some(settle.into_iter().chain(entries).collect())
     }
 
-    /// Whether new work may not go to the upstream, and because of which orders.
+    /// Orders that close the upstream to new work.
     pub fn orders(&self, upstream: &str) -> impl Iterator<Item = Offset> {
         self.closings
             .iter()
@@ -186,23 +186,23 @@
         self.closings.iter().map(status).collect()
     }
 
-    /// The confirmations that this process owes, given how much it has open at an upstream. They
-    /// go out with each heartbeat.
+    /// Confirmations that this process must send with each heartbeat, given its open requests at
+    /// an upstream.
     pub fn due_confirmations(&self, mut open: impl FnMut(&str) -> u32) -> Vec<Confirm> {
-        let owed = |(order, closing): (&Offset, &Closing)| Confirm {
+        let confirmation = |(order, closing): (&Offset, &Closing)| Confirm {
             order: *order,
             upstream: closing.upstream.clone(),
             open: open(&closing.upstream),
         };
-        self.closings.iter().map(owed).collect()
+        self.closings.iter().map(confirmation).collect()
     }
 
     fn record(&mut self, entry: &str, confirm: &Confirm, confirmation: Confirmation) {
         let Some(closing) = self.closings.get_mut(&confirm.order) else {
             return;
         };
-        // A confirmation names its upstream, so that one for a record that another version of
-        // the software reads differently never counts.
+        // Another software version may read the same record differently; a confirmation for
+        // another upstream never counts.
         if closing.upstream != confirm.upstream {
             return;
         }
@@ -211,7 +211,7 @@
                 slot.insert(confirmation);
             }
             Entry::Occupied(mut slot) => {
-                if confirmation.newer(slot.get()) {
+                if confirmation.supersedes(slot.get()) {
                     slot.insert(confirmation);
                 }
             }
@@ -220,17 +220,17 @@
 }
 
 impl Confirmation {
-    /// A late frame must not take work in hand back that a newer one reported.
-    fn newer(&self, known: &Self) -> bool {
+    /// A delayed frame must not overwrite the open requests that a newer one reported.
+    fn supersedes(&self, known: &Self) -> bool {
         (self.incarnation, self.sequence) >= (known.incarnation, known.sequence)
     }
 }
 
 impl Closing {
-    fn wait(&self, sender: &Sender) -> Option<Blocker> {
+    fn blocker(&self, sender: &Sender) -> Option<Blocker> {
         let entry = sender.id.clone();
         let confirmation = self.confirmed.get(&sender.id).filter(|confirmation| {
-            // A restarted entry has not confirmed by what its former process said.
+            // A confirmation by the previous process of a restarted entry does not count.
             sender
                 .incarnation
                 .is_none_or(|newest| confirmation.incarnation >= newest)
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! Who takes part: the other entries ([`Members`]), the upstreams ([`Upstreams`]) and the set of
-//! entries that must confirm before an upstream may be closed ([`Drain`]).
+//! Fleet membership: the other entries ([`Members`]), the upstreams ([`Upstreams`]) and the entries
+//! that must confirm before an upstream may be closed ([`Drain`]).
 //!
 //! Everything here is a pure function of its inputs. The `control` crate feeds it the instance
-//! list, the frames of the `peer` crate and the folded log, and carries out what it gives back.
-//! `docs/design/membership.md` says what was weighed.
+//! list, the frames of the `peer` crate and the folded log, and carries out its outputs.
+//! `docs/design/membership.md` discusses the design choices.
 
 pub mod drain;
 pub mod health;
@@ -18,10 +18,10 @@
 pub use members::Members;
 pub use upstreams::Upstreams;
 
-/// Instance id, as the platform's list gives it.
+/// Instance id from the platform's list.
 pub type Id = String;
 
-/// Milliseconds since the Unix epoch at which a process started. It grows with each start.
+/// Start of a process in milliseconds since the Unix epoch. Increases with each restart.
 pub type Incarnation = u64;
 
 /// Offset of a record in the platform's log.
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -1,7 +1,7 @@
-//! The platform's instance list, guarded against answers that would empty the fleet.
+//! The platform's instance list, guarded against implausible readings.
 //!
-//! The list lags and its service has outages. [`View`] keeps the last reading that could be
-//! true, so that a frozen, empty or outdated answer never takes an upstream or an entry away.
+//! The list lags and its service has outages. [`View`] keeps the last plausible reading, so that a
+//! frozen, empty or outdated one never removes an upstream or an entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 use crate::Id;
 
-/// What an instance is for.
+/// Kind of an instance.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Kind {
-    /// One of our own.
+    /// An instance of this system.
     Entry,
     /// A model engine.
     Engine,
@@ -21,36 +21,36 @@
     Service,
 }
 
-/// How the platform marks an instance.
+/// The platform's mark on an instance.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Mark {
     /// In use.
     Live,
-    /// About to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
-/// One line of the list.
+/// One item of the list.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Instance {
     /// Unique name of the instance.
     pub id: Id,
-    /// What it is for.
+    /// Kind of the instance.
     pub kind: Kind,
     /// Pool that it serves; empty for an entry.
     pub pool: String,
-    /// Data centre in which it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
-    /// `ip:port`; of an entry its peer address (UDP).
+    /// `ip:port`; for an entry, its peer address (UDP).
     pub address: String,
-    /// How the platform marks it.
+    /// The platform's mark.
     pub mark: Mark,
 }
 
-/// One answer of the instance list.
+/// One reading of the instance list.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Listing {
-    /// Grows with each change of the list.
+    /// Increases with each change of the list.
     pub version: u64,
     /// All instances that are not gone.
     pub instances: Vec<Instance>,
@@ -59,21 +59,21 @@
 /// What became of a reading.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadOutcome {
-    /// It is the view now.
+    /// It replaced the view.
     Taken,
-    /// It is what the view holds already.
+    /// The view already has this version.
     Same,
-    /// Its version is lower than the one known: a lagging copy of the list answered.
+    /// Its version is lower than the view's: a lagging replica answered.
     Outdated,
-    /// It is empty, or would take away more than half at once; the view stays as it was.
+    /// It is empty, or would remove more than half of the instances at once; the view is kept.
     Doubted,
 }
 
-/// Bounds of the guard.
+/// Settings of the guard.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Settings {
-    /// For how long a doubted or outdated reading must be repeated until it is believed. An empty
-    /// list is never believed.
+    /// How long doubted or outdated readings must persist before one is accepted. An empty list is
+    /// never accepted.
     pub accept_after: Duration,
 }
 
@@ -85,45 +85,45 @@
     }
 }
 
-/// The last reading that could be true.
+/// The last plausible reading.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct View {
     settings: Settings,
     version: u64,
     instances: BTreeMap<Id, Instance>,
     read_at: Option<Moment>,
-    doubted_since: Option<Moment>,
+    rejected_since: Option<Moment>,
 }
 
 impl View {
-    /// A view that has read nothing yet.
+    /// A view before its first reading.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
             version: 0,
             instances: BTreeMap::new(),
             read_at: None,
-            doubted_since: None,
+            rejected_since: None,
         }
     }
 
-    /// Takes an answer of the list in, if it can be true.
+    /// Applies a reading of the list if it is plausible.
     ///
-    /// Symptom without the guard: after an outage the list's service restarts empty, every
-    /// upstream is taken for gone and all callers are refused while all engines run.
+    /// Without the guard, a list service that restarts empty after an outage would make every
+    /// upstream look gone, and all callers would be refused while all engines run.
     pub fn read(&mut self, now: Moment, listing: Listing) -> ReadOutcome {
-        let verdict = self.judge(&listing);
-        if matches!(verdict, ReadOutcome::Outdated | ReadOutcome::Doubted) {
-            let since = *self.doubted_since.get_or_insert(now);
-            let believed =
+        let outcome = self.classify(&listing);
+        if matches!(outcome, ReadOutcome::Outdated | ReadOutcome::Doubted) {
+            let since = *self.rejected_since.get_or_insert(now);
+            let accepted =
                 !listing.instances.is_empty() && now >= since + self.settings.accept_after;
-            if !believed {
-                return verdict;
+            if !accepted {
+                return outcome;
             }
         }
-        self.doubted_since = None;
+        self.rejected_since = None;
         self.read_at = Some(now);
-        if verdict == ReadOutcome::Same {
+        if outcome == ReadOutcome::Same {
             return ReadOutcome::Same;
         }
         self.version = listing.version;
@@ -135,13 +135,13 @@
         ReadOutcome::Taken
     }
 
-    /// Version of the reading that is in force.
+    /// Version of the accepted reading.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// When a reading was last believed; [`None`] before the first. Operators see its age, which
-    /// is how a frozen list is noticed.
+    /// When a reading was last accepted; [`None`] before the first. Operators see its age, which
+    /// reveals a frozen list.
     pub fn read_at(&self) -> Option<Moment> {
         self.read_at
     }
@@ -151,12 +151,12 @@
         self.instances.get(id)
     }
 
-    /// All instances in the order of their ids.
+    /// All instances, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.instances.values()
     }
 
-    fn judge(&self, listing: &Listing) -> ReadOutcome {
+    fn classify(&self, listing: &Listing) -> ReadOutcome {
         if listing.instances.is_empty() {
             return ReadOutcome::Doubted;
         }
