--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,4 +1,4 @@
-//! Passive health of one upstream: when to eject it, for how long, and how it comes back.
+//! Passive health checks of one upstream: when to eject it, for how long, and how it returns.
 
 use std::time::Duration;
 
@@ -6,35 +6,35 @@
 
 use crate::upstream::Observation;
 
-/// Bounds of passive health.
+/// Settings of passive health checks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Consecutive failures that eject an upstream.
     pub consecutive_failures: u32,
     /// Consecutive timeouts that eject an upstream.
     pub consecutive_timeouts: u32,
-    /// First period of ejection. It doubles with each ejection that follows soon.
+    /// Length of a first ejection. It doubles with each ejection that follows soon.
     pub base_ejection_time: Duration,
-    /// Longest period of ejection.
+    /// Maximum length of an ejection.
     pub max_ejection_time: Duration,
-    /// Time of good health after which the period starts anew.
+    /// Time after a return from which the next ejection counts as a first one again.
     pub reset_after: Duration,
-    /// Largest part of a pool that health may eject, from 0 to 1, rounded down.
+    /// Largest fraction of a pool that may be ejected, from 0 to 1, rounded down.
     pub max_ejected_fraction: f64,
-    /// An upstream is slow if its smoothed time to first byte is over this many times its pool's
-    /// median.
+    /// An upstream is slow if its smoothed time to first byte exceeds its pool's median by this
+    /// factor.
     pub slow_factor: f64,
     /// Times to first byte below this are never slow.
     pub slow_floor: Duration,
-    /// Answers needed before an upstream can be called slow.
+    /// Responses needed before an upstream can count as slow.
     pub slow_samples: u32,
-    /// How long the share of work grows after a return or a first listing.
+    /// Time over which the share of work grows after an ejection or a first listing.
     pub slow_start: Duration,
-    /// Share of work at the start of the ramp, from 0 to 1.
+    /// Share of work at the beginning of a slow start, from 0 to 1.
     pub slow_start_share: f64,
-    /// Time between probes of one whose ejection is over.
+    /// Time between probes of an upstream whose ejection time is over.
     pub probe_interval: Duration,
-    /// How long one that is gone is kept, so that late answers find it.
+    /// How long a gone upstream is kept, so that late responses still find it.
     pub forget_after: Duration,
 }
 
@@ -59,17 +59,17 @@
 }
 
 /// Weight of a new sample in the smoothed time to first byte.
-const SMOOTHING: f64 = 0.1;
+const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// Doublings after which the period can't matter any more.
+/// Doublings after which every ejection has its maximum length.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Why an upstream should be ejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// Too many failures one after the other.
+    /// Too many consecutive failures.
     Failures,
-    /// Too many timeouts one after the other.
+    /// Too many consecutive timeouts.
     Timeouts,
     /// Much slower than the others of its pool.
     Slow,
@@ -82,11 +82,11 @@
     timeouts: u32,
     samples: u32,
     /// Smoothed time to first byte in seconds.
-    smoothed: f64,
+    ttfb: f64,
     ejection: Option<Ejection>,
     ejections: u32,
     returned_at: Option<Moment>,
-    ramp_from: Option<Moment>,
+    slow_start_from: Option<Moment>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -97,73 +97,73 @@
 }
 
 impl Health {
-    /// Whether it is ejected now.
+    /// Whether the upstream is ejected.
     pub fn ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// Why it is ejected, and until when at least.
+    /// Cause and earliest end of the current ejection.
     pub fn ejection(&self) -> Option<(Cause, Moment)> {
         self.ejection
             .map(|ejection| (ejection.cause, ejection.until))
     }
 
-    /// Smoothed time to first byte, once there are enough samples to compare it.
+    /// Smoothed time to first byte in seconds, once there are enough samples to compare it.
     pub fn smoothed_ttfb(&self, settings: &Settings) -> Option<f64> {
-        (self.samples >= settings.slow_samples).then_some(self.smoothed)
+        (self.samples >= settings.slow_samples).then_some(self.ttfb)
     }
 
-    /// Share of the work of a healthy upstream that this one should get, from 0 to 1. It grows
-    /// after a return, so that the whole pool's backlog does not fall on a cold instance.
+    /// Share of a healthy upstream's work that this one should get, from 0 to 1. It grows during
+    /// the slow start, so that the whole pool's backlog does not hit a cold instance.
     pub fn share(&self, now: Moment, settings: &Settings) -> f64 {
-        let Some(from) = self.ramp_from else {
+        let Some(from) = self.slow_start_from else {
             return 1.0;
         };
         let age = now.saturating_sub(from).as_secs_f64();
-        let ramp = settings.slow_start.as_secs_f64();
-        if ramp <= 0.0 {
+        let slow_start = settings.slow_start.as_secs_f64();
+        if slow_start <= 0.0 {
             return 1.0;
         }
-        (age / ramp).clamp(settings.slow_start_share, 1.0)
+        (age / slow_start).clamp(settings.slow_start_share, 1.0)
     }
 
-    /// Starts the ramp of an upstream that is new in the list.
-    pub(crate) fn start(&mut self, now: Moment) {
-        self.ramp_from = Some(now);
+    /// Begins the slow start of a newly listed upstream.
+    pub(crate) fn begin_slow_start(&mut self, now: Moment) {
+        self.slow_start_from = Some(now);
     }
 
-    /// Takes the end of an attempt in.
-    pub(crate) fn observe(&mut self, observation: Observation) {
+    /// Records the result of an attempt.
+    pub(crate) fn record_attempt(&mut self, observation: Observation) {
         match observation {
             Observation::Answered(time) => {
                 self.failures = 0;
                 self.timeouts = 0;
-                self.sample(time.as_secs_f64());
+                self.record_ttfb(time.as_secs_f64());
             }
             Observation::Failed => self.failures += 1,
             Observation::TimedOut => self.timeouts += 1,
         }
     }
 
-    /// Why it should be ejected, given the median pace of its pool.
-    pub(crate) fn fault(&self, median: Option<f64>, settings: &Settings) -> Option<Cause> {
+    /// Why it should be ejected, given its pool's median time to first byte.
+    pub(crate) fn ejection_cause(&self, median: Option<f64>, settings: &Settings) -> Option<Cause> {
         if self.failures >= settings.consecutive_failures {
             return Some(Cause::Failures);
         }
         if self.timeouts >= settings.consecutive_timeouts {
             return Some(Cause::Timeouts);
         }
-        let pace = self.smoothed_ttfb(settings)?;
+        let ttfb = self.smoothed_ttfb(settings)?;
         let limit = (median? * settings.slow_factor).max(settings.slow_floor.as_secs_f64());
-        (pace > limit).then_some(Cause::Slow)
+        (ttfb > limit).then_some(Cause::Slow)
     }
 
-    /// Ejects it for a period that doubles while the fault comes back.
+    /// Ejects it, for twice as long each time while the fault recurs.
     pub(crate) fn eject(&mut self, now: Moment, cause: Cause, settings: &Settings) {
-        let forgiven = self
+        let recovered = self
             .returned_at
             .is_some_and(|at| now.saturating_sub(at) >= settings.reset_after);
-        if forgiven {
+        if recovered {
             self.ejections = 0;
         }
         let factor = 1_u32 << self.ejections.min(MAX_DOUBLINGS);
@@ -180,8 +180,8 @@
         self.clear_counts();
     }
 
-    /// Whether the ejection is over and a probe is due, which then counts as asked for.
-    pub(crate) fn take_probe(&mut self, now: Moment, settings: &Settings) -> bool {
+    /// Whether the ejection time is over and a probe is due; if so, schedules the next one.
+    pub(crate) fn take_due_probe(&mut self, now: Moment, settings: &Settings) -> bool {
         let Some(ejection) = &mut self.ejection else {
             return false;
         };
@@ -192,9 +192,14 @@
         true
     }
 
-    /// Takes the end of a probe in: an answer ends an ejection whose time is over, anything else
-    /// prolongs it.
-    pub(crate) fn probed(&mut self, now: Moment, observation: Observation, settings: &Settings) {
+    /// Records the result of a probe. Once the ejection time is over, a response ends the
+    /// ejection and anything else extends it.
+    pub(crate) fn record_probe(
+        &mut self,
+        now: Moment,
+        observation: Observation,
+        settings: &Settings,
+    ) {
         let Some(ejection) = self.ejection else {
             return;
         };
@@ -204,7 +209,7 @@
         if matches!(observation, Observation::Answered(_)) {
             self.ejection = None;
             self.returned_at = Some(now);
-            self.ramp_from = Some(now);
+            self.slow_start_from = Some(now);
             self.clear_counts();
         } else {
             self.eject(now, ejection.cause, settings);
@@ -217,11 +222,11 @@
         self.samples = 0;
     }
 
-    fn sample(&mut self, seconds: f64) {
-        self.smoothed = if self.samples == 0 {
+    fn record_ttfb(&mut self, seconds: f64) {
+        self.ttfb = if self.samples == 0 {
             seconds
         } else {
-            self.smoothed + SMOOTHING * (seconds - self.smoothed)
+            self.ttfb + SMOOTHING_FACTOR * (seconds - self.ttfb)
         };
         self.samples = self.samples.saturating_add(1);
     }
--- a/crates/fleet/src/upstream.rs
+++ b/crates/fleet/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Types of the upstreams as this entry sees them; [`crate::Upstreams`] holds the rules.
+//! Types of the upstreams as this entry sees them; [`crate::Upstreams`] implements the rules.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 use crate::list::{Kind, Mark, View};
 use crate::{Id, Offset, health};
 
-/// Why an upstream gets new work, or doesn't. Where several hold, the one that stands last below
-/// shows.
+/// Whether an upstream gets new work, and if not, why. If several states apply, the last of them
+/// in this order is reported.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum State {
     /// It gets new work.
     Live,
-    /// Passive health took it out for a while.
+    /// Passive health checks ejected it for a while.
     Ejected,
-    /// An order that is not resolved closes it.
+    /// An unresolved order closes it.
     Closed,
-    /// An operator's drain stands.
+    /// An operator drains it.
     Drained,
-    /// The platform is about to take it away.
+    /// The platform is about to remove it.
     Leaving,
-    /// It is off the list. Work in hand may still go on.
+    /// It is off the list. Open requests may still finish.
     Gone,
 }
 
@@ -35,32 +35,32 @@
     pub kind: Kind,
     /// Pool that it serves.
     pub pool: String,
-    /// Data centre in which it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
     /// `ip:port`.
     pub address: String,
-    /// Its state as of the last step.
+    /// State as of the last step.
     pub state: State,
-    /// How the list marks it; [`None`] if it is off the list.
+    /// Mark in the list; [`None`] if it is off the list.
     pub listed: Option<Mark>,
-    /// Whether an operator's drain stands.
+    /// Whether an operator drains it.
     pub drained: bool,
     /// Orders that close it.
     pub orders: SmallVec<[Offset; 2]>,
-    /// What the answers of late say.
+    /// Health as shown by recent attempts.
     pub health: health::Health,
     /// When it was last listed.
     pub(crate) listed_at: Moment,
 }
 
 impl Upstream {
-    /// Whether new work may go there.
+    /// Whether new work may be sent to it.
     pub fn takes_work(&self) -> bool {
         self.state == State::Live
     }
 
-    /// The state that its marks mean.
-    pub(crate) fn judge(&self) -> State {
+    /// Derives the state from the list, drains, orders and health.
+    pub(crate) fn derive_state(&self) -> State {
         match self.listed {
             None => State::Gone,
             Some(Mark::Leaving) => State::Leaving,
@@ -72,19 +72,19 @@
     }
 }
 
-/// How one attempt at an upstream, or a probe, ended.
+/// Result of one attempt at an upstream, or of a probe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Observation {
-    /// It answered; the first byte came after this time.
+    /// It answered, with this time to first byte.
     Answered(Duration),
-    /// The connection failed or broke, or the answer was an error of the upstream's own (5xx that
-    /// is no refusal for load).
+    /// The connection failed or broke, or the upstream answered with an error of its own (a 5xx
+    /// that is not a refusal for load).
     Failed,
     /// The first byte did not come in time.
     TimedOut,
 }
 
-/// What drives [`crate::Upstreams`].
+/// Inputs of [`crate::Upstreams`].
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
     /// The instance list was read.
@@ -107,47 +107,47 @@
     Attempt {
         /// The upstream.
         upstream: &'a str,
-        /// How it ended.
+        /// Its result.
         observation: Observation,
     },
-    /// A probe that was asked for ended.
+    /// A requested probe ended.
     Probe {
         /// The upstream.
         upstream: &'a str,
-        /// How it ended.
+        /// Its result.
         observation: Observation,
     },
-    /// Time passed; to be given every second or so.
+    /// Time passed; expected about every second.
     Tick,
 }
 
-/// What [`crate::Upstreams`] wants done or known.
+/// Outputs of [`crate::Upstreams`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
     /// The state of an upstream changed.
     Changed {
         /// The upstream.
         id: Id,
-        /// State before; [`None`] for a new one.
+        /// Previous state; [`None`] for a new upstream.
         was: Option<State>,
-        /// State now.
+        /// New state.
         state: State,
     },
-    /// Ask the upstream for a sign of life (an engine for `/engine/state`, a plain service for a
-    /// connection) and report it as [`Input::Probe`].
+    /// Probe the upstream (`/engine/state` of an engine, a connection to a plain service) and
+    /// report the result as [`Input::Probe`].
     Probe {
         /// The upstream.
         id: Id,
         /// `ip:port`.
         address: String,
     },
-    /// Health would eject the upstream, but too many of its pool are ejected already. Operators
-    /// see it as a warning: the pool as a whole is at fault.
+    /// The upstream should be ejected, but too many of its pool already are. Operators see it as
+    /// a warning: the pool as a whole is at fault.
     EjectionWithheld {
         /// The upstream.
         id: Id,
     },
-    /// The upstream is forgotten; its connections may be closed.
+    /// The upstream was removed; its connections may be closed.
     Forgotten {
         /// The upstream.
         id: Id,
--- a/crates/fleet/src/upstreams.rs
+++ b/crates/fleet/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! The rules of the upstreams: who gets new work from this entry.
+//! Rules that decide which upstreams get new work from this entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,55 +12,54 @@
 
 /// All upstreams that this entry knows, by id.
 ///
-/// Orders and drains stand here also for upstreams that the list does not show yet: the log and
-/// the list are read apart from each other, and an order must close its upstream from the moment
-/// at which it is listed.
+/// Orders and drains are also kept for upstreams that are not listed yet: the log and the list are
+/// read independently, and an order must close its upstream as soon as that is listed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstreams {
     settings: health::Settings,
     upstreams: BTreeMap<Id, Upstream>,
     orders: BTreeMap<Offset, Id>,
     drains: BTreeSet<Id>,
-    filled: bool,
+    list_was_read: bool,
 }
 
 impl Upstreams {
-    /// No upstream known yet.
+    /// Starts without upstreams.
     pub fn new(settings: health::Settings) -> Self {
         Self {
             settings,
             upstreams: BTreeMap::new(),
             orders: BTreeMap::new(),
             drains: BTreeSet::new(),
-            filled: false,
+            list_was_read: false,
         }
     }
 
-    /// Takes one input in and says what is to be done.
+    /// Processes one input and returns the resulting outputs.
     pub fn step(&mut self, now: Moment, input: Input<'_>) -> Outputs {
         let mut outputs = Outputs::new();
         match input {
             Input::List(view) => self.read_list(now, view, &mut outputs),
             Input::Drains(drains) => {
                 self.drains = drains.iter().cloned().collect();
-                self.mark_closings(&mut outputs);
+                self.update_closings(&mut outputs);
             }
             Input::Close { order, upstream } => {
                 self.orders.insert(order, upstream.to_owned());
-                self.mark_closings(&mut outputs);
+                self.update_closings(&mut outputs);
             }
             Input::Open { order } => {
                 self.orders.remove(&order);
-                self.mark_closings(&mut outputs);
+                self.update_closings(&mut outputs);
             }
             Input::Attempt {
                 upstream,
                 observation,
-            } => self.observe(now, upstream, observation, &mut outputs),
+            } => self.record_attempt(now, upstream, observation, &mut outputs),
             Input::Probe {
                 upstream,
                 observation,
-            } => self.probed(now, upstream, observation, &mut outputs),
+            } => self.record_probe(now, upstream, observation, &mut outputs),
             Input::Tick => self.tick(now, &mut outputs),
         }
         outputs
@@ -71,13 +70,12 @@
         self.upstreams.get(id)
     }
 
-    /// All upstreams, in the order of their ids.
+    /// All upstreams, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// The upstreams of a pool that take new work, with the share of work that each should get,
-    /// from 0 to 1.
+    /// Upstreams of a pool that take new work, each with its share of work from 0 to 1.
     pub fn live(&self, now: Moment, pool: &str) -> impl Iterator<Item = (&Upstream, f64)> {
         self.upstreams
             .values()
@@ -85,8 +83,8 @@
             .map(move |upstream| (upstream, upstream.health.share(now, &self.settings)))
     }
 
-    /// The state is judged at once on reading, so that a leaving upstream gets no new work from
-    /// this moment on.
+    /// Updates the states at once, so that a leaving upstream gets no new work from this moment
+    /// on.
     fn read_list(&mut self, now: Moment, view: &View, outputs: &mut Outputs) {
         if view.read_at().is_none() {
             return;
@@ -95,86 +93,92 @@
             upstream.listed = None;
         }
         for line in view.iter().filter(|line| line.kind != Kind::Entry) {
-            self.take_line(now, line, outputs);
+            self.apply_instance(now, line, outputs);
         }
-        self.filled = true;
-        self.mark_closings(outputs);
+        self.list_was_read = true;
+        self.update_closings(outputs);
     }
 
-    fn take_line(&mut self, now: Moment, line: &Instance, outputs: &mut Outputs) {
-        let Some(upstream) = self.upstreams.get_mut(&line.id) else {
-            let upstream = self.new_upstream(now, line);
+    fn apply_instance(&mut self, now: Moment, instance: &Instance, outputs: &mut Outputs) {
+        let Some(upstream) = self.upstreams.get_mut(&instance.id) else {
+            let upstream = self.new_upstream(now, instance);
             outputs.push(Output::Changed {
-                id: line.id.clone(),
+                id: instance.id.clone(),
                 was: None,
                 state: upstream.state,
             });
-            self.upstreams.insert(line.id.clone(), upstream);
+            self.upstreams.insert(instance.id.clone(), upstream);
             return;
         };
-        if upstream.address != line.address {
-            // Another process under the same id: what was seen of the former says nothing.
+        if upstream.address != instance.address {
+            // Another process under the same id: the health of the previous one does not apply.
             upstream.health = Health::default();
-            upstream.health.start(now);
+            upstream.health.begin_slow_start(now);
         }
-        upstream.kind = line.kind;
-        upstream.pool.clone_from(&line.pool);
-        upstream.data_centre.clone_from(&line.data_centre);
-        upstream.address.clone_from(&line.address);
-        upstream.listed = Some(line.mark);
+        upstream.kind = instance.kind;
+        upstream.pool.clone_from(&instance.pool);
+        upstream.data_centre.clone_from(&instance.data_centre);
+        upstream.address.clone_from(&instance.address);
+        upstream.listed = Some(instance.mark);
         upstream.listed_at = now;
     }
 
-    fn new_upstream(&self, now: Moment, line: &Instance) -> Upstream {
+    fn new_upstream(&self, now: Moment, instance: &Instance) -> Upstream {
         let mut health = Health::default();
-        // At the first reading all are new to this entry, and none is cold because of that.
-        if self.filled {
-            health.start(now);
+        // At the first reading all upstreams are new to this entry, but not cold.
+        if self.list_was_read {
+            health.begin_slow_start(now);
         }
         let mut upstream = Upstream {
-            id: line.id.clone(),
-            kind: line.kind,
-            pool: line.pool.clone(),
-            data_centre: line.data_centre.clone(),
-            address: line.address.clone(),
+            id: instance.id.clone(),
+            kind: instance.kind,
+            pool: instance.pool.clone(),
+            data_centre: instance.data_centre.clone(),
+            address: instance.address.clone(),
             state: State::Gone,
-            listed: Some(line.mark),
-            drained: self.drains.contains(&line.id),
-            orders: orders_of(&self.orders, &line.id),
+            listed: Some(instance.mark),
+            drained: self.drains.contains(&instance.id),
+            orders: closing_orders(&self.orders, &instance.id),
             health,
             listed_at: now,
         };
-        upstream.state = upstream.judge();
+        upstream.state = upstream.derive_state();
         upstream
     }
 
-    fn mark_closings(&mut self, outputs: &mut Outputs) {
+    fn update_closings(&mut self, outputs: &mut Outputs) {
         for upstream in self.upstreams.values_mut() {
             upstream.drained = self.drains.contains(&upstream.id);
-            upstream.orders = orders_of(&self.orders, &upstream.id);
-            judge(upstream, outputs);
+            upstream.orders = closing_orders(&self.orders, &upstream.id);
+            update_state(upstream, outputs);
         }
     }
 
-    fn observe(&mut self, now: Moment, id: &str, observation: Observation, outputs: &mut Outputs) {
+    fn record_attempt(
+        &mut self,
+        now: Moment,
+        id: &str,
+        observation: Observation,
+        outputs: &mut Outputs,
+    ) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.health.observe(observation);
+        upstream.health.record_attempt(observation);
         if upstream.health.ejected() {
             return;
         }
-        // The median of the pool costs a pass over it, so it is left to the tick.
-        let Some(cause) = upstream.health.fault(None, &self.settings) else {
+        // The median takes a pass over the pool, so slowness is left to the tick.
+        let Some(cause) = upstream.health.ejection_cause(None, &self.settings) else {
             return;
         };
         self.eject(now, id, cause, outputs);
     }
 
-    /// Ejects the upstream unless the pool would lose more than its fraction.
+    /// Ejects the upstream unless too large a fraction of its pool would be ejected.
     ///
-    /// Symptom without the bound: a fault behind all upstreams, such as a broken store, ejects
-    /// the whole pool and turns slow answers or errors into an outage.
+    /// Without the bound, a fault behind all upstreams, such as a broken store, would eject the
+    /// whole pool and turn slow responses or errors into an outage.
     fn eject(&mut self, now: Moment, id: &str, cause: health::Cause, outputs: &mut Outputs) {
         let Some(pool) = self.upstreams.get(id).map(|upstream| upstream.pool.clone()) else {
             return;
@@ -195,23 +199,31 @@
         }
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.health.eject(now, cause, &self.settings);
-            judge(upstream, outputs);
+            update_state(upstream, outputs);
         }
     }
 
-    fn probed(&mut self, now: Moment, id: &str, observation: Observation, outputs: &mut Outputs) {
+    fn record_probe(
+        &mut self,
+        now: Moment,
+        id: &str,
+        observation: Observation,
+        outputs: &mut Outputs,
+    ) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
-            upstream.health.probed(now, observation, &self.settings);
-            judge(upstream, outputs);
+            upstream
+                .health
+                .record_probe(now, observation, &self.settings);
+            update_state(upstream, outputs);
         }
     }
 
     fn tick(&mut self, now: Moment, outputs: &mut Outputs) {
-        for id in self.slow() {
+        for id in self.slow_upstreams() {
             self.eject(now, &id, health::Cause::Slow, outputs);
         }
         for upstream in self.upstreams.values_mut() {
-            if upstream.listed.is_some() && upstream.health.take_probe(now, &self.settings) {
+            if upstream.listed.is_some() && upstream.health.take_due_probe(now, &self.settings) {
                 outputs.push(Output::Probe {
                     id: upstream.id.clone(),
                     address: upstream.address.clone(),
@@ -229,23 +241,24 @@
         });
     }
 
-    /// The upstreams that are much slower than the median of their pool.
-    fn slow(&self) -> Vec<Id> {
-        let mut paces: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+    /// Upstreams that are much slower than their pool's median.
+    fn slow_upstreams(&self) -> Vec<Id> {
+        let mut latencies: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for upstream in self.upstreams.values().filter(|one| one.takes_work()) {
-            if let Some(pace) = upstream.health.smoothed_ttfb(&self.settings) {
-                paces.entry(&upstream.pool).or_default().push(pace);
+            if let Some(latency) = upstream.health.smoothed_ttfb(&self.settings) {
+                latencies.entry(&upstream.pool).or_default().push(latency);
             }
         }
-        for pool in paces.values_mut() {
+        for pool in latencies.values_mut() {
             pool.sort_by(f64::total_cmp);
         }
         let is_slow = |upstream: &&Upstream| {
-            let median = paces
+            let median = latencies
                 .get(upstream.pool.as_str())
                 .and_then(|paces| paces.get((paces.len() - 1) / 2).copied());
             upstream.takes_work()
-                && upstream.health.fault(median, &self.settings) == Some(health::Cause::Slow)
+                && upstream.health.ejection_cause(median, &self.settings)
+                    == Some(health::Cause::Slow)
         };
         self.upstreams
             .values()
@@ -255,13 +268,13 @@
     }
 }
 
-fn orders_of(orders: &BTreeMap<Offset, Id>, id: &str) -> SmallVec<[Offset; 2]> {
-    let of_upstream = orders.iter().filter(|(_, upstream)| *upstream == id);
-    of_upstream.map(|(order, _)| *order).collect()
+fn closing_orders(orders: &BTreeMap<Offset, Id>, id: &str) -> SmallVec<[Offset; 2]> {
+    let closing = orders.iter().filter(|(_, upstream)| *upstream == id);
+    closing.map(|(order, _)| *order).collect()
 }
 
-fn judge(upstream: &mut Upstream, outputs: &mut Outputs) {
-    let state = upstream.judge();
+fn update_state(upstream: &mut Upstream, outputs: &mut Outputs) {
+    let state = upstream.derive_state();
     if state == upstream.state {
         return;
     }
