--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! Types of the membership of entries; [`crate::Members`] holds the rules.
+//! Types of the membership of entries; [`crate::Members`] implements the rules.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use wire::peer::{Frame, Heartbeat};
 
 use crate::list::{Mark, View};
-use crate::presence::KINDS;
+use crate::presence::SEQUENCE_SLOTS;
 use crate::{Id, Incarnation, Offset};
 
-/// What this process knows of another entry.
+/// State of another entry as this process sees it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum State {
-    /// Heard lately.
+    /// Heard from recently.
     Alive,
-    /// Listed or heard not long ago, but silent now. It may still serve.
+    /// Listed, or heard from not long ago, but silent now. It may still serve.
     Suspect,
-    /// It finishes its work in hand and will stop.
+    /// Finishing its open requests before it stops.
     Leaving,
     /// Off the list and silent for [`Settings::gone_after`]. It can't send any more.
     Gone,
@@ -26,15 +26,15 @@
 /// Whether a peer receives what this process sends.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Hearing {
-    /// Nothing was heard from it that would tell.
+    /// Not known, for want of recent heartbeats.
     Unknown,
     /// It echoed a recent heartbeat of this incarnation.
     Hears,
-    /// Its heartbeats arrive and echo nothing recent: a partition in one direction.
+    /// Its heartbeats arrive but echo nothing recent: a one-way partition.
     Deaf,
 }
 
-/// Bounds of the membership.
+/// Settings of the membership.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Settings {
     /// Time between two heartbeats to the same peer.
@@ -42,13 +42,14 @@
     /// Silence after which a peer is suspect, and age of an echo at which it counts as deaf.
     pub suspect_after: Duration,
     /// Silence after which a peer that is off the list is gone. It must be longer than
-    /// [`Settings::pause_threshold`], so that a paused entry refuses new work before others stop waiting.
+    /// [`Settings::pause_threshold`], so that a paused entry refuses new work before others stop
+    /// waiting for it.
     pub gone_after: Duration,
-    /// How long the incarnation of one that is gone is remembered, to refuse its late frames.
+    /// How long the incarnation of a gone peer is remembered, to refuse its late frames.
     pub forget_after: Duration,
-    /// Longest lag of the instance list. A new entry waits for it, unless all peers heard it.
+    /// Maximum lag of the instance list. A new entry waits this long unless all peers heard it.
     pub list_lag: Duration,
-    /// Time between two ticks from which this process knows that it was paused.
+    /// Gap between two inputs from which this process concludes that it was paused.
     pub pause_threshold: Duration,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// This process as others know it.
+/// This process as its peers know it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LocalMember {
     /// Instance id from the settings.
@@ -76,63 +77,63 @@
     pub data_centre: String,
 }
 
-/// What a heartbeat says of the sender's progress.
+/// The sender's progress as reported by a heartbeat.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Progress {
     /// Highest log offset folded.
     pub folded: Offset,
     /// Revision of the catalogue in force.
     pub revision: Offset,
-    /// Whether the process finishes its work in hand and takes no new.
+    /// Whether the process takes no new work and finishes its open requests.
     pub leaving: bool,
     /// Version of the acceptance rules that it understands.
     pub rules: u32,
 }
 
 impl From<&Heartbeat> for Progress {
-    fn from(beat: &Heartbeat) -> Self {
+    fn from(heartbeat: &Heartbeat) -> Self {
         Self {
-            folded: beat.folded,
-            revision: beat.revision,
-            leaving: beat.leaving,
-            rules: beat.rules,
+            folded: heartbeat.folded,
+            revision: heartbeat.revision,
+            leaving: heartbeat.leaving,
+            rules: heartbeat.rules,
         }
     }
 }
 
-/// All that is known of one other entry.
+/// Everything known about one other entry.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Member {
     /// Instance id.
     pub id: Id,
-    /// Newest incarnation heard; [`None`] for one that is only listed.
+    /// Newest incarnation heard; [`None`] if the entry is only listed.
     pub incarnation: Option<Incarnation>,
-    /// Its state as of the last step.
+    /// State as of the last step.
     pub state: State,
-    /// Whether it hears this process.
+    /// Whether it receives this process's frames.
     pub hearing: Hearing,
-    /// How the list marks it; [`None`] if the list leaves it out.
+    /// Mark in the list; [`None`] if it is off the list.
     pub listed: Option<Mark>,
     /// Peer address from the list; empty if it was never listed.
     pub address: String,
     /// Data centre from the list or its heartbeat.
     pub data_centre: String,
-    /// When this process first knew of it.
+    /// When this process first learned of it.
     pub known_since: Moment,
     /// When a frame of the newest incarnation last arrived.
     pub heard_at: Option<Moment>,
     /// When this process first heard the newest incarnation.
     pub incarnation_since: Option<Moment>,
-    /// What its last heartbeat said.
+    /// Progress reported by its last heartbeat.
     pub progress: Progress,
-    /// Last moment at which it was heard or listed.
+    /// When it was last heard or listed.
     pub(crate) present_at: Moment,
     /// `sent_ms` of its newest heartbeat, to be echoed.
     pub(crate) sent_ms: u64,
-    /// Newest own heartbeat that it echoed.
+    /// Send time of the newest local heartbeat that it echoed.
     pub(crate) echoed_at: Option<Moment>,
-    /// Newest sequence by kind of frame.
-    pub(crate) sequences: [u64; KINDS],
+    /// Newest sequence number by kind of frame.
+    pub(crate) sequences: [u64; SEQUENCE_SLOTS],
 }
 
 /// An entry that may still send to an upstream.
@@ -144,23 +145,23 @@
     pub incarnation: Option<Incarnation>,
 }
 
-/// What drives [`crate::Members`].
+/// Inputs of [`crate::Members`].
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
     /// The instance list was read.
     List(&'a View),
-    /// A frame arrived from a peer whose certificate bears the name in `from`.
+    /// A frame arrived from a peer whose certificate names the instance in `from`.
     Frame(&'a Frame),
-    /// Time passed; to be given at least twice in [`Settings::heartbeat_interval`].
+    /// Time passed; expected at least twice per [`Settings::heartbeat_interval`].
     Tick(Progress),
 }
 
-/// What [`crate::Members`] wants done or known.
+/// Outputs of [`crate::Members`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send this heartbeat.
     SendHeartbeat {
-        /// Addressee.
+        /// Recipient.
         to: Id,
         /// Body of the frame.
         heartbeat: Heartbeat,
@@ -169,48 +170,49 @@
     Changed {
         /// The member.
         id: Id,
-        /// State before; [`None`] for one that was unknown.
+        /// Previous state; [`None`] for a new member.
         was: Option<State>,
-        /// State now.
+        /// New state.
         state: State,
     },
     /// The same incarnation is heard again after it was suspect or gone: it was paused or cut
-    /// off, and acts on an old view until it has folded the log.
+    /// off, and acts on an outdated view until it has folded the log.
     Returned {
         /// The member.
         id: Id,
-        /// For how long it was silent.
+        /// Length of the silence.
         silent: Duration,
     },
-    /// A newer incarnation is heard: the former process is dead, with all it had open.
+    /// A newer incarnation is heard: the previous process is dead, with all its open requests.
     Restarted {
         /// The member.
         id: Id,
         /// The newer incarnation.
         incarnation: Incarnation,
     },
-    /// Whether a member hears this process changed.
+    /// Whether a member receives this process's frames changed.
     HearingChanged {
         /// The member.
         id: Id,
-        /// Whether it hears this process.
+        /// Whether it receives this process's frames.
         hearing: Hearing,
     },
-    /// The frame must not be handled further.
+    /// The frame was rejected and must not be processed further.
     Refused(Refusal),
-    /// This process was paused for so long. Its view is old: it must not send new work until it
-    /// has folded the log up to its end, or knows of nothing newer from [`crate::Members::with_fresh_heartbeat`].
+    /// This process was paused for this long. Its view is outdated: it must not send new work until
+    /// it has folded the log to its end, or knows from [`crate::Members::with_fresh_heartbeat`]
+    /// that there is nothing newer.
     Paused(Duration),
     /// A peer knows a newer incarnation of this instance: this process was replaced and must stop.
     Superseded(Incarnation),
 }
 
-/// Why a frame was not taken.
+/// Why a frame was rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// It comes from an incarnation that was replaced.
+    /// Its sender's incarnation was replaced.
     OlderIncarnation,
-    /// A newer frame of its kind arrived before.
+    /// A newer frame of its kind has already arrived.
     OlderSequence,
     /// It names no sender, or this process as its sender.
     NoSender,
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -1,4 +1,4 @@
-//! The rules of the membership of entries.
+//! Rules of the membership of entries.
 
 use std::collections::BTreeMap;
 
@@ -12,41 +12,41 @@
     Input, LocalMember, Member, Output, Outputs, Progress, Refusal, Sender, Settings, State,
 };
 
-/// The entries that this process knows through the instance list and through their frames.
+/// The other entries, known from the instance list and from their frames.
 ///
-/// A member that is gone is kept for a while, so that late frames of its process are refused.
+/// A gone member is kept for a while, so that late frames of its process are refused.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Members {
-    own: LocalMember,
+    local: LocalMember,
     settings: Settings,
     members: BTreeMap<Id, Member>,
-    started: Moment,
-    ticked: Moment,
-    /// Start or end of the last pause; silence before it proves nothing.
+    started_at: Moment,
+    last_step_at: Moment,
+    /// Start of this process or end of its last pause; silence before that proves nothing.
     listening_since: Moment,
-    next_beat: Moment,
+    next_heartbeat_at: Moment,
 }
 
 impl Members {
-    /// A membership that knows nobody yet.
-    pub fn new(own: LocalMember, settings: Settings, now: Moment) -> Self {
+    /// Starts without members.
+    pub fn new(local: LocalMember, settings: Settings, now: Moment) -> Self {
         Self {
-            own,
+            local,
             settings,
             members: BTreeMap::new(),
-            started: now,
-            ticked: now,
+            started_at: now,
+            last_step_at: now,
             listening_since: now,
-            next_beat: now,
+            next_heartbeat_at: now,
         }
     }
 
-    /// Takes one input in and says what is to be done.
+    /// Processes one input and returns the resulting outputs.
     pub fn step(&mut self, now: Moment, input: Input<'_>) -> Outputs {
-        let mut outputs = self.notice_pause(now);
+        let mut outputs = self.detect_pause(now);
         match input {
             Input::List(view) => self.read_list(now, view, &mut outputs),
-            Input::Frame(frame) => match self.accept(now, frame, &mut outputs) {
+            Input::Frame(frame) => match self.accept_frame(now, frame, &mut outputs) {
                 Ok(()) => {}
                 Err(refusal) => outputs.push(Output::Refused(refusal)),
             },
@@ -60,21 +60,21 @@
         self.members.get(id)
     }
 
-    /// All members but this process, in the order of their ids.
+    /// All members except this process, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
     /// This process.
     pub fn local(&self) -> &LocalMember {
-        &self.own
+        &self.local
     }
 
-    /// The entries that may still send to an upstream: all that are listed or were heard lately,
-    /// this process among them. Only those that are certainly gone are left out.
+    /// The entries that may still send to an upstream, including this process: all that are listed
+    /// or were heard recently. Only those that are certainly gone are left out.
     ///
-    /// A listed entry that can't be asked stays in and blocks a planned change, because it may
-    /// well serve callers behind a partition.
+    /// A listed entry that can't be reached is included and blocks a planned change, because it may
+    /// be serving callers behind a partition.
     pub fn senders(&self) -> Vec<Sender> {
         let others = self
             .members
@@ -84,25 +84,26 @@
                 id: member.id.clone(),
                 incarnation: member.incarnation,
             });
-        let own = Sender {
-            id: self.own.id.clone(),
-            incarnation: Some(self.own.incarnation),
+        let local = Sender {
+            id: self.local.id.clone(),
+            incarnation: Some(self.local.incarnation),
         };
-        others.chain([own]).collect()
+        others.chain([local]).collect()
     }
 
-    /// Whether this process, newly started, may take work: the others count on it from now on,
-    /// because every listed one hears it or the list, where it registered, can't lag longer.
+    /// Whether this newly started process may take work: the others take it into account from now
+    /// on, because every listed one has heard it, or the list, where it is registered, can't lag
+    /// any longer.
     ///
-    /// Without this a holder that has not heard of the process would close an upstream while the
-    /// process, cut off from the log, sends there.
+    /// Otherwise a lease holder that has not heard of this process could close an upstream while
+    /// the process, cut off from the log, sends there.
     ///
-    /// It is enough that each one's newest incarnation heard it once: that one counts it from
-    /// then on. If all had to go on hearing it, an entry that serves since seconds would refuse
-    /// its callers as soon as another is paused or killed.
+    /// It is enough that each entry's newest incarnation heard it once and counts it from then on.
+    /// If all had to go on hearing it, an entry that has only just begun to serve would refuse its
+    /// callers as soon as another is paused or killed.
     ///
-    /// The first yes is not kept for good. A holder that starts meanwhile and has not heard of
-    /// this process would not wait for it, so the answer is no again until that one has, or until
+    /// A positive result does not last: a holder that starts later and has not heard of this
+    /// process would not wait for it, so the result is negative again until that one has, or until
     /// the lag is over.
     pub fn may_serve(&self, now: Moment) -> bool {
         let heard_by_all = self
@@ -110,16 +111,17 @@
             .values()
             .filter(|member| member.listed == Some(Mark::Live))
             .all(|member| member.echoed_at.is_some());
-        let known = self.members.values().any(|member| member.listed.is_some());
-        (known && heard_by_all) || now.saturating_sub(self.started) >= self.settings.list_lag
+        let any_listed = self.members.values().any(|member| member.listed.is_some());
+        (any_listed && heard_by_all)
+            || now.saturating_sub(self.started_at) >= self.settings.list_lag
     }
 
-    /// The members whose newest heartbeat was certainly sent after this process started, or was
-    /// continued after its last pause: it echoes one that this process sent since.
+    /// Members whose newest heartbeat was certainly sent after this process started or resumed from
+    /// its last pause: it echoes a heartbeat that this process has sent since.
     ///
-    /// Symptom when any heartbeat is taken for news: a process that is continued after a minute
-    /// reads one that waited in its socket since the pause began, finds nothing newer in it than
-    /// what it knows, and sends work to an upstream that was closed meanwhile.
+    /// Any other heartbeat may have waited in the socket since the pause began. A process that
+    /// resumes after a minute would find nothing newer in it, and would send work to an upstream
+    /// that was closed meanwhile.
     pub fn with_fresh_heartbeat(&self) -> impl Iterator<Item = &Member> {
         let since = millis(self.listening_since);
         self.members.values().filter(move |member| {
@@ -128,13 +130,13 @@
         })
     }
 
-    /// Notices that this process was paused, and takes the pause out of everyone's silence.
+    /// Detects that this process was paused, and does not count the pause as silence of its peers.
     ///
-    /// Symptom without it: a process that is continued after a minute takes all its peers for
-    /// gone, because their frames still wait in its socket, and closes an upstream without them.
-    fn notice_pause(&mut self, now: Moment) -> Outputs {
-        let gap = now.saturating_sub(self.ticked);
-        self.ticked = self.ticked.max(now);
+    /// Otherwise a process that resumes after a minute would take all its peers for gone, because
+    /// their frames still wait in its socket, and would close an upstream without them.
+    fn detect_pause(&mut self, now: Moment) -> Outputs {
+        let gap = now.saturating_sub(self.last_step_at);
+        self.last_step_at = self.last_step_at.max(now);
         if gap < self.settings.pause_threshold {
             return Outputs::new();
         }
@@ -151,7 +153,7 @@
             member.listed = None;
         }
         let entries = view.iter().filter(|line| line.kind == list::Kind::Entry);
-        for line in entries.filter(|line| line.id != self.own.id) {
+        for line in entries.filter(|line| line.id != self.local.id) {
             let member = self
                 .members
                 .entry(line.id.clone())
@@ -161,46 +163,51 @@
             member.address.clone_from(&line.address);
             member.data_centre.clone_from(&line.data_centre);
         }
-        self.judge(now, outputs);
+        self.update_states(now, outputs);
     }
 
-    fn accept(&mut self, now: Moment, frame: &Frame, outputs: &mut Outputs) -> Result<(), Refusal> {
+    fn accept_frame(
+        &mut self,
+        now: Moment,
+        frame: &Frame,
+        outputs: &mut Outputs,
+    ) -> Result<(), Refusal> {
         let from = frame.from.as_ref().ok_or(Refusal::NoSender)?;
-        if from.instance.is_empty() || from.instance == self.own.id {
+        if from.instance.is_empty() || from.instance == self.local.id {
             return Err(Refusal::NoSender);
         }
         let member = self
             .members
             .entry(from.instance.clone())
             .or_insert_with(|| Member::new(&from.instance, now));
-        member.adopt(now, from.incarnation, outputs)?;
-        if let Some(kind) = frame.body.as_ref().and_then(kind) {
+        member.accept_incarnation(now, from.incarnation, outputs)?;
+        if let Some(kind) = frame.body.as_ref().and_then(sequence_slot) {
             if frame.sequence <= member.sequences[kind] {
                 return Err(Refusal::OlderSequence);
             }
             member.sequences[kind] = frame.sequence;
         }
-        member.hear(now, &self.settings, outputs);
-        if let Some(frame::Body::Heartbeat(beat)) = &frame.body {
-            member.take_beat(&self.own, beat, outputs);
+        member.record_frame(now, &self.settings, outputs);
+        if let Some(frame::Body::Heartbeat(heartbeat)) = &frame.body {
+            member.apply_heartbeat(&self.local, heartbeat, outputs);
         }
-        self.judge(now, outputs);
+        self.update_states(now, outputs);
         Ok(())
     }
 
     fn tick(&mut self, now: Moment, progress: Progress, outputs: &mut Outputs) {
-        self.judge(now, outputs);
+        self.update_states(now, outputs);
         let forget = self.settings.gone_after + self.settings.forget_after;
         self.members.retain(|_, member| {
             member.state != State::Gone || now.saturating_sub(member.present_at) < forget
         });
-        if now >= self.next_beat {
-            self.next_beat = now + self.settings.heartbeat_interval;
-            self.beat(now, progress, outputs);
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + self.settings.heartbeat_interval;
+            self.send_heartbeats(now, progress, outputs);
         }
     }
 
-    fn beat(&self, now: Moment, progress: Progress, outputs: &mut Outputs) {
+    fn send_heartbeats(&self, now: Moment, progress: Progress, outputs: &mut Outputs) {
         for member in self.members.values() {
             if member.state == State::Gone {
                 continue;
@@ -212,7 +219,7 @@
             let heartbeat = Heartbeat {
                 folded: progress.folded,
                 revision: progress.revision,
-                data_centre: self.own.data_centre.clone(),
+                data_centre: self.local.data_centre.clone(),
                 leaving: progress.leaving,
                 rules: progress.rules,
                 sent_ms: millis(now).max(1),
@@ -225,14 +232,14 @@
         }
     }
 
-    /// Brings every member's state and hearing up to date and reports what changed.
-    fn judge(&mut self, now: Moment, outputs: &mut Outputs) {
+    /// Updates the state and hearing of every member and reports the changes.
+    fn update_states(&mut self, now: Moment, outputs: &mut Outputs) {
         for member in self.members.values_mut() {
             if member.listed.is_some() {
-                // The list is read rarely; until it says otherwise, its last word holds.
+                // The list is read rarely; its last reading holds until the next.
                 member.present_at = now;
             }
-            let state = member.judge(now, &self.settings);
+            let state = member.derive_state(now, &self.settings);
             if state != member.state {
                 let was = Some(member.state);
                 member.state = state;
@@ -242,7 +249,7 @@
                     state,
                 });
             }
-            let hearing = member.judge_hearing(now, self.listening_since, &self.settings);
+            let hearing = member.derive_hearing(now, self.listening_since, &self.settings);
             if hearing != member.hearing {
                 member.hearing = hearing;
                 outputs.push(Output::HearingChanged {
@@ -254,9 +261,9 @@
     }
 }
 
-/// Slot of a kind of which only the newest frame counts. Queries and replies are paired by their
-/// stream, and confirmations are ordered by [`crate::Drain`] for each order.
-fn kind(body: &frame::Body) -> Option<usize> {
+/// Sequence slot of a kind of which only the newest frame counts. Queries and replies are matched
+/// by their stream, and [`crate::Drain`] keeps the newest confirmation of each order.
+fn sequence_slot(body: &frame::Body) -> Option<usize> {
     match body {
         frame::Body::Heartbeat(_) => Some(0),
         frame::Body::Load(_) => Some(1),
--- a/crates/fleet/src/presence.rs
+++ b/crates/fleet/src/presence.rs
@@ -1,4 +1,4 @@
-//! What the marks, the silence and the heartbeats of one entry say of it.
+//! State of one member, derived from its mark in the list, its silence and its heartbeats.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
     Hearing, LocalMember, Member, Output, Outputs, Progress, Refusal, Settings, State,
 };
 
-/// Kinds of frames of which only the newest counts; see `kind` in [`crate::Members`].
-pub(crate) const KINDS: usize = 4;
+/// Kinds of frames of which only the newest counts; see `sequence_slot` in [`crate::Members`].
+pub(crate) const SEQUENCE_SLOTS: usize = 4;
 
 impl Member {
     pub(crate) fn new(id: &str, now: Moment) -> Self {
@@ -31,18 +31,18 @@
             present_at: now,
             sent_ms: 0,
             echoed_at: None,
-            sequences: [0; KINDS],
+            sequences: [0; SEQUENCE_SLOTS],
         }
     }
 
-    /// For how long nothing was heard of it.
+    /// Time since it was last heard.
     pub fn silence(&self, now: Moment) -> Duration {
         now.saturating_sub(self.heard_at.unwrap_or(self.known_since))
     }
 
-    /// The state that its marks and its silence mean.
-    pub(crate) fn judge(&self, now: Moment, settings: &Settings) -> State {
-        // While it is listed it counts as present; see `Members::judge`.
+    /// Derives the state from its mark in the list, its last heartbeat and its silence.
+    pub(crate) fn derive_state(&self, now: Moment, settings: &Settings) -> State {
+        // While it is listed it counts as present; see `Members::update_states`.
         if now.saturating_sub(self.present_at) >= settings.gone_after {
             return State::Gone;
         }
@@ -55,11 +55,11 @@
         }
     }
 
-    /// Takes the sender's incarnation over if it is newer, and refuses an older one.
+    /// Adopts the sender's incarnation if it is newer, and rejects an older one.
     ///
-    /// Symptom without the refusal: a delayed confirmation of a process that died counts for its
-    /// successor, which still sends to the upstream that is being closed.
-    pub(crate) fn adopt(
+    /// Otherwise a delayed confirmation of a dead process would count for its successor, which
+    /// still sends to the upstream that is being closed.
+    pub(crate) fn accept_incarnation(
         &mut self,
         now: Moment,
         incarnation: Incarnation,
@@ -76,7 +76,7 @@
         }
         self.incarnation = Some(incarnation);
         self.incarnation_since = Some(now);
-        // The silence before belongs to the former process; it is no return.
+        // The silence so far was the previous process's, so this is not a return.
         self.heard_at = Some(now);
         self.progress = Progress::default();
         self.sent_ms = 0;
@@ -86,8 +86,8 @@
         Ok(())
     }
 
-    /// Takes notice that a frame of the newest incarnation arrived, and of a return.
-    pub(crate) fn hear(&mut self, now: Moment, settings: &Settings, outputs: &mut Outputs) {
+    /// Records a frame of the newest incarnation, and reports a return after a silence.
+    pub(crate) fn record_frame(&mut self, now: Moment, settings: &Settings, outputs: &mut Outputs) {
         let silent = self.silence(now);
         if silent >= settings.suspect_after {
             outputs.push(Output::Returned {
@@ -99,22 +99,27 @@
         self.present_at = now;
     }
 
-    pub(crate) fn take_beat(&mut self, own: &LocalMember, beat: &Heartbeat, outputs: &mut Outputs) {
-        self.progress = Progress::from(beat);
-        self.sent_ms = beat.sent_ms;
-        self.data_centre.clone_from(&beat.data_centre);
-        let Some(echo) = beat.echo else { return };
-        if echo.incarnation > own.incarnation {
+    pub(crate) fn apply_heartbeat(
+        &mut self,
+        local: &LocalMember,
+        heartbeat: &Heartbeat,
+        outputs: &mut Outputs,
+    ) {
+        self.progress = Progress::from(heartbeat);
+        self.sent_ms = heartbeat.sent_ms;
+        self.data_centre.clone_from(&heartbeat.data_centre);
+        let Some(echo) = heartbeat.echo else { return };
+        if echo.incarnation > local.incarnation {
             outputs.push(Output::Superseded(echo.incarnation));
         }
-        if echo.incarnation == own.incarnation && echo.sent_ms > 0 {
+        if echo.incarnation == local.incarnation && echo.sent_ms > 0 {
             self.echoed_at = Some(Duration::from_millis(echo.sent_ms));
         }
     }
 
-    /// A peer is deaf if it is heard, and had the time to hear this process, and yet echoes nothing
-    /// recent. A partition in one direction would otherwise look like health from this side.
-    pub(crate) fn judge_hearing(
+    /// A peer is deaf if it is heard and has had time to hear this process, yet echoes nothing
+    /// recent. Otherwise a one-way partition would look healthy from this side.
+    pub(crate) fn derive_hearing(
         &self,
         now: Moment,
         listening_since: Moment,
