--- a/crates/fleet/tests/drain.rs
+++ b/crates/fleet/tests/drain.rs
@@ -1,4 +1,4 @@
-//! An order acts only when every entry that could still send has confirmed and has nothing open.
+//! An order acts only when every entry that may still send has confirmed and has no open requests.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by it")]
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn it_says_whom_and_what_it_waits_for() {
+fn blockers_name_the_entry_and_what_it_lacks() {
     let mut drain = drain();
     let senders = [
         sender("a", Some(1)),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn it_settles_before_it_acts() {
+fn an_order_waits_for_the_settle_time() {
     let drain = drain();
     assert_eq!(
         drain.blockers(s(11), 31, &[]).unwrap(),
@@ -57,25 +57,23 @@
     assert_eq!(drain.blockers(s(12), 32, &[]), None);
 }
 
-// Symptom: an order acts while a process that never heard of it sends to the engine.
-// Sequence: a confirms, dies, and starts anew; its new process has not confirmed.
-// Cause: the confirmation was kept by instance, not by process.
+// Confirmations count for a process, not for an instance. If `a` confirms, dies and restarts, its
+// new process has not confirmed and may still send to the engine.
 #[test]
-fn a_restarted_entry_confirms_anew() {
+fn a_restarted_entry_must_confirm_again() {
     let mut drain = drain();
     drain.confirm(&confirm("a", 1, 50, 31, 0));
     assert_eq!(waits(&drain, &[sender("a", Some(2))]), ["a to confirm"]);
     drain.confirm(&confirm("a", 2, 1, 31, 0));
-    // A late frame of the former process takes nothing back.
+    // A late frame of the previous process changes nothing.
     drain.confirm(&confirm("a", 1, 51, 31, 4));
     assert!(waits(&drain, &[sender("a", Some(2))]).is_empty());
 }
 
-// Symptom: an order cuts a stream.
-// Sequence: a reports one open request, then none, and the frames arrive in the other order.
-// Cause: the last frame to arrive was believed rather than the last one sent.
+// Frames may arrive out of order. If the last frame to arrive counted rather than the last one
+// sent, an order could cut an open stream.
 #[test]
-fn frames_out_of_order_don_t_hide_work_in_hand() {
+fn reordered_frames_do_not_hide_open_requests() {
     let mut drain = drain();
     drain.confirm(&confirm("a", 1, 9, 31, 2));
     drain.confirm(&confirm("a", 1, 8, 31, 0));
@@ -83,7 +81,7 @@
 }
 
 #[test]
-fn an_entry_that_starts_meanwhile_must_confirm_as_well() {
+fn an_entry_that_starts_during_a_closing_must_confirm() {
     let mut drain = drain();
     drain.confirm(&confirm("a", 1, 1, 31, 0));
     let mut senders = vec![sender("a", Some(1))];
@@ -104,13 +102,13 @@
 }
 
 #[test]
-fn it_owes_a_confirmation_for_each_closing_until_it_ends() {
+fn a_confirmation_is_due_for_each_closing_until_it_ends() {
     let mut drain = drain();
     drain.begin(s(11), 32, "engine-2");
     drain.begin(s(19), 31, "engine-1");
-    let owed = drain.due_confirmations(|upstream| u32::from(upstream == "engine-2"));
-    let owed: Vec<_> = owed.iter().map(|one| (one.order, one.open)).collect();
-    assert_eq!(owed, [(31, 0), (32, 1)]);
+    let due = drain.due_confirmations(|upstream| u32::from(upstream == "engine-2"));
+    let due: Vec<_> = due.iter().map(|one| (one.order, one.open)).collect();
+    assert_eq!(due, [(31, 0), (32, 1)]);
     let own = LocalMember {
         id: "own".to_owned(),
         incarnation: 4,
--- a/crates/fleet/tests/list.rs
+++ b/crates/fleet/tests/list.rs
@@ -1,4 +1,4 @@
-//! A frozen, empty or outdated list never empties the fleet.
+//! A frozen, empty or outdated list never removes the whole fleet.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by it")]
 
@@ -9,11 +9,10 @@
 use proptest::test_runner::RngSeed;
 use support::{listing, s, view};
 
-// Symptom: all callers are refused while all engines run.
-// Sequence: the list's service restarts after an outage and answers with an empty list for an hour.
-// Cause: an answer was taken for the truth because it came.
+// After an outage the list service may restart empty and stay so for an hour. If that were
+// accepted, all callers would be refused while all engines run.
 #[test]
-fn an_empty_list_is_never_believed() {
+fn an_empty_list_is_never_accepted() {
     let mut view = view(Kind::Engine, &["a", "b"]);
     for second in 1..3600 {
         let empty = Listing {
@@ -33,7 +32,7 @@
 }
 
 #[test]
-fn a_lagging_copy_does_not_bring_back_what_left() {
+fn a_lagging_replica_does_not_restore_a_removed_instance() {
     let mut view = view(Kind::Engine, &["a", "b", "c"]);
     view.read(s(1), listing(3, Kind::Engine, &["a", "b"]));
     let old = listing(2, Kind::Engine, &["a", "b", "c"]);
@@ -41,11 +40,10 @@
     assert!(view.get("c").is_none());
 }
 
-// Symptom: after a failure of the list's store the fleet stays as it was for ever.
-// Sequence: the service comes back counting versions from 1, with a true list.
-// Cause: a lower version was never believed.
+// After its store has failed, the list service may return with a correct list but versions from 1.
+// If a lower version were never accepted, the view would stay as it was for ever.
 #[test]
-fn a_lower_version_is_believed_when_it_lasts() {
+fn a_lower_version_is_accepted_if_it_persists() {
     let mut view = View::default();
     view.read(s(0), listing(50, Kind::Engine, &["a", "b"]));
     let restarted = || listing(1, Kind::Engine, &["a", "b", "c"]);
@@ -61,7 +59,7 @@
     let few = || listing(2, Kind::Engine, &["a"]);
     assert_eq!(view.read(s(1), few()), ReadOutcome::Doubted);
     assert_eq!(view.iter().count(), 4);
-    // One believable answer in between starts the doubt anew.
+    // A plausible reading in between restarts the delay.
     view.read(s(20), listing(2, Kind::Engine, &["a", "b", "c"]));
     view.read(s(21), listing(3, Kind::Engine, &["a", "b", "c"]));
     assert_eq!(
@@ -72,7 +70,7 @@
     assert_eq!(view.iter().count(), 1);
 }
 
-/// Seed of the random cases, so that every run tries the same.
+/// Fixed seed, so that every run tries the same cases.
 const SEED: u64 = 1;
 
 proptest! {
@@ -83,7 +81,7 @@
     })]
 
     #[test]
-    fn once_filled_it_is_never_empty(readings in prop::collection::vec((0_u64..20, 0_usize..5), 1..60)) {
+    fn a_filled_view_never_becomes_empty(readings in prop::collection::vec((0_u64..20, 0_usize..5), 1..60)) {
         let names = ["a", "b", "c", "d", "e"];
         let mut view = view(Kind::Engine, &names);
         for (second, (version, count)) in readings.into_iter().enumerate() {
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -14,7 +14,7 @@
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use support::{beat, echo, instance, listing, s, view};
+use support::{echo, heartbeat, instance, listing, s, view};
 
 const OWN: u64 = 100;
 
@@ -31,8 +31,8 @@
     members.step(now, Input::Tick(Progress::default()))
 }
 
-/// Ticks every second up to and including the last.
-fn run(members: &mut Members, seconds: std::ops::RangeInclusive<u64>) -> Vec<Output> {
+/// Ticks once for every second of the range.
+fn tick_each(members: &mut Members, seconds: std::ops::RangeInclusive<u64>) -> Vec<Output> {
     seconds
         .flat_map(|second| tick(members, s(second)))
         .collect()
@@ -50,16 +50,16 @@
 fn a_silent_member_is_suspect_while_listed_and_gone_after_it_left() {
     let mut members = members();
     members.step(s(0), Input::List(&view(Kind::Entry, &["a", "own"])));
-    members.step(s(1), Input::Frame(&beat("a", 1, 1)));
+    members.step(s(1), Input::Frame(&heartbeat("a", 1, 1)));
     assert_eq!(state(&members, "a"), State::Alive);
-    run(&mut members, 1..=100);
+    tick_each(&mut members, 1..=100);
     assert_eq!(state(&members, "a"), State::Suspect);
     assert_eq!(ids(&members), ["a", "own"]);
-    // It stays a sender for the whole bound after the list let it go.
+    // It stays a sender for all of `gone_after` once it is off the list.
     members.step(s(100), Input::List(&view(Kind::Entry, &["own"])));
-    run(&mut members, 101..=114);
+    tick_each(&mut members, 101..=114);
     assert_eq!(state(&members, "a"), State::Suspect);
-    run(&mut members, 115..=115);
+    tick_each(&mut members, 115..=115);
     assert_eq!(state(&members, "a"), State::Gone);
     assert_eq!(ids(&members), ["own"]);
 }
@@ -68,7 +68,7 @@
 fn a_member_that_is_only_heard_is_a_sender() {
     let mut members = members();
     members.step(s(0), Input::List(&view(Kind::Entry, &["own"])));
-    members.step(s(0), Input::Frame(&beat("new", 7, 1)));
+    members.step(s(0), Input::Frame(&heartbeat("new", 7, 1)));
     let sender = Sender {
         id: "new".to_owned(),
         incarnation: Some(7),
@@ -76,16 +76,15 @@
     assert!(members.senders().contains(&sender));
 }
 
-// Symptom: a confirmation of a dead process counts for its successor.
-// Sequence: a restarts; a frame of its former process arrives late.
-// Cause: frames were told apart by instance only.
+// `a` restarts and a frame of its previous process arrives late. If frames were told apart by
+// instance only, a confirmation of the dead process would count for its successor.
 #[test]
 fn frames_of_an_older_incarnation_are_refused() {
     let mut members = members();
-    members.step(s(0), Input::Frame(&beat("a", 5, 90)));
-    let outputs = members.step(s(1), Input::Frame(&beat("a", 6, 1)));
+    members.step(s(0), Input::Frame(&heartbeat("a", 5, 90)));
+    let outputs = members.step(s(1), Input::Frame(&heartbeat("a", 6, 1)));
     assert_matches!(&outputs[..], [Output::Restarted { incarnation: 6, .. }]);
-    let late = members.step(s(1), Input::Frame(&beat("a", 5, 91)));
+    let late = members.step(s(1), Input::Frame(&heartbeat("a", 5, 91)));
     assert_eq!(
         late.as_slice(),
         [Output::Refused(Refusal::OlderIncarnation)]
@@ -95,57 +94,53 @@
 #[test]
 fn an_older_frame_of_a_kind_and_a_frame_without_a_sender_are_refused() {
     let mut members = members();
-    members.step(s(0), Input::Frame(&beat("a", 1, 2)));
-    let older = members.step(s(0), Input::Frame(&beat("a", 1, 1)));
+    members.step(s(0), Input::Frame(&heartbeat("a", 1, 2)));
+    let older = members.step(s(0), Input::Frame(&heartbeat("a", 1, 1)));
     assert_eq!(older.as_slice(), [Output::Refused(Refusal::OlderSequence)]);
-    let mut nobody = beat("a", 1, 3);
-    nobody.from = None;
-    for frame in [nobody, beat("own", OWN, 9)] {
+    let mut without_sender = heartbeat("a", 1, 3);
+    without_sender.from = None;
+    for frame in [without_sender, heartbeat("own", OWN, 9)] {
         let outputs = members.step(s(0), Input::Frame(&frame));
         assert_eq!(outputs.as_slice(), [Output::Refused(Refusal::NoSender)]);
     }
 }
 
-// Symptom: an entry that is continued after a minute goes on as if nothing had happened.
-// Sequence: a stops sending for a minute, leaves the list, is gone, and is heard again with the
-// same incarnation.
-// Cause: one that was written off was not taken back among those who may send.
+// `a` is silent for a minute, off the list and gone, and then heard again with the same
+// incarnation: it was paused, not replaced, and must count among the senders again.
 #[test]
-fn a_paused_member_that_returns_is_recognised() {
+fn a_paused_member_that_returns_is_a_sender_again() {
     let mut members = members();
     members.step(s(0), Input::List(&view(Kind::Entry, &["own"])));
-    members.step(s(0), Input::Frame(&beat("a", 1, 1)));
-    run(&mut members, 1..=60);
+    members.step(s(0), Input::Frame(&heartbeat("a", 1, 1)));
+    tick_each(&mut members, 1..=60);
     assert_eq!(state(&members, "a"), State::Gone);
-    let outputs = members.step(s(60), Input::Frame(&beat("a", 1, 2)));
+    let outputs = members.step(s(60), Input::Frame(&heartbeat("a", 1, 2)));
     assert_matches!(&outputs[0], Output::Returned { id, silent } if id == "a" && *silent == s(60));
     assert_eq!(ids(&members), ["a", "own"]);
 }
 
-// Symptom: a continued process closes an upstream without asking anyone.
-// Sequence: this process is stopped for a minute. The list lost a meanwhile, and a's frames still
-// wait in the socket when the first tick comes.
-// Cause: the silence of the others was counted while this process could not listen.
+// This process is paused for a minute. `a` is off the list, and its frames still wait in the socket
+// at the first tick. If the pause counted as silence, `a` would be gone and an upstream would be
+// closed without its confirmation.
 #[test]
-fn an_own_pause_is_noticed_and_makes_nobody_gone() {
+fn a_local_pause_is_detected_and_makes_no_member_gone() {
     let mut members = members();
     members.step(s(0), Input::List(&view(Kind::Entry, &["own"])));
-    members.step(s(1), Input::Frame(&beat("a", 1, 1)));
+    members.step(s(1), Input::Frame(&heartbeat("a", 1, 1)));
     let outputs = tick(&mut members, s(61));
     assert_eq!(outputs[0], Output::Paused(s(60)));
     assert_eq!(state(&members, "a"), State::Alive);
     assert_eq!(ids(&members), ["a", "own"]);
-    // From then on silence counts.
-    run(&mut members, 62..=76);
+    // Silence counts again from here.
+    tick_each(&mut members, 62..=76);
     assert_eq!(state(&members, "a"), State::Gone);
 }
 
-// Symptom: a continued process trusts its old view and sends work to a closed upstream.
-// Sequence: this process is stopped for a minute. The first frame that it reads was sent at the
-// beginning of that minute and tells of nothing new.
-// Cause: a frame was taken for news because it was read after the pause.
+// After a pause of a minute, the first frame read may have been sent at its beginning and report
+// nothing new. If it counted as news, this process would trust its outdated view and send work to
+// a closed upstream.
 #[test]
-fn only_an_echo_of_a_later_heartbeat_proves_that_news_is_fresh() {
+fn only_an_echo_of_a_heartbeat_after_the_pause_is_fresh() {
     let mut members = members();
     let fresh = |members: &Members| members.with_fresh_heartbeat().count();
     members.step(s(1), Input::Frame(&echo("a", 1, OWN, s(1))));
@@ -159,11 +154,10 @@
     assert_eq!(fresh(&members), 1);
 }
 
-// Symptom: a peer that does not hear this process looks healthy from here.
-// Sequence: a's heartbeats arrive each second and echo nothing after second 10.
-// Cause: a partition in one direction; only the echo shows it.
+// In a one-way partition `a`'s heartbeats arrive each second, but echo nothing after second 10.
+// Only the echo shows that `a` does not hear this process.
 #[test]
-fn a_deaf_peer_is_noticed_and_heals() {
+fn a_deaf_peer_is_detected_and_recovers() {
     let mut members = members();
     for second in 1..=10 {
         members.step(s(second), Input::Frame(&echo("a", second, OWN, s(second))));
@@ -181,7 +175,7 @@
 }
 
 #[test]
-fn an_echo_of_a_newer_incarnation_tells_that_this_process_was_replaced() {
+fn an_echo_of_a_newer_incarnation_supersedes_this_process() {
     let mut members = members();
     let outputs = members.step(s(1), Input::Frame(&echo("a", 1, OWN + 1, s(1))));
     assert!(outputs.contains(&Output::Superseded(OWN + 1)));
@@ -199,12 +193,11 @@
     assert!(self::members().may_serve(Settings::default().list_lag));
 }
 
-// Symptom: of two entries one is stopped, and the other refuses all callers.
-// Sequence: an entry starts, is heard by all and serves; seconds later another falls silent. Then
-// that one is replaced by a process that has not heard of the entry.
-// Cause: the start's question was asked again and again.
+// An entry that all others have heard serves. If they had to go on hearing it, it would refuse all
+// callers seconds later when one of them is stopped. A replacement of that one, which has not heard
+// of the entry, does count.
 #[test]
-fn a_process_that_serves_goes_on_when_another_falls_silent() {
+fn a_serving_process_continues_when_a_peer_falls_silent() {
     let mut members = members();
     members.step(s(0), Input::List(&view(Kind::Entry, &["a", "own"])));
     members.step(s(1), Input::Frame(&echo("a", 1, OWN, s(1))));
@@ -212,17 +205,17 @@
         tick(&mut members, s(second));
         assert!(members.may_serve(s(second)), "{second}");
     }
-    members.step(s(9), Input::Frame(&beat("a", 2, 44)));
+    members.step(s(9), Input::Frame(&heartbeat("a", 2, 44)));
     assert!(!members.may_serve(s(9)));
 }
 
 #[test]
-fn beats_go_to_all_but_the_gone_and_echo_what_was_heard() {
+fn heartbeats_go_to_all_but_gone_members_and_echo_their_last_one() {
     let mut members = members();
     members.step(s(0), Input::List(&view(Kind::Entry, &["a", "own"])));
-    members.step(s(0), Input::Frame(&beat("b", 9, 44)));
+    members.step(s(0), Input::Frame(&heartbeat("b", 9, 44)));
     let outputs = tick(&mut members, s(2));
-    let beats: Vec<_> = outputs
+    let heartbeats: Vec<_> = outputs
         .iter()
         .filter_map(|one| match one {
             Output::SendHeartbeat { to, heartbeat } => Some((to.as_str(), heartbeat.echo)),
@@ -230,7 +223,7 @@
         })
         .collect();
     assert_matches!(
-        beats[..],
+        heartbeats[..],
         [
             ("a", None),
             (
@@ -245,7 +238,7 @@
 }
 
 #[test]
-fn leaving_shows_from_the_list_and_from_the_heartbeat() {
+fn leaving_is_read_from_the_list_and_the_heartbeat() {
     let mut members = members();
     let mut view = View::default();
     let mut lines = listing(1, Kind::Entry, &["a", "own"]);
@@ -254,7 +247,7 @@
         .push(instance("b", Kind::Entry, Mark::Leaving));
     view.read(s(0), lines);
     members.step(s(0), Input::List(&view));
-    let mut frame = beat("a", 1, 1);
+    let mut frame = heartbeat("a", 1, 1);
     if let Some(wire::peer::frame::Body::Heartbeat(beat)) = &mut frame.body {
         beat.leaving = true;
     }
@@ -264,7 +257,7 @@
     assert_eq!(ids(&members), ["a", "b", "own"]);
 }
 
-/// One step of a random history of entry a.
+/// One step of a random history of entry `a`.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Listed(bool),
@@ -280,7 +273,7 @@
     ]
 }
 
-/// Seed of the random cases, so that every run tries the same.
+/// Fixed seed, so that every tick_each tries the same cases.
 const SEED: u64 = 1;
 
 proptest! {
@@ -290,10 +283,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Whoever is listed, or was listed or heard within the bound, is among the senders, in the
-    // newest incarnation heard, whatever came before; and nobody is for ever.
+    // An entry is among the senders, with the newest incarnation heard, exactly while it is listed
+    // or was listed or heard within `gone_after`.
     #[test]
-    fn who_may_still_send_is_never_left_out(
+    fn senders_are_exactly_those_that_may_still_send(
         history in prop::collection::vec((step(), 1_u64..3, 0_u64..20), 1..80)
     ) {
         let mut members = members();
@@ -308,7 +301,7 @@
                 }
                 Step::Heard(incarnation) => {
                     sequence += count;
-                    members.step(s(now), Input::Frame(&beat("a", incarnation, sequence)));
+                    members.step(s(now), Input::Frame(&heartbeat("a", incarnation, sequence)));
                     if Some(incarnation) >= newest {
                         newest = Some(incarnation);
                         present = Some(now);
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to write lists, frames and times.
+//! Helpers that build lists, frames and times.
 
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn beat(id: &str, incarnation: u64, sequence: u64) -> Frame {
+pub fn heartbeat(id: &str, incarnation: u64, sequence: u64) -> Frame {
     let heartbeat = Heartbeat {
         sent_ms: sequence,
         ..Heartbeat::default()
@@ -59,7 +59,7 @@
     frame(id, incarnation, sequence, Body::Heartbeat(heartbeat))
 }
 
-/// A heartbeat that echoes what this process, of incarnation `of`, sent at `sent`.
+/// A heartbeat that echoes the one sent at `sent` by this process, whose incarnation is `of`.
 pub fn echo(id: &str, sequence: u64, of: u64, sent: Duration) -> Frame {
     let heartbeat = Heartbeat {
         sent_ms: sequence,
--- a/crates/fleet/tests/upstreams.rs
+++ b/crates/fleet/tests/upstreams.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_leaving_upstream_gets_no_new_work_from_the_moment_it_is_read() {
+fn a_leaving_upstream_gets_no_new_work_once_read() {
     let mut upstreams = upstreams(3);
     let mut view = View::default();
     let mut lines = listing(2, Kind::Engine, &["engine-1", "engine-2"]);
@@ -72,9 +72,8 @@
     assert_eq!(upstreams.live(s(1), "pool").count(), 2);
 }
 
-// Symptom: nothing can be routed during an outage of the platform.
-// Sequence: the list answers with nothing, then not at all, for a day.
-// Cause: upstreams were forgotten because nobody named them.
+// In a platform outage the list may be empty, or unavailable, for a day. If unlisted upstreams were
+// forgotten, nothing could be routed.
 #[test]
 fn a_frozen_or_empty_list_keeps_all_upstreams() {
     let mut upstreams = upstreams(3);
@@ -91,7 +90,7 @@
 }
 
 #[test]
-fn orders_and_drains_close_also_what_is_listed_later() {
+fn orders_and_drains_also_close_upstreams_listed_later() {
     let mut upstreams = upstreams(1);
     let close = Input::Close {
         order: 31,
@@ -101,7 +100,7 @@
     upstreams.step(s(1), Input::Drains(&["engine-1".to_owned()]));
     let both = view(Kind::Engine, &["engine-1", "engine-2"]);
     let outputs = upstreams.step(s(2), Input::List(&both));
-    // Not even for a moment is it told as live.
+    // It is never reported as live in between.
     let closed = Output::Changed {
         id: "engine-2".to_owned(),
         was: None,
@@ -116,7 +115,7 @@
 }
 
 #[test]
-fn failures_in_a_row_eject_and_a_probe_brings_back_slowly() {
+fn consecutive_failures_eject_and_a_probe_begins_a_slow_start() {
     let mut upstreams = upstreams(3);
     fail(&mut upstreams, s(1), "engine-1", 4);
     attempt(&mut upstreams, s(1), "engine-1", FAST);
@@ -135,7 +134,7 @@
 }
 
 #[test]
-fn periods_of_ejection_grow_while_it_stays_ill_and_start_anew_later() {
+fn ejections_lengthen_while_a_fault_recurs_and_reset_later() {
     let mut upstreams = upstreams(3);
     fail(&mut upstreams, s(0), "engine-1", 5);
     let until = |upstreams: &Upstreams| {
@@ -153,11 +152,10 @@
     assert_eq!(until(&upstreams), s(405));
 }
 
-// Symptom: a broken store behind all engines takes the whole pool out of routing.
-// Sequence: every attempt fails at every engine.
-// Cause: each engine was judged alone.
+// With a broken store behind all engines, every attempt fails. If each engine were judged alone,
+// the whole pool would be ejected.
 #[test]
-fn only_a_part_of_a_pool_is_ejected() {
+fn only_a_fraction_of_a_pool_is_ejected() {
     let mut upstreams = upstreams(18);
     let mut withheld = 0;
     for id in ids(18) {
@@ -199,7 +197,7 @@
 }
 
 #[test]
-fn one_that_is_gone_is_kept_for_late_answers_and_then_forgotten() {
+fn a_gone_upstream_is_kept_for_late_responses_and_then_forgotten() {
     let mut upstreams = upstreams(3);
     let fewer = view(Kind::Engine, &["engine-1", "engine-2"]);
     upstreams.step(s(10), Input::List(&fewer));
