--- a/crates/fleet/src/upstreams.rs
+++ b/crates/fleet/src/upstreams.rs
@@ -255,7 +255,7 @@
         let is_slow = |upstream: &&Upstream| {
             let median = latencies
                 .get(upstream.pool.as_str())
-                .and_then(|paces| paces.get((paces.len() - 1) / 2).copied());
+                .and_then(|latencies| latencies.get((latencies.len() - 1) / 2).copied());
             upstream.takes_work()
                 && upstream.health.ejection_cause(median, &self.settings)
                     == Some(health::Cause::Slow)
--- a/crates/fleet/tests/drain.rs
+++ b/crates/fleet/tests/drain.rs
@@ -22,9 +22,9 @@
     drain
 }
 
-fn waits(drain: &Drain, senders: &[Sender]) -> Vec<String> {
-    let waits = drain.blockers(s(20), 31, senders).unwrap();
-    waits.iter().map(Blocker::to_string).collect()
+fn blockers(drain: &Drain, senders: &[Sender]) -> Vec<String> {
+    let blockers = drain.blockers(s(20), 31, senders).unwrap();
+    blockers.iter().map(Blocker::to_string).collect()
 }
 
 #[test]
@@ -37,10 +37,13 @@
     ];
     drain.confirm(&confirm("a", 1, 1, 31, 3));
     drain.confirm(&confirm("c", 1, 1, 31, 0));
-    assert_eq!(waits(&drain, &senders), ["a to finish 3", "b to confirm"]);
+    assert_eq!(
+        blockers(&drain, &senders),
+        ["a to finish 3", "b to confirm"]
+    );
     drain.confirm(&confirm("a", 1, 2, 31, 0));
     drain.confirm(&confirm("b", 8, 1, 31, 0));
-    assert!(waits(&drain, &senders).is_empty());
+    assert!(blockers(&drain, &senders).is_empty());
     let status = drain.status(s(20), &senders);
     assert_eq!(status[0].confirmed.len(), 3);
     assert!(status[0].blockers.is_empty());
@@ -63,11 +66,11 @@
 fn a_restarted_entry_must_confirm_again() {
     let mut drain = drain();
     drain.confirm(&confirm("a", 1, 50, 31, 0));
-    assert_eq!(waits(&drain, &[sender("a", Some(2))]), ["a to confirm"]);
+    assert_eq!(blockers(&drain, &[sender("a", Some(2))]), ["a to confirm"]);
     drain.confirm(&confirm("a", 2, 1, 31, 0));
     // A late frame of the previous process changes nothing.
     drain.confirm(&confirm("a", 1, 51, 31, 4));
-    assert!(waits(&drain, &[sender("a", Some(2))]).is_empty());
+    assert!(blockers(&drain, &[sender("a", Some(2))]).is_empty());
 }
 
 // Frames may arrive out of order. If the last frame to arrive counted rather than the last one
@@ -77,7 +80,7 @@
     let mut drain = drain();
     drain.confirm(&confirm("a", 1, 9, 31, 2));
     drain.confirm(&confirm("a", 1, 8, 31, 0));
-    assert_eq!(waits(&drain, &[sender("a", Some(1))]), ["a to finish 2"]);
+    assert_eq!(blockers(&drain, &[sender("a", Some(1))]), ["a to finish 2"]);
 }
 
 #[test]
@@ -85,9 +88,9 @@
     let mut drain = drain();
     drain.confirm(&confirm("a", 1, 1, 31, 0));
     let mut senders = vec![sender("a", Some(1))];
-    assert!(waits(&drain, &senders).is_empty());
+    assert!(blockers(&drain, &senders).is_empty());
     senders.push(sender("new", Some(1)));
-    assert_eq!(waits(&drain, &senders), ["new to confirm"]);
+    assert_eq!(blockers(&drain, &senders), ["new to confirm"]);
 }
 
 #[test]
@@ -96,7 +99,7 @@
     drain.begin(s(10), 32, "engine-2");
     drain.confirm(&confirm("a", 1, 1, 30, 0));
     drain.confirm(&confirm("a", 1, 2, 32, 0));
-    assert_eq!(waits(&drain, &[sender("a", Some(1))]), ["a to confirm"]);
+    assert_eq!(blockers(&drain, &[sender("a", Some(1))]), ["a to confirm"]);
     let other = drain.blockers(s(20), 32, &[sender("a", Some(1))]).unwrap();
     assert_eq!(other.len(), 1);
 }
@@ -117,7 +120,7 @@
     for confirm in drain.due_confirmations(|_| 0) {
         drain.confirm_local(&own, &confirm);
     }
-    assert!(waits(&drain, &[sender("own", Some(4))]).is_empty());
+    assert!(blockers(&drain, &[sender("own", Some(4))]).is_empty());
     drain.end(31);
     assert_eq!(drain.orders("engine-1").count(), 0);
     assert_eq!(drain.orders("engine-2").collect::<Vec<_>>(), [32]);
