--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,5 +1,5 @@
 //! An injectable clock, so that the pure crates never read the time themselves: the daemon passes
-//! [`System`], tests and the model checker pass [`Manual`].
+//! [`System`], tests and models can pass [`Manual`].
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/fleet/tests/drain.rs
+++ b/crates/fleet/tests/drain.rs
@@ -1,6 +1,6 @@
 //! An order acts only when every entry that may still send has confirmed and has no open requests.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by it")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod support;
 
--- a/crates/fleet/tests/list.rs
+++ b/crates/fleet/tests/list.rs
@@ -1,6 +1,6 @@
 //! A frozen, empty or outdated list never removes the whole fleet.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by it")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod support;
 
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -1,6 +1,6 @@
 //! Membership under pauses, restarts and partitions.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by it")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod support;
 
@@ -194,8 +194,8 @@
 }
 
 // An entry that all others have heard serves. If they had to go on hearing it, it would refuse all
-// callers seconds later when one of them is stopped. A replacement of that one, which has not heard
-// of the entry, does count.
+// callers seconds later when one of them is stopped. Only a replacement of that one, which has not
+// heard of the entry, holds it up.
 #[test]
 fn a_serving_process_continues_when_a_peer_falls_silent() {
     let mut members = members();
@@ -273,7 +273,7 @@
     ]
 }
 
-/// Fixed seed, so that every tick_each tries the same cases.
+/// Fixed seed, so that every run tries the same cases.
 const SEED: u64 = 1;
 
 proptest! {
--- a/crates/fleet/tests/upstreams.rs
+++ b/crates/fleet/tests/upstreams.rs
@@ -1,6 +1,6 @@
 //! Which upstreams get new work.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by it")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod support;
 
