--- a/crates/routing/benches/decisions.rs
+++ b/crates/routing/benches/decisions.rs
@@ -95,7 +95,7 @@
         output: 200,
         prefixes,
         roles: &[Role::Mixed],
-        except: &[],
+        excluded: &[],
     };
     bencher.bench_local(|| {
         black_box(chooser.choose(black_box(NOW), &config, &members, &history, &work))
--- a/crates/routing/examples/herd.rs
+++ b/crates/routing/examples/herd.rs
@@ -221,7 +221,7 @@
             output: output as u32,
             prefixes: &[],
             roles: &[Role::Mixed],
-            except: &[],
+            excluded: &[],
         };
         let entry = &mut self.entries[router];
         let pick = entry
--- a/crates/routing/src/choice/scene.rs
+++ b/crates/routing/src/choice/context.rs
@@ -17,17 +17,17 @@
 };
 
 /// Everything that a decision looks at, so that the steps need no long argument lists.
-pub(super) struct Scene<'a> {
+pub(super) struct Context<'a> {
     pub(super) now: Moment,
     pub(super) config: &'a Config,
     pub(super) members: &'a Members,
     pub(super) history: &'a History,
     pub(super) work: &'a Work<'a>,
-    pub(super) mean: Load,
-    pub(super) staleness: Duration,
+    pub(super) mean_load: Load,
+    pub(super) decay_time: Duration,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> Context<'a> {
     pub(super) fn new(
         now: Moment,
         config: &'a Config,
@@ -35,7 +35,7 @@
         history: &'a History,
         work: &'a Work<'a>,
     ) -> Self {
-        let staleness = match config.policy {
+        let decay_time = match config.policy {
             Policy::Affinity { .. } => config.decay_time,
             _ => NO_DECAY,
         };
@@ -45,13 +45,13 @@
             members,
             history,
             work,
-            mean: members.mean_load(),
-            staleness,
+            mean_load: members.mean_load(),
+            decay_time,
         }
     }
 
     /// Number of members that take work in one of the roles.
-    pub(super) fn count(&self) -> usize {
+    pub(super) fn candidate_count(&self) -> usize {
         let roles = self.work.roles.iter();
         roles.map(|role| self.members.ready(*role).len()).sum()
     }
@@ -69,24 +69,24 @@
     }
 
     /// Whether a member that takes work may take this one.
-    pub(super) fn allows(&self, position: usize) -> bool {
+    pub(super) fn is_allowed(&self, position: usize) -> bool {
         let member = self.members.at(position);
-        member.serves(self.work.model) && !self.work.except.contains(&member.view.id)
+        member.serves(self.work.model) && !self.work.excluded.contains(&member.view.id)
     }
 
     /// Whether any member may take this work: for positions that were not drawn from the ready ones.
-    pub(super) fn ready(&self, position: usize) -> bool {
+    pub(super) fn is_candidate(&self, position: usize) -> bool {
         let member = self.members.at(position);
         let ready = self.members.ready(member.view.role);
         self.work.roles.contains(&member.view.role)
             && ready.binary_search(&position).is_ok()
-            && self.allows(position)
+            && self.is_allowed(position)
     }
 
     pub(super) fn load(&self, member: &Member) -> Load {
         member
             .ledger
-            .estimate(self.now, self.mean, self.staleness, &member.speed)
+            .estimate(self.now, self.mean_load, self.decay_time, &member.speed)
     }
 
     pub(super) fn has_room(&self, position: usize, class: Class) -> bool {
@@ -104,10 +104,10 @@
             f64::from(self.work.output),
         );
         let share = member.slow_start_share(self.now, self.config.slow_start);
-        let distance = 2.0 * member.view.one_way_latency.as_secs_f64();
-        cost.first_token = cost.first_token / share + distance;
+        let round_trip = 2.0 * member.view.one_way_latency.as_secs_f64();
+        cost.first_token = cost.first_token / share + round_trip;
         cost.wait /= share;
-        cost.total_work = cost.total_work / share + distance;
+        cost.total_work = cost.total_work / share + round_trip;
         cost
     }
 
@@ -137,13 +137,13 @@
     }
 
     /// The better of the upstreams that probably hold part of the prompt.
-    pub(super) fn holder(&self) -> Option<Pick> {
+    pub(super) fn best_holder(&self) -> Option<Pick> {
         let mut best: Option<Pick> = None;
         for hit in self.history.find(self.work.prefixes) {
             let Some(position) = self.members.position(&hit.upstream) else {
                 continue;
             };
-            if !self.ready(position) {
+            if !self.is_candidate(position) {
                 continue;
             }
             let pick = self.pick_cached(position, hit.tokens);
--- a/crates/routing/src/choice/mod.rs
+++ b/crates/routing/src/choice/mod.rs
@@ -1,12 +1,12 @@
 //! Choice of an upstream among the members of a pool.
 
-mod scene;
+mod context;
 
 use clock::Moment;
 use rand::{RngExt, rngs::SmallRng};
 use smallvec::SmallVec;
 
-use self::scene::Scene;
+use self::context::Context;
 use crate::{
     affinity::{self, History},
     class::Class,
@@ -20,11 +20,11 @@
 };
 
 /// Tries to draw a candidate that serves the model before all are walked.
-const DRAWS: usize = 4;
+const MAX_DRAWS: usize = 4;
 
 /// Seconds by which the home of an unseen prefix may be worse than the best candidate: bounded
 /// load, so that a popular prefix spreads instead of filling its home.
-const HOME_SLACK: f64 = 0.05;
+const HOME_SLACK_S: f64 = 0.05;
 
 /// How an upstream is chosen. All but [`Policy::Affinity`] are baselines to compare with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,19 +81,19 @@
     /// Roles that may do it, in no order.
     pub roles: &'a [Role],
     /// Upstreams that must not be chosen (tried before).
-    pub except: &'a [Id],
+    pub excluded: &'a [Id],
 }
 
 impl<'a> Work<'a> {
     /// A whole request at one upstream.
-    pub fn whole(request: &'a Request, roles: &'a [Role], except: &'a [Id]) -> Self {
+    pub fn whole(request: &'a Request, roles: &'a [Role], excluded: &'a [Id]) -> Self {
         Self {
             model: request.model.as_ref(),
             prompt: request.prompt_tokens,
             output: request.output_tokens,
             prefixes: &request.prefixes,
             roles,
-            except,
+            excluded,
         }
     }
 }
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug)]
 pub struct Chooser {
     rng: SmallRng,
-    turn: usize,
+    last_index: usize,
     memory: SmallVec<[usize; 4]>,
 }
 
@@ -124,7 +124,7 @@
     pub fn new(rng: SmallRng) -> Self {
         Self {
             rng,
-            turn: 0,
+            last_index: 0,
             memory: SmallVec::new(),
         }
     }
@@ -143,21 +143,23 @@
         history: &History,
         work: &Work<'_>,
     ) -> Option<Pick> {
-        let scene = Scene::new(now, config, members, history, work);
-        let pick = self.by_policy(&scene)?;
+        let scene = Context::new(now, config, members, history, work);
+        let pick = self.pick_by_policy(&scene)?;
         Some(scene.with_cached(pick))
     }
 
-    fn by_policy(&mut self, scene: &Scene<'_>) -> Option<Pick> {
+    fn pick_by_policy(&mut self, scene: &Context<'_>) -> Option<Pick> {
         match scene.config.policy {
-            Policy::RoundRobin => self.next(scene),
+            Policy::RoundRobin => self.round_robin(scene),
             Policy::Random => self.draw(scene).map(|position| scene.pick(position)),
-            Policy::LeastOutstanding => self.least(scene, |member| member.ledger.own().requests),
-            Policy::TwoChoices => self.sampled(scene, 2, 0),
-            Policy::Drill { samples, memory } => self.sampled(scene, samples, memory),
-            Policy::FullScan => self.least(scene, |member| scene.cost(member, 0).total_work),
-            Policy::PrefixHash => self.home(scene).or_else(|| self.next(scene)),
-            Policy::Affinity { samples, memory } => self.affine(scene, samples, memory),
+            Policy::LeastOutstanding => {
+                self.pick_least(scene, |member| member.ledger.own().requests)
+            }
+            Policy::TwoChoices => self.best_sampled(scene, 2, 0),
+            Policy::Drill { samples, memory } => self.best_sampled(scene, samples, memory),
+            Policy::FullScan => self.pick_least(scene, |member| scene.cost(member, 0).total_work),
+            Policy::PrefixHash => self.pick_home(scene).or_else(|| self.round_robin(scene)),
+            Policy::Affinity { samples, memory } => self.pick_affine(scene, samples, memory),
         }
     }
 
@@ -172,20 +174,20 @@
         work: &Work<'_>,
     ) -> Option<Pick> {
         let history = History::new(1);
-        let scene = Scene::new(now, config, members, &history, work);
-        let count = scene.count();
+        let scene = Context::new(now, config, members, &history, work);
+        let count = scene.candidate_count();
         if count == 0 {
             return None;
         }
         let start = self.rng.random_range(0..count);
         (0..count)
             .map(|step| scene.candidate((start + step) % count))
-            .find(|position| scene.allows(*position) && scene.has_room(*position, class))
+            .find(|position| scene.is_allowed(*position) && scene.has_room(*position, class))
             .map(|position| scene.pick(position))
     }
 
     /// The member where the first token comes soonest, of those with room for the work.
-    pub fn soonest(
+    pub fn earliest_with_room(
         &mut self,
         now: Moment,
         config: &Config,
@@ -194,20 +196,20 @@
         work: &Work<'_>,
     ) -> Option<Pick> {
         let history = History::new(1);
-        let scene = Scene::new(now, config, members, &history, work);
-        let positions = (0..scene.count()).map(|index| scene.candidate(index));
+        let scene = Context::new(now, config, members, &history, work);
+        let positions = (0..scene.candidate_count()).map(|index| scene.candidate(index));
         positions
-            .filter(|position| scene.allows(*position) && scene.has_room(*position, class))
+            .filter(|position| scene.is_allowed(*position) && scene.has_room(*position, class))
             .map(|position| scene.pick(position))
             .min_by(|a, b| a.cost.first_token.total_cmp(&b.cost.first_token))
     }
 
-    fn next(&mut self, scene: &Scene<'_>) -> Option<Pick> {
-        let count = scene.count();
+    fn round_robin(&mut self, scene: &Context<'_>) -> Option<Pick> {
+        let count = scene.candidate_count();
         for _ in 0..count {
-            self.turn = (self.turn + 1) % count;
-            let position = scene.candidate(self.turn);
-            if scene.allows(position) {
+            self.last_index = (self.last_index + 1) % count;
+            let position = scene.candidate(self.last_index);
+            if scene.is_allowed(position) {
                 return Some(scene.pick(position));
             }
         }
@@ -216,28 +218,32 @@
 
     /// Draws one candidate that may take the work. After a few misses it walks on from the last
     /// draw, so that a model that few engines have loaded is still found.
-    fn draw(&mut self, scene: &Scene<'_>) -> Option<usize> {
-        let count = scene.count();
+    fn draw(&mut self, scene: &Context<'_>) -> Option<usize> {
+        let count = scene.candidate_count();
         if count == 0 {
             return None;
         }
         let mut start = 0;
-        for _ in 0..DRAWS {
+        for _ in 0..MAX_DRAWS {
             start = self.rng.random_range(0..count);
             let position = scene.candidate(start);
-            if scene.allows(position) {
+            if scene.is_allowed(position) {
                 return Some(position);
             }
         }
         (0..count)
             .map(|step| scene.candidate((start + step) % count))
-            .find(|position| scene.allows(*position))
+            .find(|position| scene.is_allowed(*position))
     }
 
     /// The least of all by a measure, ties broken at random: a fixed order among equals would send
     /// every entry to the same one.
-    fn least(&mut self, scene: &Scene<'_>, measure: impl Fn(&Member) -> f64) -> Option<Pick> {
-        let count = scene.count();
+    fn pick_least(
+        &mut self,
+        scene: &Context<'_>,
+        measure: impl Fn(&Member) -> f64,
+    ) -> Option<Pick> {
+        let count = scene.candidate_count();
         if count == 0 {
             return None;
         }
@@ -245,7 +251,7 @@
         let mut best: Option<(f64, usize)> = None;
         for step in 0..count {
             let position = scene.candidate((start + step) % count);
-            if !scene.allows(position) {
+            if !scene.is_allowed(position) {
                 continue;
             }
             let value = measure(scene.members.at(position));
@@ -256,30 +262,35 @@
         best.map(|(_, position)| scene.pick(position))
     }
 
-    fn sampled(&mut self, scene: &Scene<'_>, samples: usize, memory: usize) -> Option<Pick> {
+    fn best_sampled(&mut self, scene: &Context<'_>, samples: usize, memory: usize) -> Option<Pick> {
         let mut picks: SmallVec<[Pick; 8]> = SmallVec::new();
-        self.gather(scene, samples, &mut picks);
-        self.remember(&mut picks, memory);
+        self.collect_candidates(scene, samples, &mut picks);
+        self.sort_and_remember(&mut picks, memory);
         picks.first().copied()
     }
 
     /// Draws candidates and adds the remembered ones that still may take work.
-    fn gather(&mut self, scene: &Scene<'_>, samples: usize, picks: &mut SmallVec<[Pick; 8]>) {
+    fn collect_candidates(
+        &mut self,
+        scene: &Context<'_>,
+        samples: usize,
+        picks: &mut SmallVec<[Pick; 8]>,
+    ) {
         let remembered = std::mem::take(&mut self.memory);
         for position in remembered {
-            if position < scene.members.list().len() && scene.ready(position) {
-                push(picks, scene, position);
+            if position < scene.members.list().len() && scene.is_candidate(position) {
+                push_candidate(picks, scene, position);
             }
         }
         for _ in 0..samples {
             if let Some(position) = self.draw(scene) {
-                push(picks, scene, position);
+                push_candidate(picks, scene, position);
             }
         }
     }
 
     /// Sorts the candidates, best first, and remembers the best.
-    fn remember(&mut self, picks: &mut SmallVec<[Pick; 8]>, memory: usize) {
+    fn sort_and_remember(&mut self, picks: &mut SmallVec<[Pick; 8]>, memory: usize) {
         picks.sort_by(|a, b| a.cost.total_work.total_cmp(&b.cost.total_work));
         self.memory = picks
             .iter()
@@ -288,12 +299,12 @@
             .collect();
     }
 
-    fn affine(&mut self, scene: &Scene<'_>, samples: usize, memory: usize) -> Option<Pick> {
+    fn pick_affine(&mut self, scene: &Context<'_>, samples: usize, memory: usize) -> Option<Pick> {
         let mut picks: SmallVec<[Pick; 8]> = SmallVec::new();
-        self.gather(scene, samples, &mut picks);
-        self.remember(&mut picks, memory);
+        self.collect_candidates(scene, samples, &mut picks);
+        self.sort_and_remember(&mut picks, memory);
         let best = picks.first().copied()?;
-        let holder = scene.holder();
+        let holder = scene.best_holder();
         if let Some(holder) = holder
             && holder.cost.total_work <= best.cost.total_work
         {
@@ -302,19 +313,19 @@
         if holder.is_some() || scene.work.prefixes.is_empty() {
             return Some(best);
         }
-        let home = self.home(scene);
-        let near = home.filter(|home| home.cost.total_work <= best.cost.total_work + HOME_SLACK);
+        let home = self.pick_home(scene);
+        let near = home.filter(|home| home.cost.total_work <= best.cost.total_work + HOME_SLACK_S);
         Some(near.unwrap_or(best))
     }
 
     /// The home of the prompt's first prefix by rendezvous hashing.
-    fn home(&self, scene: &Scene<'_>) -> Option<Pick> {
+    fn pick_home(&self, scene: &Context<'_>) -> Option<Pick> {
         let prefix = scene.work.prefixes.first()?;
         let mut best: Option<(u64, usize)> = None;
-        for index in 0..scene.count() {
+        for index in 0..scene.candidate_count() {
             let position = scene.candidate(index);
             let weight = affinity::rendezvous(prefix.hash, scene.members.at(position).seed);
-            if best.is_none_or(|(most, _)| weight > most) && scene.allows(position) {
+            if best.is_none_or(|(most, _)| weight > most) && scene.is_allowed(position) {
                 best = Some((weight, position));
             }
         }
@@ -322,7 +333,7 @@
     }
 }
 
-fn push(picks: &mut SmallVec<[Pick; 8]>, scene: &Scene<'_>, position: usize) {
+fn push_candidate(picks: &mut SmallVec<[Pick; 8]>, scene: &Context<'_>, position: usize) {
     if !picks.iter().any(|pick| pick.position == position) {
         picks.push(scene.pick(position));
     }
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -157,9 +157,9 @@
             return Ok(placement);
         }
         let work = Work::whole(request, &WHOLE, &waiting.tried);
-        let soonest = self
-            .chooser
-            .soonest(now, &self.config, &self.members, request.class, &work);
+        let soonest =
+            self.chooser
+                .earliest_with_room(now, &self.config, &self.members, request.class, &work);
         match soonest.map(Placement::Colocated) {
             Some(placement) if self.is_in_time(now, request, &placement) => Ok(placement),
             _ => Err(Blocked::TooLate),
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -18,14 +18,14 @@
 };
 use smallvec::smallvec;
 
-struct Side {
+struct Harness {
     config: Config,
     members: Members,
     chooser: Chooser,
     history: History,
 }
 
-impl Side {
+impl Harness {
     fn new(policy: Policy, views: Vec<View>, seed: u64) -> Self {
         let config = Config { policy, ..config() };
         let mut members = Members::new();
@@ -61,7 +61,7 @@
         output: 100,
         prefixes,
         roles: &[Role::Mixed],
-        except: &[],
+        excluded: &[],
     }
 }
 
@@ -104,7 +104,7 @@
         views[7].models.push("verdict@3".into());
         views[8].models.push("verdict@3".into());
         views[8].open = false;
-        let mut side = Side::new(policy, views, 3);
+        let mut side = Harness::new(policy, views, 3);
         let model = "verdict@3".into();
         let prefixes = [Prefix {
             hash: 9,
@@ -120,7 +120,7 @@
         }
         let tried = ["engine-0007".into()];
         let none = Work {
-            except: &tried,
+            excluded: &tried,
             ..only
         };
         assert_eq!(side.choose(ms(1), &none), None, "{policy:?}");
@@ -132,9 +132,9 @@
     // Symptom: one engine gets a burst from all entries, then the next, and queues swing.
     // Sequence: a report two seconds old shows one engine idle and the others busy; all entries see it.
     // Cause: each entry takes the old difference for the present one.
-    let mut on_idle = 0;
+    let mut sent_to_idle = 0;
     for entry in 0..8 {
-        let mut side = Side::new(Policy::default(), engines(18), entry);
+        let mut side = Harness::new(Policy::default(), engines(18), entry);
         for engine in 0..18 {
             let prompt = if engine == 4 { 0 } else { 8_000 };
             let id = format!("engine-{engine:04}");
@@ -143,17 +143,17 @@
         side.members.refresh_statistics(ms(12_000));
         for _ in 0..18 {
             let pick = side.choose(ms(12_000), &work(&[])).expect("all are open");
-            on_idle += u32::from(pick.position == 4);
+            sent_to_idle += u32::from(pick.position == 4);
             side.add(ms(12_000), &pick, Load::of(1_000, 100));
         }
     }
     // An equal split gives each engine 8 of the 144.
-    assert!(on_idle <= 16, "{on_idle}");
+    assert!(sent_to_idle <= 16, "{sent_to_idle}");
 }
 
 #[test]
 fn a_fresh_view_is_used() {
-    let mut side = Side::new(Policy::FullScan, engines(18), 1);
+    let mut side = Harness::new(Policy::FullScan, engines(18), 1);
     for engine in 0..18 {
         let prompt = if engine == 4 { 0 } else { 8_000 };
         let id = format!("engine-{engine:04}");
@@ -165,7 +165,7 @@
 
 #[test]
 fn own_work_is_not_counted_twice_when_the_report_shows_it() {
-    let mut side = Side::new(Policy::FullScan, engines(2), 1);
+    let mut side = Harness::new(Policy::FullScan, engines(2), 1);
     let first = side.choose(ms(0), &work(&[])).expect("all are open");
     side.add(ms(0), &first, Load::of(8_000, 100));
     let id = side.id(&first);
@@ -179,7 +179,7 @@
 
 #[test]
 fn an_overtaken_report_is_dropped() {
-    let mut side = Side::new(Policy::FullScan, engines(1), 1);
+    let mut side = Harness::new(Policy::FullScan, engines(1), 1);
     side.members
         .apply_report("engine-0000", report(ms(500), 100));
     side.members
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_prompt_goes_where_its_prefix_is_unless_that_costs_more() {
-    let mut side = Side::new(Policy::default(), engines(18), 1);
+    let mut side = Harness::new(Policy::default(), engines(18), 1);
     let prefixes = [
         Prefix {
             hash: 1,
@@ -219,7 +219,7 @@
     }];
     let homes: Vec<usize> = (0..8)
         .map(|seed| {
-            let mut side = Side::new(Policy::default(), engines(18), seed);
+            let mut side = Harness::new(Policy::default(), engines(18), seed);
             let pick = side.choose(ms(0), &work(&prefixes));
             pick.expect("all are open").position
         })
@@ -233,7 +233,7 @@
         .map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .collect();
     let home = |views: Vec<View>, hash| {
-        let mut side = Side::new(Policy::PrefixHash, views, 1);
+        let mut side = Harness::new(Policy::PrefixHash, views, 1);
         let prefixes = [Prefix { hash, tokens: 64 }];
         let pick = side.choose(ms(0), &work(&prefixes)).expect("all are open");
         side.id(&pick)
@@ -252,13 +252,13 @@
     let mut views = engines(3);
     views[0].health = Health::Suspect;
     views[1].health = Health::Suspect;
-    let mut side = Side::new(Policy::Random, views.clone(), 1);
+    let mut side = Harness::new(Policy::Random, views.clone(), 1);
     for _ in 0..20 {
         let pick = side.choose(ms(0), &work(&[])).expect("one is up");
         assert_eq!(pick.position, 2);
     }
     views[2].health = Health::Down;
-    let mut side = Side::new(Policy::Random, views, 1);
+    let mut side = Harness::new(Policy::Random, views, 1);
     for _ in 0..20 {
         let pick = side.choose(ms(0), &work(&[])).expect("suspects are left");
         assert_ne!(pick.position, 2);
@@ -269,7 +269,7 @@
 fn a_new_upstream_gets_its_share_gradually() {
     let mut views = engines(2);
     views[1].up_since = ms(10_000);
-    let mut side = Side::new(Policy::FullScan, views, 1);
+    let mut side = Harness::new(Policy::FullScan, views, 1);
     side.config.slow_start = Duration::from_secs(10);
     let mut counts = [0, 0];
     for _ in 0..40 {
