--- a/crates/routing/src/router/attempts.rs
+++ b/crates/routing/src/router/attempts.rs
@@ -9,11 +9,11 @@
     decision::{Assignment, Attempt, Execution, Progress, RetryDecision},
     disaggregation::Placement,
     limit::Usage,
-    queue::Waiting,
+    queue::Pending,
 };
 
 /// Longest expected time, in seconds, after which a silent prefill is taken to be done.
-const LONGEST_PREFILL: f64 = 600.0;
+const MAX_PREFILL_S: f64 = 600.0;
 
 impl Router {
     /// Takes in a sign of life of an attempt.
@@ -24,22 +24,22 @@
         let Some(pool) = self.pools.get_mut(&running.waiting.request.pool) else {
             return;
         };
-        if let Some(member) = pool.members.get_mut(running.holding.active_upstream()) {
+        if let Some(member) = pool.members.get_mut(running.reservation.active_upstream()) {
             member.passive_health.record_response(now);
         }
         match progress {
             Progress::Prefilled => {
-                if running.holding.prefill.is_none() && running.first_token.is_none() {
+                if running.reservation.prefill.is_none() && running.first_token.is_none() {
                     running.first_token = Some(now);
                     let took = now.saturating_sub(running.sent).as_secs_f64();
                     let class = running.waiting.request.class;
-                    pool.note_first_token(now, class, running.expected, took);
+                    pool.record_first_token(now, class, running.expected_first_token, took);
                 }
-                running.holding.finish_prefill(now, pool);
+                running.reservation.finish_prefill(now, pool);
             }
             Progress::Tokens(count) => {
                 running.generated += u64::from(count);
-                running.holding.record_tokens(now, pool, count);
+                running.reservation.record_tokens(now, pool, count);
             }
         }
     }
@@ -53,7 +53,7 @@
         let request = &running.waiting.request;
         if let Some(pool) = self.pools.get_mut(&request.pool) {
             running
-                .holding
+                .reservation
                 .move_prefill(now, pool, request.prompt_tokens);
         }
     }
@@ -64,18 +64,18 @@
     /// all the seconds of its decode, and requests that are in time there would be refused, as one
     /// notices by refusals for the deadline with most of the slots free.
     pub(super) fn presume_prefilled(&mut self, now: Moment) {
-        while let Some((due, attempt)) = self.silent.first().copied() {
+        while let Some((due, attempt)) = self.presumed_prefills.first().copied() {
             if due > now {
                 return;
             }
-            self.silent.pop_first();
+            self.presumed_prefills.pop_first();
             let Some(running) = self.running.get_mut(&attempt) else {
                 continue;
             };
             if let Some(pool) = self.pools.get_mut(&running.waiting.request.pool)
-                && running.holding.prefill.is_none()
+                && running.reservation.prefill.is_none()
             {
-                running.holding.finish_prefill(now, pool);
+                running.reservation.finish_prefill(now, pool);
             }
         }
     }
@@ -84,8 +84,8 @@
     pub fn finished(&mut self, now: Moment, attempt: Attempt) -> Outputs {
         let mut outputs = Outputs::new();
         if let Some(running) = self.release(now, attempt) {
-            self.settle(&running);
-            self.observe(now, &running);
+            self.settle_limits(&running);
+            self.record_speed(now, &running);
             self.serve(now, &running.waiting.request.pool, &mut outputs);
         }
         outputs
@@ -98,17 +98,20 @@
         };
         let request = &running.waiting.request;
         if let Some(pool) = self.pools.get_mut(&request.pool)
-            && let Some(member) = pool.members.get_mut(running.holding.active_upstream())
+            && let Some(member) = pool.members.get_mut(running.reservation.active_upstream())
         {
             member.passive_health.record_failure(now);
         }
         running.waiting.attempts += 1;
-        running.waiting.tried.push(running.holding.upstream.clone());
+        running
+            .waiting
+            .tried
+            .push(running.reservation.upstream.clone());
         let Some(due) = self.retry_at(now, &running.waiting, ran) else {
-            self.settle(&running);
+            self.settle_limits(&running);
             return RetryDecision::Final;
         };
-        let ticket = self.number();
+        let ticket = self.next_number();
         let waiting = running.waiting;
         self.backoffs
             .insert((due, ticket), Backoff { ticket, waiting });
@@ -119,7 +122,7 @@
     pub(super) fn retry_at(
         &mut self,
         now: Moment,
-        waiting: &Waiting,
+        waiting: &Pending,
         ran: Execution,
     ) -> Option<Moment> {
         let safe = ran == Execution::NotRun || waiting.request.repeatable;
@@ -132,16 +135,16 @@
 
     /// Learns the speed of an upstream from a finished attempt. One that gave nothing at all was
     /// cancelled and tells nothing.
-    pub(super) fn observe(&mut self, now: Moment, running: &Running) {
+    pub(super) fn record_speed(&mut self, now: Moment, running: &Running) {
         let request = &running.waiting.request;
-        let silent = running.generated == 0 && running.first_token.is_none();
-        if silent && request.output_tokens > 0 {
+        let no_output = running.generated == 0 && running.first_token.is_none();
+        if no_output && request.output_tokens > 0 {
             return;
         }
         let Some(pool) = self.pools.get_mut(&request.pool) else {
             return;
         };
-        if let Some(member) = pool.members.get_mut(&running.holding.upstream) {
+        if let Some(member) = pool.members.get_mut(&running.reservation.upstream) {
             let streamed = running.first_token.is_some();
             let time = running
                 .first_token
@@ -153,7 +156,7 @@
     }
 
     /// Books what an attempt used in truth.
-    pub(super) fn settle(&mut self, running: &Running) {
+    pub(super) fn settle_limits(&mut self, running: &Running) {
         let request = &running.waiting.request;
         let actual = u64::from(request.prompt_tokens) + running.generated;
         let used = Usage {
@@ -167,31 +170,31 @@
     pub(super) fn send(
         &mut self,
         now: Moment,
-        waiting: Waiting,
+        waiting: Pending,
         placement: &Placement,
     ) -> Option<Assignment> {
-        let attempt = self.number();
+        let attempt = self.next_number();
         let request = &waiting.request;
         let pool = self.pools.get_mut(&request.pool)?;
-        let expected = pool.expected(now, request, placement);
-        let holding = pool.commit(now, request, placement);
+        let expected_first_token = pool.expected_first_token(now, request, placement);
+        let reservation = pool.commit(now, request, placement);
         let assignment = Assignment {
             attempt,
-            upstream: holding.upstream.clone(),
-            prefill: holding.prefill.as_ref().map(|(id, _)| id.clone()),
+            upstream: reservation.upstream.clone(),
+            prefill: reservation.prefill.as_ref().map(|(id, _)| id.clone()),
             priority: request.priority,
         };
         if !request.streamed && request.prompt_tokens > 0 {
-            let prefilled = now + Duration::from_secs_f64(expected.clamp(0.0, LONGEST_PREFILL));
-            self.silent.insert((prefilled, attempt));
+            let due = now + Duration::from_secs_f64(expected_first_token.clamp(0.0, MAX_PREFILL_S));
+            self.presumed_prefills.insert((due, attempt));
         }
         self.running.insert(
             attempt,
             Running {
                 waiting,
-                holding,
+                reservation,
                 sent: now,
-                expected,
+                expected_first_token,
                 first_token: None,
                 generated: 0,
             },
@@ -202,7 +205,7 @@
     pub(super) fn release(&mut self, now: Moment, attempt: Attempt) -> Option<Running> {
         let running = self.running.remove(&attempt)?;
         if let Some(pool) = self.pools.get_mut(&running.waiting.request.pool) {
-            running.holding.release(now, pool);
+            running.reservation.release(now, pool);
         }
         Some(running)
     }
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -20,7 +20,7 @@
     load::Load,
     peers::{self, Outstanding, Peers},
     pool::{self, Config},
-    queue::{Waiting, expected_wait},
+    queue::{Pending, expected_wait},
     request::Request,
     reservation::Reservation,
     retry::{self, Budget},
@@ -32,7 +32,7 @@
 pub const TICK: Duration = Duration::from_millis(20);
 
 /// Time between two sweeps over the queue for requests whose deadline cannot be met any more.
-const SWEEP_EVERY: Duration = Duration::from_millis(50);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Outputs of one call; mostly none or one.
 pub type Outputs = SmallVec<[Output; 2]>;
@@ -49,11 +49,11 @@
 /// An attempt in hand.
 #[derive(Clone, Debug)]
 struct Running {
-    waiting: Waiting,
-    holding: Reservation,
+    waiting: Pending,
+    reservation: Reservation,
     sent: Moment,
     /// Seconds in which the first token was expected.
-    expected: f64,
+    expected_first_token: f64,
     /// When the answer began, if it comes as a stream.
     first_token: Option<Moment>,
     /// Answer tokens so far.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 struct Backoff {
     ticket: Ticket,
-    waiting: Waiting,
+    waiting: Pending,
 }
 
 /// The decisions of one process.
@@ -75,14 +75,14 @@
     running: HashMap<Attempt, Running>,
     backoffs: BTreeMap<(Moment, Ticket), Backoff>,
     /// When the prefill of attempts that give no sign of it is taken to be done.
-    silent: BTreeSet<(Moment, Attempt)>,
+    presumed_prefills: BTreeSet<(Moment, Attempt)>,
     /// Pool of each waiting request.
     tickets: HashMap<Ticket, pool::Id>,
     peers: Peers,
     budget: Budget,
     limits: Limits,
     /// Requests that waited for a pool that is gone.
-    orphans: Vec<(Ticket, Waiting)>,
+    orphans: Vec<(Ticket, Pending)>,
     last_number: u64,
     last_sweep: Moment,
 }
@@ -96,7 +96,7 @@
             pools: BTreeMap::new(),
             running: HashMap::new(),
             backoffs: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            presumed_prefills: BTreeSet::new(),
             tickets: HashMap::new(),
             peers: Peers::default(),
             budget: Budget::new(settings.retry),
@@ -122,7 +122,7 @@
             self.pools.insert(id, pool);
         }
         for pool in old.into_values() {
-            self.orphans.extend(pool.queue.into_waiting());
+            self.orphans.extend(pool.queue.into_pending());
         }
     }
 
@@ -141,13 +141,13 @@
         self.budget.deposit();
         match self.pools.get_mut(&request.pool) {
             None => return self.refuse(Reason::NoPool, Duration::ZERO),
-            Some(pool) => pool.note(&request),
+            Some(pool) => pool.record_arrival(&request),
         }
         let checked = self.limits.check(now, &request.subjects, request.tokens());
         if let Err(refused) = checked {
             return self.refuse(refused.kind.into(), refused.wait);
         }
-        self.enter(now, Waiting::new(request))
+        self.schedule(now, Pending::new(request))
     }
 
     /// Takes back a waiting request because its caller is gone.
@@ -219,7 +219,7 @@
 
     /// Requests in hand at an upstream, to be confirmed before a planned change.
     pub fn in_flight(&self, upstream: &str) -> u32 {
-        let runs = |running: &&Running| running.holding.uses(upstream);
+        let runs = |running: &&Running| running.reservation.uses(upstream);
         let count = self.running.values().filter(runs).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
@@ -244,7 +244,7 @@
         let mut outputs = Outputs::new();
         self.resume(now, &mut outputs);
         self.presume_prefilled(now);
-        let sweep = now.saturating_sub(self.last_sweep) >= SWEEP_EVERY;
+        let sweep = now.saturating_sub(self.last_sweep) >= SWEEP_INTERVAL;
         let pools: SmallVec<[pool::Id; 4]> = self.pools.keys().cloned().collect();
         for pool in &pools {
             if sweep {
@@ -261,7 +261,7 @@
     }
 
     /// Sends, queues or refuses. What is refused gives back what it took from the limits.
-    fn enter(&mut self, now: Moment, waiting: Waiting) -> Decision {
+    fn schedule(&mut self, now: Moment, waiting: Pending) -> Decision {
         let subjects = waiting.request.subjects.clone();
         let tokens = waiting.request.tokens();
         let decision = self.decide(now, waiting);
@@ -271,17 +271,17 @@
         decision
     }
 
-    fn decide(&mut self, now: Moment, waiting: Waiting) -> Decision {
+    fn decide(&mut self, now: Moment, waiting: Pending) -> Decision {
         let pool_id = waiting.request.pool.clone();
         let Some(pool) = self.pools.get_mut(&pool_id) else {
             return self.refuse(Reason::NoPool, Duration::ZERO);
         };
         let request = &waiting.request;
-        if now + pool.least_time(request) > request.deadline {
+        if now + pool.min_first_token_time(request) > request.deadline {
             return self.refuse(Reason::Deadline, Duration::ZERO);
         }
-        let blocked =
-            !request.class.is_urgent() && pool.queue.blocks(request.class, request.model.as_ref());
+        let blocked = !request.class.is_urgent()
+            && pool.queue.has_ahead(request.class, request.model.as_ref());
         let placed = match blocked {
             true => Err(Blocked::NoRoom),
             false => pool.place(now, &waiting),
@@ -293,11 +293,11 @@
             },
             Err(Blocked::NoUpstream) => self.refuse(Reason::NoUpstream, Duration::ZERO),
             Err(Blocked::TooLate) => self.refuse(Reason::Deadline, Duration::ZERO),
-            Err(Blocked::NoRoom) => self.queue(now, waiting),
+            Err(Blocked::NoRoom) => self.queue_or_refuse(now, waiting),
         }
     }
 
-    fn queue(&mut self, now: Moment, waiting: Waiting) -> Decision {
+    fn queue_or_refuse(&mut self, now: Moment, waiting: Pending) -> Decision {
         let pool_id = waiting.request.pool.clone();
         let class = waiting.request.class;
         let Some(pool) = self.pools.get_mut(&pool_id) else {
@@ -305,21 +305,23 @@
         };
         let ahead = pool.queue.ahead(class) as f64;
         let wait = expected_wait(ahead, pool.drain_rate(now));
-        if now + wait + pool.usual_time(now, &waiting.request) > waiting.request.deadline {
+        if now + wait + pool.typical_first_token_time(now, &waiting.request)
+            > waiting.request.deadline
+        {
             return self.refuse(Reason::Deadline, wait);
         }
         let owner = waiting.request.owner();
-        if pool.queue.is_full() && !pool.queue.gives_way(class, owner) {
+        if pool.queue.is_full() && !pool.queue.can_displace(class, owner) {
             return self.refuse(Reason::Overload(class), wait);
         }
-        let ticket = self.number();
-        self.hold_back(now, pool_id, ticket, waiting);
+        let ticket = self.next_number();
+        self.enqueue(now, pool_id, ticket, waiting);
         Decision::Wait(ticket)
     }
 
     /// Puts a request into its queue. One of a lower class that no longer fits is refused by the
     /// next tick.
-    fn hold_back(&mut self, now: Moment, pool_id: pool::Id, ticket: Ticket, waiting: Waiting) {
+    fn enqueue(&mut self, now: Moment, pool_id: pool::Id, ticket: Ticket, waiting: Pending) {
         if let Some(pool) = self.pools.get_mut(&pool_id) {
             pool.push(now, ticket, waiting);
             self.tickets.insert(ticket, pool_id);
@@ -337,7 +339,7 @@
         }
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
--- a/crates/routing/src/router/waiting.rs
+++ b/crates/routing/src/router/waiting.rs
@@ -6,13 +6,13 @@
 use clock::Moment;
 use smallvec::SmallVec;
 
-use super::{Backoff, Outputs, Router, SWEEP_EVERY};
+use super::{Backoff, Outputs, Router, SWEEP_INTERVAL};
 use crate::{
     decision::{Decision, Output, Reason, Ticket},
     disaggregation::Placement,
     limit::Usage,
     pool,
-    queue::{Waiting, expected_wait},
+    queue::{Pending, expected_wait},
     request::Model,
     scheduler::Blocked,
 };
@@ -21,7 +21,7 @@
     /// Sends waiting requests in order of service as long as there is room.
     pub(super) fn serve(&mut self, now: Moment, pool_id: &pool::Id, outputs: &mut Outputs) {
         self.shed(now, pool_id, outputs);
-        while let Some((ticket, placement)) = self.next(now, pool_id) {
+        while let Some((ticket, placement)) = self.next_waiting(now, pool_id) {
             match placement {
                 Some(placement) => self.send_waiting(now, ticket, &placement, outputs),
                 None => self.refuse_waiting(ticket, Reason::Deadline, Duration::ZERO, outputs),
@@ -31,7 +31,11 @@
 
     /// The next waiting request that leaves the queue: with its place, or without one because it
     /// would be late anywhere.
-    fn next(&mut self, now: Moment, pool_id: &pool::Id) -> Option<(Ticket, Option<Placement>)> {
+    fn next_waiting(
+        &mut self,
+        now: Moment,
+        pool_id: &pool::Id,
+    ) -> Option<(Ticket, Option<Placement>)> {
         let pool = self.pools.get_mut(pool_id)?;
         if pool.queue.is_empty() {
             return None;
@@ -75,7 +79,7 @@
             let Some(pool) = self.pools.get_mut(pool_id) else {
                 return;
             };
-            if !pool.queue.is_over() {
+            if !pool.queue.is_over_capacity() {
                 return;
             }
             let Some(ticket) = pool.queue.victim() else {
@@ -93,18 +97,18 @@
         let Some(pool) = self.pools.get_mut(pool_id) else {
             return;
         };
-        pool.survey(now);
+        pool.refresh_statistics(now);
         if pool.queue.is_empty() {
             return;
         }
         let per_second = pool.drain_rate(now);
-        let gone = pool
+        let infeasible = pool
             .queue
-            .hopeless(now + SWEEP_EVERY, per_second, |request| {
-                pool.usual_time(now, request)
+            .infeasible(now + SWEEP_INTERVAL, per_second, |request| {
+                pool.typical_first_token_time(now, request)
             });
         let wait = expected_wait(pool.queue.len() as f64, per_second);
-        for ticket in gone {
+        for ticket in infeasible {
             self.refuse_waiting(ticket, Reason::Deadline, wait, outputs);
         }
     }
@@ -116,16 +120,16 @@
                 return;
             }
             let Backoff { ticket, waiting } = entry.remove();
-            match self.enter(now, waiting) {
+            match self.schedule(now, waiting) {
                 Decision::Send(assignment) => outputs.push(Output::Send { ticket, assignment }),
                 Decision::Refuse(refusal) => outputs.push(Output::Refuse { ticket, refusal }),
-                Decision::Wait(new) => self.rename(now, new, ticket),
+                Decision::Wait(new) => self.restore_ticket(now, new, ticket),
             }
         }
     }
 
     /// Lets a request that was queued under a new number keep the one that the entry knows.
-    pub(super) fn rename(&mut self, now: Moment, new: Ticket, known: Ticket) {
+    pub(super) fn restore_ticket(&mut self, now: Moment, new: Ticket, known: Ticket) {
         let Some(pool_id) = self.tickets.remove(&new) else {
             return;
         };
@@ -133,7 +137,7 @@
             return;
         };
         if let Some(waiting) = pool.remove(new) {
-            self.hold_back(now, pool_id, known, waiting);
+            self.enqueue(now, pool_id, known, waiting);
         }
     }
 
@@ -148,7 +152,7 @@
     }
 
     /// Takes a request out of its queue or its backoff.
-    pub(super) fn withdraw(&mut self, ticket: Ticket) -> Option<Waiting> {
+    pub(super) fn withdraw(&mut self, ticket: Ticket) -> Option<Pending> {
         if let Some(pool) = self.tickets.remove(&ticket) {
             return self.pools.get_mut(&pool)?.remove(ticket);
         }
@@ -157,7 +161,7 @@
         self.backoffs.remove(&key).map(|backoff| backoff.waiting)
     }
 
-    pub(super) fn release_unused(&mut self, waiting: &Waiting) {
+    pub(super) fn release_unused(&mut self, waiting: &Pending) {
         let request = &waiting.request;
         self.limits
             .release(&request.subjects, Usage::none(request.tokens()));
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -17,7 +17,7 @@
     load::Load,
     members::Members,
     pool::Config,
-    queue::{Queue, Waiting},
+    queue::{Pending, Queue},
     rate::Rate,
     request::Request,
     reservation::Reservation,
@@ -25,25 +25,25 @@
 };
 
 /// Prefixes remembered per pool and generation.
-const HISTORY: usize = 32_768;
+const HISTORY_CAPACITY: usize = 32_768;
 
 /// Time over which the rate is smoothed at which requests are sent.
-const SERVED_WINDOW: Duration = Duration::from_secs(5);
+const SENT_RATE_WINDOW: Duration = Duration::from_secs(5);
 
 /// Time after which the rate of the requests sent tells what the pool can do.
-const BACKLOG: Duration = Duration::from_secs(2);
+const BACKLOG_SETTLING_TIME: Duration = Duration::from_secs(2);
 
 /// Weight of the newest request in the usual request.
-const USUAL_WEIGHT: f64 = 0.02;
+const MEAN_REQUEST_WEIGHT: f64 = 0.02;
 
 /// Weight of the newest request in the usual delay at upstreams.
-const DELAY_WEIGHT: f64 = 0.05;
+const UPSTREAM_WAIT_WEIGHT: f64 = 0.05;
 
 /// Factor on the usual excess in the decision whether a request can be in time.
-const EXCESS_DOUBT: f64 = 1.5;
+const LATENESS_MARGIN: f64 = 1.5;
 
 /// Roles that run a whole request. Decode engines do so in small chunks.
-const WHOLE: [Role; 2] = [Role::Mixed, Role::Decode];
+const COLOCATED_ROLES: [Role; 2] = [Role::Mixed, Role::Decode];
 
 /// Why a request cannot be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,20 +65,20 @@
     pub members: Members,
     /// Waiting requests.
     pub queue: Queue,
-    served: Rate,
+    sent_rate: Rate,
     /// Since when requests have been waiting.
-    backlog: Option<Moment>,
+    backlog_since: Option<Moment>,
     /// Mean of the requests that came lately.
-    usual: Load,
+    mean_request: Load,
     chooser: Chooser,
     history: History,
     /// Seconds that requests lately stood at an upstream before their prefill began.
-    delay: f64,
+    upstream_wait: f64,
     /// Prompt tokens a second of one upstream.
     prefill_rate: f64,
-    mix: ClassMix,
+    class_mix: ClassMix,
     /// Seconds by which first tokens lately came later than expected, by class.
-    excess: [Lateness; Class::COUNT],
+    lateness: [Lateness; Class::COUNT],
 }
 
 impl Scheduler {
@@ -87,22 +87,22 @@
         Self {
             members: Members::new(),
             queue: Queue::new(config.queue_capacity),
-            served: Rate::new(now, SERVED_WINDOW),
-            backlog: None,
-            usual: Load::default(),
+            sent_rate: Rate::new(now, SENT_RATE_WINDOW),
+            backlog_since: None,
+            mean_request: Load::default(),
             chooser: Chooser::new(SmallRng::seed_from_u64(rng.random())),
-            history: History::new(HISTORY),
-            delay: 0.0,
+            history: History::new(HISTORY_CAPACITY),
+            upstream_wait: 0.0,
             prefill_rate: config.speed.prefill_rate,
-            mix: ClassMix::new(now),
-            excess: [Lateness::default(); Class::COUNT],
+            class_mix: ClassMix::new(now),
+            lateness: [Lateness::default(); Class::COUNT],
             config,
         }
     }
 
     /// Takes new settings.
     pub fn configure(&mut self, config: Config) {
-        self.queue.set_bound(config.queue_capacity);
+        self.queue.set_capacity(config.queue_capacity);
         self.config = config;
     }
 
@@ -128,66 +128,80 @@
 
     /// Where a request would go now. Urgent work goes in any case: a late answer to it is worth a
     /// try, since its estimate leaves out that engines serve it first.
-    pub fn place(&mut self, now: Moment, waiting: &Waiting) -> Result<Placement, Blocked> {
-        match self.place_untried(now, waiting) {
+    pub fn place(&mut self, now: Moment, waiting: &Pending) -> Result<Placement, Blocked> {
+        match self.place_excluding_tried(now, waiting) {
             // Trying the same upstream again is better than not trying at all.
             Err(Blocked::NoUpstream) if !waiting.tried.is_empty() => {
-                let again = Waiting {
+                let untried = Pending {
                     tried: SmallVec::new(),
                     ..waiting.clone()
                 };
-                self.place_untried(now, &again)
+                self.place_excluding_tried(now, &untried)
             }
             placed => placed,
         }
     }
 
-    fn place_untried(&mut self, now: Moment, waiting: &Waiting) -> Result<Placement, Blocked> {
+    fn place_excluding_tried(
+        &mut self,
+        now: Moment,
+        waiting: &Pending,
+    ) -> Result<Placement, Blocked> {
         let request = &waiting.request;
-        let together = self.choose(now, &Work::whole(request, &WHOLE, &waiting.tried));
-        let apart = self.apart(now, waiting);
-        let preferred =
-            disaggregation::choose_placement(&self.config, request.prompt_tokens, together, apart)
-                .ok_or(Blocked::NoUpstream)?;
+        let colocated = self.choose(now, &Work::whole(request, &COLOCATED_ROLES, &waiting.tried));
+        let disaggregated = self.choose_disaggregated(now, waiting);
+        let preferred = disaggregation::choose_placement(
+            &self.config,
+            request.prompt_tokens,
+            colocated,
+            disaggregated,
+        )
+        .ok_or(Blocked::NoUpstream)?;
         let placement = match self.has_room(request, &preferred) {
             true => preferred,
-            false => self.elsewhere(now, waiting).ok_or(Blocked::NoRoom)?,
+            false => self.place_with_room(now, waiting).ok_or(Blocked::NoRoom)?,
         };
-        if request.class.is_urgent() || self.is_in_time(now, request, &placement) {
+        if request.class.is_urgent() || self.meets_deadline(now, request, &placement) {
             return Ok(placement);
         }
-        let work = Work::whole(request, &WHOLE, &waiting.tried);
-        let soonest =
+        let work = Work::whole(request, &COLOCATED_ROLES, &waiting.tried);
+        let earliest =
             self.chooser
                 .earliest_with_room(now, &self.config, &self.members, request.class, &work);
-        match soonest.map(Placement::Colocated) {
-            Some(placement) if self.is_in_time(now, request, &placement) => Ok(placement),
+        match earliest.map(Placement::Colocated) {
+            Some(placement) if self.meets_deadline(now, request, &placement) => Ok(placement),
             _ => Err(Blocked::TooLate),
         }
     }
 
     /// Whether the first token is expected before the deadline. Of the work that stands before it
     /// only that of its class and of higher ones counts.
-    fn is_in_time(&self, now: Moment, request: &Request, placement: &Placement) -> bool {
-        let excess = self.excess[request.class.rank()].seconds(now);
-        let expected = self.expected(now, request, placement) + EXCESS_DOUBT * excess;
+    fn meets_deadline(&self, now: Moment, request: &Request, placement: &Placement) -> bool {
+        let lateness = self.lateness[request.class.rank()].seconds(now);
+        let expected =
+            self.expected_first_token(now, request, placement) + LATENESS_MARGIN * lateness;
         expected <= request.deadline.saturating_sub(now).as_secs_f64()
     }
 
     /// Seconds to the first token at a place.
-    pub fn expected(&self, now: Moment, request: &Request, placement: &Placement) -> f64 {
-        let all = placement.first_token(&self.config, request.prompt_tokens);
-        all - placement.wait() * (1.0 - self.mix.share_ahead(now, request.class))
+    pub fn expected_first_token(
+        &self,
+        now: Moment,
+        request: &Request,
+        placement: &Placement,
+    ) -> f64 {
+        let total = placement.first_token(&self.config, request.prompt_tokens);
+        total - placement.wait() * (1.0 - self.class_mix.share_ahead(now, request.class))
     }
 
     /// Learns from a first token.
-    pub fn note_first_token(&mut self, now: Moment, class: Class, expected: f64, took: f64) {
-        self.excess[class.rank()].record(now, expected, took);
+    pub fn record_first_token(&mut self, now: Moment, class: Class, expected: f64, took: f64) {
+        self.lateness[class.rank()].record(now, expected, took);
     }
 
     /// Enters a placement as work in hand.
     pub fn commit(&mut self, now: Moment, request: &Request, placement: &Placement) -> Reservation {
-        self.note_sent(now, request, placement);
+        self.record_sent(now, request, placement);
         let whole = Load::of(request.prompt_tokens, request.output_tokens);
         match placement {
             Placement::Colocated(pick) => {
@@ -195,7 +209,7 @@
                     prefill: whole.prefill - f64::from(pick.cached),
                     ..whole
                 };
-                let upstream = self.enter(now, pick, load);
+                let upstream = self.charge_pick(now, pick, load);
                 self.history.record(&request.prefixes, &upstream);
                 Reservation {
                     upstream,
@@ -204,23 +218,23 @@
                 }
             }
             Placement::Disaggregated { prefill, decode } => {
-                let front = Load {
+                let prefill_load = Load {
                     prefill: whole.prefill - f64::from(prefill.cached),
                     decode: 0.0,
                     ..whole
                 };
-                let back = Load {
+                let decode_load = Load {
                     prefill: 0.0,
                     ..whole
                 };
-                let id = self.enter(now, prefill, front);
+                let id = self.charge_pick(now, prefill, prefill_load);
                 // An imported cache serves its request only; it is the prefilling engine that keeps
                 // the prefix.
                 self.history.record(&request.prefixes, &id);
                 Reservation {
-                    upstream: self.enter(now, decode, back),
-                    load: back,
-                    prefill: Some((id, front)),
+                    upstream: self.charge_pick(now, decode, decode_load),
+                    load: decode_load,
+                    prefill: Some((id, prefill_load)),
                 }
             }
         }
@@ -241,23 +255,25 @@
     }
 
     /// Least time to the first token of a request, with nothing before it.
-    pub fn least_time(&self, request: &Request) -> Duration {
+    pub fn min_first_token_time(&self, request: &Request) -> Duration {
         // A cached prompt is faster still, so that half of it is all that may be taken for sure.
-        seconds(self.own_time(request) / 2.0)
+        to_duration(self.prefill_time(request) / 2.0)
     }
 
     /// Time to the first token of a request as it is at present, without the wait at this entry.
-    pub fn usual_time(&self, now: Moment, request: &Request) -> Duration {
-        let wait = self.delay * self.mix.share_ahead(now, request.class);
-        seconds(self.own_time(request) + wait + self.excess[request.class.rank()].seconds(now))
+    pub fn typical_first_token_time(&self, now: Moment, request: &Request) -> Duration {
+        let wait = self.upstream_wait * self.class_mix.share_ahead(now, request.class);
+        to_duration(
+            self.prefill_time(request) + wait + self.lateness[request.class.rank()].seconds(now),
+        )
     }
 
-    fn own_time(&self, request: &Request) -> f64 {
+    fn prefill_time(&self, request: &Request) -> f64 {
         f64::from(request.prompt_tokens) / self.prefill_rate.max(f64::MIN_POSITIVE)
     }
 
     /// Takes stock; to be called some times a second.
-    pub fn survey(&mut self, now: Moment) {
+    pub fn refresh_statistics(&mut self, now: Moment) {
         self.members.refresh_statistics(now);
         if let Some(rate) = self.members.prefill_rate() {
             self.prefill_rate = rate;
@@ -268,47 +284,47 @@
     /// the last seconds tells what came and not what the pool can do; then the larger of both counts,
     /// because a burst after a quiet time must not be refused for the quiet.
     pub fn drain_rate(&self, now: Moment) -> f64 {
-        let served = self.served.per_second(now);
-        let lasts = self
-            .backlog
-            .is_some_and(|since| now.saturating_sub(since) >= BACKLOG);
-        if lasts {
+        let served = self.sent_rate.per_second(now);
+        let settled = self
+            .backlog_since
+            .is_some_and(|since| now.saturating_sub(since) >= BACKLOG_SETTLING_TIME);
+        if settled {
             return served;
         }
-        served.max(self.members.capacity(self.usual))
+        served.max(self.members.capacity(self.mean_request))
     }
 
     /// Lets a request wait.
-    pub fn push(&mut self, now: Moment, ticket: Ticket, waiting: Waiting) {
-        self.backlog.get_or_insert(now);
+    pub fn push(&mut self, now: Moment, ticket: Ticket, waiting: Pending) {
+        self.backlog_since.get_or_insert(now);
         self.queue.push(ticket, waiting);
     }
 
     /// Takes a waiting request out.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
+    pub fn remove(&mut self, ticket: Ticket) -> Option<Pending> {
         let waiting = self.queue.remove(ticket);
         if self.queue.is_empty() {
-            self.backlog = None;
+            self.backlog_since = None;
         }
         waiting
     }
 
     /// Counts a request that came.
-    pub fn note(&mut self, request: &Request) {
+    pub fn record_arrival(&mut self, request: &Request) {
         let load = Load::of(request.prompt_tokens, request.output_tokens);
-        let weight = if self.usual.requests > 0.0 {
-            USUAL_WEIGHT
+        let weight = if self.mean_request.requests > 0.0 {
+            MEAN_REQUEST_WEIGHT
         } else {
             1.0
         };
-        self.usual = self.usual.lerp(load, weight);
+        self.mean_request = self.mean_request.lerp(load, weight);
     }
 
-    fn note_sent(&mut self, now: Moment, request: &Request, placement: &Placement) {
-        self.served.record(now, 1.0);
-        self.mix
+    fn record_sent(&mut self, now: Moment, request: &Request, placement: &Placement) {
+        self.sent_rate.record(now, 1.0);
+        self.class_mix
             .record(now, request.class, f64::from(request.prompt_tokens));
-        self.delay += DELAY_WEIGHT * (placement.wait() - self.delay);
+        self.upstream_wait += UPSTREAM_WAIT_WEIGHT * (placement.wait() - self.upstream_wait);
     }
 
     fn choose(&mut self, now: Moment, work: &Work<'_>) -> Option<Pick> {
@@ -316,7 +332,7 @@
             .choose(now, &self.config, &self.members, &self.history, work)
     }
 
-    fn apart(&mut self, now: Moment, waiting: &Waiting) -> Option<(Pick, Pick)> {
+    fn choose_disaggregated(&mut self, now: Moment, waiting: &Pending) -> Option<(Pick, Pick)> {
         let request = &waiting.request;
         if !disaggregation::is_eligible(&self.config, request.prompt_tokens)
             || self.members.ready(Role::Prefill).is_empty()
@@ -341,34 +357,36 @@
     }
 
     /// Looks for any place with room when the preferred one has none.
-    fn elsewhere(&mut self, now: Moment, waiting: &Waiting) -> Option<Placement> {
+    fn place_with_room(&mut self, now: Moment, waiting: &Pending) -> Option<Placement> {
         let request = &waiting.request;
-        let work = Work::whole(request, &WHOLE, &waiting.tried);
-        if let Some(pick) = self.room(now, request, &work) {
+        let work = Work::whole(request, &COLOCATED_ROLES, &waiting.tried);
+        if let Some(pick) = self.pick_with_room(now, request, &work) {
             return Some(Placement::Colocated(pick));
         }
         if !disaggregation::is_eligible(&self.config, request.prompt_tokens) {
             return None;
         }
         let whole = Work::whole(request, &[Role::Prefill], &waiting.tried);
-        let prefill = self.room(now, request, &Work { output: 0, ..whole })?;
-        let decode = self.room(now, request, &decode_work(request, &waiting.tried))?;
+        let prefill = self.pick_with_room(now, request, &Work { output: 0, ..whole })?;
+        let decode = self.pick_with_room(now, request, &decode_work(request, &waiting.tried))?;
         Some(Placement::Disaggregated { prefill, decode })
     }
 
-    fn room(&mut self, now: Moment, request: &Request, work: &Work<'_>) -> Option<Pick> {
+    fn pick_with_room(&mut self, now: Moment, request: &Request, work: &Work<'_>) -> Option<Pick> {
         self.chooser
             .any_with_room(now, &self.config, &self.members, request.class, work)
     }
 
-    fn enter(&mut self, now: Moment, pick: &Pick, load: Load) -> Id {
+    fn charge_pick(&mut self, now: Moment, pick: &Pick, load: Load) -> Id {
         let id = self.members.at(pick.position).view.id.clone();
         if let Some(member) = self.members.get_mut(&id) {
-            let answer = load.decode / member.speed.decode_rate.max(f64::MIN_POSITIVE);
-            let first_token = seconds(pick.cost.first_token);
-            member
-                .passive_health
-                .record_sent(now, first_token, first_token + seconds(answer));
+            let decode_seconds = load.decode / member.speed.decode_rate.max(f64::MIN_POSITIVE);
+            let first_token = to_duration(pick.cost.first_token);
+            member.passive_health.record_sent(
+                now,
+                first_token,
+                first_token + to_duration(decode_seconds),
+            );
             member.ledger.add(now, load);
         }
         id
@@ -376,16 +394,16 @@
 }
 
 /// Longest expected time that is reckoned with.
-const LONGEST: f64 = 3_600.0;
+const MAX_SECONDS: f64 = 3_600.0;
 
-fn seconds(seconds: f64) -> Duration {
-    Duration::from_secs_f64(seconds.clamp(0.0, LONGEST))
+fn to_duration(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
 }
 
 fn decode_work<'a>(request: &'a Request, tried: &'a [Id]) -> Work<'a> {
     Work {
         prompt: 0,
         prefixes: &[],
-        ..Work::whole(request, &WHOLE, tried)
+        ..Work::whole(request, &COLOCATED_ROLES, tried)
     }
 }
