--- a/crates/routing/src/class.rs
+++ b/crates/routing/src/class.rs
@@ -1,18 +1,18 @@
-//! Classes of requests, from the one that is shed last to the one that is shed first.
+//! Request classes, in order of service.
 
-/// What a request is for, which decides who goes first and who is shed first. The order of the
-/// variants is the order of service; see docs/CLASSES.md.
+/// Class of a request. It decides the order of service, which is the order of the variants, and
+/// the order of shedding, which is the reverse; see docs/CLASSES.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// Short calls with a hard deadline, never shed for others.
+    /// Short calls with a hard deadline; never shed in favour of other classes.
     Authorisation,
-    /// Short reports with a hard deadline, served right after authorisations.
+    /// Short reports with a hard deadline, served directly after authorisations.
     Status,
-    /// A person waits for the first token.
+    /// A person is waiting for the first token.
     Interactive,
-    /// The result is fetched within minutes to hours.
+    /// The result is collected minutes to hours later.
     Dispatch,
-    /// It may wait long and is shed first.
+    /// Work without urgency; shed first.
     Batch,
 }
 
@@ -29,12 +29,12 @@
     /// Number of classes.
     pub const COUNT: usize = Self::ALL.len();
 
-    /// Position in the order of service, 0 first.
+    /// Position in the order of service, starting at 0.
     pub fn rank(self) -> usize {
         self as usize
     }
 
-    /// Whether the class goes before everything else and is never shed while any capacity is left.
+    /// Whether the class is served before all others and never shed while any capacity is left.
     pub fn is_urgent(self) -> bool {
         matches!(self, Self::Authorisation | Self::Status)
     }
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -1,110 +1,111 @@
-//! Answers of the decisions to the entry.
+//! Results that the router returns to the entry.
 
 use std::time::Duration;
 
 use crate::{class::Class, upstream};
 
-/// Number of one attempt to run a request, unique within a process.
+/// Id of one attempt to run a request, unique within a process.
 pub type Attempt = u64;
 
-/// Number of a waiting request, unique within a process.
+/// Id of a waiting request, unique within a process.
 pub type Ticket = u64;
 
-/// What becomes of a request now.
+/// Decision about a new request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Send it now.
     Send(Assignment),
-    /// Hold it; [`Output`] tells when it goes or is refused.
+    /// Queue it; an [`Output`] tells when it is sent or refused.
     Wait(Ticket),
-    /// Answer "not run" at once.
+    /// Refuse it at once, as not run.
     Refuse(Refusal),
 }
 
-/// Where a request goes.
+/// Where a request is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
-    /// Number to be used in all later calls about this attempt.
+    /// Id for all later calls about this attempt.
     pub attempt: Attempt,
-    /// Upstream that gives the answer.
+    /// Upstream that produces the answer.
     pub upstream: upstream::Id,
-    /// Engine that runs the prefill and exports the KV cache to `upstream` first; none if
-    /// `upstream` does both.
+    /// Engine that first runs the prefill and exports the KV cache to `upstream`; none if
+    /// `upstream` runs both.
     pub prefill: Option<upstream::Id>,
-    /// Priority to state to the engine, 0 highest.
+    /// Priority passed to the engine, 0 highest.
     pub priority: u8,
 }
 
-/// A final refusal: the request was not run by this entry and will not be.
+/// A final refusal: this entry has not run the request and will not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub reason: Reason,
-    /// When the caller may come back; spread at random so that callers do not return in step.
+    /// Time after which the caller may retry, randomised so that callers do not return all at
+    /// once.
     pub retry_after: Duration,
 }
 
-/// Why a request is refused.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The owner's requests a second.
+    /// The limit on requests per second.
     RequestLimit,
-    /// The owner's tokens a second.
+    /// The limit on tokens per second.
     TokenLimit,
-    /// The owner's requests at once.
+    /// The limit on concurrent requests.
     ConcurrencyLimit,
-    /// More work than the pool can do; the class was shed.
+    /// The pool is overloaded and the class was shed.
     Overload(Class),
-    /// The deadline cannot be met any more.
+    /// The deadline can no longer be met.
     Deadline,
-    /// No upstream of the pool takes new work.
+    /// No upstream of the pool accepts new work.
     NoUpstream,
-    /// The pool is unknown.
+    /// The pool does not exist.
     NoPool,
 }
 
-/// Something that the entry must do because time passed or capacity came free.
+/// Action for the entry, due to the passage of time or freed capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// The waiting request goes now.
+    /// Send the waiting request.
     Send {
-        /// Number given by [`Decision::Wait`].
+        /// Ticket from [`Decision::Wait`].
         ticket: Ticket,
-        /// Where it goes.
+        /// Where to send it.
         assignment: Assignment,
     },
-    /// The waiting request is refused; it was not run.
+    /// Refuse the waiting request, which was not run.
     Refuse {
-        /// Number given by [`Decision::Wait`].
+        /// Ticket from [`Decision::Wait`].
         ticket: Ticket,
-        /// Reason and time to come back.
+        /// Reason and retry time.
         refusal: Refusal,
     },
 }
 
-/// What becomes of a request whose attempt failed.
+/// Decision about a request whose attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It is tried again; [`Output`] tells when, or that it is refused after all.
+    /// Retry it; an [`Output`] tells when, or that it is refused after all.
     Wait(Ticket),
-    /// It is not tried again; the entry answers by what it knows of the attempt.
+    /// Do not retry; the entry answers according to how the attempt failed.
     Final,
 }
 
-/// How an attempt went, as far as the entry can tell.
+/// Whether a failed attempt ran, as far as the entry can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// Certainly not run: no byte left this process, or the upstream said so.
+    /// Certainly not run: no byte was sent, or the upstream said so.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-/// A sign of life of an attempt.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The prefill is done (the first token came, or the KV export answered).
+    /// The prefill is done: the first token arrived, or the KV export was answered.
     Prefilled,
-    /// So many answer tokens came.
+    /// This many answer tokens arrived.
     Tokens(u32),
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions of an entry about requests and roles: which upstream a request goes to, whether it is
-//! admitted, waits or is refused, what an owner may still use, whether it is tried again, and which
-//! engine changes its role. The crate stands between the daemon, which fills in what it knows of the
-//! fleet and drives [`router::Router`] under one lock, and the callers' requests. It does no I/O: the
-//! clock's moment is an argument and random numbers come from a seeded generator that each
-//! structure owns, so that a run can be repeated exactly. See docs/design/choice.md.
+//! Routing decisions of an entry: load balancing, admission and shedding, rate limits, retries,
+//! and the planning of engines' roles.
+//!
+//! The entry's daemon supplies what it knows of the fleet and drives [`router::Router`] under one
+//! lock. The crate does no I/O: the current time is an argument, and random numbers come from
+//! seeded generators owned by each structure, so that a run can be reproduced exactly. See
+//! docs/design/choice.md.
 
 pub mod affinity;
 pub mod choice;
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -1,15 +1,15 @@
-//! Work that stands before an upstream, as three counters that add up.
+//! Outstanding work at an upstream.
 
 use std::ops::{Add, AddAssign, Mul, Sub};
 
-/// Outstanding work. The fields are real numbers because aged and averaged views are fractions.
+/// Outstanding work. The fields are fractional because decayed and averaged loads are.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests that were sent and are not finished.
+    /// Unfinished requests.
     pub requests: f64,
-    /// Prompt tokens still to be processed.
+    /// Prompt tokens left to process.
     pub prefill: f64,
-    /// Answer tokens still to be generated.
+    /// Answer tokens left to generate.
     pub decode: f64,
 }
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The same with nothing below zero; differences of stale views may come out negative.
+    /// Raises negative fields to zero; differences of stale loads may be negative.
     pub fn clamp_non_negative(self) -> Self {
         Self {
             requests: self.requests.max(0.0),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The larger of both, field by field.
+    /// Field-wise maximum.
     pub fn max(self, other: Self) -> Self {
         Self {
             requests: self.requests.max(other.requests),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A point between `self` (0) and `other` (1).
+    /// Linear interpolation from `self` (at 0) to `other` (at 1).
     pub fn lerp(self, other: Self, share: f64) -> Self {
         self + (other - self) * share
     }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -1,47 +1,47 @@
-//! Settings of a pool that decisions depend on.
+//! Settings of a pool.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::choice::Policy;
 
-/// Pool's name in the catalogue.
+/// Name of a pool in the catalogue.
 pub type Id = Arc<str>;
 
-/// Speed of one upstream of a pool where no report says better.
+/// Speed of one upstream, used where load reports do not state it.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// Prompt tokens a second of a whole engine.
+    /// Prompt tokens per second of the engine.
     pub prefill_rate: f64,
-    /// Answer tokens a second of one decode slot.
+    /// Answer tokens per second of one decode slot.
     pub decode_rate: f64,
-    /// Requests that an upstream works on at once.
+    /// Requests that the upstream runs concurrently.
     pub slots: u32,
 }
 
-/// A pool of like upstreams.
+/// Settings of a pool of interchangeable upstreams.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Pool's name.
+    /// Name of the pool.
     pub id: Id,
-    /// How an upstream is chosen.
+    /// Load balancing policy.
     pub policy: Policy,
-    /// Speed of its upstreams.
+    /// Default speed of its upstreams.
     pub speed: Speed,
-    /// Time over which a new or recovered upstream grows to its full share.
+    /// Time over which a new or recovered upstream ramps up to its full share.
     pub slow_start: Duration,
-    /// Time after which a view of others' work has lost two thirds of its meaning. Short enough that
-    /// entries with one stale view do not act on it in step; see docs/design/choice.md.
+    /// Time constant with which views of the peers' work decay. Short enough that entries sharing
+    /// a stale view do not all act on it at once; see docs/design/choice.md.
     pub decay_time: Duration,
-    /// Requests that may wait at this entry, all classes together.
+    /// Requests of all classes that may wait at this entry.
     pub queue_capacity: usize,
-    /// Bytes of KV cache per prompt token over the bytes a second between engines: seconds that
-    /// the transfer of one token takes. 0 means that KV transfer is not possible.
+    /// Seconds to transfer the KV cache of one prompt token between engines; 0 if KV transfer is
+    /// not possible.
     pub transfer_s_per_token: f64,
 }
 
 impl Config {
-    /// A pool of engines with usual settings, to be adapted by the caller.
+    /// Default settings for a pool of engines.
     pub fn new(id: impl Into<Id>) -> Self {
         Self {
             id: id.into(),
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,4 +1,4 @@
-//! What a decision has to know of a request.
+//! The properties of a request that routing depends on.
 
 use std::sync::Arc;
 
@@ -7,56 +7,55 @@
 
 use crate::{class::Class, pool};
 
-/// What a limit is set for: an owner's name in the catalogue, or an entry's.
+/// Subject of a limit: the name of an owner or of an entry in the catalogue.
 pub type Subject = Arc<str>;
 
-/// Model with version and adapter as one name, for example `verdict@3+texas`.
+/// Model name with version and adapter, for example `verdict@3+texas`.
 pub type Model = Arc<str>;
 
-/// A leading part of a prompt: its chained hash and its length. A prompt's prefixes are given from
-/// the shortest to the longest.
+/// A prefix of a prompt. The prefixes of one prompt are listed from shortest to longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
-    /// Hash over all tokens (or bytes) from the start of the prompt.
+    /// Hash of all tokens (or bytes) from the start of the prompt.
     pub hash: u64,
-    /// Tokens that the prefix covers.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// One request as the entry sees it before it goes to an upstream.
+/// A request before it is sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Pool that the catalogue's entry names.
+    /// Pool named by the catalogue entry.
     pub pool: pool::Id,
-    /// Whose limits apply: the owner's first, then the catalogue entry's own where it has some.
+    /// Subjects whose limits apply: the owner first, then the catalogue entry if it has limits.
     pub subjects: SmallVec<[Subject; 2]>,
-    /// Class of the catalogue's entry.
+    /// Class set by the catalogue entry.
     pub class: Class,
-    /// Priority to state to the upstream, 0 highest.
+    /// Priority passed to the upstream, 0 highest.
     pub priority: u8,
-    /// Model that an engine must have loaded; none for plain services.
+    /// Model that the engine must have loaded; none for plain services.
     pub model: Option<Model>,
-    /// Tokens of the prompt; 0 for plain services.
+    /// Prompt length in tokens; 0 for plain services.
     pub prompt_tokens: u32,
-    /// Expected tokens of the answer; 0 for plain services.
+    /// Expected answer length in tokens; 0 for plain services.
     pub output_tokens: u32,
-    /// Prefixes of the prompt, shortest first.
+    /// Prefixes of the prompt, from shortest to longest.
     pub prefixes: SmallVec<[Prefix; 8]>,
-    /// Whether the answer comes as a stream, so that its first token tells that the prefill is done.
+    /// Whether the answer is streamed, so that its first token marks the end of the prefill.
     pub streamed: bool,
-    /// Moment by which the answer (of an engine: the first token) is owed.
+    /// Time by which the answer (the first token, for engines) is due.
     pub deadline: Moment,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run twice.
     pub repeatable: bool,
 }
 
 impl Request {
-    /// Whose request it is: the first of those whose limits apply.
+    /// Owner of the request: the first subject.
     pub fn owner(&self) -> Option<&Subject> {
         self.subjects.first()
     }
 
-    /// All tokens that the request is expected to use, for owners' limits.
+    /// Expected prompt and answer tokens, charged against token limits.
     pub fn tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
     }
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream as the entry shows it to the decisions.
+//! State of an upstream as supplied by the entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,74 +8,74 @@
 
 use crate::{load::Load, request::Model};
 
-/// Instance id of an upstream; cheap to clone.
+/// Instance id of an upstream.
 pub type Id = Arc<str>;
 
-/// What an engine does in its batches.
+/// Role of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// Prefill and decode in the same batches.
+    /// Runs prefill and decode in the same batches.
     #[default]
     Mixed,
-    /// Prefill; the KV cache is exported.
+    /// Runs prefill and exports the KV cache.
     Prefill,
-    /// Decode; prefill in small chunks where there is room.
+    /// Runs decode, and prefill in small chunks where there is room.
     Decode,
 }
 
 impl Role {
-    /// All roles in their order.
+    /// All roles, in the order of the variants.
     pub const ALL: [Self; 3] = [Self::Mixed, Self::Prefill, Self::Decode];
 }
 
-/// Whether an upstream answers.
+/// Health of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// It answers.
+    /// It responds.
     #[default]
     Up,
-    /// It failed lately; it is used only when nothing better is left.
+    /// It failed recently and is used only when nothing better is left.
     Suspect,
-    /// It does not answer.
+    /// It does not respond.
     Down,
 }
 
-/// What the entry knows of an upstream from the instance list, the catalogue and its connections.
+/// An upstream as known from the instance list, the catalogue and the entry's connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
     /// Instance id.
     pub id: Id,
-    /// One-way network time from this entry.
+    /// One-way network latency from this entry.
     pub one_way_latency: Duration,
     /// Current role; [`Role::Mixed`] for plain services.
     pub role: Role,
-    /// Loaded models; empty means that the upstream takes any (plain services).
+    /// Loaded models; an empty list accepts any model (plain services).
     pub models: SmallVec<[Model; 4]>,
-    /// False while it drains, leaves, or an order is in work: no new work goes there.
+    /// Whether new work may be sent; false while it drains, leaves, or carries out an order.
     pub open: bool,
-    /// Whether it answers.
+    /// Health.
     pub health: Health,
-    /// Moment since which it has been up; new upstreams get their full share only gradually.
+    /// Time since which it has been up; the start of its slow start.
     pub up_since: Moment,
 }
 
 /// A load report of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
-    /// Moment at which the report was true, on this entry's clock: the time of arrival less the age
-    /// that the report states.
+    /// Time at which the report was accurate, on this entry's clock: its arrival less the age that
+    /// it states.
     pub at: Moment,
-    /// Work of all entries at that moment.
+    /// Outstanding work of all entries at that time.
     pub load: Load,
-    /// Requests of these that the engine has not begun.
+    /// Requests among these that the engine has not started.
     pub waiting: u32,
-    /// KV cache in use, 0 to 1.
+    /// Share of the KV cache in use, 0 to 1.
     pub kv_used: f64,
-    /// Prompt tokens a second that the engine processes in its role when it does nothing else; 0 if
-    /// it does not tell.
+    /// Prompt tokens per second that the engine processes in its role when idle otherwise; 0 if
+    /// not reported.
     pub prefill_rate: f64,
-    /// Requests that it runs at once in its role; 0 if it does not tell.
+    /// Requests that it runs concurrently in its role; 0 if not reported.
     pub decode_slots: u32,
-    /// The engine itself takes no new work.
+    /// Whether the engine itself refuses new work.
     pub draining: bool,
 }
