--- a/crates/routing/src/member.rs
+++ b/crates/routing/src/member.rs
@@ -1,4 +1,4 @@
-//! One upstream with what is believed about it.
+//! One upstream of a pool and its estimated state.
 
 use std::time::Duration;
 
@@ -15,27 +15,27 @@
     window::Window,
 };
 
-/// Share of its speed at which a new upstream starts.
+/// Share of its full speed that a new upstream is credited with at first.
 const MIN_SLOW_START_SHARE: f64 = 0.1;
 
-/// One upstream and the belief about it.
+/// One upstream of a pool and its estimated state.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What the entry says of it.
+    /// State known to the entry.
     pub view: View,
-    /// Work before it.
+    /// Estimated outstanding work.
     pub ledger: Ledger,
-    /// Its speed, from its reports where there are any.
+    /// Nominal speed, taken from load reports where available.
     pub speed: Speed,
-    /// Seed of its rendezvous weights.
+    /// Seed for its rendezvous hashing weights.
     pub seed: u64,
-    /// How much work may stand before it.
+    /// Limit on outstanding work.
     pub window: Window,
-    /// What this entry itself sees of it.
+    /// Health as observed by this entry.
     pub passive_health: PassiveHealth,
-    /// Share of its speed that it is taken to have; below 1 for one that is slower than its like.
+    /// Factor on the nominal speed, below 1 for an upstream slower than its peers.
     pub(crate) speed_factor: f64,
-    /// Whether it is set aside because of what was observed.
+    /// Whether it is ejected because of its passive health.
     pub(crate) ejected: bool,
 }
 
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Whether new work may go there at all.
+    /// Whether the upstream may receive new work at all.
     pub fn accepts_work(&self) -> bool {
         self.view.open
             && self.view.health != Health::Down
             && !self.ledger.report().is_some_and(|report| report.draining)
     }
 
-    /// Whether the model is loaded.
+    /// Whether the model is loaded; true for requests without a model.
     pub fn serves(&self, model: Option<&Model>) -> bool {
         match model {
             None => true,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Its speed in its role. Reports tell the rate of the role; without one, a decode engine is
-    /// taken to prefill in the room beside its decodes only.
+    /// Speed in the current role. A load report states the rate of the role; without one, a decode
+    /// engine is assumed to prefill only in the capacity left beside its decodes.
     pub fn effective_speed(&self) -> Speed {
         let reported = self
             .ledger
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Share of its speed that is counted on at this moment (slow start).
+    /// Share of its speed that the upstream is credited with during slow start.
     pub fn slow_start_share(&self, now: Moment, slow_start: Duration) -> f64 {
         let since = self.view.up_since.max(self.passive_health.readmitted_at());
         let uptime = now.saturating_sub(since);
--- a/crates/routing/src/members.rs
+++ b/crates/routing/src/members.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one pool with what is believed about each.
+//! The upstreams of one pool.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,10 +14,10 @@
     upstream::{Health, Id, Report, Role, View},
 };
 
-/// Age beyond which a view of others' work counts no more.
+/// Age beyond which a view of the peers' work is ignored.
 ///
-/// Views fade towards the mean of all views. If all are as old as the last report before reports
-/// ceased, that mean is too, and a pool that was full at that moment would stay full for good.
+/// Views decay towards the mean of all views. If every view dates from before the load reports
+/// stopped, that mean is stale too, and a pool that was full at the time would look full forever.
 const MAX_VIEW_AGE: Duration = Duration::from_secs(5);
 
 /// All upstreams of a pool.
@@ -25,16 +25,16 @@
 pub struct Members {
     list: Vec<Member>,
     index: HashMap<Id, usize>,
-    /// Positions of those that take work, by role.
+    /// Positions of the upstreams that accept work, by role.
     ready: [Vec<usize>; 3],
-    /// Mean of what others have before an upstream.
+    /// Mean work per upstream that other entries have outstanding.
     mean_load: Load,
     /// This entry's share of all outstanding requests.
     own_share: f64,
 }
 
 impl Members {
-    /// No upstreams.
+    /// An empty pool.
     pub fn new() -> Self {
         Self {
             list: Vec::new(),
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Replaces the upstreams, and says whether that changed anything. Belief about those that stay
-    /// is kept.
+    /// Replaces the upstreams and returns whether anything changed. The state of upstreams that
+    /// remain is kept.
     pub fn set(&mut self, config: &Config, mut views: Vec<View>) -> bool {
         views.sort_by(|a, b| a.id.cmp(&b.id));
         views.dedup_by(|a, b| a.id == b.id);
@@ -61,7 +61,7 @@
         for view in views {
             let member = match old.remove(&view.id) {
                 None => Member::new(view, config.speed),
-                // What was observed of it in another role says nothing of this one.
+                // Health observed in one role does not carry over to another.
                 Some(known) if known.view.role != view.role => Member {
                     view,
                     passive_health: PassiveHealth::default(),
@@ -82,38 +82,38 @@
         true
     }
 
-    /// All upstreams in the order of their ids.
+    /// All upstreams, ordered by id.
     pub fn list(&self) -> &[Member] {
         &self.list
     }
 
-    /// The upstream at a position.
+    /// The upstream at `position`.
     pub fn at(&self, position: usize) -> &Member {
         &self.list[position]
     }
 
-    /// The position of an upstream.
+    /// The position of the upstream with this id.
     pub fn position(&self, id: &str) -> Option<usize> {
         self.index.get(id).copied()
     }
 
-    /// Positions of those of a role that take new work.
+    /// Positions of the upstreams in `role` that accept new work.
     pub fn ready(&self, role: Role) -> &[usize] {
         &self.ready[role as usize]
     }
 
-    /// Mean of what others have before an upstream, towards which stale views fade.
+    /// Mean work per upstream that other entries have outstanding; stale views decay towards it.
     pub fn mean_load(&self) -> Load {
         self.mean_load
     }
 
-    /// The upstream of this id for changes, if it is still there.
+    /// The upstream with this id, for modification.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Member> {
         let position = self.position(id)?;
         Some(&mut self.list[position])
     }
 
-    /// Takes in a load report.
+    /// Applies a load report.
     pub fn apply_report(&mut self, id: &str, report: Report) {
         let Some(position) = self.position(id) else {
             return;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Takes in what the peers have before each upstream, true at `at`.
+    /// Sets the work that the peers have outstanding at each upstream, as of `at`.
     pub fn set_peer_load(&mut self, at: Moment, load: impl Fn(&str) -> Load) {
         for member in &mut self.list {
             let load = load(&member.view.id);
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Whether a request of this class finds room at a position beside the estimated load.
+    /// Whether the upstream at `position` has room for a request of this class on top of its
+    /// estimated load.
     pub fn has_room(&self, position: usize, class: Class, load: Load) -> bool {
         let member = &self.list[position];
         let own = member.ledger.own();
@@ -152,9 +153,9 @@
             .has_room(class, &member.effective_speed(), load, own, self.own_share)
     }
 
-    /// Takes stock of the pool: the mean load, this entry's share of the requests, who
-    /// is slow and who is set aside. Called from time to time and not per request, because it walks
-    /// over the pool.
+    /// Recomputes the pool-wide statistics: the mean load, this entry's share of the requests, and
+    /// which upstreams are slow or ejected. Called periodically rather than per request, because
+    /// it visits every upstream.
     pub fn refresh_statistics(&mut self, now: Moment) {
         self.update_mean_load(now);
         self.update_speed_factors(now);
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Mean of the prompt tokens a second of an upstream that takes work, if there is one.
+    /// Mean prefill rate of the upstreams that accept work, in prompt tokens per second.
     pub fn prefill_rate(&self) -> Option<f64> {
         let ready = self.ready.iter().flatten();
         let rates = ready.map(|position| self.list[*position].effective_speed().prefill_rate);
@@ -179,19 +180,19 @@
         (count > 0.0).then(|| sum / count)
     }
 
-    /// Requests of this kind a second that all upstreams together can do for this entry.
+    /// Requests like `request` that this entry's share of the pool can complete per second.
     pub fn capacity(&self, request: Load) -> f64 {
         let ready = self.ready.iter().flatten();
         let rates = ready.map(|position| {
-            let pace = self.list[*position].effective_speed();
-            let prefill = pace.prefill_rate / request.prefill.max(f64::MIN_POSITIVE);
-            let decode = f64::from(pace.slots) * pace.decode_rate;
+            let speed = self.list[*position].effective_speed();
+            let prefill = speed.prefill_rate / request.prefill.max(f64::MIN_POSITIVE);
+            let decode = f64::from(speed.slots) * speed.decode_rate;
             prefill.min(decode / request.decode.max(f64::MIN_POSITIVE))
         });
         rates.sum::<f64>() * self.own_share
     }
 
-    /// Compares the rates of answers of upstreams of one role.
+    /// Derives speed factors from the answer rates of the upstreams in each role.
     fn update_speed_factors(&mut self, now: Moment) {
         for role in Role::ALL {
             let rates = self.list.iter().filter(|member| member.view.role == role);
@@ -249,7 +250,8 @@
         }
     }
 
-    /// Opens suspects when nothing else is left: a doubtful upstream is better than a sure refusal.
+    /// Falls back to suspect upstreams when no other is left: an uncertain attempt is better than
+    /// a certain refusal.
     fn fill_ready_with_suspects(&mut self) {
         for (position, member) in self.list.iter().enumerate() {
             if member.accepts_work() {
--- a/crates/routing/src/passive_health.rs
+++ b/crates/routing/src/passive_health.rs
@@ -1,55 +1,55 @@
-//! What this entry itself sees of an upstream: how fast answers come, whether it gives any sign of
-//! life, and whether attempts fail.
+//! Passive health checks: how fast an upstream's answers arrive, whether it responds at all, and
+//! whether attempts fail.
 //!
-//! Reports and the instance list are late and may be wrong; an engine that accepts requests and never
-//! answers looks idle in both. See docs/design/choice.md.
+//! Load reports and the instance list lag behind and may be wrong: an engine that accepts requests
+//! and never answers looks idle in both. See docs/design/choice.md.
 
 use std::time::Duration;
 
 use clock::Moment;
 
-/// Weight of the newest answer in the rate of answers.
+/// Weight of the newest answer in the smoothed answer rate.
 const RATE_WEIGHT: f64 = 0.1;
 
-/// Answers that are too short or too quick say nothing of the rate.
+/// Answers shorter or faster than this do not allow an estimate of the rate.
 const MIN_RATE_TOKENS: u64 = 8;
 const MIN_RATE_TIME: Duration = Duration::from_millis(50);
 
-/// Silence beyond the expected time of an answer before an upstream is set aside.
+/// Silence tolerated on top of the expected response time before ejection.
 const SILENCE_GRACE: Duration = Duration::from_secs(2);
 
-/// Factor on the expected time of an answer; estimates are rough.
+/// Factor on the expected response time, since estimates are rough.
 const SILENCE_FACTOR: u32 = 3;
 
-/// Failures, or requests given up, without any sign in between before an upstream is set aside.
+/// Consecutive failures, or cancelled requests without any response, that lead to ejection.
 const FAILURES_TO_EJECT: u32 = 3;
 
-/// Time for which an upstream is set aside at first, and at most; it doubles each time.
+/// First and longest ejection time. The time doubles with each further ejection.
 const BASE_EJECTION: Duration = Duration::from_secs(2);
 const MAX_EJECTION: Duration = Duration::from_secs(60);
 
-/// Share of the usual rate below which an upstream counts as slow. Above it the differences come
-/// from what the engines happen to work on.
+/// Share of the mean rate below which an upstream counts as slow. Smaller differences come from
+/// the requests that the engines happen to run.
 const SLOW_BELOW: f64 = 0.6;
 
-/// Least rate that a slow upstream is taken to have, so that it goes on being tried.
+/// Least speed share of a slow upstream, so that it still receives some requests.
 const MIN_SPEED_SHARE: f64 = 0.05;
 
-/// Time without a new answer after which an old rate is forgotten.
+/// Time after which an answer rate without newer samples expires.
 const RATE_EXPIRY: Duration = Duration::from_secs(20);
 
-/// Own observation of one upstream.
+/// Passive health of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PassiveHealth {
-    /// Answer tokens a second and request; 0 while unknown.
+    /// Answer tokens per second of one request; 0 while unknown.
     rate: f64,
     rated_at: Moment,
-    /// When the first request was sent that nothing has followed, and how many were since.
+    /// Time of the first request since the last response, and the number of requests since.
     unanswered_since: Moment,
     unanswered: u32,
-    /// Silence that is normal for these.
+    /// Silence allowed for these requests.
     silence_limit: Duration,
-    /// Whether the last answer came as a stream, so that signs come early.
+    /// Whether the last answer was streamed, so that first tokens are expected early.
     last_streamed: bool,
     failures: u32,
     ejections: u32,
@@ -57,9 +57,9 @@
 }
 
 impl PassiveHealth {
-    /// A request was sent. `first_token` and `whole` are the expected times of its answer.
+    /// Records that a request was sent, with the expected times to its first token and to its end.
     pub fn record_sent(&mut self, now: Moment, first_token: Duration, whole: Duration) {
-        // One that was silent before gets the benefit of the doubt no longer.
+        // After an ejection, the first token counts even if answers are not streamed.
         let expects_early = self.last_streamed || self.ejections > 0;
         let expected = if expects_early { first_token } else { whole };
         let silence_limit = SILENCE_GRACE + expected * SILENCE_FACTOR;
@@ -71,7 +71,7 @@
         self.silence_limit = self.silence_limit.max(silence_limit);
     }
 
-    /// Anything of an answer came.
+    /// Records that any part of an answer arrived.
     pub fn record_response(&mut self, now: Moment) {
         self.unanswered_since = now;
         self.unanswered = 0;
@@ -79,7 +79,7 @@
         self.ejections = 0;
     }
 
-    /// An answer of so many tokens is complete; they came within `time` after the first one.
+    /// Records a complete answer of `tokens` tokens that arrived within `time` of its first token.
     pub fn record_answer(&mut self, now: Moment, streamed: bool, tokens: u64, time: Duration) {
         self.record_response(now);
         self.last_streamed = streamed;
@@ -96,7 +96,7 @@
         self.rated_at = now;
     }
 
-    /// An attempt failed.
+    /// Records a failed attempt.
     pub fn record_failure(&mut self, now: Moment) {
         self.failures += 1;
         if self.failures >= FAILURES_TO_EJECT {
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Sets the upstream aside if it has been silent for too long, with requests of this entry in hand
-    /// or with several that were given up.
+    /// Ejects the upstream if it has been silent for too long while this entry has requests
+    /// outstanding there, or has cancelled several without any response.
     pub fn check_silence(&mut self, now: Moment, requests: f64) {
         let silence = now.saturating_sub(self.unanswered_since);
         let awaits_answer = requests > 0.0 || self.unanswered >= FAILURES_TO_EJECT;
@@ -114,23 +114,23 @@
         }
     }
 
-    /// Whether no new work should go there for now.
+    /// Whether the upstream is ejected at `now`.
     pub fn is_ejected(&self, now: Moment) -> bool {
         now < self.ejected_until
     }
 
-    /// The moment at which it was last set free again, from which it grows to its full share.
+    /// End of the last ejection, from which slow start begins again.
     pub fn readmitted_at(&self) -> Moment {
         self.ejected_until
     }
 
-    /// The rate of answers, if it is known.
+    /// The smoothed answer rate, if known.
     pub fn answer_rate(&self, now: Moment) -> Option<f64> {
         let known = self.rate > 0.0 && now.saturating_sub(self.rated_at) < RATE_EXPIRY;
         known.then_some(self.rate)
     }
 
-    /// Share of its speed that an upstream is taken to have, given the usual rate of its like.
+    /// Factor on the upstream's speed, given the mean answer rate of its peers.
     pub fn speed_share(&self, now: Moment, mean_rate: f64) -> f64 {
         let Some(rate) = self.answer_rate(now) else {
             return 1.0;
@@ -148,7 +148,7 @@
         self.ejected_until = now + doubled.min(MAX_EJECTION);
         self.ejections += 1;
         self.failures = 0;
-        // What it still owes is not held against it twice.
+        // Requests already outstanding must not cause a second ejection.
         self.unanswered_since = self.ejected_until;
         self.unanswered = 0;
     }
--- a/crates/routing/src/rate.rs
+++ b/crates/routing/src/rate.rs
@@ -1,11 +1,11 @@
-//! Events a second, smoothed.
+//! Smoothed event rates.
 
 use std::time::Duration;
 
 use clock::Moment;
 
-/// An exponentially weighted rate. It needs no buckets: the sum decays with the time since the last
-/// event.
+/// An exponentially weighted moving rate. It needs no buckets, because the sum decays with the
+/// time since the last event.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
     sum: f64,
@@ -15,7 +15,7 @@
 }
 
 impl Rate {
-    /// A rate over about `window`.
+    /// A rate smoothed over about `window`.
     pub fn new(now: Moment, window: Duration) -> Self {
         Self {
             sum: 0.0,
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Counts `amount` now.
+    /// Adds `amount` at `now`.
     pub fn record(&mut self, now: Moment, amount: f64) {
         self.sum = self.decayed(now) + amount;
         self.at = now.max(self.at);
     }
 
-    /// Amount a second. In the first window the sum is divided by the time that it really covers, so
-    /// that a rate is not taken for low only because it is young.
+    /// Amount per second. Within the first window the sum is divided by the time actually covered,
+    /// so that a new rate does not look low.
     pub fn per_second(&self, now: Moment) -> f64 {
         let window = self.window.as_secs_f64();
         let age = now.saturating_sub(self.start).as_secs_f64();
@@ -47,5 +47,5 @@
     }
 }
 
-/// Share of the window below which a rate's age is not believed.
+/// Least share of the window that is taken as covered.
 const MIN_COVERED_SHARE: f64 = 0.1;
--- a/crates/routing/tests/passive_health.rs
+++ b/crates/routing/tests/passive_health.rs
@@ -1,4 +1,4 @@
-//! What an entry learns of upstreams by itself.
+//! Passive health checks.
 
 mod common;
 
@@ -15,8 +15,8 @@
 
 const SILENT: &str = "engine-0000";
 
-/// Sends a request each 50 ms; all engines but the silent one answer within that time, and callers
-/// of the silent one go after a second. Gives how many it got in each ten seconds.
+/// Sends a request every 50 ms. All engines but the silent one answer within that time; requests
+/// to the silent one are cancelled after a second. Returns the number of these per ten seconds.
 fn drive(router: &mut Router, seconds: u64) -> Vec<usize> {
     let mut counts = Vec::new();
     let mut answering: Vec<Attempt> = Vec::new();
@@ -35,8 +35,8 @@
             router.finished(now, attempt);
         }
         router.tick(now);
-        let asked = request(Class::Authorisation, now + ms(600_000));
-        let Decision::Send(assignment) = router.admit(now, asked) else {
+        let request = request(Class::Authorisation, now + ms(600_000));
+        let Decision::Send(assignment) = router.admit(now, request) else {
             panic!("authorisations are sent at once");
         };
         if &*assignment.upstream == SILENT {
@@ -50,10 +50,9 @@
 }
 
 #[test]
-fn an_engine_that_accepts_and_never_answers_is_set_aside() {
-    // Symptom: a share of the callers waits until their deadline, again and again.
-    // Sequence: an engine hangs; its connections stay open, and its reports stay as they were.
-    // Cause: nothing but the missing answers tells that it hangs.
+fn an_engine_that_never_answers_is_ejected() {
+    // Guards against callers repeatedly waiting until their deadline for an engine that hangs. Its
+    // connections stay open and its reports do not change, so only the missing answers reveal it.
     let pool = Config {
         slow_start: Duration::from_secs(10),
         ..config()
@@ -66,14 +65,14 @@
 }
 
 #[test]
-fn an_upstream_that_fails_each_time_is_set_aside_for_longer_and_longer() {
+fn repeated_failures_lengthen_the_ejection() {
     let mut router = router(config(), engines(4));
     let mut counts = [0; 6];
     for step in 0..1_200_u64 {
         let now = ms(step * 50);
         router.tick(now);
-        let asked = request(Class::Authorisation, now + ms(600_000));
-        let Decision::Send(assignment) = router.admit(now, asked) else {
+        let request = request(Class::Authorisation, now + ms(600_000));
+        let Decision::Send(assignment) = router.admit(now, request) else {
             panic!("authorisations are sent at once");
         };
         if &*assignment.upstream == SILENT {
@@ -90,7 +89,7 @@
 }
 
 #[test]
-fn a_slow_upstream_is_known_by_its_answers_until_they_are_old() {
+fn the_speed_share_follows_answer_rates_until_they_expire() {
     let mut slow = PassiveHealth::default();
     for n in 1..=30 {
         slow.record_answer(ms(n * 100), true, 100, Duration::from_secs(10));
@@ -101,7 +100,7 @@
 }
 
 #[test]
-fn short_answers_and_small_differences_say_nothing() {
+fn short_answers_and_small_rate_differences_are_ignored() {
     let mut upstream = PassiveHealth::default();
     upstream.record_answer(ms(100), true, 2, Duration::from_secs(10));
     assert_eq!(upstream.answer_rate(ms(100)), None);
@@ -110,7 +109,7 @@
 }
 
 #[test]
-fn an_upstream_that_works_on_long_answers_is_not_taken_for_silent() {
+fn long_answers_do_not_count_as_silence() {
     let mut upstream = PassiveHealth::default();
     let first = Duration::from_millis(500);
     upstream.record_sent(ms(0), first, Duration::from_secs(20));
