--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -1,9 +1,9 @@
-//! Where a prompt's prefix is probably cached: own routing history, and rendezvous hashing for
-//! prefixes not seen yet.
+//! Prefix affinity: the entry's own routing history, and rendezvous hashing for prefixes not seen
+//! before.
 //!
-//! There is no index of the engines' caches: at the target size cache events cannot reach every
-//! entry. An entry remembers what it sent where; entries that never saw a prefix agree on its home by
-//! hashing alone. See docs/design/choice.md.
+//! There is no index of the engines' caches, because cache events cannot reach every entry at the
+//! target scale. Each entry remembers where it sent a prefix; entries that never saw it agree on
+//! its home by hashing alone. See docs/design/choice.md.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -12,10 +12,10 @@
 
 use crate::{request::Prefix, upstream::Id};
 
-/// Upstreams remembered per prefix: the last two that got it.
+/// Upstreams remembered per prefix: the last two that received it.
 const HOLDERS: usize = 2;
 
-/// Prefix hashes are hashes already, so the map uses them as they are.
+/// Passes prefix hashes through unchanged.
 #[derive(Clone, Copy, Debug, Default)]
 struct Identity(u64);
 
@@ -38,17 +38,17 @@
 type Holders = SmallVec<[Id; HOLDERS]>;
 type Generation = HashMap<u64, Holders, BuildHasherDefault<Identity>>;
 
-/// A prefix that was sent to an upstream before.
+/// A prefix that an upstream has received before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hit {
-    /// Upstream that got it.
+    /// Upstream that received it.
     pub upstream: Id,
     /// Tokens expected to be cached there.
     pub tokens: u32,
 }
 
-/// Bounded memory of which prefix went where. Two generations bound it: when the young one is full it
-/// becomes the old one, and what is used again moves back to the young one.
+/// Bounded history of where prefixes were sent. When the young generation is full it replaces the
+/// old one; prefixes used again move back to the young generation.
 #[derive(Clone, Debug)]
 pub struct History {
     capacity: usize,
@@ -57,7 +57,7 @@
 }
 
 impl History {
-    /// Remembers up to `capacity` prefixes a generation.
+    /// A history of up to `capacity` prefixes per generation.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Prefixes remembered.
+    /// Number of prefixes remembered.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
@@ -76,7 +76,7 @@
         self.young.is_empty() && self.old.is_empty()
     }
 
-    /// Upstreams that probably hold part of the prompt, the longest part first.
+    /// Upstreams that probably have part of the prompt cached, longest match first.
     pub fn find(&self, prefixes: &[Prefix]) -> SmallVec<[Hit; HOLDERS]> {
         let mut hits = SmallVec::new();
         for prefix in prefixes.iter().rev() {
@@ -99,14 +99,14 @@
         hits
     }
 
-    /// Remembers that the prompt went to an upstream.
+    /// Records that a prompt was sent to an upstream.
     pub fn record(&mut self, prefixes: &[Prefix], upstream: &Id) {
         for prefix in prefixes {
             self.record_one(prefix.hash, upstream);
         }
     }
 
-    /// Forgets a holder of a prefix, because the engine reported that it evicted it.
+    /// Removes an upstream that reported the eviction of a prefix.
     pub fn evict(&mut self, hash: u64, upstream: &str) {
         for generation in [&mut self.young, &mut self.old] {
             if let Some(holders) = generation.get_mut(&hash) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Forgets an upstream that lost its cache.
+    /// Removes an upstream that lost its cache.
     pub fn forget_upstream(&mut self, upstream: &str) {
         for generation in [&mut self.young, &mut self.old] {
             generation.retain(|_, holders| {
@@ -149,14 +149,14 @@
     }
 }
 
-/// Weight of an upstream for a prefix; the home of a prefix is the upstream of the highest weight.
-/// All entries compute the same, and when an upstream goes only its own prefixes move (rendezvous
-/// hashing).
+/// Rendezvous hashing weight of an upstream for a prefix; the upstream with the highest weight is
+/// the prefix's home. All entries compute the same weights, and the loss of an upstream moves only
+/// its own prefixes.
 pub fn rendezvous(prefix: u64, seed: u64) -> u64 {
     mix(prefix ^ seed)
 }
 
-/// Seed of an upstream for [`rendezvous`], from its id (FNV-1a, stable across versions).
+/// Seed of an upstream for [`rendezvous`]: FNV-1a of its id, stable across versions.
 pub fn seed(id: &str) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in id.bytes() {
@@ -165,7 +165,7 @@
     mix(hash)
 }
 
-/// Finaliser that spreads every input bit over the output (the one of splitmix64).
+/// The splitmix64 finaliser.
 fn mix(mut value: u64) -> u64 {
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -1,23 +1,23 @@
-//! Estimated time to the first token at an upstream.
+//! Cost model: estimated time to the first token at an upstream.
 
 use crate::{load::Load, pool::Speed};
 
-/// Share of an engine's prefill rate that a decode engine spares for chunks of prefill.
+/// Share of its prefill rate that a decode engine spares for chunked prefill.
 pub const DECODE_PREFILL_SHARE: f64 = 0.25;
 
-/// Seconds of work of each kind before an upstream.
+/// Estimated cost of a request at an upstream, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Until the first token of the request in question.
+    /// Time to the first token.
     pub first_token: f64,
-    /// Of that, the wait for work that stands before it.
+    /// Part of it spent waiting for earlier work.
     pub wait: f64,
-    /// Of all work outstanding, the request in question included.
+    /// Time to complete all outstanding work, this request included.
     pub total_work: f64,
 }
 
-/// Estimates the cost of a request at an upstream of this `speed` with this `load` before it.
-/// `prompt` is what of its prompt is not cached there, `output` what it will generate.
+/// Estimates the cost of a request at an upstream with this speed and outstanding load. `prompt`
+/// counts the uncached prompt tokens, `output` the expected answer tokens.
 pub fn estimate(speed: &Speed, load: Load, prompt: f64, output: f64) -> Cost {
     let slots = f64::from(speed.slots.max(1));
     let decode_capacity = slots * speed.decode_rate.max(f64::MIN_POSITIVE);
@@ -35,10 +35,11 @@
     }
 }
 
-/// Weight of a request as such, which breaks ties and is all that counts for plain services.
+/// Seconds added per outstanding request. They break ties, and are the whole cost for plain
+/// services.
 const REQUEST_OVERHEAD_S: f64 = 1e-3;
 
-/// Seconds until a decode slot is free: the requests beyond the slots wait for as many to finish.
+/// Seconds until a decode slot is free: each request beyond the slots waits for another to finish.
 fn slot_wait(load: Load, slots: f64, decode_capacity: f64) -> f64 {
     let excess = load.requests + 1.0 - slots;
     if excess <= 0.0 || load.requests < 1.0 {
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -1,9 +1,9 @@
-//! What is believed to stand before one upstream.
+//! Estimate of the outstanding work at one upstream.
 //!
-//! The belief has two parts. What this entry sent is known exactly. What the others sent is known
-//! from the younger of two stale sources: the peers' own counts, or the engine's report less what this
-//! entry had there at the report's moment. The second part fades towards the pool's mean with its
-//! age; see docs/design/choice.md.
+//! The estimate has two parts. What this entry sent is known exactly. What other entries sent is
+//! taken from the more recent of two stale sources: the peers' own counts, or the engine's load
+//! report less what this entry had outstanding there at that time. The second part decays towards
+//! the pool's mean with its age; see docs/design/choice.md.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,24 +12,23 @@
 
 use crate::{load::Load, pool::Speed, upstream::Report};
 
-/// Spacing of the remembered own loads.
+/// Interval between samples of the own load.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Remembered own loads; with the spacing they reach back over six seconds, further than which a
-/// report is worth nothing.
+/// Number of samples kept. They cover over six seconds; older load reports are of no use.
 const MAX_SAMPLES: usize = 32;
 
-/// The staleness with which views are taken as they are, however old; what the baselines do.
+/// Decay time with which views are used as they are, however old, as the baseline policies do.
 pub const NO_DECAY: Duration = Duration::MAX;
 
-/// Own load at a moment, to be taken out of a report of that moment.
+/// Own load at a point in time, to be subtracted from a report of that time.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: Moment,
     own: Load,
 }
 
-/// Work of others before the upstream, and how old that view is.
+/// Work of other entries at the upstream, as of `at`.
 #[derive(Clone, Copy, Debug, Default)]
 struct OthersLoad {
     at: Moment,
@@ -37,7 +36,7 @@
     known: bool,
 }
 
-/// Belief about one upstream.
+/// Estimate of the outstanding work at one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     own: Load,
@@ -48,30 +47,30 @@
 }
 
 impl Ledger {
-    /// What this entry has there now.
+    /// Work that this entry has outstanding there.
     pub fn own(&self) -> Load {
         self.own
     }
 
-    /// The newest report.
+    /// The newest load report.
     pub fn report(&self) -> Option<&Report> {
         self.report.as_ref()
     }
 
-    /// Takes in work that was sent.
+    /// Adds work that was sent.
     pub fn add(&mut self, now: Moment, load: Load) {
         self.sample(now);
         self.own += load;
     }
 
-    /// Takes out work that is done or gone.
+    /// Removes work that is done or cancelled.
     pub fn remove(&mut self, now: Moment, load: Load) {
         self.sample(now);
         self.own = (self.own - load).clamp_non_negative();
     }
 
-    /// Takes in a report; older ones than the last are dropped because reports may overtake each
-    /// other. Says whether it was taken.
+    /// Applies a load report and returns whether it is newer than the last one. Reports may arrive
+    /// out of order.
     pub fn apply_report(&mut self, report: Report) -> bool {
         if self.report.is_some_and(|last| last.at >= report.at) {
             return false;
@@ -86,7 +85,7 @@
         true
     }
 
-    /// Takes in the sum of what all peers have there, true at `at` (the oldest of their frames).
+    /// Sets the sum of the work of all peers, as of `at`, the oldest of their frames.
     pub fn set_peer_load(&mut self, at: Moment, load: Load) {
         self.peers = OthersLoad {
             at,
@@ -95,7 +94,7 @@
         };
     }
 
-    /// What others have there, and its age; nothing if no source is known.
+    /// Work of other entries and the age of that information, if any source is known.
     pub fn others(&self, now: Moment) -> Option<(Load, Duration)> {
         let newest = match (self.peers.known, self.reported.known) {
             (false, false) => return None,
@@ -107,8 +106,9 @@
         Some((newest.load, now.saturating_sub(newest.at)))
     }
 
-    /// The belief: own work, and that of others faded towards `mean` over `staleness`, but never
-    /// less than what the upstream cannot have worked off since at its `speed`.
+    /// Estimated work: the own work plus that of other entries, decayed towards `mean` with the
+    /// time constant `decay_time`, but no less than what the upstream must have left at its
+    /// `speed`.
     pub fn estimate(&self, now: Moment, mean: Load, decay_time: Duration, speed: &Speed) -> Load {
         let Some((load, age)) = self.others(now) else {
             return self.own + mean;
@@ -143,13 +143,14 @@
     }
 }
 
-/// Share of a view's meaning that is lost at an age: 0 when fresh, 0.63 after `staleness`.
+/// Share by which a load of this age has decayed towards the mean: 0 when fresh, 0.63 after
+/// `decay_time`.
 fn decayed_share(age: Duration, decay_time: Duration) -> f64 {
     let ratio = age.as_secs_f64() / decay_time.as_secs_f64().max(f64::MIN_POSITIVE);
     1.0 - (-ratio).exp()
 }
 
-/// What is left of a load at least after some time of full work on nothing else.
+/// Least that can be left of a load after the upstream worked on nothing else.
 fn least_remaining(load: Load, age: Duration, speed: &Speed) -> Load {
     let seconds = age.as_secs_f64();
     let prefill = load.prefill - speed.prefill_rate * seconds;
--- a/crates/routing/src/peers.rs
+++ b/crates/routing/src/peers.rs
@@ -1,4 +1,4 @@
-//! What the other entries have before each upstream.
+//! Outstanding work of the other entries.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 /// Instance id of a peer.
 pub type Id = Arc<str>;
 
-/// Work of one entry before one upstream.
+/// Work of one entry at one upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outstanding {
     /// Upstream.
     pub upstream: upstream::Id,
-    /// Work there.
+    /// Outstanding work there.
     pub load: Load,
 }
 
@@ -26,14 +26,14 @@
     work: Vec<Outstanding>,
 }
 
-/// The newest frames of all peers.
+/// The newest frame of each peer.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     frames: BTreeMap<Id, Frame>,
 }
 
 impl Peers {
-    /// Takes in a frame; an older one than the last is dropped.
+    /// Stores a frame, unless a newer one has arrived already.
     pub fn update(&mut self, peer: &str, at: Moment, work: Vec<Outstanding>) {
         if self.frames.get(peer).is_some_and(|last| last.at > at) {
             return;
@@ -41,13 +41,13 @@
         self.frames.insert(peer.into(), Frame { at, work });
     }
 
-    /// Forgets a peer that is gone; its work is counted no more.
+    /// Removes a peer that is gone, with its work.
     pub fn remove(&mut self, peer: &str) {
         self.frames.remove(peer);
     }
 
-    /// Writes the sums into the ledgers. Their age is that of the oldest frame: a sum with a silent
-    /// peer in it is as stale as that peer, and reports take over.
+    /// Writes the sums into the ledgers, dated by the oldest frame: a sum that includes a silent
+    /// peer is as stale as that peer, so that load reports take precedence.
     pub fn update_members(&self, now: Moment, members: &mut Members) {
         let Some(oldest) = self.frames.values().map(|frame| frame.at).min() else {
             return;
--- a/crates/routing/src/reservation.rs
+++ b/crates/routing/src/reservation.rs
@@ -1,28 +1,28 @@
-//! Work that one attempt holds at upstreams, from its assignment to its end.
+//! Load that one attempt has reserved at upstreams, from when it is sent to its end.
 
 use clock::Moment;
 
 use crate::{load::Load, scheduler::Scheduler, upstream::Id};
 
-/// Work of an attempt. What is released in the end is exactly what is left of what was charged, so
-/// that the ledgers return to zero.
+/// Load reserved by an attempt. What is released at the end is exactly what is left of the
+/// reservation, so that the ledgers return to zero.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// Upstream that answers.
+    /// Upstream that produces the answer.
     pub upstream: Id,
-    /// What is left there.
+    /// Load left there.
     pub load: Load,
-    /// Engine that prefills and what is left there, if it runs apart.
+    /// Engine that runs a separate prefill, and the load left there.
     pub prefill: Option<(Id, Load)>,
 }
 
 impl Reservation {
-    /// Upstream that works on it at present.
+    /// Upstream that is currently processing the request.
     pub fn active_upstream(&self) -> &Id {
         self.prefill.as_ref().map_or(&self.upstream, |(id, _)| id)
     }
 
-    /// Whether any of it is at an upstream.
+    /// Whether any load is reserved at `upstream`.
     pub fn uses(&self, upstream: &str) -> bool {
         *self.upstream == *upstream
             || self
@@ -31,7 +31,7 @@
                 .is_some_and(|(id, _)| **id == *upstream)
     }
 
-    /// The prefill is done, wherever it ran.
+    /// Releases the prefill when it is done, wherever it ran.
     pub fn finish_prefill(&mut self, now: Moment, pool: &mut Scheduler) {
         if let Some((id, load)) = self.prefill.take() {
             pool.release(now, &id, load);
@@ -44,7 +44,7 @@
         self.subtract(now, pool, done);
     }
 
-    /// Answer tokens came. The first ones also mean that the prefill is done.
+    /// Releases generated answer tokens. The first ones also imply that the prefill is done.
     pub fn record_tokens(&mut self, now: Moment, pool: &mut Scheduler, count: u32) {
         if self.prefill.is_some() || self.load.prefill > 0.0 {
             self.finish_prefill(now, pool);
@@ -56,7 +56,7 @@
         self.subtract(now, pool, done);
     }
 
-    /// The KV transfer failed: the answering upstream prefills as well.
+    /// Moves the prefill to the answering upstream after a failed KV transfer.
     pub fn move_prefill(&mut self, now: Moment, pool: &mut Scheduler, prompt: u32) {
         if let Some((id, load)) = self.prefill.take() {
             pool.release(now, &id, load);
@@ -69,7 +69,7 @@
         self.load += more;
     }
 
-    /// Gives back everything.
+    /// Releases everything that is left.
     pub fn release(&self, now: Moment, pool: &mut Scheduler) {
         pool.release(now, &self.upstream, self.load);
         if let Some((id, load)) = &self.prefill {
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,21 +1,21 @@
-//! Whether, when and how often something is tried again.
+//! Retry budget and backoff.
 
 use std::time::Duration;
 
 use rand::{RngExt, rngs::SmallRng};
 
-/// Settings of retries.
+/// Retry settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Retries per first attempt in the long run.
+    /// Long-term ratio of retries to first attempts.
     pub ratio: f64,
-    /// Retries that may be saved up.
+    /// Largest balance of the budget, in retries.
     pub burst: f64,
-    /// Attempts of one request, the first included.
+    /// Most attempts of one request, the first one included.
     pub max_attempts: u32,
-    /// Backoff before the first retry; doubles with each further one.
+    /// Backoff before the first retry; doubles for each further one.
     pub backoff: Duration,
-    /// Least time that a refused caller is asked to stay away.
+    /// Least `retry_after` of a refusal.
     pub min_retry_after: Duration,
 }
 
@@ -31,17 +31,17 @@
     }
 }
 
-/// Backoff beyond which doubling stops.
+/// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Time beyond which no caller is asked to stay away.
+/// Upper bound of the expected time on which `retry_after` is based.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(120);
 
-/// Budget of retries of one process.
+/// Retry budget of one process.
 ///
-/// Without it, an overload in which every request is tried three times is an overload three times as
-/// large that outlasts its cause. One notices it by goodput that does not come back after a peak.
-/// Here retries are a bounded share of first attempts, so the load they add is bounded as well.
+/// Without a budget, an overload in which every request is attempted three times triples itself
+/// and outlasts its cause: goodput does not recover after a peak. The budget limits retries, and
+/// the load that they add, to a share of the first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     config: Config,
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Counts a first attempt, which earns a share of a retry.
+    /// Deposits a share of a retry for a first attempt.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + self.config.ratio).min(self.config.burst);
     }
 
-    /// Takes a retry for a request that has been attempted `attempts` times. Says no if that is
-    /// often enough or the budget is spent.
+    /// Withdraws a retry for a request after `attempts` attempts. Returns false if the request has
+    /// used up its attempts or the budget is spent.
     pub fn withdraw(&mut self, attempts: u32) -> bool {
         if attempts >= self.config.max_attempts || self.balance < 1.0 {
             return false;
@@ -72,16 +72,16 @@
         true
     }
 
-    /// Time before the next attempt after `attempts` of them: anywhere between nothing and the
-    /// doubled backoff, so that requests that failed together do not come back together.
+    /// Time before the next attempt, after `attempts` of them. Full jitter keeps requests that
+    /// failed together from being retried together.
     pub fn backoff(&self, rng: &mut SmallRng, attempts: u32) -> Duration {
         let doubled =
             self.config.backoff * 2_u32.saturating_pow(attempts.saturating_sub(1).min(16));
         doubled.min(MAX_BACKOFF).mul_f64(rng.random())
     }
 
-    /// Time to tell a refused caller, given when room is expected: spread over as long again,
-    /// because callers told the same time return at the same time.
+    /// Time to tell a refused caller, given when capacity is expected: randomised between that and
+    /// twice as long, because callers told the same time return at the same time.
     pub fn retry_after(&self, rng: &mut SmallRng, expected: Duration) -> Duration {
         let base = expected.clamp(self.config.min_retry_after, MAX_RETRY_AFTER);
         base + base.mul_f64(rng.random())
--- a/crates/routing/src/window.rs
+++ b/crates/routing/src/window.rs
@@ -1,27 +1,27 @@
-//! How much work may stand before one upstream, so that queues stay at the entries, where a later but
-//! more urgent request can still go first.
+//! Limit on the outstanding work at one upstream. It keeps queues at the entries, where a later
+//! but more urgent request can still be sent first.
 
 use crate::{class::Class, load::Load, pool::Speed, upstream::Report};
 
-/// Waiting requests, as a share of the slots, above which the window shrinks.
+/// Share of the slots above which waiting requests shrink the window.
 const SHRINK_ABOVE_WAITING: f64 = 0.05;
 
-/// Bounds of the window, as shares of the slots. More than the slots is of use only as far as answers
-/// and new requests travel.
+/// Bounds of the window, as shares of the slots. Beyond the slots, only the requests in transit
+/// are of use.
 const MIN_LIMIT: f64 = 0.5;
 const MAX_LIMIT: f64 = 1.1;
 
-/// Factor at each report of too many waiting.
+/// Factor applied by each report of too many waiting requests.
 const SHRINK_FACTOR: f64 = 0.9;
 
-/// Growth, in requests, at each report without any waiting.
+/// Requests added by each report without waiting requests.
 const GROWTH_STEP: f64 = 0.5;
 
-/// Seconds of prefill that may stand before an engine at most.
+/// Most seconds of prefill outstanding at an engine.
 const MAX_PREFILL_S: f64 = 0.5;
 
-/// Share of the window that a class may fill. What is left to the higher classes lets them in at once
-/// while lower ones wait.
+/// Share of the window that a class may use. The remainder is reserved for higher classes, so that
+/// they are sent at once while lower ones wait.
 fn class_share(class: Class) -> f64 {
     match class {
         Class::Authorisation | Class::Status => f64::INFINITY,
@@ -31,9 +31,9 @@
     }
 }
 
-/// Part of the window that an entry may fill, as a multiple of its share of all outstanding
-/// requests, and the part of an entry without any. The multiples let shares move; that of prefill is
-/// larger because a few prompts make up all of it.
+/// Factors on an entry's share of all outstanding requests, giving its share of the window, and
+/// the least share. The headroom lets shares move; it is larger for prefill, because a few prompts
+/// fill the whole prefill limit.
 const REQUESTS_SHARE_FACTOR: f64 = 1.1;
 const PREFILL_SHARE_FACTOR: f64 = 2.0;
 const MIN_ENTRY_SHARE: f64 = 0.05;
@@ -50,7 +50,7 @@
 }
 
 impl Window {
-    /// A window for an upstream that works on `slots` requests at once.
+    /// A window for an upstream with this many slots.
     pub fn new(slots: u32) -> Self {
         let slots = f64::from(slots.max(1));
         Self {
@@ -59,13 +59,14 @@
         }
     }
 
-    /// Requests that may stand before the upstream.
+    /// Most outstanding requests.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Adapts to a report: requests that wait at the engine are out of reach of the entries' order of
-    /// classes, so the window shrinks; an engine without any waiting may run dry, so it grows.
+    /// Adapts the window to a load report. Requests that wait at the engine can no longer be
+    /// reordered by class, so the window shrinks; an engine without waiting requests may run dry,
+    /// so it grows.
     pub fn adapt(&mut self, report: &Report) {
         if report.decode_slots > 0 {
             self.rescale(f64::from(report.decode_slots));
@@ -81,18 +82,18 @@
             .clamp((self.slots * MIN_LIMIT).max(1.0), self.slots * MAX_LIMIT);
     }
 
-    /// Whether a request of this class finds room beside the estimated load, of which `own` is this
-    /// entry's. `share` is this entry's share of all outstanding requests.
+    /// Whether there is room for a request of this class on top of the estimated `load`, of which
+    /// `own` was sent by this entry. `share` is this entry's share of all outstanding requests.
     ///
-    /// When an upstream has room, all entries learn of it and each fills it, because none knows yet
-    /// what the others sent. One notices it under overload by seconds of prefill before some
-    /// upstreams while others are idle. Here each entry fills its part only.
+    /// All entries learn of free room at the same time, and none knows yet what the others have
+    /// sent. If each filled the room, an overload would pile up seconds of prefill at some
+    /// upstreams while others idle. Each entry therefore fills only its share.
     pub fn has_room(&self, class: Class, speed: &Speed, load: Load, own: Load, share: f64) -> bool {
         let usable = class_share(class);
         if usable.is_infinite() {
             return true;
         }
-        // A small window must still let one request of the lowest class in.
+        // Even a small window admits one request of the lowest class.
         let max_requests = (self.limit * usable).max(1.0);
         let rate = speed.prefill_rate.max(f64::MIN_POSITIVE);
         let max_seconds = MAX_PREFILL_S * usable;
