--- a/crates/routing/src/choice/context.rs
+++ b/crates/routing/src/choice/context.rs
@@ -1,4 +1,4 @@
-//! What one decision looks at.
+//! Inputs of one choice.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     pool::Config,
 };
 
-/// Everything that a decision looks at, so that the steps need no long argument lists.
+/// Inputs of one choice.
 pub(super) struct Context<'a> {
     pub(super) now: Moment,
     pub(super) config: &'a Config,
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Number of members that take work in one of the roles.
+    /// Number of members that accept work in one of the allowed roles.
     pub(super) fn candidate_count(&self) -> usize {
         let roles = self.work.roles.iter();
         roles.map(|role| self.members.ready(*role).len()).sum()
     }
 
-    /// The position of the `index`-th of these.
+    /// Position of the `index`-th of these.
     pub(super) fn candidate(&self, mut index: usize) -> usize {
         for role in self.work.roles {
             let ready = self.members.ready(*role);
@@ -68,13 +68,14 @@
         0
     }
 
-    /// Whether a member that takes work may take this one.
+    /// Whether a member that accepts work may take this work.
     pub(super) fn is_allowed(&self, position: usize) -> bool {
         let member = self.members.at(position);
         member.serves(self.work.model) && !self.work.excluded.contains(&member.view.id)
     }
 
-    /// Whether any member may take this work: for positions that were not drawn from the ready ones.
+    /// Whether a member may take this work, for positions that were not drawn from the ready
+    /// members.
     pub(super) fn is_candidate(&self, position: usize) -> bool {
         let member = self.members.at(position);
         let ready = self.members.ready(member.view.role);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Fills in what is expected to be cached at a pick that was made without regard to it.
+    /// Accounts for cached tokens in a pick that was made without regard to them.
     pub(super) fn with_cached(&self, pick: Pick) -> Pick {
         if pick.cached > 0 || self.work.prefixes.is_empty() {
             return pick;
@@ -136,7 +137,7 @@
         hit.map_or(pick, |hit| self.pick_cached(pick.position, hit.tokens))
     }
 
-    /// The better of the upstreams that probably hold part of the prompt.
+    /// Cheapest upstream that probably has part of the prompt cached.
     pub(super) fn best_holder(&self) -> Option<Pick> {
         let mut best: Option<Pick> = None;
         for hit in self.history.find(self.work.prefixes) {
--- a/crates/routing/src/choice/mod.rs
+++ b/crates/routing/src/choice/mod.rs
@@ -1,4 +1,4 @@
-//! Choice of an upstream among the members of a pool.
+//! Load balancing: the choice of an upstream among the members of a pool.
 
 mod context;
 
@@ -19,39 +19,39 @@
     upstream::{Id, Role},
 };
 
-/// Tries to draw a candidate that serves the model before all are walked.
+/// Random draws for an allowed candidate before all are scanned.
 const MAX_DRAWS: usize = 4;
 
-/// Seconds by which the home of an unseen prefix may be worse than the best candidate: bounded
-/// load, so that a popular prefix spreads instead of filling its home.
+/// Seconds by which the home of an unseen prefix may cost more than the best candidate. The bound
+/// spreads a popular prefix instead of overloading its home.
 const HOME_SLACK_S: f64 = 0.05;
 
-/// How an upstream is chosen. All but [`Policy::Affinity`] are baselines to compare with.
+/// Load balancing policy. All but [`Policy::Affinity`] are baselines for comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// One after the other.
+    /// Round robin.
     RoundRobin,
-    /// Uniformly at random.
+    /// Uniformly random.
     Random,
-    /// The fewest outstanding requests of this entry alone.
+    /// Fewest outstanding requests of this entry alone.
     LeastOutstanding,
-    /// The better of two drawn at random.
+    /// Power of two choices: the better of two random candidates.
     TwoChoices,
-    /// The best of `samples` drawn at random and the `memory` best of the last decision (DRILL).
+    /// DRILL: the best of `samples` random candidates and the `memory` best of the last decision.
     Drill {
-        /// Candidates drawn.
+        /// Random candidates.
         samples: usize,
         /// Candidates remembered.
         memory: usize,
     },
-    /// The best of all by the view at hand.
+    /// Lowest estimated cost of all upstreams.
     FullScan,
-    /// The home of the prompt's first prefix, whatever its load.
+    /// Home of the prompt's first prefix, regardless of load.
     PrefixHash,
-    /// Like `Drill`, with faded views of others and the holders of the prompt's prefix as further
-    /// candidates.
+    /// Like `Drill`, with decayed views of the peers' work and with the holders of the prompt's
+    /// prefix as further candidates.
     Affinity {
-        /// Candidates drawn.
+        /// Random candidates.
         samples: usize,
         /// Candidates remembered.
         memory: usize,
@@ -67,25 +67,25 @@
     }
 }
 
-/// What the choice is for.
+/// The work that an upstream is chosen for.
 #[derive(Clone, Copy, Debug)]
 pub struct Work<'a> {
     /// Model that must be loaded.
     pub model: Option<&'a Model>,
-    /// Tokens to prefill there.
+    /// Tokens to prefill.
     pub prompt: u32,
-    /// Tokens to generate there.
+    /// Tokens to generate.
     pub output: u32,
-    /// Prefixes of the prompt, shortest first.
+    /// Prefixes of the prompt, from shortest to longest.
     pub prefixes: &'a [Prefix],
-    /// Roles that may do it, in no order.
+    /// Roles that may take the work, in any order.
     pub roles: &'a [Role],
-    /// Upstreams that must not be chosen (tried before).
+    /// Upstreams that must not be chosen because they were tried before.
     pub excluded: &'a [Id],
 }
 
 impl<'a> Work<'a> {
-    /// A whole request at one upstream.
+    /// Prefill and decode of a request at one upstream.
     pub fn whole(request: &'a Request, roles: &'a [Role], excluded: &'a [Id]) -> Self {
         Self {
             model: request.model.as_ref(),
@@ -107,11 +107,11 @@
     pub cached: u32,
     /// Estimated cost there.
     pub cost: Cost,
-    /// Estimated work before it there.
+    /// Estimated outstanding work there.
     pub load: Load,
 }
 
-/// A choice's own state: one decision engine, as DRILL calls it.
+/// State of the policy: one decision engine, in DRILL's terms.
 #[derive(Clone, Debug)]
 pub struct Chooser {
     rng: SmallRng,
@@ -120,7 +120,7 @@
 }
 
 impl Chooser {
-    /// A chooser with its own random numbers.
+    /// A chooser with its own random number generator.
     pub fn new(rng: SmallRng) -> Self {
         Self {
             rng,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Forgets remembered candidates, whose positions are void once the members changed.
+    /// Forgets the remembered candidates, whose positions are invalid once the members change.
     pub fn reset(&mut self) {
         self.memory.clear();
     }
@@ -143,28 +143,32 @@
         history: &History,
         work: &Work<'_>,
     ) -> Option<Pick> {
-        let scene = Context::new(now, config, members, history, work);
-        let pick = self.pick_by_policy(&scene)?;
-        Some(scene.with_cached(pick))
+        let context = Context::new(now, config, members, history, work);
+        let pick = self.pick_by_policy(&context)?;
+        Some(context.with_cached(pick))
     }
 
-    fn pick_by_policy(&mut self, scene: &Context<'_>) -> Option<Pick> {
-        match scene.config.policy {
-            Policy::RoundRobin => self.round_robin(scene),
-            Policy::Random => self.draw(scene).map(|position| scene.pick(position)),
+    fn pick_by_policy(&mut self, context: &Context<'_>) -> Option<Pick> {
+        match context.config.policy {
+            Policy::RoundRobin => self.round_robin(context),
+            Policy::Random => self.draw(context).map(|position| context.pick(position)),
             Policy::LeastOutstanding => {
-                self.pick_least(scene, |member| member.ledger.own().requests)
+                self.pick_least(context, |member| member.ledger.own().requests)
             }
-            Policy::TwoChoices => self.best_sampled(scene, 2, 0),
-            Policy::Drill { samples, memory } => self.best_sampled(scene, samples, memory),
-            Policy::FullScan => self.pick_least(scene, |member| scene.cost(member, 0).total_work),
-            Policy::PrefixHash => self.pick_home(scene).or_else(|| self.round_robin(scene)),
-            Policy::Affinity { samples, memory } => self.pick_affine(scene, samples, memory),
+            Policy::TwoChoices => self.best_sampled(context, 2, 0),
+            Policy::Drill { samples, memory } => self.best_sampled(context, samples, memory),
+            Policy::FullScan => {
+                self.pick_least(context, |member| context.cost(member, 0).total_work)
+            }
+            Policy::PrefixHash => self
+                .pick_home(context)
+                .or_else(|| self.round_robin(context)),
+            Policy::Affinity { samples, memory } => self.pick_affine(context, samples, memory),
         }
     }
 
-    /// Any member with room for the work, the first found from a random start: under load every
-    /// entry looks for room, and a common order would send all to the same one.
+    /// First member with room for the work, scanning from a random start: under load all entries
+    /// look for room, and a common order would send them all to the same member.
     pub fn any_with_room(
         &mut self,
         now: Moment,
@@ -174,19 +178,19 @@
         work: &Work<'_>,
     ) -> Option<Pick> {
         let history = History::new(1);
-        let scene = Context::new(now, config, members, &history, work);
-        let count = scene.candidate_count();
+        let context = Context::new(now, config, members, &history, work);
+        let count = context.candidate_count();
         if count == 0 {
             return None;
         }
         let start = self.rng.random_range(0..count);
         (0..count)
-            .map(|step| scene.candidate((start + step) % count))
-            .find(|position| scene.is_allowed(*position) && scene.has_room(*position, class))
-            .map(|position| scene.pick(position))
+            .map(|step| context.candidate((start + step) % count))
+            .find(|position| context.is_allowed(*position) && context.has_room(*position, class))
+            .map(|position| context.pick(position))
     }
 
-    /// The member where the first token comes soonest, of those with room for the work.
+    /// Member with room for the work where the first token is expected earliest.
     pub fn earliest_with_room(
         &mut self,
         now: Moment,
@@ -196,100 +200,105 @@
         work: &Work<'_>,
     ) -> Option<Pick> {
         let history = History::new(1);
-        let scene = Context::new(now, config, members, &history, work);
-        let positions = (0..scene.candidate_count()).map(|index| scene.candidate(index));
+        let context = Context::new(now, config, members, &history, work);
+        let positions = (0..context.candidate_count()).map(|index| context.candidate(index));
         positions
-            .filter(|position| scene.is_allowed(*position) && scene.has_room(*position, class))
-            .map(|position| scene.pick(position))
+            .filter(|position| context.is_allowed(*position) && context.has_room(*position, class))
+            .map(|position| context.pick(position))
             .min_by(|a, b| a.cost.first_token.total_cmp(&b.cost.first_token))
     }
 
-    fn round_robin(&mut self, scene: &Context<'_>) -> Option<Pick> {
-        let count = scene.candidate_count();
+    fn round_robin(&mut self, context: &Context<'_>) -> Option<Pick> {
+        let count = context.candidate_count();
         for _ in 0..count {
             self.last_index = (self.last_index + 1) % count;
-            let position = scene.candidate(self.last_index);
-            if scene.is_allowed(position) {
-                return Some(scene.pick(position));
+            let position = context.candidate(self.last_index);
+            if context.is_allowed(position) {
+                return Some(context.pick(position));
             }
         }
         None
     }
 
-    /// Draws one candidate that may take the work. After a few misses it walks on from the last
-    /// draw, so that a model that few engines have loaded is still found.
-    fn draw(&mut self, scene: &Context<'_>) -> Option<usize> {
-        let count = scene.candidate_count();
+    /// Draws an allowed candidate. After a few misses it scans from the last draw, so that a model
+    /// loaded by few engines is still found.
+    fn draw(&mut self, context: &Context<'_>) -> Option<usize> {
+        let count = context.candidate_count();
         if count == 0 {
             return None;
         }
         let mut start = 0;
         for _ in 0..MAX_DRAWS {
             start = self.rng.random_range(0..count);
-            let position = scene.candidate(start);
-            if scene.is_allowed(position) {
+            let position = context.candidate(start);
+            if context.is_allowed(position) {
                 return Some(position);
             }
         }
         (0..count)
-            .map(|step| scene.candidate((start + step) % count))
-            .find(|position| scene.is_allowed(*position))
+            .map(|step| context.candidate((start + step) % count))
+            .find(|position| context.is_allowed(*position))
     }
 
-    /// The least of all by a measure, ties broken at random: a fixed order among equals would send
-    /// every entry to the same one.
+    /// Member with the least `measure`. Ties are broken by a random start: a fixed order would
+    /// send all entries to the same member.
     fn pick_least(
         &mut self,
-        scene: &Context<'_>,
+        context: &Context<'_>,
         measure: impl Fn(&Member) -> f64,
     ) -> Option<Pick> {
-        let count = scene.candidate_count();
+        let count = context.candidate_count();
         if count == 0 {
             return None;
         }
         let start = self.rng.random_range(0..count);
         let mut best: Option<(f64, usize)> = None;
         for step in 0..count {
-            let position = scene.candidate((start + step) % count);
-            if !scene.is_allowed(position) {
+            let position = context.candidate((start + step) % count);
+            if !context.is_allowed(position) {
                 continue;
             }
-            let value = measure(scene.members.at(position));
+            let value = measure(context.members.at(position));
             if best.is_none_or(|(least, _)| value < least) {
                 best = Some((value, position));
             }
         }
-        best.map(|(_, position)| scene.pick(position))
+        best.map(|(_, position)| context.pick(position))
     }
 
-    fn best_sampled(&mut self, scene: &Context<'_>, samples: usize, memory: usize) -> Option<Pick> {
+    fn best_sampled(
+        &mut self,
+        context: &Context<'_>,
+        samples: usize,
+        memory: usize,
+    ) -> Option<Pick> {
         let mut picks: SmallVec<[Pick; 8]> = SmallVec::new();
-        self.collect_candidates(scene, samples, &mut picks);
+        self.collect_candidates(context, samples, &mut picks);
         self.sort_and_remember(&mut picks, memory);
         picks.first().copied()
     }
 
-    /// Draws candidates and adds the remembered ones that still may take work.
+    /// Collects random candidates and the remembered ones that are still allowed.
     fn collect_candidates(
         &mut self,
-        scene: &Context<'_>,
+        context: &Context<'_>,
         samples: usize,
         picks: &mut SmallVec<[Pick; 8]>,
     ) {
         let remembered = std::mem::take(&mut self.memory);
         for position in remembered {
-            if position < scene.members.list().len() && scene.is_candidate(position) {
-                push_candidate(picks, scene, position);
+            if position < context.members.list().len() && context.is_candidate(position) {
+                push_candidate(picks, context, position);
             }
         }
         for _ in 0..samples {
-            if let Some(position) = self.draw(scene) {
-                push_candidate(picks, scene, position);
+            if let Some(position) = self.draw(context) {
+                push_candidate(picks, context, position);
             }
         }
     }
 
-    /// Sorts the candidates, best first, and remembers the best.
+    /// Sorts the candidates, best first, and remembers the first `memory` of them.
     fn sort_and_remember(&mut self, picks: &mut SmallVec<[Pick; 8]>, memory: usize) {
         picks.sort_by(|a, b| a.cost.total_work.total_cmp(&b.cost.total_work));
         self.memory = picks
@@ -299,42 +308,47 @@
             .collect();
     }
 
-    fn pick_affine(&mut self, scene: &Context<'_>, samples: usize, memory: usize) -> Option<Pick> {
+    fn pick_affine(
+        &mut self,
+        context: &Context<'_>,
+        samples: usize,
+        memory: usize,
+    ) -> Option<Pick> {
         let mut picks: SmallVec<[Pick; 8]> = SmallVec::new();
-        self.collect_candidates(scene, samples, &mut picks);
+        self.collect_candidates(context, samples, &mut picks);
         self.sort_and_remember(&mut picks, memory);
         let best = picks.first().copied()?;
-        let holder = scene.best_holder();
+        let holder = context.best_holder();
         if let Some(holder) = holder
             && holder.cost.total_work <= best.cost.total_work
         {
             return Some(holder);
         }
-        if holder.is_some() || scene.work.prefixes.is_empty() {
+        if holder.is_some() || context.work.prefixes.is_empty() {
             return Some(best);
         }
-        let home = self.pick_home(scene);
+        let home = self.pick_home(context);
         let near = home.filter(|home| home.cost.total_work <= best.cost.total_work + HOME_SLACK_S);
         Some(near.unwrap_or(best))
     }
 
-    /// The home of the prompt's first prefix by rendezvous hashing.
-    fn pick_home(&self, scene: &Context<'_>) -> Option<Pick> {
-        let prefix = scene.work.prefixes.first()?;
+    /// Home of the prompt's first prefix by rendezvous hashing.
+    fn pick_home(&self, context: &Context<'_>) -> Option<Pick> {
+        let prefix = context.work.prefixes.first()?;
         let mut best: Option<(u64, usize)> = None;
-        for index in 0..scene.candidate_count() {
-            let position = scene.candidate(index);
-            let weight = affinity::rendezvous(prefix.hash, scene.members.at(position).seed);
-            if best.is_none_or(|(most, _)| weight > most) && scene.is_allowed(position) {
+        for index in 0..context.candidate_count() {
+            let position = context.candidate(index);
+            let weight = affinity::rendezvous(prefix.hash, context.members.at(position).seed);
+            if best.is_none_or(|(most, _)| weight > most) && context.is_allowed(position) {
                 best = Some((weight, position));
             }
         }
-        best.map(|(_, position)| scene.pick(position))
+        best.map(|(_, position)| context.pick(position))
     }
 }
 
-fn push_candidate(picks: &mut SmallVec<[Pick; 8]>, scene: &Context<'_>, position: usize) {
+fn push_candidate(picks: &mut SmallVec<[Pick; 8]>, context: &Context<'_>, position: usize) {
     if !picks.iter().any(|pick| pick.position == position) {
-        picks.push(scene.pick(position));
+        picks.push(context.pick(position));
     }
 }
--- a/crates/routing/src/disaggregation.rs
+++ b/crates/routing/src/disaggregation.rs
@@ -1,24 +1,24 @@
-//! Whether prefill and decode of a request run on one engine or apart, with the KV cache moved.
+//! Whether prefill and decode of a request run on one engine, or on two with a KV cache transfer.
 
 use crate::{choice::Pick, pool::Config};
 
-/// Share by which running apart must be faster. Moving a cache loads both engines and can fail, and
-/// with equal estimates requests would swing between both ways.
+/// Ratio of the times to the first token below which disaggregation is chosen. A transfer loads
+/// both engines and can fail, and with equal estimates requests would alternate between both ways.
 const MAX_TIME_RATIO: f64 = 0.9;
 
-/// Prompts below this are never worth a transfer.
+/// Prompts shorter than this are never worth a transfer.
 const MIN_PROMPT_TOKENS: u32 = 64;
 
-/// Where a request runs.
+/// Where the phases of a request run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    /// Prefill and decode at one upstream.
+    /// Prefill and decode on one upstream.
     Colocated(Pick),
-    /// Prefill at one engine, then decode at another.
+    /// Prefill on one engine, then decode on another.
     Disaggregated {
-        /// Engine that prefills and exports.
+        /// Engine that runs the prefill and exports the KV cache.
         prefill: Pick,
-        /// Engine that imports and decodes.
+        /// Engine that imports the KV cache and runs the decode.
         decode: Pick,
     },
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Of these, the wait for work that stands before it.
+    /// Seconds of these spent waiting for earlier work.
     pub fn wait(&self) -> f64 {
         match self {
             Self::Colocated(pick) => pick.cost.wait,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The pick that answers.
+    /// The pick that produces the answer.
     pub fn answering_pick(&self) -> &Pick {
         match self {
             Self::Colocated(pick) | Self::Disaggregated { decode: pick, .. } => pick,
@@ -51,12 +51,12 @@
     }
 }
 
-/// Whether it makes sense to look for two engines at all.
+/// Whether disaggregation is worth considering for a prompt of this length.
 pub fn is_eligible(config: &Config, prompt: u32) -> bool {
     config.transfer_s_per_token > 0.0 && prompt >= MIN_PROMPT_TOKENS
 }
 
-/// Chooses between one engine and two. `decode` was estimated without prefill.
+/// Chooses between both placements. The decode pick must have been estimated without prefill.
 pub fn choose_placement(
     config: &Config,
     prompt: u32,
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! The choice among the members of a pool.
+//! Load balancing among the members of a pool.
 
 mod common;
 
@@ -95,7 +95,7 @@
 ];
 
 #[test]
-fn every_policy_finds_the_only_upstream_that_may_take_the_work() {
+fn every_policy_finds_the_only_eligible_upstream() {
     for policy in POLICIES {
         let mut views = engines(18);
         for view in &mut views {
@@ -128,10 +128,10 @@
 }
 
 #[test]
-fn many_entries_with_one_stale_view_do_not_act_in_step() {
-    // Symptom: one engine gets a burst from all entries, then the next, and queues swing.
-    // Sequence: a report two seconds old shows one engine idle and the others busy; all entries see it.
-    // Cause: each entry takes the old difference for the present one.
+fn entries_with_a_shared_stale_view_do_not_herd() {
+    // Guards against herding: when a report two seconds old shows one engine idle and the others
+    // busy, entries that take it as current all send to that engine, then to the next, and queues
+    // oscillate.
     let mut sent_to_idle = 0;
     for entry in 0..8 {
         let mut side = Harness::new(Policy::default(), engines(18), entry);
@@ -147,7 +147,7 @@
             side.add(ms(12_000), &pick, Load::of(1_000, 100));
         }
     }
-    // An equal split gives each engine 8 of the 144.
+    // An equal split sends 8 of the 144 requests to each engine.
     assert!(sent_to_idle <= 16, "{sent_to_idle}");
 }
 
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn an_overtaken_report_is_dropped() {
+fn an_out_of_order_report_is_dropped() {
     let mut side = Harness::new(Policy::FullScan, engines(1), 1);
     side.members
         .apply_report("engine-0000", report(ms(500), 100));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_its_prefix_is_unless_that_costs_more() {
+fn a_prompt_goes_to_its_prefix_holder_unless_that_costs_more() {
     let mut side = Harness::new(Policy::default(), engines(18), 1);
     let prefixes = [
         Prefix {
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn the_home_moves_only_when_its_upstream_goes() {
+fn the_home_moves_only_when_its_upstream_is_removed() {
     let hashes: Vec<u64> = (0..200_u64)
         .map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .collect();
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_new_upstream_gets_its_share_gradually() {
+fn a_new_upstream_ramps_up_to_its_share() {
     let mut views = engines(2);
     views[1].up_since = ms(10_000);
     let mut side = Harness::new(Policy::FullScan, views, 1);
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn the_history_is_bounded_and_forgets() {
+fn the_history_is_bounded_and_evicts() {
     let mut history = History::new(100);
     let id = view("engine-0001", Role::Mixed).id;
     for hash in 0..10_000 {
