--- a/crates/routing/src/limit/account.rs
+++ b/crates/routing/src/limit/account.rs
@@ -1,4 +1,4 @@
-//! One subject's limits at one entry.
+//! Limits of one subject at one entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,56 +11,55 @@
 use super::{Demand, Quota};
 use crate::{peers, rate::Rate, request::Subject};
 
-/// Time over which demand is smoothed.
+/// Smoothing window of the demand.
 const DEMAND_WINDOW: Duration = Duration::from_secs(2);
 
-/// Relative change of demand below which the last told value stands, and the standard errors of a
-/// counted rate that come on top. Without them the noise of arrivals would move shares all the time,
-/// and as they rise late, their sum would stay below the limit.
+/// Relative change of demand below which the last advertised value stands, and the number of
+/// standard errors of the measured rate added to it. Without them the noise of arrivals would move
+/// shares constantly, and since shares rise late, their sum would stay below the limit.
 const DEAD_BAND: f64 = 0.2;
 const DEAD_BAND_ERRORS: f64 = 2.0;
 
-/// Part of the places that is divided equally, whatever the demand.
+/// Share of the concurrency slots that is divided equally, regardless of demand.
 const EQUAL_SLOTS_SHARE: f64 = 0.25;
 
-/// Demand a second below which a subject is not mentioned.
+/// Demand per second below which a subject is not advertised.
 const MIN_DEMAND: f64 = 0.01;
 
-/// Longest time that a refused caller is told on account of concurrency, where no rate says when a
-/// place is free.
+/// Retry time for refusals by the concurrency limit, where no rate predicts when a slot is free.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Which of its limits refuses.
+/// Kind of limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Tokens a second.
+    /// Tokens per second.
     Tokens,
-    /// Requests at once.
+    /// Concurrent requests.
     Concurrent,
 }
 
-/// A refusal by a limit.
+/// A refusal because a limit is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitExceeded {
-    /// Which limit.
+    /// The limit that is exceeded.
     pub kind: Kind,
-    /// Time until it would have let the request in, if nothing else came.
+    /// Time until the request would be admitted if no others arrived.
     pub wait: Duration,
 }
 
-/// What a request used.
+/// Expected and actual usage of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
-    /// Tokens that were charged when it was let in.
+    /// Tokens charged at admission.
     pub expected: u64,
-    /// Tokens that it used in the end.
+    /// Tokens used in the end.
     pub actual: u64,
 }
 
 impl Usage {
-    /// Nothing of what was expected.
+    /// No usage, although `expected` tokens were charged.
     pub fn none(expected: u64) -> Self {
         Self {
             expected,
@@ -69,7 +68,7 @@
     }
 }
 
-/// A limited rate.
+/// A rate limit and this entry's share of it.
 #[derive(Clone, Debug)]
 struct RateLimit {
     limit: f64,
@@ -78,11 +77,11 @@
 }
 
 impl RateLimit {
-    fn new(now: Moment, limit: f64, part: f64, least: f64) -> Self {
+    fn new(now: Moment, limit: f64, part: f64, min_capacity: f64) -> Self {
         Self {
             limit,
             share: Share::new(now, part),
-            bucket: Bucket::new(now, limit * part, least),
+            bucket: Bucket::new(now, limit * part, min_capacity),
         }
     }
 
@@ -92,14 +91,14 @@
     }
 }
 
-/// State of one subject.
+/// Limits and demand of one subject.
 #[derive(Clone, Debug)]
 pub(super) struct Account {
     initial_share: f64,
     requests: Option<RateLimit>,
     tokens: Option<RateLimit>,
     concurrent: Option<u32>,
-    /// Own part of the concurrent requests, as a number of them.
+    /// This entry's share of the concurrency limit, in slots.
     slots: Share,
     in_flight: u32,
     requested: [Rate; 2],
@@ -138,8 +137,8 @@
             0.0,
         );
         if self.concurrent != quota.concurrent {
-            let places = f64::from(quota.concurrent.unwrap_or(0)) * self.initial_share;
-            self.slots = Share::new(now, places.max(self.slots.in_force()));
+            let slots = f64::from(quota.concurrent.unwrap_or(0)) * self.initial_share;
+            self.slots = Share::new(now, slots.max(self.slots.in_force()));
         }
         self.concurrent = quota.concurrent;
     }
@@ -153,8 +152,8 @@
     }
 
     pub(super) fn update_peer(&mut self, now: Moment, peer: &peers::Id, demand: Option<&Demand>) {
-        let peaks = self.peers.get(peer).map(|told| told.peaks);
-        let told = PeerState {
+        let peaks = self.peers.get(peer).map(|state| state.peaks);
+        let state = PeerState {
             at: now,
             demand: demand.map_or(RateDemand::default(), |demand| RateDemand {
                 requests: demand.requests,
@@ -163,7 +162,7 @@
             in_flight: demand.map_or(0, |demand| demand.in_flight),
             peaks: peaks.unwrap_or_default(),
         };
-        self.peers.insert(peer.clone(), told);
+        self.peers.insert(peer.clone(), state);
     }
 
     pub(super) fn advertise(&mut self, now: Moment, subject: &Subject) -> Option<Demand> {
@@ -189,10 +188,10 @@
 
     pub(super) fn check(&mut self, now: Moment, tokens: f64) -> Result<(), LimitExceeded> {
         let requests = self.requests.as_mut();
-        let wait = requests.map_or(Duration::ZERO, |meter| meter.bucket.wait(now, 1.0));
+        let wait = requests.map_or(Duration::ZERO, |limiter| limiter.bucket.wait(now, 1.0));
         refuse_if(Kind::Requests, wait)?;
-        let meter = self.tokens.as_mut();
-        let wait = meter.map_or(Duration::ZERO, |meter| meter.bucket.wait(now, tokens));
+        let limiter = self.tokens.as_mut();
+        let wait = limiter.map_or(Duration::ZERO, |limiter| limiter.bucket.wait(now, tokens));
         refuse_if(Kind::Tokens, wait)?;
         let full =
             self.concurrent.is_some() && f64::from(self.in_flight) + 1.0 > self.slots.in_force();
@@ -201,124 +200,133 @@
 
     pub(super) fn charge(&mut self, tokens: f64) {
         self.in_flight += 1;
-        if let Some(meter) = &mut self.requests {
-            meter.bucket.charge(1.0);
+        if let Some(limiter) = &mut self.requests {
+            limiter.bucket.charge(1.0);
         }
-        if let Some(meter) = &mut self.tokens {
-            meter.bucket.charge(tokens);
+        if let Some(limiter) = &mut self.tokens {
+            limiter.bucket.charge(tokens);
         }
     }
 
-    pub(super) fn release(&mut self, used: Usage) {
+    pub(super) fn release(&mut self, usage: Usage) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if let Some(meter) = &mut self.tokens {
-            meter
+        if let Some(limiter) = &mut self.tokens {
+            limiter
                 .bucket
-                .charge(used.actual as f64 - used.expected as f64);
+                .charge(usage.actual as f64 - usage.expected as f64);
         }
     }
 
-    /// Computes the shares of all entries and takes its own.
+    /// Computes the shares of all entries and applies this entry's.
     pub(super) fn update_shares(&mut self, group: &Group<'_>) {
         let Some(peers) = group.peers else {
             return;
         };
-        let split = self.allocate(group, peers);
-        if let Some(meter) = &mut self.requests {
-            let limit = meter.limit;
-            let parts = split.divide(|told| told.requests / limit, |parts| parts.requests);
-            meter.set_share(group, parts[split.own]);
-            self.record_peaks(group, &split, &parts, |own| &mut own.requests);
+        let allocation = self.allocate(group, peers);
+        if let Some(limiter) = &mut self.requests {
+            let limit = limiter.limit;
+            let parts =
+                allocation.divide(|demand| demand.requests / limit, |shares| shares.requests);
+            limiter.set_share(group, parts[allocation.own]);
+            self.record_peaks(group, &allocation, &parts, |own| &mut own.requests);
         }
-        if let Some(meter) = &mut self.tokens {
-            let limit = meter.limit;
-            let parts = split.divide(|told| told.tokens / limit, |parts| parts.tokens);
-            meter.set_share(group, parts[split.own]);
-            self.record_peaks(group, &split, &parts, |own| &mut own.tokens);
+        if let Some(limiter) = &mut self.tokens {
+            let limit = limiter.limit;
+            let parts = allocation.divide(|demand| demand.tokens / limit, |shares| shares.tokens);
+            limiter.set_share(group, parts[allocation.own]);
+            self.record_peaks(group, &allocation, &parts, |own| &mut own.tokens);
         }
         if let Some(limit) = self.concurrent {
-            self.update_slots(group, &split, limit);
+            self.update_slots(group, &allocation, limit);
         }
     }
 
-    /// Divides the places of concurrent requests by the demand for requests. A place that another
-    /// entry still has in use beyond its part is not given out.
+    /// Divides the concurrency slots by the demand for requests. A slot that another entry still
+    /// uses beyond its share is not granted.
     ///
-    /// Demand for places is known as shares only, and shares of all that is asked add up to the
-    /// whole: an entry that was not asked yet would get no place, and refuse its first request with
-    /// hundreds of places free. So a part is divided equally.
-    fn update_slots(&mut self, group: &Group<'_>, split: &Allocation, limit: u32) {
-        let total: f64 = split.active.iter().map(|(_, told)| told.requests).sum();
-        let available = split.available(|parts| parts.slots);
+    /// Demand for slots is known only relative to the total, so all of it would be divided among
+    /// the entries with demand: an entry without any would get no slot and refuse its first
+    /// request while hundreds are free. Some slots are therefore divided equally.
+    fn update_slots(&mut self, group: &Group<'_>, allocation: &Allocation, limit: u32) {
+        let total: f64 = allocation
+            .active
+            .iter()
+            .map(|(_, demand)| demand.requests)
+            .sum();
+        let available = allocation.available(|shares| shares.slots);
         let by_demand = available * (1.0 - EQUAL_SLOTS_SHARE) / total.max(f64::MIN_POSITIVE);
-        let parts = split.divide(|told| told.requests * by_demand, |parts| parts.slots);
+        let parts = allocation.divide(|demand| demand.requests * by_demand, |shares| shares.slots);
         let shares: share::Shares = parts.iter().map(|part| part * f64::from(limit)).collect();
         let sum: f64 = shares.iter().sum();
-        // A sum of shares that is a whole number but for rounding must not lose a place.
+        // Rounding errors must not lose a slot when the shares add up to a whole number.
         let slots = share::round_to_whole((sum + ROUNDING) as u32, &shares);
-        let others = split.used_by_others(&slots, limit, &self.peers);
-        let own = slots[split.own].min(limit.saturating_sub(others));
+        let others = allocation.used_by_others(&slots, limit, &self.peers);
+        let own = slots[allocation.own].min(limit.saturating_sub(others));
         self.slots
             .update(group.now, f64::from(own), group.config.raise_delay);
-        self.record_peaks(group, split, &parts, |own| &mut own.slots);
+        self.record_peaks(group, allocation, &parts, |own| &mut own.slots);
     }
 
-    /// Sorts the entries into those whose demand counts and those whose share is frozen.
+    /// Divides the entries into active ones, whose demand counts, and those with a frozen share.
     fn allocate(&self, group: &Group<'_>, peers: &BTreeSet<peers::Id>) -> Allocation {
-        let mut split = Allocation::default();
+        let mut allocation = Allocation::default();
         let equal = 1.0 / (peers.len() + 1) as f64;
         for peer in peers {
             match self.peers.get(peer) {
-                None => split
+                None => allocation
                     .frozen
                     .push((peer.clone(), LimitShares::uniform(equal))),
-                Some(told) if group.now.saturating_sub(told.at) > group.config.silence_timeout => {
-                    split.frozen.push((peer.clone(), told.peaks.max()));
+                Some(state)
+                    if group.now.saturating_sub(state.at) > group.config.silence_timeout =>
+                {
+                    allocation.frozen.push((peer.clone(), state.peaks.max()));
                 }
-                Some(told) => split.active.push((peer.clone(), told.demand)),
+                Some(state) => allocation.active.push((peer.clone(), state.demand)),
             }
         }
         let own = (group.own.clone(), self.advertised);
-        split.own = split.active.partition_point(|(peer, _)| peer < group.own);
-        split.active.insert(split.own, own);
-        split
+        allocation.own = allocation
+            .active
+            .partition_point(|(peer, _)| peer < group.own);
+        allocation.active.insert(allocation.own, own);
+        allocation
     }
 
-    /// Remembers the parts of the peers, to freeze them should they fall silent.
+    /// Records the peers' shares, which are frozen if they fall silent.
     fn record_peaks(
         &mut self,
         group: &Group<'_>,
-        split: &Allocation,
+        allocation: &Allocation,
         parts: &[f64],
         field: impl Fn(&mut PeakShares) -> &mut Peak,
     ) {
-        for ((peer, _), part) in split.active.iter().zip(parts) {
-            if let Some(told) = self.peers.get_mut(peer) {
-                field(&mut told.peaks).record(group.now, *part, group.config.peak_memory());
+        for ((peer, _), part) in allocation.active.iter().zip(parts) {
+            if let Some(state) = self.peers.get_mut(peer) {
+                field(&mut state.peaks).record(group.now, *part, group.config.peak_memory());
             }
         }
     }
 }
 
-/// The meter of a limit that may have changed; what was used so far stays used.
+/// The rate limit after a change of its quota; usage so far stays counted.
 fn updated_rate_limit(
     now: Moment,
     old: Option<RateLimit>,
     limit: Option<f64>,
-    initial: f64,
-    least: f64,
+    initial_share: f64,
+    min_capacity: f64,
 ) -> Option<RateLimit> {
     let limit = limit?;
-    let Some(mut meter) = old else {
-        return Some(RateLimit::new(now, limit, initial, least));
+    let Some(mut limiter) = old else {
+        return Some(RateLimit::new(now, limit, initial_share, min_capacity));
     };
-    meter.limit = limit;
-    let part = meter.share.in_force();
-    meter.bucket.set_rate(now, limit * part);
-    Some(meter)
+    limiter.limit = limit;
+    let part = limiter.share.in_force();
+    limiter.bucket.set_rate(now, limit * part);
+    Some(limiter)
 }
 
-/// Standard error of a smoothed rate of independent arrivals, as a share of the rate.
+/// Relative standard error of a smoothed rate of independent arrivals.
 fn relative_error(rate: f64) -> f64 {
     let counted = 2.0 * DEMAND_WINDOW.as_secs_f64() * rate;
     if counted <= 0.0 {
@@ -327,7 +335,7 @@
     (1.0 / counted.sqrt()).min(1.0)
 }
 
-/// The value to tell: the old one while the new one is near.
+/// The value to advertise: the last one while the new one is within the dead band.
 fn with_dead_band(advertised: f64, requested: f64, band: f64) -> f64 {
     if requested < MIN_DEMAND {
         return 0.0;
--- a/crates/routing/src/limit/bucket.rs
+++ b/crates/routing/src/limit/bucket.rs
@@ -1,15 +1,16 @@
-//! A token bucket whose rate may change.
+//! A token bucket with a variable rate.
 
 use std::time::Duration;
 
 use clock::Moment;
 
-/// Seconds of its rate that a bucket holds. An entry's share of a small limit is a few requests a
-/// second; with less, requests that happen to come together are refused far below the limit.
+/// Capacity of a bucket, in seconds of its rate. An entry's share of a small limit is a few
+/// requests per second; a smaller bucket would refuse coincident requests far below the limit.
 const BURST_S: f64 = 1.5;
 
-/// A bucket. Its level may go below zero: a request larger than the bucket is let in when the bucket
-/// is full and paid off afterwards, and a request that used more than expected is charged at its end.
+/// A token bucket. Its level may become negative: a request larger than the bucket is admitted
+/// when the bucket is full and paid off afterwards, and a request that used more than expected is
+/// charged at its end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bucket {
     rate: f64,
@@ -19,7 +20,7 @@
 }
 
 impl Bucket {
-    /// A full bucket that holds `least` at least.
+    /// A full bucket that holds at least `min_capacity`.
     pub(super) fn new(now: Moment, rate: f64, least: f64) -> Self {
         let mut bucket = Self {
             rate,
@@ -31,14 +32,14 @@
         bucket
     }
 
-    /// Changes the rate from now on.
+    /// Changes the rate as of `now`.
     pub(super) fn set_rate(&mut self, now: Moment, rate: f64) {
         self.refill(now);
         self.rate = rate;
         self.level = self.level.min(self.capacity());
     }
 
-    /// Time until `amount` may be taken; nothing if now.
+    /// Time until `amount` may be taken; zero if it may be taken now.
     pub(super) fn wait(&mut self, now: Moment, amount: f64) -> Duration {
         self.refill(now);
         let missing = amount.min(self.capacity()) - self.level;
@@ -49,7 +50,7 @@
         Duration::from_secs_f64(seconds.min(MAX_WAIT_S))
     }
 
-    /// Takes an amount, or gives it back if it is below zero.
+    /// Takes `amount`, or returns it if negative.
     pub(super) fn charge(&mut self, amount: f64) {
         self.level = (self.level - amount).min(self.capacity());
     }
@@ -65,5 +66,5 @@
     }
 }
 
-/// Longest wait that is told, in seconds.
+/// Longest wait that is returned.
 const MAX_WAIT_S: f64 = 3_600.0;
--- a/crates/routing/src/limit/group.rs
+++ b/crates/routing/src/limit/group.rs
@@ -1,4 +1,4 @@
-//! The entries that divide a limit, as one of them sees them.
+//! View that one entry has of the group of entries that divide a limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use super::share::{self, Peak};
 use crate::peers;
 
-/// The entries that divide a limit, as one of them sees them.
+/// An entry's view of its group at one time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Group<'a> {
     pub(super) now: Moment,
@@ -18,14 +18,14 @@
     pub(super) config: &'a Config,
 }
 
-/// Amounts of the two divided rates.
+/// Demand for the two limited rates.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RateDemand {
     pub(super) requests: f64,
     pub(super) tokens: f64,
 }
 
-/// Parts of the whole, 0 to 1, in each limit.
+/// Shares of each limit, 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LimitShares {
     pub(super) requests: f64,
@@ -33,7 +33,7 @@
     pub(super) slots: f64,
 }
 
-/// The most that these parts were lately.
+/// Recent peaks of these shares.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeakShares {
     pub(super) requests: Peak,
@@ -52,37 +52,37 @@
 }
 
 impl LimitShares {
-    pub(super) fn uniform(part: f64) -> Self {
+    pub(super) fn uniform(share: f64) -> Self {
         Self {
-            requests: part,
-            tokens: part,
-            slots: part,
+            requests: share,
+            tokens: share,
+            slots: share,
         }
     }
 }
 
-/// What a peer told last, and the parts of the limit that it had by it.
+/// Last demand advertised by a peer, and its recent shares.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerState {
     pub(super) at: Moment,
     pub(super) demand: RateDemand,
     pub(super) in_flight: u32,
-    /// Parts while it was heard, to be reserved should it fall silent: it may not have heard what
-    /// made its part smaller.
+    /// Peak shares while it was heard, reserved if it falls silent: it may not have received what
+    /// lowered its share.
     pub(super) peaks: PeakShares,
 }
 
-/// Slack for sums of fractions.
+/// Tolerance for rounding errors in sums of shares.
 pub(super) const ROUNDING: f64 = 1e-6;
 
-/// The entries, sorted for one computation.
+/// Input of one computation of shares.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Allocation {
-    /// Entries whose demand counts, by id, this one among them.
+    /// Entries whose demand counts, ordered by id, including this one.
     pub(super) active: SmallVec<[(peers::Id, RateDemand); 8]>,
-    /// Position of this entry among them.
+    /// Position of this entry in `active`.
     pub(super) own: usize,
-    /// Entries that are silent or were never heard, with the parts reserved for them.
+    /// Entries that are silent or were never heard, with the shares reserved for them.
     pub(super) frozen: SmallVec<[(peers::Id, LimitShares); 8]>,
 }
 
@@ -92,33 +92,33 @@
         demand: impl Fn(&RateDemand) -> f64,
         frozen: impl Fn(&LimitShares) -> f64,
     ) -> share::Shares {
-        let demands: share::Shares = self.active.iter().map(|(_, told)| demand(told)).collect();
+        let demands: share::Shares = self.active.iter().map(|(_, rates)| demand(rates)).collect();
         share::divide(self.available(frozen), &demands)
     }
 
-    /// What is not reserved for the frozen ones.
+    /// Share that is not reserved for frozen entries.
     pub(super) fn available(&self, frozen: impl Fn(&LimitShares) -> f64) -> f64 {
-        let reserved: f64 = self.frozen.iter().map(|(_, parts)| frozen(parts)).sum();
+        let reserved: f64 = self.frozen.iter().map(|(_, shares)| frozen(shares)).sum();
         (1.0 - reserved).max(0.0)
     }
 
-    /// Places that the other entries have or may have in use.
+    /// Slots that the other entries use or may use.
     pub(super) fn used_by_others(
         &self,
         slots: &[u32],
         limit: u32,
         peers: &BTreeMap<peers::Id, PeerState>,
     ) -> u32 {
-        let open = |peer: &peers::Id| peers.get(peer).map_or(0, |told| told.in_flight);
+        let in_flight = |peer: &peers::Id| peers.get(peer).map_or(0, |state| state.in_flight);
         let active = self.active.iter().zip(slots).enumerate();
         let active: u32 = active
             .filter(|(position, _)| *position != self.own)
-            .map(|(_, ((peer, _), places))| (*places).max(open(peer)))
+            .map(|(_, ((peer, _), slots))| (*slots).max(in_flight(peer)))
             .sum();
         let frozen: u32 = self
             .frozen
             .iter()
-            .map(|(peer, parts)| ((parts.slots * f64::from(limit)) as u32).max(open(peer)))
+            .map(|(peer, parts)| ((parts.slots * f64::from(limit)) as u32).max(in_flight(peer)))
             .sum();
         active + frozen
     }
--- a/crates/routing/src/limit/mod.rs
+++ b/crates/routing/src/limit/mod.rs
@@ -1,8 +1,8 @@
-//! Owners' limits, held over all entries without a coordinator.
+//! Distributed rate limits without a coordinator.
 //!
-//! Each entry may use a share of a limit. The shares follow the demand that the entries tell each
-//! other; every entry computes all shares by the same function, so that they agree as soon as they
-//! have heard the same. An entry lowers its own share at once and raises it only after the others had
+//! Each entry may use a share of a limit. Entries advertise their demand to each other and compute
+//! all shares with the same function, so that they agree once they have received the same
+//! advertisements. An entry lowers its share at once, but raises it only after the others have had
 //! time to lower theirs. See docs/design/limits.md.
 
 mod account;
@@ -20,49 +20,49 @@
 use self::group::Group;
 use crate::{decision::Reason, peers, request::Subject};
 
-/// What an owner or an entry of the catalogue may use, over all entries of the fleet together.
+/// Limits of an owner or a catalogue entry, over all entries of the fleet together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Quota {
-    /// Whom it binds.
+    /// Subject of the limits.
     pub subject: Subject,
-    /// Requests a second.
+    /// Requests per second.
     pub requests: Option<f64>,
-    /// Prompt and answer tokens a second.
+    /// Prompt and answer tokens per second.
     pub tokens: Option<f64>,
-    /// Requests in hand at once.
+    /// Concurrent requests.
     pub concurrent: Option<u32>,
 }
 
-/// What is asked for at one entry, as told to the others.
+/// Demand at one entry, as advertised to its peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// For whom.
+    /// Subject of the demand.
     pub subject: Subject,
-    /// Requests a second that were asked for, the refused ones included.
+    /// Requests per second, refused ones included.
     pub requests: f64,
-    /// Tokens a second that were asked for, the refused ones included.
+    /// Tokens per second, refused ones included.
     pub tokens: f64,
-    /// Requests in hand.
+    /// Requests in flight.
     pub in_flight: u32,
 }
 
-/// Times on which the sharing depends.
+/// Settings of the division into shares.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Entries to reckon with as long as the real ones are not known.
+    /// Entries assumed as long as the actual number is unknown.
     pub expected_entries: usize,
-    /// Time without a frame after which a peer's share is frozen. Several times the spacing of the
-    /// frames.
+    /// Time without a frame after which a peer's share is frozen: several times the frame
+    /// interval.
     pub silence_timeout: Duration,
-    /// Time that the others get to lower their shares before an entry raises its own: longer than a
-    /// frame travels.
+    /// Time for the peers to lower their shares before an entry raises its own: longer than a
+    /// frame's delivery.
     pub raise_delay: Duration,
 }
 
 impl Config {
-    /// Time over which a peer's part is remembered, to be reserved should it fall silent. It covers
-    /// the time until silence is noticed, in which this entry may have raised its own share
-    /// although the peer has not heard why.
+    /// Time for which a peer's peak share is remembered, to be reserved if it falls silent. It
+    /// covers the time until the silence is noticed, during which this entry may have raised its
+    /// own share although the peer has not learned why.
     fn peak_memory(&self) -> Duration {
         self.silence_timeout * 2
     }
@@ -78,22 +78,22 @@
     }
 }
 
-/// Time between two computations of the shares.
+/// Interval between computations of the shares.
 const SHARE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// All limits at one entry.
+/// All limits, as enforced by one entry.
 #[derive(Clone, Debug)]
 pub struct Limits {
     config: Config,
     own: peers::Id,
-    /// The peers that are listed or heard, this entry not among them; none until they are known.
+    /// Peers that are listed or have been heard, without this entry; none until they are known.
     peers: Option<BTreeSet<peers::Id>>,
     accounts: BTreeMap<Subject, Account>,
     shared_at: Option<Moment>,
 }
 
 impl Limits {
-    /// No limits yet. `own` is the instance id of this entry.
+    /// Creates an instance without limits. `own` is the instance id of this entry.
     pub fn new(config: Config, own: impl Into<peers::Id>) -> Self {
         Self {
             config,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Replaces the limits. What is in hand stays counted.
+    /// Replaces the limits. Requests in flight stay counted.
     pub fn set_quotas(&mut self, now: Moment, quotas: Vec<Quota>) {
         let mut old = std::mem::take(&mut self.accounts);
         for quota in quotas {
@@ -118,8 +118,8 @@
         self.shared_at = None;
     }
 
-    /// Says which peers live, this entry left out. One that is listed but was never heard keeps an
-    /// equal share reserved. One that is left out is gone for sure, and its share is reclaimed.
+    /// Sets the live peers, without this entry. A listed peer that was never heard keeps an equal
+    /// share reserved. A peer that is not listed is gone for certain, and its share is reclaimed.
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = peers::Id>) {
         let peers: BTreeSet<peers::Id> = peers.into_iter().collect();
         for account in self.accounts.values_mut() {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Takes in what a peer tells. A subject that it leaves out has no demand there.
+    /// Applies a peer's advertised demand. A subject that it leaves out has no demand there.
     pub fn update_peer(&mut self, now: Moment, peer: &peers::Id, demand: &[Demand]) {
         self.peers.get_or_insert_default().insert(peer.clone());
         let by_subject: BTreeMap<&Subject, &Demand> = demand
@@ -150,8 +150,8 @@
         }
     }
 
-    /// What to tell the peers now. The shares are computed from what was told, so that all entries
-    /// compute with the same numbers.
+    /// Demand to advertise now. Shares are computed from the advertised values, so that all
+    /// entries compute with the same numbers.
     pub fn demand(&mut self, now: Moment) -> Vec<Demand> {
         let accounts = self.accounts.iter_mut();
         accounts
@@ -159,8 +159,7 @@
             .collect()
     }
 
-    /// Takes a request of `tokens` from all limits that bind it, or from none and says which one
-    /// refuses.
+    /// Charges a request to all limits of its subjects, or to none of them if one refuses it.
     pub fn check(
         &mut self,
         now: Moment,
@@ -187,17 +186,17 @@
         Ok(())
     }
 
-    /// A request that was let in has ended: it is in hand no more, and what it used in truth
-    /// replaces what was expected.
-    pub fn release(&mut self, subjects: &[Subject], used: Usage) {
+    /// Ends an admitted request: it is no longer in flight, and its actual usage replaces the
+    /// expected one.
+    pub fn release(&mut self, subjects: &[Subject], usage: Usage) {
         for subject in subjects {
             if let Some(account) = self.accounts.get_mut(subject) {
-                account.release(used);
+                account.release(usage);
             }
         }
     }
 
-    /// Computes the shares anew when it is time.
+    /// Recomputes the shares when due.
     pub fn refresh(&mut self, now: Moment) {
         let due = self
             .shared_at
--- a/crates/routing/tests/limit.rs
+++ b/crates/routing/tests/limit.rs
@@ -1,5 +1,5 @@
-//! The error of an owner's limit over eight entries, both ways. The entries are plain structures in
-//! a loop that carries their frames with a delay; arrivals are drawn from a seeded generator.
+//! Accuracy of an owner's limit over eight entries, above and below. The entries run in one loop
+//! that delivers their frames with a delay; arrivals come from a seeded generator.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const LIMIT: f64 = 200.0;
 const OWNER: &str = "lima";
 
-/// Requests let in per second and entry.
+/// Admitted requests per second and entry.
 type Counts = Vec<[f64; ENTRIES]>;
 
 struct Frame {
@@ -35,7 +35,7 @@
     rng: SmallRng,
     entries: Vec<Limits>,
     alive: [bool; ENTRIES],
-    /// Entries on different sides do not hear each other.
+    /// Entries in different partitions do not hear each other.
     partition: [u8; ENTRIES],
     frames: VecDeque<Frame>,
     steps: u32,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Lets `seconds` pass with these requests a second at each entry; each ends at once.
+    /// Runs for `seconds` with these requests per second at each entry; each request ends at once.
     fn run(&mut self, seconds: usize, demand: [f64; ENTRIES]) {
         for _ in 0..seconds {
             self.counts.push([0.0; ENTRIES]);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Share of the limit that was used in each run of `window` seconds from `from` on.
+    /// Share of the limit used in each window of `window` seconds, beginning at second `from`.
     fn used(&self, from: usize, window: usize) -> Vec<f64> {
         let totals: Vec<f64> = self
             .counts
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn steady_demand_above_the_limit_uses_it_whole() {
+fn steady_demand_above_the_limit_uses_all_of_it() {
     let mut group = Group::new(&quotas(Some(LIMIT), None));
     group.run(40, [50.0; ENTRIES]);
     let (least, most) = group.report("steady, 2 times", 8);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn skewed_demand_moves_the_shares() {
+fn shares_follow_skewed_demand() {
     let mut group = Group::new(&quotas(Some(LIMIT), None));
     group.run(10, [50.0; ENTRIES]);
     let mut skewed = [2.0; ENTRIES];
@@ -189,10 +189,9 @@
 }
 
 #[test]
-fn demand_that_moves_around_never_adds_up_to_more() {
-    // Symptom: an owner uses more than its limit each time its callers move to other entries.
-    // Sequence: demand moves from one entry to the next every five seconds.
-    // Cause: the entry that demand moves to raises its share before the others have lowered theirs.
+fn moving_demand_never_exceeds_the_limit() {
+    // Guards against exceeding the limit while callers move between entries: the entry that gains
+    // demand must not raise its share before the others have lowered theirs.
     let mut group = Group::new(&quotas(Some(LIMIT), None));
     for entry in 0..ENTRIES {
         let mut demand = [10.0; ENTRIES];
@@ -221,9 +220,8 @@
 
 #[test]
 fn a_partition_does_not_multiply_the_limit() {
-    // Symptom: an owner uses twice its limit while entries cannot hear each other.
-    // Sequence: the group is cut in two; then the demand of one side grows fivefold.
-    // Cause: each side would divide the whole limit among those that it hears.
+    // Guards against each side of a network partition dividing the whole limit among the entries
+    // that it hears, which doubles an owner's usage when the demand of one side grows.
     let mut group = Group::new(&quotas(Some(LIMIT), None));
     group.run(15, [50.0; ENTRIES]);
     group.partition = [0, 0, 0, 0, 1, 1, 1, 1];
@@ -240,16 +238,15 @@
 }
 
 #[test]
-fn a_fresh_entry_does_not_take_the_whole() {
-    // Symptom: the limit is exceeded whenever an entry is replaced.
-    // Sequence: an entry starts and has not heard of any other yet.
-    // Cause: alone in its view, it would take the whole limit.
-    let mut fresh = Limits::new(Config::default(), name(0));
-    fresh.set_quotas(Moment::ZERO, quotas(Some(LIMIT), None));
+fn a_new_entry_does_not_take_the_whole_limit() {
+    // Guards against exceeding the limit when an entry is replaced: an entry that has not heard
+    // any peer yet must not take the whole limit.
+    let mut new_entry = Limits::new(Config::default(), name(0));
+    new_entry.set_quotas(Moment::ZERO, quotas(Some(LIMIT), None));
     let mut admitted = 0.0;
     for step in 0..1_000 {
         let now = STEP * step;
-        if fresh.check(now, &[subject()], 0).is_ok() {
+        if new_entry.check(now, &[subject()], 0).is_ok() {
             admitted += 1.0;
         }
     }
@@ -257,10 +254,9 @@
 }
 
 #[test]
-fn a_raise_waits_until_the_others_have_heard() {
-    // Symptom: an owner exceeds its limit for a moment at each shift of demand.
-    // Sequence: both of two entries are busy; the demand of one grows tenfold; it tells the other.
-    // Cause: its own share is larger at once, that of the other is smaller only when it has heard.
+fn a_share_rises_only_after_the_raise_delay() {
+    // Guards against exceeding the limit at each shift of demand: an entry whose demand grows
+    // tenfold must not raise its share before its peer has heard and lowered its own.
     let mut small = Limits::new(Config::default(), name(0));
     small.set_quotas(Moment::ZERO, quotas(Some(LIMIT), None));
     small.set_peers([name(1)]);
@@ -286,17 +282,19 @@
         admitted
     };
     ask(0, 20_000, 100);
-    // The demand grows twenty-five-fold and is told at 20.5 s.
+    // The demand grows twenty-five-fold and is advertised at 20.5 s.
     ask(20_000, 20_500, 4);
     let before = ask(20_500, 20_700, 4);
     ask(20_700, 20_800, 4);
     let after = ask(20_800, 21_000, 4);
-    println!("let in: {before} in 200 ms after telling, {after} in 200 ms once settled");
+    println!(
+        "admitted: {before} in 200 ms after advertising, {after} in 200 ms after the raise delay"
+    );
     assert!(2 * before < after);
 }
 
 #[test]
-fn places_add_up_to_the_limit_and_move_with_demand() {
+fn concurrency_slots_add_up_to_the_limit() {
     let mut group = Group::new(&quotas(None, Some(10)));
     group.run(20, [20.0; ENTRIES]);
     let mut open = [0_u32; ENTRIES];
@@ -308,19 +306,17 @@
             *open += 1;
         }
     }
-    println!("places per entry: {open:?}");
+    println!("slots per entry: {open:?}");
     assert_eq!(open.iter().sum::<u32>(), 10);
     let refused = group.entries[0].check(group.now, &[subject()], 0);
     assert_eq!(refused.expect_err("it is full").kind, Kind::Concurrent);
 }
 
 #[test]
-fn an_entry_that_was_not_asked_yet_has_places() {
-    // Symptom: in the first seconds of a fleet a card authorisation is refused for the owner's
-    // concurrent requests, with hundreds of places free.
-    // Sequence: all entries know each other; the first requests come to one entry and it tells so;
-    // then one comes to another entry.
-    // Cause: demand in shares of itself adds up to the whole, so that entries without any got none.
+fn an_entry_without_demand_has_concurrency_slots() {
+    // Guards against refusals by the concurrency limit with hundreds of slots free. All entries
+    // know each other, but only one has advertised demand; relative demand adds up to the whole,
+    // which left no slots for the entries without any.
     let mut group = Group::new(&quotas(None, Some(200)));
     let mut one = [0.0; ENTRIES];
     one[0] = 20.0;
@@ -330,25 +326,22 @@
         assert_matches!(first, Ok(()), "entry {entry}");
     }
     let busy = &mut group.entries[0];
-    let places = (0..200).take_while(|_| busy.check(group.now, &[subject()], 0).is_ok());
-    assert!(places.count() >= 150, "the busy entry keeps most places");
+    let slots = (0..200).take_while(|_| busy.check(group.now, &[subject()], 0).is_ok());
+    assert!(slots.count() >= 150, "the busy entry keeps most slots");
 }
 
 #[test]
-fn independent_arrivals_far_below_a_small_limit_are_let_in() {
-    // Symptom: one in ten consent notices is refused and comes two seconds late, although their
-    // service asks for a third of what it may.
-    // Sequence: two notices happen to come to one of eight entries within a tenth of a second.
-    // Cause: an entry's share of a small limit, held for half a second, is little more than one
-    // request.
+fn independent_arrivals_far_below_a_small_limit_are_admitted() {
+    // Guards against refusing coincident arrivals far below a small limit: with a bucket of half a
+    // second, an entry's share of the limit is little more than one request.
     let mut group = Group::new(&quotas(Some(20.0), None));
     group.run(10, [6.0 / ENTRIES as f64; ENTRIES]);
     group.counts.clear();
     let before = group.arrivals;
     group.run(300, [6.0 / ENTRIES as f64; ENTRIES]);
     let arrived = f64::from(group.arrivals - before);
-    let let_in: f64 = group.counts.iter().flatten().sum();
-    let refused = 1.0 - let_in / arrived;
+    let admitted: f64 = group.counts.iter().flatten().sum();
+    let refused = 1.0 - admitted / arrived;
     println!("refused: {refused:.3} of {arrived}");
     assert!(refused < 0.02);
 }
