--- a/crates/routing/examples/roles.rs
+++ b/crates/routing/examples/roles.rs
@@ -1,8 +1,8 @@
-//! Compares the planners of roles on traces of demand, in the planner's own model of capacity.
+//! Compares the role planners on demand traces, using the planner's own capacity model.
 //!
-//! It is no simulator: an engine is its frontier, demand is a number a second, and a change takes an
-//! engine away for some seconds. Printed per trace and planner: the share of demand that is served in
-//! time, and the changes of roles.
+//! It does not simulate a cluster: an engine is its capacity frontier, demand is a rate, and a
+//! change takes an engine out of service for some seconds. Prints, per trace and planner, the
+//! share of demand served in time and the number of role changes.
 //!
 //! `cargo run --release -p routing --example roles`
 
@@ -22,13 +22,13 @@
 const ENGINES: u32 = 18;
 const SECONDS: usize = 900;
 
-/// Share of the capacity of the best roles of the moment that demand takes up.
+/// Demand as a share of the capacity with the best roles at each time.
 const LOAD: f64 = 0.9;
 
 /// Weight of the newest second in the smoothed demand.
 const SMOOTHING: f64 = 0.3;
 
-/// A trace gives the share of prefill in the work at a second.
+/// Share of prefill in the work at a given second.
 type Trace = fn(usize, &mut SmallRng) -> f64;
 
 const TRACES: [(&str, Trace); 9] = [
@@ -49,7 +49,7 @@
     0.5 + 0.25 * (at as f64 / period * std::f64::consts::TAU).sin()
 }
 
-/// The figures of `standin-engine` with its default options.
+/// Capacity of `standin-engine` with its default options.
 fn frontiers() -> Frontiers {
     Frontiers {
         mixed: Frontier {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Engines that do one kind of work only, where roles matter most.
+/// Engines specialised in one kind of work, for which roles matter most.
 fn strict() -> Frontiers {
     Frontiers {
         mixed: Frontier {
@@ -145,7 +145,7 @@
         .collect()
 }
 
-/// Runs a planner over a trace; gives the share served and the changes.
+/// Runs a planner over a trace and returns the served share and the number of changes.
 fn run(config: &Config, trace: &[Demand]) -> (f64, u32) {
     let mut planner = Planner::new(config.clone());
     let mut engines = start();
@@ -170,20 +170,20 @@
             changes += 1;
             work.push((at + config.change_duration.as_secs() as usize, change));
         }
-        let able = engines.iter().filter(|engine| engine.eligible);
-        let counts = Counts::of(able.map(|engine| engine.role));
+        let available = engines.iter().filter(|engine| engine.eligible);
+        let counts = Counts::of(available.map(|engine| engine.role));
         sum += served_share(&config.frontiers, counts, *demand);
     }
     (sum / trace.len() as f64, changes)
 }
 
-/// Puts an engine into its new role; it is away while the change is in work.
-fn set(engines: &mut [Engine], change: &Change, in_work: bool) {
+/// Sets an engine's new role; the engine is out of service while the change is in progress.
+fn set(engines: &mut [Engine], change: &Change, in_progress: bool) {
     let engine = engines.iter_mut().find(|engine| engine.id == change.engine);
     let engine = engine.expect("it is one of them");
     engine.role = change.role;
-    engine.changing = in_work;
-    engine.eligible = !in_work;
+    engine.changing = in_progress;
+    engine.eligible = !in_progress;
 }
 
 fn main() {
--- a/crates/routing/src/plan/capacity.rs
+++ b/crates/routing/src/plan/capacity.rs
@@ -1,42 +1,42 @@
-//! What engines in given roles can do together.
+//! Capacity model: the combined capacity of engines in given roles.
 //!
-//! An engine of a role can prefill so many tokens a second, or decode so many, or some of both; the
-//! possible pairs are bounded by a concave line, its frontier. What several engines can do together
-//! is bounded by the sum of their frontiers: the segments of all, put together in order of slope.
+//! An engine can prefill, decode, or do some of both; the feasible pairs of rates are bounded by a
+//! concave line, its frontier. The frontier of several engines is the sum of theirs: the segments
+//! of all, joined in order of slope.
 
 use smallvec::SmallVec;
 
 use crate::upstream::Role;
 
-/// Tokens a second.
+/// Demand in tokens per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Prompt tokens to be computed.
+    /// Prompt tokens to compute.
     pub prefill: f64,
-    /// Answer tokens.
+    /// Answer tokens to generate.
     pub decode: f64,
 }
 
-/// Frontier of one engine in one role.
+/// Capacity frontier of one engine in one role.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Frontier {
-    /// Prompt tokens a second when it decodes nothing.
+    /// Prompt tokens per second without any decode.
     pub prefill: f64,
-    /// Answer tokens a second when it prefills nothing.
+    /// Answer tokens per second without any prefill.
     pub decode: f64,
-    /// Share of both that it reaches at once: 0.5 if one displaces the other, more if batches
-    /// carry both.
+    /// Share of both rates that it reaches at the same time: 0.5 if one displaces the other, more
+    /// if batches carry both.
     pub overlap: f64,
 }
 
 /// Frontiers by role.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Frontiers {
-    /// Of a mixed engine.
+    /// Frontier of a mixed engine.
     pub mixed: Frontier,
-    /// Of a prefill engine.
+    /// Frontier of a prefill engine.
     pub prefill: Frontier,
-    /// Of a decode engine.
+    /// Frontier of a decode engine.
     pub decode: Frontier,
 }
 
@@ -51,17 +51,17 @@
     }
 }
 
-/// Engines by role.
+/// Number of engines by role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Counts([u32; 3]);
 
 impl Counts {
-    /// Counts by role in the order mixed, prefill, decode.
+    /// Creates counts in the order mixed, prefill, decode.
     pub fn new(counts: [u32; 3]) -> Self {
         Self(counts)
     }
 
-    /// Counts engines of these roles.
+    /// Counts engines with these roles.
     pub fn of(roles: impl Iterator<Item = Role>) -> Self {
         let mut counts = Self::default();
         for role in roles {
@@ -70,30 +70,30 @@
         counts
     }
 
-    /// Engines of a role.
+    /// Number of engines in a role.
     pub fn get(&self, role: Role) -> u32 {
         self.0[role as usize]
     }
 
-    /// All engines.
+    /// Number of engines in all roles.
     pub fn total(&self) -> u32 {
         self.0.iter().sum()
     }
 
-    /// The counts with `engines` fewer of a role.
+    /// The counts with `engines` fewer in a role.
     pub fn without(mut self, role: Role, engines: u32) -> Self {
         self.0[role as usize] = self.0[role as usize].saturating_sub(engines);
         self
     }
 
-    /// The counts with `engines` more of a role.
+    /// The counts with `engines` more in a role.
     pub fn with(mut self, role: Role, engines: u32) -> Self {
         self.0[role as usize] += engines;
         self
     }
 }
 
-/// A piece of a frontier: prefill won for decode given up.
+/// Segment of a frontier: prefill gained for decode given up.
 #[derive(Clone, Copy, Debug)]
 struct Segment {
     prefill: f64,
@@ -101,14 +101,14 @@
 }
 
 impl Segment {
-    /// Decode given up for each token of prefill; pieces that give up least come first.
+    /// Decode given up per token of prefill; the flattest segments come first.
     fn slope(&self) -> f64 {
         self.decode / self.prefill.max(f64::MIN_POSITIVE)
     }
 }
 
-/// How many times the demand these engines can do: above 1 there is room, below 1 that share of it
-/// is all that can be served.
+/// Factor by which these engines exceed the demand. Below 1, it is the share of the demand that
+/// can be served.
 pub fn headroom(frontiers: &Frontiers, counts: Counts, demand: Demand) -> f64 {
     let mut segments: SmallVec<[Segment; 6]> = SmallVec::new();
     let mut at = Demand::default();
@@ -134,7 +134,8 @@
     }
 }
 
-/// Where the ray of the demand meets the frontier that starts at `at` (all decode).
+/// Factor at which the ray of the demand meets the frontier that starts at `at`, where all
+/// capacity decodes.
 fn intersect(mut at: Demand, segments: &[Segment], demand: Demand) -> f64 {
     if demand.prefill <= 0.0 && demand.decode <= 0.0 {
         return f64::INFINITY;
@@ -147,7 +148,7 @@
             prefill: at.prefill + segment.prefill,
             decode: at.decode - segment.decode,
         };
-        // The ray passes below the end of this piece: it meets the frontier on it.
+        // The ray passes below the end of this segment and so meets it.
         if end.decode * demand.prefill <= end.prefill * demand.decode {
             return intersect_segment(at, segment, demand);
         }
@@ -166,8 +167,8 @@
     across / along
 }
 
-/// Share of capacity up to which requests are served in time. Beyond it queues grow with each swing
-/// of arrivals, and part of what is served is late.
+/// Utilisation up to which requests are served in time. Beyond it, queues grow with each burst of
+/// arrivals, and some requests are late.
 const ON_TIME_UTILISATION: f64 = 0.9;
 
 /// Share of the demand that these engines serve in time, 0 to 1.
--- a/crates/routing/src/plan/gain.rs
+++ b/crates/routing/src/plan/gain.rs
@@ -1,4 +1,4 @@
-//! The chosen planner: a change is made when the gain that can be expected exceeds its price.
+//! The default planner: it changes a role when the expected gain exceeds the price.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use super::history::{self, History};
 use super::{Config, Transition, allowed_transitions};
 
-/// Least gain, in engines, that is worth looking at; below it the estimate of demand decides.
+/// Least gain, in engines, that is considered; below it, errors of the demand estimate dominate.
 const MIN_GAIN_ENGINES: f64 = 0.05;
 
-/// Time after a change in which demand is not yet what the new roles make of it.
+/// Time after a change during which demand does not yet reflect the new roles.
 const SETTLING_TIME: Duration = Duration::from_secs(2);
 
-/// Seconds by which smoothed demand is late.
+/// Seconds by which the smoothed demand lags.
 const DEMAND_LAG_S: f64 = 3.0;
 
-/// Weighs moves by their gain.
+/// Ranks role changes by their net gain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GainPlanner {
     history: History,
@@ -43,7 +43,12 @@
         let demand = self.history.forecast(horizon_s).unwrap_or(demand);
         let best = allowed_transitions(config, counts)
             .into_iter()
-            .map(|wanted| (self.net_gain(config, counts, demand, wanted), wanted))
+            .map(|transition| {
+                (
+                    self.net_gain(config, counts, demand, transition),
+                    transition,
+                )
+            })
             .max_by(|a, b| a.0.total_cmp(&b.0))?;
         (best.0 > 0.0).then_some(best.1)
     }
@@ -52,7 +57,8 @@
         self.changed_at = Some(now);
     }
 
-    /// Engine-seconds that a move brings beyond its price, given how long such demand lasts.
+    /// Net gain of a role change in engine-seconds, given how long such demand is expected to
+    /// last.
     fn net_gain(
         &self,
         config: &Config,
@@ -81,7 +87,7 @@
         let frontiers = &config.frontiers;
         let lost_meanwhile = engines
             * (served_share(frontiers, counts, demand) - served_share(frontiers, during, demand));
-        // When the mix turns back, the move is wrong until that is seen and undone.
+        // When the mix reverts, the change is wrong until that is noticed and the change undone.
         let reversal_cost = self
             .history
             .mean_positive(|demand| (-gain(demand)).max(0.0))
--- a/crates/routing/src/plan/history.rs
+++ b/crates/routing/src/plan/history.rs
@@ -1,4 +1,4 @@
-//! Past demand, from which the planner learns how long a mix lasts.
+//! Past demand, from which the planner estimates how long a demand mix lasts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,33 +7,33 @@
 
 use super::capacity::Demand;
 
-/// Time between two samples.
+/// Interval between samples.
 pub(super) const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Samples kept: a quarter of an hour, some periods of the swings that matter for a change of
-/// seconds.
+/// Samples kept: 15 minutes, several periods of the fluctuations that matter for a change that
+/// takes seconds.
 const MAX_SAMPLES: usize = 900;
 
-/// Samples over which a trend is taken, twice.
+/// Samples in each of the two means from which the trend is computed.
 const TREND_SAMPLES: usize = 4;
 
-/// Demand at equal distances of time.
+/// Demand at regular intervals.
 #[derive(Clone, Debug, Default)]
 pub(super) struct History {
     samples: VecDeque<Demand>,
     last_sample: Option<Moment>,
 }
 
-/// A time without interruption during which a change would have paid.
+/// An uninterrupted run of samples during which a change would have paid off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Episode {
-    /// Samples.
+    /// Length in samples.
     pub(super) length: usize,
 }
 
 impl History {
-    /// Takes a sample when one is due. A planner that was not called for a while repeats the last
-    /// value, so that samples stay at equal distances.
+    /// Takes the samples that are due. After a pause the current value is repeated, so that the
+    /// intervals stay regular.
     pub(super) fn record(&mut self, now: Moment, demand: Demand) {
         let Some(last) = self.last_sample else {
             self.push(demand);
@@ -57,7 +57,7 @@
         self.samples.push_back(demand);
     }
 
-    /// Demand to be expected in some seconds, if it goes on as it went in the last ones.
+    /// Demand expected in `seconds`, by linear extrapolation of the recent trend.
     pub(super) fn forecast(&self, seconds: f64) -> Option<Demand> {
         let newest = self.trend_mean(0)?;
         let older = self.trend_mean(TREND_SAMPLES)?;
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Mean of some samples that end `back` samples ago.
+    /// Mean of [`TREND_SAMPLES`] samples that end `back` samples ago.
     fn trend_mean(&self, back: usize) -> Option<Demand> {
         if self.samples.len() < back + TREND_SAMPLES {
             return None;
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Mean of a measure over the samples at which it is above zero, 0 if there are none.
+    /// Mean of the positive values of a measure over the samples; 0 if there are none.
     pub(super) fn mean_positive(&self, measure: impl Fn(Demand) -> f64) -> f64 {
         let (mut sum, mut count) = (0.0, 0.0);
         for sample in &self.samples {
@@ -98,7 +98,7 @@
         if count > 0.0 { sum / count } else { 0.0 }
     }
 
-    /// Past episodes in which `pays` held, without the one that still lasts, and the length of that.
+    /// Finished episodes of samples that qualify, and the length of the current one.
     pub(super) fn episodes(&self, qualifies: impl Fn(Demand) -> bool) -> (Vec<Episode>, usize) {
         let mut ended = Vec::new();
         let mut length = 0;
@@ -116,9 +116,9 @@
     }
 }
 
-/// Samples that an episode of `elapsed` samples is expected to go on. Past episodes that lasted as
-/// long tell; beside them stands one that doubles its age, which is all that is known without any
-/// past.
+/// Expected remaining length, in samples, of an episode that has lasted `elapsed` samples. It is
+/// the mean over past episodes that lasted longer, and one assumed to double the current age,
+/// which is the whole estimate without any history.
 pub(super) fn expected_remaining(past: &[Episode], elapsed: usize) -> f64 {
     let longer = past.iter().filter(|episode| episode.length > elapsed);
     let mut sum = elapsed as f64;
--- a/crates/routing/src/plan/mod.rs
+++ b/crates/routing/src/plan/mod.rs
@@ -1,7 +1,8 @@
-//! Planning of the engines' roles in one pool, for the holder of the pool's control.
+//! Planning of the engines' roles in one pool, run by the holder of the pool's control.
 //!
-//! A planner sees the demand in tokens a second and the engines' roles, and proposes few changes. A
-//! change takes an engine away for seconds, so it must pay: see docs/design/roles.md.
+//! A planner sees the demand in tokens per second and the engines' roles, and proposes few role
+//! changes. A change takes an engine out of service for seconds, so its gain must exceed that
+//! cost; see docs/design/roles.md.
 
 pub mod capacity;
 mod gain;
@@ -19,42 +20,42 @@
 use self::threshold::ThresholdPlanner;
 use crate::upstream::{Id, Role};
 
-/// Which planner a pool uses.
+/// Planner of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Kind {
-    /// Roles stay as they are.
+    /// Never changes a role.
     Static,
-    /// One engine moves when one side is busy and the other is not, for a while.
+    /// Moves an engine when one side has been busy, and the other not, for some time.
     Threshold,
-    /// One engine moves when the gain that can be expected exceeds the price.
+    /// Moves an engine when the expected gain exceeds the price.
     #[default]
     Gain,
 }
 
-/// How many engines may have a role.
+/// Bounds of the number of engines in a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoleBounds {
-    /// Changes never go below.
+    /// Least number that a change may leave.
     pub min: u32,
-    /// Changes never go above.
+    /// Largest number that a change may lead to.
     pub max: u32,
 }
 
-/// Settings of planning for a pool.
+/// Planner settings of a pool.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Which planner.
+    /// Planner to use.
     pub kind: Kind,
-    /// Factor on the engine-seconds that a change loses: low where goodput weighs more, high where
-    /// each absence of an engine hurts.
+    /// Factor on the engine-seconds that a change loses: low to favour goodput, high to favour
+    /// availability of engines.
     pub price: f64,
-    /// How long an engine is away.
+    /// Time for which a change takes an engine out of service.
     pub change_duration: Duration,
-    /// Changes that may be in work at once.
+    /// Most concurrent changes.
     pub max_parallel: usize,
     /// Bounds by role, in the order of [`Role`]: mixed, prefill, decode.
     pub bounds: [RoleBounds; 3],
-    /// What an engine does in each role.
+    /// Capacity of an engine in each role.
     pub frontiers: Frontiers,
 }
 
@@ -63,21 +64,21 @@
 pub struct Engine {
     /// Instance id.
     pub id: Id,
-    /// Role in force, or the one that it is changing to.
+    /// Current role, or the one that it is changing to.
     pub role: Role,
-    /// Whether a change of its role is in work.
+    /// Whether its role is being changed.
     pub changing: bool,
-    /// Whether it may be changed: it is live and open, and no order is in work on it.
+    /// Whether its role may be changed: it is live and open, and no order is pending on it.
     pub eligible: bool,
-    /// Requests in hand; the engine with the fewest is changed.
+    /// Requests in flight; the engine with the fewest is changed first.
     pub in_flight: u32,
 }
 
-/// What is known at a moment.
+/// Input of a planning step.
 #[derive(Clone, Copy, Debug)]
 pub struct Input<'a> {
-    /// Tokens a second that callers ask for, smoothed over some seconds, cached prompt tokens left
-    /// out.
+    /// Tokens per second requested by callers, smoothed over some seconds, without cached prompt
+    /// tokens.
     pub demand: Demand,
     /// All live engines of the pool.
     pub engines: &'a [Engine],
@@ -92,14 +93,14 @@
     pub role: Role,
 }
 
-/// A change from one role to another, of whichever engine.
+/// A role change of any one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Transition {
     from: Role,
     to: Role,
 }
 
-/// A planner of one pool.
+/// The planner of one pool.
 #[derive(Clone, Debug)]
 pub struct Planner {
     config: Config,
@@ -108,7 +109,7 @@
 }
 
 impl Planner {
-    /// A planner that knows nothing of the past.
+    /// A planner without history.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -117,13 +118,13 @@
         }
     }
 
-    /// Changes the settings; what was seen stays.
+    /// Replaces the settings and keeps the history.
     pub fn configure(&mut self, config: Config) {
         self.config = config;
     }
 
-    /// Takes in what is known and proposes at most one change. To be called about once a second,
-    /// also while a change is in work, so that the past has no holes.
+    /// Records the input and proposes at most one change. Call it about once per second, also
+    /// during a change, so that the history has no gaps.
     pub fn step(&mut self, now: Moment, input: &Input<'_>) -> SmallVec<[Change; 1]> {
         let counts = Counts::of(input.engines.iter().map(|engine| engine.role));
         let transition = match self.config.kind {
@@ -139,7 +140,7 @@
         if changing >= self.config.max_parallel {
             return SmallVec::new();
         }
-        let change = transition.and_then(|wanted| choose_engine(input.engines, wanted));
+        let change = transition.and_then(|transition| choose_engine(input.engines, transition));
         if change.is_some() {
             self.threshold.record_change(now);
             self.gain.record_change(now);
@@ -148,7 +149,7 @@
     }
 }
 
-/// The engine that loses least by a change.
+/// The engine that loses least by the change.
 fn choose_engine(engines: &[Engine], transition: Transition) -> Option<Change> {
     let candidates = engines
         .iter()
@@ -160,7 +161,7 @@
     })
 }
 
-/// All moves of one engine that the bounds allow.
+/// All role changes of one engine within the bounds.
 fn allowed_transitions(config: &Config, counts: Counts) -> SmallVec<[Transition; 6]> {
     let mut transitions = SmallVec::new();
     for from in Role::ALL {
--- a/crates/routing/src/plan/optimum.rs
+++ b/crates/routing/src/plan/optimum.rs
@@ -1,7 +1,7 @@
-//! What the best planner could reach that knows the whole demand in advance.
+//! Offline optimum: what a planner could achieve if it knew the whole demand in advance.
 //!
-//! It bounds the chosen planner from above under the same model of capacity: any number of engines may
-//! change at once, and each change still takes its time.
+//! It is an upper bound for the online planners under the same capacity model: any number of
+//! engines may change at once, and each change takes its full duration.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,27 @@
 use super::{Config, history};
 use crate::upstream::Role;
 
-/// The best course.
+/// Result of the optimal plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Optimum {
-    /// Demand served in time, as a share of all demand.
+    /// Share of the demand that is served in time.
     pub served: f64,
-    /// Changes of single engines.
+    /// Number of role changes of single engines.
     pub changes: u32,
 }
 
-/// Value of a state from a step on.
+/// Value of a state from some step to the end.
 #[derive(Clone, Copy, Debug, Default)]
 struct Value {
-    /// Served share, summed over steps, less the price of the changes.
+    /// Served share, summed over the steps, less the price of the changes.
     net: f64,
     served: f64,
     changes: u32,
 }
 
-/// Computes the best course for demand sampled every second, by dynamic programming from the end.
-/// The price of a change counts as in the planner; a price of 0 gives the most that can be served.
+/// Computes the optimal plan for demand sampled every second, by backward dynamic programming. A
+/// change is priced as in the planner; with a price of 0 the result is the most that can be
+/// served.
 pub fn solve(config: &Config, start: Counts, trace: &[Demand]) -> Optimum {
     let change_steps =
         config.change_duration.as_secs_f64() / history::SAMPLE_INTERVAL.as_secs_f64();
--- a/crates/routing/src/plan/threshold.rs
+++ b/crates/routing/src/plan/threshold.rs
@@ -1,4 +1,4 @@
-//! A baseline: thresholds with hysteresis.
+//! Baseline planner: utilisation thresholds with hysteresis.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 /// Utilisation below which a side can spare an engine.
 const SPARE_BELOW: f64 = 0.7;
 
-/// Time for which both must hold.
+/// Time for which both conditions must hold.
 const HOLD_TIME: Duration = Duration::from_secs(5);
 
-/// Least time between two changes.
+/// Least time between changes.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Moves an engine when one side is busy and the other is not.
@@ -65,8 +65,8 @@
     } else {
         return None;
     };
-    let wanted = Transition { from, to };
+    let transition = Transition { from, to };
     allowed_transitions(config, counts)
-        .contains(&wanted)
-        .then_some(wanted)
+        .contains(&transition)
+        .then_some(transition)
 }
--- a/crates/routing/tests/plan.rs
+++ b/crates/routing/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Planning of roles.
+//! Role planning.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     upstream::Role,
 };
 
-const TAKES: usize = 5;
+const CHANGE_S: usize = 5;
 
 fn frontiers() -> Frontiers {
     let frontier = |prefill, decode, overlap| Frontier {
@@ -32,7 +32,7 @@
     Config {
         kind,
         price,
-        change_duration: Duration::from_secs(TAKES as u64),
+        change_duration: Duration::from_secs(CHANGE_S as u64),
         max_parallel: 1,
         bounds: [
             RoleBounds { min: 0, max: 0 },
@@ -59,7 +59,7 @@
         .collect()
 }
 
-/// Demand with this share of prefill that takes up nine tenths of ten engines.
+/// Demand with this share of prefill that uses nine tenths of ten engines.
 fn demand(share: f64) -> Demand {
     Demand {
         prefill: share * 9.0 * 19_000.0,
@@ -67,7 +67,8 @@
     }
 }
 
-/// Lets a planner see a trace, carries out what it proposes, and gives the served share and changes.
+/// Runs a planner over a trace, applies its proposals, and returns the served share and the
+/// changes.
 fn run(config: &Config, engines: &mut [Engine], trace: &[Demand]) -> (f64, Vec<Change>) {
     let mut planner = Planner::new(config.clone());
     let mut work: Vec<(usize, Change)> = Vec::new();
@@ -84,22 +85,22 @@
         };
         for change in planner.step(now, &input) {
             set(engines, &change, true);
-            work.push((at + TAKES, change.clone()));
+            work.push((at + CHANGE_S, change.clone()));
             changes.push(change);
         }
-        let able = engines.iter().filter(|engine| engine.eligible);
-        let counts = Counts::of(able.map(|engine| engine.role));
+        let available = engines.iter().filter(|engine| engine.eligible);
+        let counts = Counts::of(available.map(|engine| engine.role));
         sum += served_share(&config.frontiers, counts, *demand);
     }
     (sum / trace.len() as f64, changes)
 }
 
-fn set(engines: &mut [Engine], change: &Change, in_work: bool) {
+fn set(engines: &mut [Engine], change: &Change, in_progress: bool) {
     let engine = engines.iter_mut().find(|engine| engine.id == change.engine);
     let engine = engine.expect("planners name engines that they were given");
     engine.role = change.role;
-    engine.changing = in_work;
-    engine.eligible = !in_work;
+    engine.changing = in_progress;
+    engine.eligible = !in_progress;
 }
 
 fn step(seconds: usize) -> Vec<Demand> {
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn nothing_changes_while_the_roles_fit() {
+fn matching_roles_are_not_changed() {
     let trace = vec![demand(0.5); 300];
     for kind in [Kind::Static, Kind::Threshold, Kind::Gain] {
         let (served, changes) = run(&config(kind, 0.0), &mut engines(5, 5), &trace);
@@ -129,22 +130,22 @@
 }
 
 #[test]
-fn a_lasting_shift_is_followed() {
+fn a_lasting_shift_changes_roles() {
     let mut fleet = engines(5, 5);
     let (served, changes) = run(&config(Kind::Gain, 0.2), &mut fleet, &step(300));
     let (fixed, _) = run(&config(Kind::Static, 0.2), &mut engines(5, 5), &step(300));
     assert!(served > fixed + 0.1, "{served} against {fixed}");
     assert!((1..=4).contains(&changes.len()), "{changes:?}");
     assert!(changes.iter().all(|change| change.role == Role::Prefill));
-    // The decode engine with the fewest requests in hand goes first.
+    // The decode engine with the fewest requests in flight is changed first.
     assert_eq!(&*changes[0].engine, "engine-05");
 }
 
 #[test]
-fn swings_faster_than_a_change_are_sat_out() {
-    // Symptom: engines are away all the time and goodput is below that of fixed roles.
-    // Sequence: the mix turns every four seconds, a change takes five.
-    // Cause: each change is right when it is ordered and wrong when it is done.
+fn fluctuations_faster_than_a_change_are_ignored() {
+    // Guards against role changes that chase a fluctuating mix. Each change is right when ordered
+    // and wrong when complete if the mix alternates every four seconds and a change takes five;
+    // goodput then falls below that of static roles.
     let trace = swings(600, 8);
     let (served, changes) = run(&config(Kind::Gain, 0.2), &mut engines(5, 5), &trace);
     let (fixed, _) = run(&config(Kind::Static, 0.2), &mut engines(5, 5), &trace);
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn a_higher_price_buys_fewer_changes() {
+fn a_higher_price_leads_to_fewer_changes() {
     let trace = swings(900, 120);
     let count = |price| {
         let config = config(Kind::Gain, price);
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn bounds_and_engines_in_work_are_respected() {
+fn bounds_and_ineligible_engines_are_respected() {
     let mut config = config(Kind::Gain, 0.0);
     config.bounds[Role::Decode as usize].min = 4;
     let trace = vec![demand(0.95); 120];
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn nobody_does_better_than_the_bound() {
+fn no_planner_exceeds_the_offline_optimum() {
     for trace in [step(200), swings(200, 60), swings(200, 20)] {
         let start = Counts::new([0, 5, 5]);
         let best = optimum::solve(&config(Kind::Gain, 0.0), start, &trace);
