--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of a pool at this entry: by class, then by deadline.
+//! Queue of a pool at this entry, ordered by class and then by deadline.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -13,23 +13,23 @@
     upstream,
 };
 
-/// Factor on estimated waits before a waiting request is given up: the estimate is rough, and a wrong
-/// refusal costs more than a late one.
+/// Factor by which an estimated wait may exceed the time left before a queued request is refused:
+/// the estimate is rough, and a wrong refusal costs more than a late one.
 const WAIT_MARGIN: f64 = 1.25;
 
-/// A request that waits, or is about to be sent.
+/// A request that is queued, or about to be sent.
 #[derive(Clone, Debug)]
 pub struct Pending {
-    /// What to send.
+    /// The request.
     pub request: Request,
-    /// Upstreams that failed it.
+    /// Upstreams where an attempt failed.
     pub tried: SmallVec<[upstream::Id; 2]>,
     /// Attempts so far.
     pub attempts: u32,
 }
 
 impl Pending {
-    /// A request that was never sent.
+    /// A request without any attempt.
     pub fn new(request: Request) -> Self {
         Self {
             request,
@@ -39,15 +39,14 @@
     }
 }
 
-/// Place of a waiting request: within its class and model by deadline, then by arrival.
+/// Position in a queue: by deadline, then by arrival.
 type Position = (Moment, Ticket);
 type ModelQueue = BTreeMap<Position, Pending>;
 
-/// Requests for one model wait in a line of their own: a model whose engines are full must not hold
-/// up the others.
+/// Queues by model, so that a model whose engines are full does not block the others.
 type ModelQueues = BTreeMap<Option<Model>, ModelQueue>;
 
-/// Where a ticket stands.
+/// Location of a ticket in the queue.
 #[derive(Clone, Debug)]
 struct Location {
     class: Class,
@@ -61,13 +60,13 @@
     capacity: usize,
     classes: [ModelQueues; Class::COUNT],
     class_counts: [usize; Class::COUNT],
-    /// Waiting requests by class and owner.
+    /// Number of queued requests by class and owner.
     owner_counts: [BTreeMap<Subject, usize>; Class::COUNT],
     locations: HashMap<Ticket, Location>,
 }
 
 impl Queue {
-    /// A queue of at most `bound` requests.
+    /// A queue of at most `capacity` requests.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -78,49 +77,49 @@
         }
     }
 
-    /// Changes the bound; requests that wait beyond it go on waiting.
+    /// Changes the capacity. Requests beyond it stay queued.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.locations.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.locations.is_empty()
     }
 
-    /// Whether nothing more fits.
+    /// Whether the queue has reached its capacity.
     pub fn is_full(&self) -> bool {
         self.len() >= self.capacity
     }
 
-    /// Whether more wait than should, so that somebody has to go.
+    /// Whether the queue exceeds its capacity, so that a request must be shed.
     pub fn is_over_capacity(&self) -> bool {
         self.len() > self.capacity
     }
 
-    /// Requests that go before one of this class.
+    /// Number of queued requests served before a new one of this class.
     pub fn ahead(&self, class: Class) -> usize {
         self.class_counts[..=class.rank()].iter().sum()
     }
 
-    /// Whether a request of this class and model would have to wait behind others.
+    /// Whether a new request of this class and model would have to wait behind others.
     pub fn has_ahead(&self, class: Class, model: Option<&Model>) -> bool {
         let classes = &self.classes[..=class.rank()];
-        // Lines are keyed by owned models, and most often there are none at all.
+        // The keys are owned models, and usually the queue is empty.
         !self.is_empty()
             && classes
                 .iter()
-                .any(|lines| lines.keys().any(|key| key.as_ref() == model))
+                .any(|queues| queues.keys().any(|key| key.as_ref() == model))
     }
 
-    /// Lets a request wait.
-    pub fn push(&mut self, ticket: Ticket, waiting: Pending) {
-        let request = &waiting.request;
+    /// Queues a request.
+    pub fn push(&mut self, ticket: Ticket, pending: Pending) {
+        let request = &pending.request;
         let location = Location {
             class: request.class,
             model: request.model.clone(),
@@ -134,30 +133,30 @@
         self.classes[location.class.rank()]
             .entry(location.model.clone())
             .or_default()
-            .insert(location.position, waiting);
+            .insert(location.position, pending);
         self.locations.insert(ticket, location);
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Pending> {
         let location = self.locations.remove(&ticket)?;
-        let lines = &mut self.classes[location.class.rank()];
-        let line = lines.get_mut(&location.model)?;
-        let waiting = line.remove(&location.position)?;
-        if line.is_empty() {
-            lines.remove(&location.model);
+        let queues = &mut self.classes[location.class.rank()];
+        let queue = queues.get_mut(&location.model)?;
+        let pending = queue.remove(&location.position)?;
+        if queue.is_empty() {
+            queues.remove(&location.model);
         }
         self.class_counts[location.class.rank()] -= 1;
-        self.decrement_owner(location.class, waiting.request.owner());
-        Some(waiting)
+        self.decrement_owner(location.class, pending.request.owner());
+        Some(pending)
     }
 
-    /// All waiting requests in order of their tickets.
+    /// All queued requests, in order of their tickets.
     pub fn into_pending(self) -> Vec<(Ticket, Pending)> {
-        let lines = self.classes.into_iter().flat_map(BTreeMap::into_values);
-        let mut all: Vec<(Ticket, Pending)> = lines
+        let queues = self.classes.into_iter().flat_map(BTreeMap::into_values);
+        let mut all: Vec<(Ticket, Pending)> = queues
             .flatten()
-            .map(|((_, ticket), waiting)| (ticket, waiting))
+            .map(|((_, ticket), pending)| (ticket, pending))
             .collect();
         all.sort_by_key(|(ticket, _)| *ticket);
         all
@@ -176,22 +175,22 @@
         }
     }
 
-    /// First of each line in order of service: by class, then by deadline.
+    /// Heads of the queues in order of service: by class, then by deadline.
     pub fn heads(&self) -> SmallVec<[(Class, Ticket); 8]> {
         let mut heads: SmallVec<[(Class, Position); 8]> = SmallVec::new();
         for class in Class::ALL {
-            for line in self.classes[class.rank()].values() {
-                heads.extend(line.keys().next().map(|place| (class, *place)));
+            for queue in self.classes[class.rank()].values() {
+                heads.extend(queue.keys().next().map(|position| (class, *position)));
             }
         }
         heads.sort_unstable();
         heads
             .iter()
-            .map(|(class, place)| (*class, place.1))
+            .map(|(class, position)| (*class, position.1))
             .collect()
     }
 
-    /// The waiting request of a ticket.
+    /// The queued request with this ticket.
     pub fn get(&self, ticket: Ticket) -> Option<&Pending> {
         let location = self.locations.get(&ticket)?;
         self.classes[location.class.rank()]
@@ -199,8 +198,8 @@
             .get(&location.position)
     }
 
-    /// Whether a request may push out another when the queue is full: one of a lower class, or one of
-    /// its class whose owner has more waiting than this one's would.
+    /// Whether a request may displace another one when the queue is full: one of a lower class, or
+    /// one of its own class whose owner has more requests queued than this owner would have.
     pub fn can_displace(&self, class: Class, owner: Option<&Subject>) -> bool {
         let below = &self.class_counts[class.rank() + 1..];
         if below.iter().any(|count| *count > 0) {
@@ -212,26 +211,26 @@
         owners.values().any(|count| *count > own)
     }
 
-    /// Who has to go first: of the lowest class, and there of the owner who has most waiting, the
-    /// request that has the most time left. One owner's flood so pushes out its own requests and not
-    /// those of others.
+    /// Request to shed first: in the lowest class, among the requests of the owner with the most
+    /// queued, the one with the latest deadline. A flood of one owner thus displaces its own
+    /// requests and not those of others.
     pub fn victim(&self) -> Option<Ticket> {
         let rank = self.class_counts.iter().rposition(|count| *count > 0)?;
         let owners = self.owner_counts[rank].iter();
         let heaviest_owner = owners
             .max_by_key(|(_, count)| **count)
             .map(|(owner, _)| owner);
-        let lines = self.classes[rank].values().flatten();
-        let candidates = lines.filter(|(_, waiting)| waiting.request.owner() == heaviest_owner);
+        let queues = self.classes[rank].values().flatten();
+        let candidates = queues.filter(|(_, pending)| pending.request.owner() == heaviest_owner);
         candidates
-            .map(|(place, _)| *place)
+            .map(|(position, _)| *position)
             .max()
-            .map(|place| place.1)
+            .map(|position| position.1)
     }
 
-    /// Waiting requests whose deadline cannot be met any more, given the requests a second that
-    /// leave the queue and the least time that a request takes once it is sent. They are told at once
-    /// and not when the deadline has passed, so that callers can act.
+    /// Queued requests that can no longer meet their deadline, given the rate at which requests
+    /// leave the queue and the least time that a request takes once sent. They are refused at once
+    /// rather than at their deadline, so that callers can react.
     pub fn infeasible(
         &self,
         now: Moment,
@@ -240,14 +239,14 @@
     ) -> SmallVec<[Ticket; 4]> {
         let mut infeasible = SmallVec::new();
         let mut ahead = 0.0;
-        for lines in &self.classes {
+        for queues in &self.classes {
             let mut in_class = 0.0;
-            for line in lines.values() {
-                for (place, waiting) in line {
+            for queue in queues.values() {
+                for (position, pending) in queue {
                     let wait = expected_wait(ahead + in_class, per_second);
-                    let end = now + least(&waiting.request) + wait.div_f64(WAIT_MARGIN);
-                    if end > place.0 {
-                        infeasible.push(place.1);
+                    let end = now + least(&pending.request) + wait.div_f64(WAIT_MARGIN);
+                    if end > position.0 {
+                        infeasible.push(position.1);
                     } else {
                         in_class += 1.0;
                     }
@@ -259,10 +258,10 @@
     }
 }
 
-/// Longest wait that an estimate states.
+/// Upper bound of estimated waits.
 const MAX_WAIT: Duration = Duration::from_secs(3_600);
 
-/// Time until `ahead` requests have left, nothing if the rate is not known yet.
+/// Time until `ahead` requests have left the queue; zero if the rate is not known yet.
 pub fn expected_wait(ahead: f64, per_second: f64) -> Duration {
     if per_second <= 0.0 {
         return Duration::ZERO;
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! One pool at this entry: its upstreams, its queue, and the placement of one request.
+//! Scheduler of one pool at this entry: its upstreams, its queue, and the placement of requests.
 
 use std::time::Duration;
 
@@ -27,62 +27,62 @@
 /// Prefixes remembered per pool and generation.
 const HISTORY_CAPACITY: usize = 32_768;
 
-/// Time over which the rate is smoothed at which requests are sent.
+/// Smoothing window of the rate at which requests are sent.
 const SENT_RATE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Time after which the rate of the requests sent tells what the pool can do.
+/// Duration of a backlog after which the rate of requests sent reflects the capacity of the pool.
 const BACKLOG_SETTLING_TIME: Duration = Duration::from_secs(2);
 
-/// Weight of the newest request in the usual request.
+/// Weight of the newest request in the mean request.
 const MEAN_REQUEST_WEIGHT: f64 = 0.02;
 
-/// Weight of the newest request in the usual delay at upstreams.
+/// Weight of the newest request in the mean wait at upstreams.
 const UPSTREAM_WAIT_WEIGHT: f64 = 0.05;
 
-/// Factor on the usual excess in the decision whether a request can be in time.
+/// Factor on the lateness when checking whether a request can meet its deadline.
 const LATENESS_MARGIN: f64 = 1.5;
 
-/// Roles that run a whole request. Decode engines do so in small chunks.
+/// Roles that run prefill and decode of a request. Decode engines prefill in small chunks.
 const COLOCATED_ROLES: [Role; 2] = [Role::Mixed, Role::Decode];
 
-/// Why a request cannot be sent now.
+/// Reason why a request cannot be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Blocked {
-    /// No upstream takes such work.
+    /// No upstream accepts such work.
     NoUpstream,
-    /// All that do have enough before them.
+    /// None of the upstreams that do has room.
     NoRoom,
-    /// Even the best would answer after the deadline.
+    /// Even the earliest answer would miss the deadline.
     TooLate,
 }
 
-/// State of one pool.
+/// Scheduler of one pool.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     /// Settings.
     pub config: Config,
     /// Upstreams.
     pub members: Members,
-    /// Waiting requests.
+    /// Queued requests.
     pub queue: Queue,
     sent_rate: Rate,
-    /// Since when requests have been waiting.
+    /// Time since which the queue has not been empty.
     backlog_since: Option<Moment>,
-    /// Mean of the requests that came lately.
+    /// Smoothed mean of the recent requests.
     mean_request: Load,
     chooser: Chooser,
     history: History,
-    /// Seconds that requests lately stood at an upstream before their prefill began.
+    /// Smoothed wait at upstreams before the prefill, in seconds.
     upstream_wait: f64,
-    /// Prompt tokens a second of one upstream.
+    /// Mean prefill rate of one upstream, in prompt tokens per second.
     prefill_rate: f64,
     class_mix: ClassMix,
-    /// Seconds by which first tokens lately came later than expected, by class.
+    /// Lateness of first tokens, by class.
     lateness: [Lateness; Class::COUNT],
 }
 
 impl Scheduler {
-    /// A pool without upstreams.
+    /// Creates a scheduler without upstreams.
     pub fn new(now: Moment, config: Config, rng: &mut SmallRng) -> Self {
         Self {
             members: Members::new(),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes new settings.
+    /// Replaces the settings.
     pub fn configure(&mut self, config: Config) {
         self.queue.set_capacity(config.queue_capacity);
         self.config = config;
@@ -111,7 +111,7 @@
         for view in &views {
             let known = self.members.position(&view.id);
             let known = known.map(|position| &self.members.at(position).view);
-            // A change of the role drops an engine's cache.
+            // An engine drops its cache when its role changes.
             if known.is_some_and(|known| known.role != view.role) {
                 self.history.forget_upstream(&view.id);
             }
@@ -121,20 +121,20 @@
         }
     }
 
-    /// Forgets that an upstream holds a prefix.
+    /// Records that an upstream evicted a prefix.
     pub fn evict(&mut self, upstream: &str, prefix: u64) {
         self.history.evict(prefix, upstream);
     }
 
-    /// Where a request would go now. Urgent work goes in any case: a late answer to it is worth a
-    /// try, since its estimate leaves out that engines serve it first.
-    pub fn place(&mut self, now: Moment, waiting: &Pending) -> Result<Placement, Blocked> {
-        match self.place_excluding_tried(now, waiting) {
-            // Trying the same upstream again is better than not trying at all.
-            Err(Blocked::NoUpstream) if !waiting.tried.is_empty() => {
+    /// Chooses a placement for a request. Urgent requests are placed even if late: the estimate
+    /// leaves out that engines serve them first, so the attempt is worthwhile.
+    pub fn place(&mut self, now: Moment, pending: &Pending) -> Result<Placement, Blocked> {
+        match self.place_excluding_tried(now, pending) {
+            // Retrying a failed upstream is better than not retrying at all.
+            Err(Blocked::NoUpstream) if !pending.tried.is_empty() => {
                 let untried = Pending {
                     tried: SmallVec::new(),
-                    ..waiting.clone()
+                    ..pending.clone()
                 };
                 self.place_excluding_tried(now, &untried)
             }
@@ -145,11 +145,11 @@
     fn place_excluding_tried(
         &mut self,
         now: Moment,
-        waiting: &Pending,
+        pending: &Pending,
     ) -> Result<Placement, Blocked> {
-        let request = &waiting.request;
-        let colocated = self.choose(now, &Work::whole(request, &COLOCATED_ROLES, &waiting.tried));
-        let disaggregated = self.choose_disaggregated(now, waiting);
+        let request = &pending.request;
+        let colocated = self.choose(now, &Work::whole(request, &COLOCATED_ROLES, &pending.tried));
+        let disaggregated = self.choose_disaggregated(now, pending);
         let preferred = disaggregation::choose_placement(
             &self.config,
             request.prompt_tokens,
@@ -159,12 +159,12 @@
         .ok_or(Blocked::NoUpstream)?;
         let placement = match self.has_room(request, &preferred) {
             true => preferred,
-            false => self.place_with_room(now, waiting).ok_or(Blocked::NoRoom)?,
+            false => self.place_with_room(now, pending).ok_or(Blocked::NoRoom)?,
         };
         if request.class.is_urgent() || self.meets_deadline(now, request, &placement) {
             return Ok(placement);
         }
-        let work = Work::whole(request, &COLOCATED_ROLES, &waiting.tried);
+        let work = Work::whole(request, &COLOCATED_ROLES, &pending.tried);
         let earliest =
             self.chooser
                 .earliest_with_room(now, &self.config, &self.members, request.class, &work);
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Whether the first token is expected before the deadline. Of the work that stands before it
-    /// only that of its class and of higher ones counts.
+    /// Whether the first token is expected before the deadline. Only earlier work of the same or
+    /// higher classes counts.
     fn meets_deadline(&self, now: Moment, request: &Request, placement: &Placement) -> bool {
         let lateness = self.lateness[request.class.rank()].seconds(now);
         let expected =
@@ -183,7 +183,7 @@
         expected <= request.deadline.saturating_sub(now).as_secs_f64()
     }
 
-    /// Seconds to the first token at a place.
+    /// Expected seconds to the first token with a placement.
     pub fn expected_first_token(
         &self,
         now: Moment,
@@ -194,12 +194,12 @@
         total - placement.wait() * (1.0 - self.class_mix.share_ahead(now, request.class))
     }
 
-    /// Learns from a first token.
+    /// Records the time that a first token took.
     pub fn record_first_token(&mut self, now: Moment, class: Class, expected: f64, took: f64) {
         self.lateness[class.rank()].record(now, expected, took);
     }
 
-    /// Enters a placement as work in hand.
+    /// Reserves the load of a placement.
     pub fn commit(&mut self, now: Moment, request: &Request, placement: &Placement) -> Reservation {
         self.record_sent(now, request, placement);
         let whole = Load::of(request.prompt_tokens, request.output_tokens);
@@ -228,8 +228,8 @@
                     ..whole
                 };
                 let id = self.charge_pick(now, prefill, prefill_load);
-                // An imported cache serves its request only; it is the prefilling engine that keeps
-                // the prefix.
+                // An imported cache serves its own request only; the prefill engine keeps the
+                // prefix.
                 self.history.record(&request.prefixes, &id);
                 Reservation {
                     upstream: self.charge_pick(now, decode, decode_load),
@@ -240,27 +240,27 @@
         }
     }
 
-    /// Takes work out of an upstream's ledger.
+    /// Releases load from an upstream's ledger.
     pub fn release(&mut self, now: Moment, upstream: &str, load: Load) {
         if let Some(member) = self.members.get_mut(upstream) {
             member.ledger.remove(now, load);
         }
     }
 
-    /// Puts work into an upstream's ledger.
+    /// Adds load to an upstream's ledger.
     pub fn charge(&mut self, now: Moment, upstream: &str, load: Load) {
         if let Some(member) = self.members.get_mut(upstream) {
             member.ledger.add(now, load);
         }
     }
 
-    /// Least time to the first token of a request, with nothing before it.
+    /// Least time to the first token, without any earlier work.
     pub fn min_first_token_time(&self, request: &Request) -> Duration {
-        // A cached prompt is faster still, so that half of it is all that may be taken for sure.
+        // Part of the prompt may be cached, so only half of its prefill is certain.
         to_duration(self.prefill_time(request) / 2.0)
     }
 
-    /// Time to the first token of a request as it is at present, without the wait at this entry.
+    /// Typical time to the first token at present, without the wait in this entry's queue.
     pub fn typical_first_token_time(&self, now: Moment, request: &Request) -> Duration {
         let wait = self.upstream_wait * self.class_mix.share_ahead(now, request.class);
         to_duration(
@@ -272,7 +272,7 @@
         f64::from(request.prompt_tokens) / self.prefill_rate.max(f64::MIN_POSITIVE)
     }
 
-    /// Takes stock; to be called some times a second.
+    /// Recomputes the pool's statistics; called several times per second.
     pub fn refresh_statistics(&mut self, now: Moment) {
         self.members.refresh_statistics(now);
         if let Some(rate) = self.members.prefill_rate() {
@@ -280,9 +280,9 @@
         }
     }
 
-    /// Requests a second that leave the queue. While it has not been there for long, the rate of
-    /// the last seconds tells what came and not what the pool can do; then the larger of both counts,
-    /// because a burst after a quiet time must not be refused for the quiet.
+    /// Requests per second that leave the queue. While a backlog is young, the recent rate
+    /// reflects arrivals rather than the capacity of the pool; the larger of both is used, so that
+    /// a burst after a quiet period is not refused.
     pub fn drain_rate(&self, now: Moment) -> f64 {
         let served = self.sent_rate.per_second(now);
         let settled = self
@@ -294,22 +294,22 @@
         served.max(self.members.capacity(self.mean_request))
     }
 
-    /// Lets a request wait.
-    pub fn push(&mut self, now: Moment, ticket: Ticket, waiting: Pending) {
+    /// Queues a request.
+    pub fn push(&mut self, now: Moment, ticket: Ticket, pending: Pending) {
         self.backlog_since.get_or_insert(now);
-        self.queue.push(ticket, waiting);
+        self.queue.push(ticket, pending);
     }
 
-    /// Takes a waiting request out.
+    /// Removes a queued request.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Pending> {
-        let waiting = self.queue.remove(ticket);
+        let pending = self.queue.remove(ticket);
         if self.queue.is_empty() {
             self.backlog_since = None;
         }
-        waiting
+        pending
     }
 
-    /// Counts a request that came.
+    /// Records the arrival of a request.
     pub fn record_arrival(&mut self, request: &Request) {
         let load = Load::of(request.prompt_tokens, request.output_tokens);
         let weight = if self.mean_request.requests > 0.0 {
@@ -332,16 +332,16 @@
             .choose(now, &self.config, &self.members, &self.history, work)
     }
 
-    fn choose_disaggregated(&mut self, now: Moment, waiting: &Pending) -> Option<(Pick, Pick)> {
-        let request = &waiting.request;
+    fn choose_disaggregated(&mut self, now: Moment, pending: &Pending) -> Option<(Pick, Pick)> {
+        let request = &pending.request;
         if !disaggregation::is_eligible(&self.config, request.prompt_tokens)
             || self.members.ready(Role::Prefill).is_empty()
         {
             return None;
         }
-        let whole = Work::whole(request, &[Role::Prefill], &waiting.tried);
+        let whole = Work::whole(request, &[Role::Prefill], &pending.tried);
         let prefill = self.choose(now, &Work { output: 0, ..whole })?;
-        let decode = self.choose(now, &decode_work(request, &waiting.tried))?;
+        let decode = self.choose(now, &decode_work(request, &pending.tried))?;
         Some((prefill, decode))
     }
 
@@ -356,19 +356,19 @@
         }
     }
 
-    /// Looks for any place with room when the preferred one has none.
-    fn place_with_room(&mut self, now: Moment, waiting: &Pending) -> Option<Placement> {
-        let request = &waiting.request;
-        let work = Work::whole(request, &COLOCATED_ROLES, &waiting.tried);
+    /// Chooses any placement with room when the preferred one has none.
+    fn place_with_room(&mut self, now: Moment, pending: &Pending) -> Option<Placement> {
+        let request = &pending.request;
+        let work = Work::whole(request, &COLOCATED_ROLES, &pending.tried);
         if let Some(pick) = self.pick_with_room(now, request, &work) {
             return Some(Placement::Colocated(pick));
         }
         if !disaggregation::is_eligible(&self.config, request.prompt_tokens) {
             return None;
         }
-        let whole = Work::whole(request, &[Role::Prefill], &waiting.tried);
+        let whole = Work::whole(request, &[Role::Prefill], &pending.tried);
         let prefill = self.pick_with_room(now, request, &Work { output: 0, ..whole })?;
-        let decode = self.pick_with_room(now, request, &decode_work(request, &waiting.tried))?;
+        let decode = self.pick_with_room(now, request, &decode_work(request, &pending.tried))?;
         Some(Placement::Disaggregated { prefill, decode })
     }
 
@@ -393,7 +393,7 @@
     }
 }
 
-/// Longest expected time that is reckoned with.
+/// Upper bound of estimated times.
 const MAX_SECONDS: f64 = 3_600.0;
 
 fn to_duration(seconds: f64) -> Duration {
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -18,7 +18,7 @@
 /// A deadline that no test reaches.
 const LATE: u64 = 10_000_000;
 
-/// Fills a pool of one engine with dispatch work; gives the attempts.
+/// Fills a pool of one engine with interactive requests and returns the attempts.
 fn full(router: &mut Router) -> Vec<Attempt> {
     let mut attempts = Vec::new();
     loop {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn waiting_work_goes_by_class_and_then_by_deadline() {
+fn queued_requests_are_sent_by_class_and_then_by_deadline() {
     let mut router = router(config(), engines(1));
     let attempts = full(&mut router);
     let batch = wait(&mut router, 1, Class::Batch, LATE);
@@ -70,10 +70,9 @@
 }
 
 #[test]
-fn authorisations_and_pings_never_wait_behind_other_work() {
-    // Symptom: a late authorisation leaves a customer at a dead kiosk.
-    // Sequence: the pool is full and the queue as well, then an authorisation comes.
-    // Cause: it would stand in the same queue as summaries.
+fn authorisations_and_status_reports_never_queue_behind_other_work() {
+    // Guards against authorisations queued behind summaries: with the pool and the queue full, a
+    // late authorisation leaves a customer waiting at a kiosk.
     let mut router = router(config(), engines(1));
     full(&mut router);
     for n in 0..256 {
@@ -117,10 +116,9 @@
 }
 
 #[test]
-fn an_owner_that_floods_the_queue_pushes_out_its_own_requests() {
-    // Symptom: while one owner sends far too much, others of the same class are refused.
-    // Sequence: an owner fills the queue; a request of another owner of the same class comes.
-    // Cause: whoever comes when the queue is full is refused.
+fn a_flooding_owner_displaces_its_own_requests() {
+    // Guards against one owner's flood causing refusals for other owners of the same class, as
+    // happens if whoever arrives at a full queue is refused.
     let pool = Config {
         queue_capacity: 8,
         ..config()
@@ -149,7 +147,7 @@
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut router = router(config(), engines(1));
     full(&mut router);
     // The rate at which requests are sent is known: 40 in the first second.
@@ -164,27 +162,29 @@
 }
 
 #[test]
-fn a_waiting_request_is_told_before_its_deadline_has_passed() {
-    // Symptom: callers learn only at their deadline that their request was not run.
-    // Sequence: a request waits, and nothing leaves the queue any more.
-    // Cause: the queue would be looked at only when something is sent.
+fn a_queued_request_is_refused_before_its_deadline_passes() {
+    // Guards against callers learning only at their deadline that their request was not run, as
+    // happens if the queue is checked only when something is sent.
     let mut router = router(config(), engines(1));
     full(&mut router);
     let ticket = wait(&mut router, 10, Class::Interactive, 3_000);
-    let mut told = None;
+    let mut refused_at = None;
     for now in (20..3_000).step_by(20) {
         let refusals = refused(&router.tick(ms(now)));
         if refusals.contains(&(ticket, Reason::Deadline)) {
-            told = Some(now);
+            refused_at = Some(now);
             break;
         }
     }
-    assert!(told.is_some_and(|told| told < 3_000), "{told:?}");
+    assert!(
+        refused_at.is_some_and(|refused_at| refused_at < 3_000),
+        "{refused_at:?}"
+    );
     assert_eq!(router.waiting(common::POOL), 0);
 }
 
 #[test]
-fn a_model_whose_engines_are_full_does_not_hold_up_others() {
+fn a_model_whose_engines_are_full_does_not_block_others() {
     let mut views = engines(2);
     views[0].models = smallvec!["a@1".into()];
     views[1].models = smallvec!["b@1".into()];
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_leaves_no_trace_in_the_queue() {
+fn a_cancelled_request_leaves_the_queue() {
     let mut router = router(config(), engines(1));
     let attempts = full(&mut router);
     let ticket = wait(&mut router, 1, Class::Interactive, LATE);
@@ -210,10 +210,9 @@
 }
 
 #[test]
-fn refused_callers_are_told_different_times() {
-    // Symptom: after an overload all refused callers come back in the same second.
-    // Sequence: many are refused at the same moment and told the same time.
-    // Cause: the time to come back would depend on the queue alone.
+fn retry_times_of_refusals_are_spread() {
+    // Guards against refused callers returning in the same second, as happens if the retry time
+    // depends on the queue alone.
     let mut router = router(config(), vec![]);
     let mut seconds = [0_usize; 10];
     for _ in 0..1_000 {
@@ -226,10 +225,9 @@
 }
 
 #[test]
-fn retries_stay_a_share_of_first_attempts() {
-    // Symptom: a pool that fails gets three times its load and does not recover.
-    // Sequence: every attempt fails; each is retried.
-    // Cause: retries without a budget multiply the load just when it is too high.
+fn retries_stay_within_their_budget() {
+    // Guards against a failing pool receiving three times its load, as happens if retries have no
+    // budget.
     let mut router = router(config(), engines(8));
     let mut attempts = 0;
     for n in 0..1_000_u64 {
@@ -255,7 +253,7 @@
 }
 
 #[test]
-fn retries_of_one_moment_are_spread() {
+fn simultaneous_retries_are_spread() {
     let mut router = router(config(), engines(8));
     let mut due: Vec<Moment> = Vec::new();
     for _ in 0..20 {
@@ -274,10 +272,9 @@
 }
 
 #[test]
-fn a_burst_after_a_quiet_time_is_not_refused() {
-    // Symptom: the first requests after a pause are refused although the pool is idle.
-    // Sequence: nothing comes for a minute, then more than fits into the windows.
-    // Cause: the rate at which requests were sent is taken for the rate at which they can be.
+fn a_burst_after_a_quiet_period_is_not_refused() {
+    // Guards against refusing the first requests after a quiet period, as happens if the rate at
+    // which requests were sent is taken for the capacity.
     let mut router = router(config(), engines(4));
     for _ in 0..60 {
         let decision = router.admit(ms(60_000), request(Class::Interactive, ms(61_500)));
@@ -287,7 +284,7 @@
 }
 
 #[test]
-fn the_only_upstream_is_tried_again() {
+fn the_only_upstream_is_retried() {
     let mut router = router(config(), engines(1));
     let decision = router.admit(ms(0), request(Class::Interactive, ms(LATE)));
     let first = assert_matches!(decision, Decision::Send(assignment) => assignment);
@@ -297,25 +294,24 @@
 }
 
 #[test]
-fn a_backlog_of_lower_classes_refuses_nobody() {
-    // Symptom: questions with half a second to go are refused while engines would serve them first.
-    // Sequence: summaries fill the engine's line; a question with a short deadline comes.
-    // Cause: the line counts as a whole, though the engine serves it by priority.
+fn a_lower_class_backlog_does_not_refuse_higher_classes() {
+    // Guards against refusing a request with a short deadline because of lower-class work ahead of
+    // it, which the engine serves later by priority.
     let mut router = router(config(), engines(1));
     for n in 0..5 {
         let decision = router.admit(ms(n), request(Class::Batch, ms(LATE)));
         assert_matches!(decision, Decision::Send(_));
     }
-    // 2,500 tokens of the summaries make a quarter of a second.
+    // The 2,500 tokens of the batch requests take a quarter of a second.
     let decision = router.admit(ms(10), request(Class::Interactive, ms(160)));
     assert_matches!(decision, Decision::Send(_));
 }
 
 #[test]
-fn first_tokens_that_come_later_than_expected_are_learnt() {
-    // Symptom: requests are sent that cannot be in time, and take the place of others.
-    // Sequence: first tokens take a second longer than the estimate, again and again.
-    // Cause: the sends of other entries are in no estimate.
+fn late_first_tokens_raise_the_estimate() {
+    // Guards against sending requests that cannot be in time, in place of others. First tokens
+    // repeatedly take a second longer than estimated, because estimates leave out the requests of
+    // other entries.
     let mut router = router(config(), engines(1));
     let mut now = 0;
     for _ in 0..100 {
@@ -331,17 +327,16 @@
     });
     let decision = router.admit(ms(now), request(Class::Interactive, ms(now + 2_000)));
     assert_matches!(decision, Decision::Send(_));
-    // Nothing is sent for a while, because all is refused; that must not last.
+    // Once everything is refused, no first token corrects the lateness; it must decay by itself.
     now += 20_000;
     let decision = router.admit(ms(now), request(Class::Interactive, ms(now + 500)));
     assert_matches!(decision, Decision::Send(_));
 }
 
 #[test]
-fn reports_that_cease_do_not_close_the_pool() {
-    // Symptom: after the engines' reports ceased, all but urgent work is refused for good.
-    // Sequence: the last reports show full engines; then none come any more.
-    // Cause: old views fade towards a mean that is made of old views.
+fn missing_reports_do_not_close_the_pool() {
+    // Guards against refusing all but urgent work permanently after the load reports stop. The
+    // last reports show full engines, and stale views decay towards a mean made of stale views.
     let mut router = router(config(), engines(4));
     for view in engines(4) {
         let report = Report {
