--- a/crates/routing/src/router/attempts.rs
+++ b/crates/routing/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in hand: their progress, their end, their failure, and what is learnt from them.
+//! Running attempts: progress, completion, failure, and the observations made from them.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
     queue::Pending,
 };
 
-/// Longest expected time, in seconds, after which a silent prefill is taken to be done.
+/// Upper bound of the time after which a prefill without any report is presumed done.
 const MAX_PREFILL_S: f64 = 600.0;
 
 impl Router {
-    /// Takes in a sign of life of an attempt.
+    /// Records progress of an attempt.
     pub fn progress(&mut self, now: Moment, attempt: Attempt, progress: Progress) {
         let Some(running) = self.running.get_mut(&attempt) else {
             return;
         };
-        let Some(pool) = self.pools.get_mut(&running.waiting.request.pool) else {
+        let Some(pool) = self.pools.get_mut(&running.pending.request.pool) else {
             return;
         };
         if let Some(member) = pool.members.get_mut(running.reservation.active_upstream()) {
@@ -32,7 +32,7 @@
                 if running.reservation.prefill.is_none() && running.first_token.is_none() {
                     running.first_token = Some(now);
                     let took = now.saturating_sub(running.sent).as_secs_f64();
-                    let class = running.waiting.request.class;
+                    let class = running.pending.request.class;
                     pool.record_first_token(now, class, running.expected_first_token, took);
                 }
                 running.reservation.finish_prefill(now, pool);
@@ -44,13 +44,13 @@
         }
     }
 
-    /// The KV transfer of an attempt failed: its answering upstream prefills as well. The entry
-    /// sends it there as a plain request.
+    /// Records a failed KV transfer: the answering upstream prefills as well. The entry sends it
+    /// the request without a transfer.
     pub fn transfer_failed(&mut self, now: Moment, attempt: Attempt) {
         let Some(running) = self.running.get_mut(&attempt) else {
             return;
         };
-        let request = &running.waiting.request;
+        let request = &running.pending.request;
         if let Some(pool) = self.pools.get_mut(&request.pool) {
             running
                 .reservation
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Takes the prefill of whole answers to be done when it was expected to be.
+    /// Presumes the prefill of unstreamed answers done at its expected time.
     ///
-    /// Such an answer gives no sign before its end. Its prompt would stand before the upstream for
-    /// all the seconds of its decode, and requests that are in time there would be refused, as one
-    /// notices by refusals for the deadline with most of the slots free.
+    /// Such an answer reports nothing before its end. Otherwise its prompt would count as
+    /// outstanding during the whole decode, and requests that would be in time would be refused
+    /// for their deadline with most slots free.
     pub(super) fn presume_prefilled(&mut self, now: Moment) {
         while let Some((due, attempt)) = self.presumed_prefills.first().copied() {
             if due > now {
@@ -72,7 +72,7 @@
             let Some(running) = self.running.get_mut(&attempt) else {
                 continue;
             };
-            if let Some(pool) = self.pools.get_mut(&running.waiting.request.pool)
+            if let Some(pool) = self.pools.get_mut(&running.pending.request.pool)
                 && running.reservation.prefill.is_none()
             {
                 running.reservation.finish_prefill(now, pool);
@@ -80,63 +80,63 @@
         }
     }
 
-    /// An attempt ended: answered, or cancelled because the caller is gone.
+    /// Ends an attempt that was answered, or cancelled because its caller is gone.
     pub fn finished(&mut self, now: Moment, attempt: Attempt) -> Outputs {
         let mut outputs = Outputs::new();
         if let Some(running) = self.release(now, attempt) {
             self.settle_limits(&running);
             self.record_speed(now, &running);
-            self.serve(now, &running.waiting.request.pool, &mut outputs);
+            self.serve(now, &running.pending.request.pool, &mut outputs);
         }
         outputs
     }
 
-    /// An attempt failed before the caller got any of the answer.
+    /// Ends an attempt that failed before the caller received any of the answer.
     pub fn failed(&mut self, now: Moment, attempt: Attempt, ran: Execution) -> RetryDecision {
         let Some(mut running) = self.release(now, attempt) else {
             return RetryDecision::Final;
         };
-        let request = &running.waiting.request;
+        let request = &running.pending.request;
         if let Some(pool) = self.pools.get_mut(&request.pool)
             && let Some(member) = pool.members.get_mut(running.reservation.active_upstream())
         {
             member.passive_health.record_failure(now);
         }
-        running.waiting.attempts += 1;
+        running.pending.attempts += 1;
         running
-            .waiting
+            .pending
             .tried
             .push(running.reservation.upstream.clone());
-        let Some(due) = self.retry_at(now, &running.waiting, ran) else {
+        let Some(due) = self.retry_at(now, &running.pending, ran) else {
             self.settle_limits(&running);
             return RetryDecision::Final;
         };
         let ticket = self.next_number();
-        let waiting = running.waiting;
+        let pending = running.pending;
         self.backoffs
-            .insert((due, ticket), Backoff { ticket, waiting });
+            .insert((due, ticket), Backoff { ticket, pending });
         RetryDecision::Wait(ticket)
     }
 
-    /// When a request may be tried again, if at all.
+    /// Time of the next attempt, if the request may be retried.
     pub(super) fn retry_at(
         &mut self,
         now: Moment,
-        waiting: &Pending,
+        pending: &Pending,
         ran: Execution,
     ) -> Option<Moment> {
-        let safe = ran == Execution::NotRun || waiting.request.repeatable;
-        if !safe || !self.budget.withdraw(waiting.attempts) {
+        let safe = ran == Execution::NotRun || pending.request.repeatable;
+        if !safe || !self.budget.withdraw(pending.attempts) {
             return None;
         }
-        let due = now + self.budget.backoff(&mut self.rng, waiting.attempts);
-        (due < waiting.request.deadline).then_some(due)
+        let due = now + self.budget.backoff(&mut self.rng, pending.attempts);
+        (due < pending.request.deadline).then_some(due)
     }
 
-    /// Learns the speed of an upstream from a finished attempt. One that gave nothing at all was
-    /// cancelled and tells nothing.
+    /// Records the speed of an upstream from a finished attempt. An attempt without any output was
+    /// cancelled and is ignored.
     pub(super) fn record_speed(&mut self, now: Moment, running: &Running) {
-        let request = &running.waiting.request;
+        let request = &running.pending.request;
         let no_output = running.generated == 0 && running.first_token.is_none();
         if no_output && request.output_tokens > 0 {
             return;
@@ -155,9 +155,9 @@
         }
     }
 
-    /// Books what an attempt used in truth.
+    /// Charges the actual usage of an attempt to its limits.
     pub(super) fn settle_limits(&mut self, running: &Running) {
-        let request = &running.waiting.request;
+        let request = &running.pending.request;
         let actual = u64::from(request.prompt_tokens) + running.generated;
         let used = Usage {
             expected: request.tokens(),
@@ -166,15 +166,15 @@
         self.limits.release(&request.subjects, used);
     }
 
-    /// Enters an attempt. None only if the pool went since the placement.
+    /// Starts an attempt. Returns none only if the pool was removed after the placement.
     pub(super) fn send(
         &mut self,
         now: Moment,
-        waiting: Pending,
+        pending: Pending,
         placement: &Placement,
     ) -> Option<Assignment> {
         let attempt = self.next_number();
-        let request = &waiting.request;
+        let request = &pending.request;
         let pool = self.pools.get_mut(&request.pool)?;
         let expected_first_token = pool.expected_first_token(now, request, placement);
         let reservation = pool.commit(now, request, placement);
@@ -191,7 +191,7 @@
         self.running.insert(
             attempt,
             Running {
-                waiting,
+                pending,
                 reservation,
                 sent: now,
                 expected_first_token,
@@ -204,7 +204,7 @@
 
     pub(super) fn release(&mut self, now: Moment, attempt: Attempt) -> Option<Running> {
         let running = self.running.remove(&attempt)?;
-        if let Some(pool) = self.pools.get_mut(&running.waiting.request.pool) {
+        if let Some(pool) = self.pools.get_mut(&running.pending.request.pool) {
             running.reservation.release(now, pool);
         }
         Some(running)
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -1,8 +1,8 @@
-//! All decisions of one process as one aggregate, to be kept behind one lock.
+//! The router: all routing decisions of one process, kept behind one lock.
 //!
-//! Every call is short. Requests that waited and may go are told by [`Router::tick`] and by
+//! Every call is short. Queued requests that can be sent are returned by [`Router::tick`] and
 //! [`Router::finished`]; the entry calls `tick` every [`TICK`] and after [`Router::failed`],
-//! [`Router::report`] and [`Router::set_upstreams`], which may have made room.
+//! [`Router::report`] and [`Router::set_upstreams`], which may have freed capacity.
 
 mod attempts;
 mod waiting;
@@ -28,68 +28,68 @@
     upstream::{Report, View},
 };
 
-/// How often the entry calls [`Router::tick`] at least.
+/// Longest interval between calls of [`Router::tick`].
 pub const TICK: Duration = Duration::from_millis(20);
 
-/// Time between two sweeps over the queue for requests whose deadline cannot be met any more.
+/// Interval between sweeps for queued requests that can no longer meet their deadline.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Outputs of one call; mostly none or one.
+/// Outputs of one call, rarely more than one.
 pub type Outputs = SmallVec<[Output; 2]>;
 
-/// Settings of a router that are not a pool's.
+/// Settings of a router that are not specific to a pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Settings {
     /// Retries.
     pub retry: retry::Config,
-    /// Sharing of owners' limits.
+    /// Division of rate limits.
     pub limit: limit::Config,
 }
 
-/// An attempt in hand.
+/// A running attempt.
 #[derive(Clone, Debug)]
 struct Running {
-    waiting: Pending,
+    pending: Pending,
     reservation: Reservation,
     sent: Moment,
-    /// Seconds in which the first token was expected.
+    /// Expected seconds to the first token.
     expected_first_token: f64,
-    /// When the answer began, if it comes as a stream.
+    /// Time of the first token, for streamed answers.
     first_token: Option<Moment>,
-    /// Answer tokens so far.
+    /// Answer tokens received so far.
     generated: u64,
 }
 
-/// A retry that waits for its backoff.
+/// A request waiting out its retry backoff.
 #[derive(Clone, Debug)]
 struct Backoff {
     ticket: Ticket,
-    waiting: Pending,
+    pending: Pending,
 }
 
-/// The decisions of one process.
+/// Routing decisions of one process.
 #[derive(Clone, Debug)]
 pub struct Router {
     rng: SmallRng,
     pools: BTreeMap<pool::Id, Scheduler>,
     running: HashMap<Attempt, Running>,
     backoffs: BTreeMap<(Moment, Ticket), Backoff>,
-    /// When the prefill of attempts that give no sign of it is taken to be done.
+    /// Times at which attempts that do not report their prefill are presumed to have finished it.
     presumed_prefills: BTreeSet<(Moment, Attempt)>,
-    /// Pool of each waiting request.
+    /// Pool of each queued request.
     tickets: HashMap<Ticket, pool::Id>,
     peers: Peers,
     budget: Budget,
     limits: Limits,
-    /// Requests that waited for a pool that is gone.
+    /// Requests queued for pools that were removed.
     orphans: Vec<(Ticket, Pending)>,
     last_number: u64,
     last_sweep: Moment,
 }
 
 impl Router {
-    /// A router without pools. `own` is the instance id of this entry. The seed makes its random
-    /// choices; give each process another.
+    /// A router without pools. `own` is the instance id of this entry. `seed` determines its
+    /// random choices; each process needs a different one.
     pub fn new(settings: Settings, own: &str, seed: u64) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Replaces the pools. What waits for a pool that is gone is refused by the next tick.
+    /// Replaces the pools. Requests queued for a removed pool are refused by the next tick.
     pub fn set_pools(&mut self, now: Moment, configs: Vec<Config>) {
         let mut old = std::mem::take(&mut self.pools);
         for config in configs {
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Replaces the upstreams of a pool. An upstream that is missing gets no new work; attempts
-    /// there go on until the entry says otherwise.
+    /// Replaces the upstreams of a pool. An upstream that is left out gets no new work; attempts
+    /// there continue until the entry ends them.
     pub fn set_upstreams(&mut self, now: Moment, pool: &str, views: Vec<View>) {
         let Some(pool) = self.pools.get_mut(pool) else {
             return;
@@ -150,28 +150,28 @@
         self.schedule(now, Pending::new(request))
     }
 
-    /// Takes back a waiting request because its caller is gone.
+    /// Cancels a queued request because its caller is gone.
     pub fn cancel(&mut self, ticket: Ticket) {
-        if let Some(waiting) = self.withdraw(ticket) {
-            self.release_unused(&waiting);
+        if let Some(pending) = self.withdraw(ticket) {
+            self.release_unused(&pending);
         }
     }
 
-    /// Takes in a load report of an engine.
+    /// Applies a load report of an engine.
     pub fn report(&mut self, pool: &str, upstream: &str, report: Report) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.members.apply_report(upstream, report);
         }
     }
 
-    /// Takes in that an engine evicted a prefix.
+    /// Records that an engine evicted a prefix.
     pub fn evicted(&mut self, pool: &str, upstream: &str, prefix: u64) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.evict(upstream, prefix);
         }
     }
 
-    /// Takes in a peer's outstanding work, true at `at` on this entry's clock.
+    /// Sets a peer's outstanding work as of `at`, on this entry's clock.
     pub fn update_peer(&mut self, now: Moment, peer: &str, at: Moment, work: Vec<Outstanding>) {
         self.peers.update(peer, at, work);
         for pool in self.pools.values_mut() {
@@ -179,33 +179,33 @@
         }
     }
 
-    /// Forgets a peer that is known to be gone.
+    /// Removes a peer that is known to be gone.
     pub fn peer_gone(&mut self, peer: &str) {
         self.peers.remove(peer);
         self.limits.remove_peer(peer);
     }
 
-    /// Replaces the limits of owners and entries.
+    /// Replaces the limits of owners and catalogue entries.
     pub fn set_quotas(&mut self, now: Moment, terms: Vec<Quota>) {
         self.limits.set_quotas(now, terms);
     }
 
-    /// Says which peers live, this entry left out; see [`Limits::set_peers`].
+    /// Sets the live peers, without this entry; see [`Limits::set_peers`].
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = peers::Id>) {
         self.limits.set_peers(peers);
     }
 
-    /// Takes in the demand that a peer tells.
+    /// Applies a peer's advertised demand.
     pub fn update_peer_demand(&mut self, now: Moment, peer: &peers::Id, demand: &[Demand]) {
         self.limits.update_peer(now, peer, demand);
     }
 
-    /// Demand to tell the peers now.
+    /// Demand to advertise to the peers.
     pub fn demand(&mut self, now: Moment) -> Vec<Demand> {
         self.limits.demand(now)
     }
 
-    /// Own outstanding work, for the peers.
+    /// This entry's outstanding work, to be sent to the peers.
     pub fn outstanding(&self) -> Vec<Outstanding> {
         let members = self.pools.values().flat_map(|pool| pool.members.list());
         members
@@ -217,15 +217,15 @@
             .collect()
     }
 
-    /// Requests in hand at an upstream, to be confirmed before a planned change.
+    /// Requests in flight at an upstream, which the entry confirms before a planned change.
     pub fn in_flight(&self, upstream: &str) -> u32 {
         let runs = |running: &&Running| running.reservation.uses(upstream);
         let count = self.running.values().filter(runs).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Answer tokens a second and request, as observed lately over a pool's upstreams; the default of
-    /// the pool's settings until answers came.
+    /// Observed answer tokens per second of one request in a pool; the configured default until
+    /// answers have been observed.
     pub fn answer_rate(&self, pool: &str) -> Option<f64> {
         let pool = self.pools.get(pool)?;
         pool.members
@@ -234,12 +234,13 @@
             .map(|member| member.speed.decode_rate)
     }
 
-    /// Requests that wait for a pool.
+    /// Number of requests queued for a pool.
     pub fn waiting(&self, pool: &str) -> usize {
         self.pools.get(pool).map_or(0, |pool| pool.queue.len())
     }
 
-    /// Lets time pass: backoffs that are over, room that came free, deadlines that cannot be met.
+    /// Advances the time: resumes retries whose backoff is over, sends queued requests where
+    /// capacity is free, and refuses those that can no longer meet their deadline.
     pub fn tick(&mut self, now: Moment) -> Outputs {
         let mut outputs = Outputs::new();
         self.resume(now, &mut outputs);
@@ -260,23 +261,23 @@
         outputs
     }
 
-    /// Sends, queues or refuses. What is refused gives back what it took from the limits.
-    fn schedule(&mut self, now: Moment, waiting: Pending) -> Decision {
-        let subjects = waiting.request.subjects.clone();
-        let tokens = waiting.request.tokens();
-        let decision = self.decide(now, waiting);
+    /// Sends, queues or refuses a request. A refusal returns the charge to the limits.
+    fn schedule(&mut self, now: Moment, pending: Pending) -> Decision {
+        let subjects = pending.request.subjects.clone();
+        let tokens = pending.request.tokens();
+        let decision = self.decide(now, pending);
         if matches!(decision, Decision::Refuse(_)) {
             self.limits.release(&subjects, Usage::none(tokens));
         }
         decision
     }
 
-    fn decide(&mut self, now: Moment, waiting: Pending) -> Decision {
-        let pool_id = waiting.request.pool.clone();
+    fn decide(&mut self, now: Moment, pending: Pending) -> Decision {
+        let pool_id = pending.request.pool.clone();
         let Some(pool) = self.pools.get_mut(&pool_id) else {
             return self.refuse(Reason::NoPool, Duration::ZERO);
         };
-        let request = &waiting.request;
+        let request = &pending.request;
         if now + pool.min_first_token_time(request) > request.deadline {
             return self.refuse(Reason::Deadline, Duration::ZERO);
         }
@@ -284,46 +285,45 @@
             && pool.queue.has_ahead(request.class, request.model.as_ref());
         let placed = match blocked {
             true => Err(Blocked::NoRoom),
-            false => pool.place(now, &waiting),
+            false => pool.place(now, &pending),
         };
         match placed {
-            Ok(placement) => match self.send(now, waiting, &placement) {
+            Ok(placement) => match self.send(now, pending, &placement) {
                 Some(assignment) => Decision::Send(assignment),
                 None => self.refuse(Reason::NoPool, Duration::ZERO),
             },
             Err(Blocked::NoUpstream) => self.refuse(Reason::NoUpstream, Duration::ZERO),
             Err(Blocked::TooLate) => self.refuse(Reason::Deadline, Duration::ZERO),
-            Err(Blocked::NoRoom) => self.queue_or_refuse(now, waiting),
+            Err(Blocked::NoRoom) => self.queue_or_refuse(now, pending),
         }
     }
 
-    fn queue_or_refuse(&mut self, now: Moment, waiting: Pending) -> Decision {
-        let pool_id = waiting.request.pool.clone();
-        let class = waiting.request.class;
+    fn queue_or_refuse(&mut self, now: Moment, pending: Pending) -> Decision {
+        let pool_id = pending.request.pool.clone();
+        let class = pending.request.class;
         let Some(pool) = self.pools.get_mut(&pool_id) else {
             return self.refuse(Reason::NoPool, Duration::ZERO);
         };
         let ahead = pool.queue.ahead(class) as f64;
         let wait = expected_wait(ahead, pool.drain_rate(now));
-        if now + wait + pool.typical_first_token_time(now, &waiting.request)
-            > waiting.request.deadline
+        if now + wait + pool.typical_first_token_time(now, &pending.request)
+            > pending.request.deadline
         {
             return self.refuse(Reason::Deadline, wait);
         }
-        let owner = waiting.request.owner();
+        let owner = pending.request.owner();
         if pool.queue.is_full() && !pool.queue.can_displace(class, owner) {
             return self.refuse(Reason::Overload(class), wait);
         }
         let ticket = self.next_number();
-        self.enqueue(now, pool_id, ticket, waiting);
+        self.enqueue(now, pool_id, ticket, pending);
         Decision::Wait(ticket)
     }
 
-    /// Puts a request into its queue. One of a lower class that no longer fits is refused by the
-    /// next tick.
-    fn enqueue(&mut self, now: Moment, pool_id: pool::Id, ticket: Ticket, waiting: Pending) {
+    /// Queues a request. If the queue then exceeds its capacity, the next tick sheds a request.
+    fn enqueue(&mut self, now: Moment, pool_id: pool::Id, ticket: Ticket, pending: Pending) {
         if let Some(pool) = self.pools.get_mut(&pool_id) {
-            pool.push(now, ticket, waiting);
+            pool.push(now, ticket, pending);
             self.tickets.insert(ticket, pool_id);
         }
     }
--- a/crates/routing/src/router/waiting.rs
+++ b/crates/routing/src/router/waiting.rs
@@ -1,5 +1,5 @@
-//! What the router does with requests that wait: it sends them when there is room, and refuses them
-//! as soon as they cannot be served in time or have to make room.
+//! Queued requests: they are sent when there is room, and refused as soon as they cannot meet
+//! their deadline or have to be shed.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 };
 
 impl Router {
-    /// Sends waiting requests in order of service as long as there is room.
+    /// Sends queued requests in order of service while there is room.
     pub(super) fn serve(&mut self, now: Moment, pool_id: &pool::Id, outputs: &mut Outputs) {
         self.shed(now, pool_id, outputs);
         while let Some((ticket, placement)) = self.next_waiting(now, pool_id) {
@@ -29,8 +29,8 @@
         }
     }
 
-    /// The next waiting request that leaves the queue: with its place, or without one because it
-    /// would be late anywhere.
+    /// The next request to leave the queue: with its placement, or without one if it would be late
+    /// anywhere.
     fn next_waiting(
         &mut self,
         now: Moment,
@@ -40,19 +40,19 @@
         if pool.queue.is_empty() {
             return None;
         }
-        // A class finds no room where a higher one found none.
+        // If a request finds no room, neither do later ones for the same model.
         let mut full: SmallVec<[Option<Model>; 4]> = SmallVec::new();
         for (_, ticket) in pool.queue.heads() {
-            let Some(waiting) = pool.queue.get(ticket).cloned() else {
+            let Some(pending) = pool.queue.get(ticket).cloned() else {
                 continue;
             };
-            if full.contains(&waiting.request.model) {
+            if full.contains(&pending.request.model) {
                 continue;
             }
-            match pool.place(now, &waiting) {
+            match pool.place(now, &pending) {
                 Ok(placement) => return Some((ticket, Some(placement))),
                 Err(Blocked::TooLate) => return Some((ticket, None)),
-                Err(Blocked::NoRoom | Blocked::NoUpstream) => full.push(waiting.request.model),
+                Err(Blocked::NoRoom | Blocked::NoUpstream) => full.push(pending.request.model),
             }
         }
         None
@@ -65,15 +65,15 @@
         placement: &Placement,
         outputs: &mut Outputs,
     ) {
-        let Some(waiting) = self.withdraw(ticket) else {
+        let Some(pending) = self.withdraw(ticket) else {
             return;
         };
-        if let Some(assignment) = self.send(now, waiting, placement) {
+        if let Some(assignment) = self.send(now, pending, placement) {
             outputs.push(Output::Send { ticket, assignment });
         }
     }
 
-    /// Refuses what is beyond the queue's bound, lowest class first.
+    /// Sheds requests beyond the queue's capacity, lowest class first.
     pub(super) fn shed(&mut self, now: Moment, pool_id: &pool::Id, outputs: &mut Outputs) {
         loop {
             let Some(pool) = self.pools.get_mut(pool_id) else {
@@ -85,14 +85,14 @@
             let Some(ticket) = pool.queue.victim() else {
                 return;
             };
-            let class = pool.queue.get(ticket).map(|waiting| waiting.request.class);
+            let class = pool.queue.get(ticket).map(|pending| pending.request.class);
             let wait = expected_wait(pool.queue.len() as f64, pool.drain_rate(now));
             let reason = class.map_or(Reason::NoPool, Reason::Overload);
             self.refuse_waiting(ticket, reason, wait, outputs);
         }
     }
 
-    /// Refuses what cannot meet its deadline any more, or could not when the next sweep comes.
+    /// Refuses requests that can no longer meet their deadline, or could not at the next sweep.
     pub(super) fn sweep(&mut self, now: Moment, pool_id: &pool::Id, outputs: &mut Outputs) {
         let Some(pool) = self.pools.get_mut(pool_id) else {
             return;
@@ -113,14 +113,14 @@
         }
     }
 
-    /// Takes up retries whose backoff is over.
+    /// Schedules retries whose backoff is over.
     pub(super) fn resume(&mut self, now: Moment, outputs: &mut Outputs) {
         while let Some(entry) = self.backoffs.first_entry() {
             if entry.key().0 > now {
                 return;
             }
-            let Backoff { ticket, waiting } = entry.remove();
-            match self.schedule(now, waiting) {
+            let Backoff { ticket, pending } = entry.remove();
+            match self.schedule(now, pending) {
                 Decision::Send(assignment) => outputs.push(Output::Send { ticket, assignment }),
                 Decision::Refuse(refusal) => outputs.push(Output::Refuse { ticket, refusal }),
                 Decision::Wait(new) => self.restore_ticket(now, new, ticket),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Lets a request that was queued under a new number keep the one that the entry knows.
+    /// Moves a queued retry back to the ticket that the entry knows.
     pub(super) fn restore_ticket(&mut self, now: Moment, new: Ticket, known: Ticket) {
         let Some(pool_id) = self.tickets.remove(&new) else {
             return;
@@ -136,33 +136,33 @@
         let Some(pool) = self.pools.get_mut(&pool_id) else {
             return;
         };
-        if let Some(waiting) = pool.remove(new) {
-            self.enqueue(now, pool_id, known, waiting);
+        if let Some(pending) = pool.remove(new) {
+            self.enqueue(now, pool_id, known, pending);
         }
     }
 
-    /// Refuses what waited for a pool that is gone.
+    /// Refuses requests queued for removed pools.
     pub(super) fn refuse_orphans(&mut self, outputs: &mut Outputs) {
-        for (ticket, waiting) in std::mem::take(&mut self.orphans) {
+        for (ticket, pending) in std::mem::take(&mut self.orphans) {
             self.tickets.remove(&ticket);
-            self.release_unused(&waiting);
+            self.release_unused(&pending);
             let refusal = self.refusal(Reason::NoPool, Duration::ZERO);
             outputs.push(Output::Refuse { ticket, refusal });
         }
     }
 
-    /// Takes a request out of its queue or its backoff.
+    /// Removes a request from its queue or its backoff.
     pub(super) fn withdraw(&mut self, ticket: Ticket) -> Option<Pending> {
         if let Some(pool) = self.tickets.remove(&ticket) {
             return self.pools.get_mut(&pool)?.remove(ticket);
         }
         let mut backoffs = self.backoffs.keys();
         let key = *backoffs.find(|(_, number)| *number == ticket)?;
-        self.backoffs.remove(&key).map(|backoff| backoff.waiting)
+        self.backoffs.remove(&key).map(|backoff| backoff.pending)
     }
 
-    pub(super) fn release_unused(&mut self, waiting: &Pending) {
-        let request = &waiting.request;
+    pub(super) fn release_unused(&mut self, pending: &Pending) {
+        let request = &pending.request;
         self.limits
             .release(&request.subjects, Usage::none(request.tokens()));
     }
@@ -174,8 +174,8 @@
         wait: Duration,
         outputs: &mut Outputs,
     ) {
-        if let Some(waiting) = self.withdraw(ticket) {
-            self.release_unused(&waiting);
+        if let Some(pending) = self.withdraw(ticket) {
+            self.release_unused(&pending);
         }
         let refusal = self.refusal(reason, wait);
         outputs.push(Output::Refuse { ticket, refusal });
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fleets and requests for the tests.
+//! Fleets and requests shared by the tests.
 #![allow(dead_code)]
 
 use std::time::Duration;
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! What must hold after any sequence of calls: nothing is counted for ever, every waiting request
-//! gets one answer, and an upstream that is closed gets nothing.
+//! Invariants under any sequence of calls: no load or slot leaks, every queued request gets
+//! exactly one answer, and a closed upstream gets no work.
 
 mod common;
 
@@ -109,18 +109,18 @@
             assert!(view.expect("it is listed").open, "{id} is closed");
         }
         let known = self.running.insert(assignment.attempt, assignment);
-        assert!(known.is_none(), "an attempt's number came twice");
+        assert!(known.is_none(), "attempt id reused");
     }
 
     fn take(&mut self, outputs: Outputs) {
         for output in outputs {
             match output {
                 Output::Send { ticket, assignment } => {
-                    assert!(self.waiting.remove(&ticket), "{ticket} did not wait");
+                    assert!(self.waiting.remove(&ticket), "{ticket} was not queued");
                     self.sent(assignment);
                 }
                 Output::Refuse { ticket, .. } => {
-                    assert!(self.waiting.remove(&ticket), "{ticket} did not wait");
+                    assert!(self.waiting.remove(&ticket), "{ticket} was not queued");
                 }
             }
         }
@@ -194,10 +194,10 @@
     }
 
     fn admit(&mut self, class: usize, left: u64, prompt: u32) {
-        let mut asked = request(Class::ALL[class], self.now + ms(left));
-        asked.prompt_tokens = prompt;
-        asked.repeatable = prompt.is_multiple_of(2);
-        match self.router.admit(self.now, asked) {
+        let mut request = request(Class::ALL[class], self.now + ms(left));
+        request.prompt_tokens = prompt;
+        request.repeatable = prompt.is_multiple_of(2);
+        match self.router.admit(self.now, request) {
             Decision::Send(assignment) => self.sent(assignment),
             Decision::Wait(ticket) => assert!(self.waiting.insert(ticket)),
             Decision::Refuse(_) => {}
@@ -227,7 +227,7 @@
         self.take(outputs);
     }
 
-    /// Ends all that is in hand, and lets all deadlines pass.
+    /// Ends all attempts and lets all deadlines pass.
     fn end(&mut self) {
         for _ in 0..50 {
             while let Some(attempt) = self.attempt(0) {
@@ -243,7 +243,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn nothing_is_left_in_the_end(steps in prop::collection::vec(step(), 1..120)) {
+    fn no_load_or_ticket_leaks(steps in prop::collection::vec(step(), 1..120)) {
         let mut model = Model::new();
         for step in &steps {
             model.apply(step);
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -1,4 +1,4 @@
-//! The aggregate, as the entry drives it.
+//! The router, driven as by an entry.
 
 mod common;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_finished_attempt_leaves_nothing_behind() {
+fn a_finished_attempt_releases_all_load() {
     let mut router = router(config(), engines(4));
     let assignment = send(&mut router, 0, Class::Interactive);
     assert_eq!(router.in_flight(&assignment.upstream), 1);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_upstream_that_is_closed_gets_no_new_work() {
+fn a_closed_upstream_gets_no_new_work() {
     let mut views = engines(2);
     views[0].open = false;
     let mut router = router(config(), views);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn without_upstreams_the_refusal_is_at_once() {
+fn requests_without_upstreams_are_refused_at_once() {
     let mut router = router(config(), vec![]);
     let decision = router.admit(ms(0), request(Class::Authorisation, ms(1_000)));
     assert_matches!(decision, Decision::Refuse(refusal) => {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_tried_again_unless_repeatable() {
+fn attempts_that_may_have_run_are_retried_only_if_repeatable() {
     let mut router = router(config(), engines(2));
     let mut payment = request(Class::Authorisation, ms(60_000));
     payment.repeatable = false;
@@ -75,14 +75,14 @@
     let next = router.failed(ms(3), second.attempt, Execution::NotRun);
     let ticket = assert_matches!(next, RetryDecision::Wait(ticket) => ticket);
     let outputs = router.tick(ms(1_000));
-    assert_matches!(&outputs[..], [Output::Send { ticket: told, assignment }] => {
-        assert_eq!(*told, ticket);
+    assert_matches!(&outputs[..], [Output::Send { ticket: sent, assignment }] => {
+        assert_eq!(*sent, ticket);
         assert_ne!(assignment.upstream, second.upstream);
     });
 }
 
 #[test]
-fn a_decode_engine_imports_what_a_prefill_engine_computed() {
+fn a_long_prompt_runs_on_a_prefill_and_a_decode_engine() {
     let mut pool = config();
     pool.transfer_s_per_token = 1e-6;
     let views = vec![view("a", Role::Prefill), view("b", Role::Decode)];
@@ -101,10 +101,9 @@
 }
 
 #[test]
-fn a_failed_transfer_is_charged_to_the_decode_engine() {
-    // Symptom: a decode engine gets more prefill than it has room for after transfers fail.
-    // Sequence: the export fails, the entry sends the whole request to the decode engine.
-    // Cause: the ledger would still count the prefill at the other engine.
+fn a_failed_transfer_moves_the_prefill_to_the_decode_engine() {
+    // Guards against overloading a decode engine after failed KV transfers: the entry sends the
+    // whole request there, so the prefill must no longer count at the prefill engine.
     let mut pool = config();
     pool.transfer_s_per_token = 1e-6;
     let views = vec![view("a", Role::Prefill), view("b", Role::Decode)];
@@ -125,7 +124,7 @@
 }
 
 #[test]
-fn a_pool_that_goes_refuses_what_waits_for_it() {
+fn removing_a_pool_refuses_its_queued_requests() {
     let mut router = router(config(), engines(1));
     let mut waiting = None;
     for n in 0..200 {
@@ -145,10 +144,9 @@
 }
 
 #[test]
-fn an_engine_that_changed_its_role_is_not_taken_to_hold_prefixes() {
-    // Symptom: after a role change requests wait for a prefill that was expected to be cached.
-    // Sequence: an engine gets a prompt, changes its role, and drops its cache with that.
-    // Cause: the routing history still names it as the prompt's holder.
+fn a_role_change_clears_cached_prefixes() {
+    // Guards against expecting cached prefixes on an engine whose role changed: it drops its
+    // cache, so the routing history must no longer list it as a holder.
     let mut router = router(config(), engines(2));
     let mut prompt = request(Class::Interactive, ms(600_000));
     prompt.prompt_tokens = 4_000;
@@ -177,10 +175,9 @@
 }
 
 #[test]
-fn when_the_engines_of_a_data_centre_go_the_others_take_over() {
-    // Symptom: after a data centre is lost a third of the requests fails at first.
-    // Sequence: six of eighteen engines leave the list at once, with requests in hand.
-    // Cause: the choice would still draw among all eighteen.
+fn remaining_engines_take_over_from_a_lost_data_centre() {
+    // Guards against sending to the engines of a lost data centre: six of eighteen engines leave
+    // the list at once, with requests in flight.
     let mut router = router(config(), engines(18));
     let lost: Vec<Assignment> = (0..60)
         .map(|n| send(&mut router, n, Class::Interactive))
@@ -205,11 +202,10 @@
 }
 
 #[test]
-fn a_whole_answer_does_not_hold_its_prefill_until_it_ends() {
-    // Symptom: requests with a short deadline are refused with most slots free.
-    // Sequence: a long prompt is sent that is answered whole; its prefill ends, its decode lasts.
-    // Cause: only a stream tells that its prefill is done, so that the prompt stood before the
-    // engine until the answer was there.
+fn an_unstreamed_answer_releases_its_prefill_before_it_ends() {
+    // Guards against refusing requests with a short deadline while most slots are free. An
+    // unstreamed answer does not report the end of its prefill, so its prompt would count as
+    // outstanding until the answer arrives.
     let mut router = router(config(), engines(1));
     let mut summary = request(Class::Batch, ms(60_000));
     summary.prompt_tokens = 4_000;
@@ -229,6 +225,6 @@
     assert_eq!(
         router.outstanding()[0].load.prefill,
         4_000.0,
-        "a stream tells"
+        "a stream reports its prefill"
     );
 }
