--- a/crates/routing/benches/decisions.rs
+++ b/crates/routing/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Micro-benchmarks of the decisions that stand in the path of each request, and of a plan.
+//! Micro-benchmarks of the decisions on the path of each request, and of role planning.
 //!
 //! `cargo bench -p routing`
 
@@ -154,7 +154,7 @@
     router
 }
 
-/// A request from its admission to its end, with a first token and one batch of tokens.
+/// A request from admission to completion, with a first token and one batch of tokens.
 #[divan::bench(args = SIZES)]
 fn admission_to_end(bencher: Bencher<'_, '_>, count: usize) {
     let mut router = router(count);
@@ -169,7 +169,7 @@
     });
 }
 
-/// A request that waits and whose caller goes, with a full pool.
+/// A request that is queued in a full pool and then cancelled.
 #[divan::bench]
 fn admission_to_queue(bencher: Bencher<'_, '_>) {
     let mut router = router(18);
@@ -202,7 +202,7 @@
     });
 }
 
-/// A plan for 18 engines with a quarter of an hour of past demand.
+/// Planning for 18 engines with 15 minutes of history.
 #[divan::bench]
 fn plan(bencher: Bencher<'_, '_>) {
     let engines: Vec<Engine> = (0..18)
--- a/crates/routing/examples/counters/mod.rs
+++ b/crates/routing/examples/counters/mod.rs
@@ -1,8 +1,7 @@
-//! An engine as counters, for the examples: a line of prompts that are processed one after the other
-//! in order of priority, and requests that decode side by side. It is a fake at the interface of the
-//! decisions and no simulator of a cluster.
+//! Engine model for the examples: a queue of prompts that are processed one at a time in order of
+//! priority, and requests that decode concurrently. It does not simulate a cluster.
 
-// Each example uses a part of it.
+// Each example uses part of the module.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -13,9 +12,9 @@
 /// A request at an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// Number by which its sender knows it.
+    /// Id assigned by its sender.
     pub(crate) number: u64,
-    /// Its sender.
+    /// Index of its sender.
     pub(crate) router: usize,
     pub(crate) priority: u8,
     pub(crate) prompt: f64,
@@ -48,7 +47,7 @@
     }
 }
 
-/// What an engine tells.
+/// Event reported by an engine.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     /// The prompt is processed.
@@ -60,43 +59,43 @@
 /// One engine.
 #[derive(Debug, Default)]
 pub(crate) struct Engine {
-    line: Vec<Job>,
+    queue: Vec<Job>,
     decoding: Vec<Job>,
 }
 
 impl Engine {
-    /// Takes a request.
+    /// Queues a request.
     pub(crate) fn push(&mut self, job: Job) {
-        let place = self
-            .line
+        let position = self
+            .queue
             .partition_point(|other| other.priority <= job.priority);
-        self.line.insert(place, job);
+        self.queue.insert(position, job);
     }
 
     /// Requests beyond the slots.
     pub(crate) fn waiting(&self, slots: u32) -> usize {
-        (self.line.len() + self.decoding.len()).saturating_sub(slots as usize)
+        (self.queue.len() + self.decoding.len()).saturating_sub(slots as usize)
     }
 
-    /// All work that is left.
+    /// All remaining work.
     pub(crate) fn load(&self) -> Load {
         self.jobs()
             .fold(Load::default(), |sum, job| sum + job.left())
     }
 
-    /// Work that is left of one sender.
+    /// Remaining work of one sender.
     pub(crate) fn load_of(&self, router: usize) -> Load {
         self.jobs()
             .filter(|job| job.router == router)
             .fold(Load::default(), |sum, job| sum + job.left())
     }
 
-    /// Works for a step of time.
+    /// Advances by one time step.
     pub(crate) fn step(&mut self, speed: Speed, step: Duration) -> Vec<Event> {
         let mut events = Vec::new();
         let mut budget = speed.prefill_rate * step.as_secs_f64();
         while budget > 0.0 && self.decoding.len() < speed.slots as usize {
-            let Some(job) = self.line.first_mut() else {
+            let Some(job) = self.queue.first_mut() else {
                 break;
             };
             let part = budget.min(job.prompt_left);
@@ -105,7 +104,7 @@
             if job.prompt_left > 0.0 {
                 break;
             }
-            let job = self.line.remove(0);
+            let job = self.queue.remove(0);
             events.push(Event::Prefilled(job.clone()));
             self.decoding.push(job);
         }
@@ -122,6 +121,6 @@
     }
 
     fn jobs(&self) -> impl Iterator<Item = &Job> {
-        self.line.iter().chain(&self.decoding)
+        self.queue.iter().chain(&self.decoding)
     }
 }
--- a/crates/routing/examples/faults.rs
+++ b/crates/routing/examples/faults.rs
@@ -1,5 +1,5 @@
-//! Faults at a load of 0.7: slow and silent engines, engines that stop for a while, reports and frames
-//! that do not arrive.
+//! Faults at a load of 0.7: slow and silent engines, engines that pause, and reports and frames
+//! that are lost.
 //!
 //! `cargo run --release -p routing --example faults`
 
@@ -24,7 +24,7 @@
 const HEALTHY: Setup = Setup {
     phases: &PHASES,
     kinds: &LONG_PROMPTS,
-    pace: |_, _| 1.0,
+    speed_factor: |_, _| 1.0,
     reports: true,
     frames: true,
 };
@@ -38,7 +38,7 @@
     }
 }
 
-/// Engine 0 accepts and does nothing.
+/// Engine 0 accepts requests and never answers.
 fn silent(engine: usize, now: Moment) -> f64 {
     if engine == 0 && now.as_secs() >= 10 {
         0.0
@@ -47,7 +47,7 @@
     }
 }
 
-/// Six engines stand still for ten seconds.
+/// Six engines pause for ten seconds.
 fn pause(engine: usize, now: Moment) -> f64 {
     if engine < 6 && (30..40).contains(&now.as_secs()) {
         0.0
@@ -62,21 +62,21 @@
         (
             "one engine of 18 at a fifth of its speed",
             Setup {
-                pace: slow,
+                speed_factor: slow,
                 ..HEALTHY
             },
         ),
         (
             "one engine of 18 accepts and never answers",
             Setup {
-                pace: silent,
+                speed_factor: silent,
                 ..HEALTHY
             },
         ),
         (
-            "six engines of 18 stand still for 10 s",
+            "six engines of 18 pause for 10 s",
             Setup {
-                pace: pause,
+                speed_factor: pause,
                 ..HEALTHY
             },
         ),
@@ -91,7 +91,7 @@
             "one engine of 18 at a fifth of its speed, short deadlines",
             Setup {
                 kinds: &SHORT_DEADLINES,
-                pace: slow,
+                speed_factor: slow,
                 ..HEALTHY
             },
         ),
--- a/crates/routing/examples/herd.rs
+++ b/crates/routing/examples/herd.rs
@@ -1,10 +1,10 @@
-//! Compares the policies of choice under views of different age.
+//! Compares the load balancing policies under load information of different ages.
 //!
-//! Several routers, each with its own choices, send to the same engines. An engine is two counters: a
-//! line of prompt tokens that are processed one after the other, and requests that decode side by
-//! side. It is a fake at the interface of the choice and no simulator of a cluster: no failures, no
-//! network. Printed per policy: the standard deviation over the engines of the requests and of
-//! the waiting prefill seconds, averaged over time, and the wait for the first token.
+//! Several routers with independent choosers send to the same engines. An engine is modelled by
+//! two counters: a queue of prompt tokens that are processed in sequence, and requests that decode
+//! concurrently. It does not simulate a cluster: there are no failures and no network. Prints, per
+//! policy, the standard deviation over the engines of the requests and of the queued prefill
+//! seconds, averaged over time, and the wait for the first token.
 //!
 //! `cargo run --release -p routing --example herd`
 
@@ -33,15 +33,15 @@
 const WARM_UP: u64 = 20;
 const UTILISATION: f64 = 0.85;
 
-/// How the routers learn of each other's work.
+/// Load information available to the routers.
 #[derive(Clone, Copy, Debug)]
 struct Views {
     name: &'static str,
     /// Age of the reports.
     report_age: Option<Duration>,
-    /// Time between two reports.
+    /// Interval between reports.
     report_every: Duration,
-    /// Time between two frames of a peer.
+    /// Interval between frames of a peer.
     peers_every: Option<Duration>,
 }
 
@@ -78,7 +78,7 @@
     },
 ];
 
-/// An engine with its past loads, from which old reports come.
+/// An engine and its past loads, from which delayed reports are made.
 #[derive(Default)]
 struct Reported {
     engine: Engine,
@@ -110,10 +110,10 @@
 }
 
 impl Trial {
-    fn new(policy: Policy, views: Views, engines: usize, staleness: Duration) -> Self {
+    fn new(policy: Policy, views: Views, engines: usize, decay_time: Duration) -> Self {
         let config = Config {
             policy,
-            decay_time: staleness,
+            decay_time,
             slow_start: Duration::ZERO,
             ..Config::new("pool")
         };
@@ -156,7 +156,7 @@
         self.now.as_millis().is_multiple_of(every.as_millis())
     }
 
-    /// Reports and frames. All routers get the same report at the same moment, which is the worst
+    /// Delivers reports and frames. All routers get the same report at the same time, the worst
     /// case for herding.
     fn inform(&mut self) {
         let now = self.now;
@@ -183,8 +183,8 @@
                     .iter()
                     .map(|engine| engine.engine.load() - engine.engine.load_of(own))
                     .collect();
-                let by_id = |wanted: &str| {
-                    let number: usize = wanted[7..].parse().expect("ids end in a number");
+                let by_id = |id: &str| {
+                    let number: usize = id[7..].parse().expect("ids end in a number");
                     loads[number]
                 };
                 entry.members.set_peer_load(now, by_id);
@@ -246,7 +246,7 @@
     }
 
     fn work(&mut self) {
-        // The slots are not what is compared here.
+        // Slots are unlimited, since they are not compared here.
         let speed = Speed {
             slots: u32::MAX,
             ..self.config.speed
@@ -332,7 +332,7 @@
     }
 }
 
-/// Prompts from 100 to 8,000 tokens, short ones more often.
+/// Prompt length from 100 to 8,000 tokens, log-uniform.
 fn prompt(rng: &mut SmallRng) -> f64 {
     100.0 * 80.0_f64.powf(rng.random())
 }
@@ -355,23 +355,23 @@
 
 fn policies() -> Vec<(&'static str, Policy, Duration)> {
     let drill = |samples, memory| Policy::Drill { samples, memory };
-    let ours = |samples, memory| Policy::Affinity { samples, memory };
-    let usual = Config::new("pool").decay_time;
+    let affinity = |samples, memory| Policy::Affinity { samples, memory };
+    let default = Config::new("pool").decay_time;
     let second = Duration::from_secs(1);
     vec![
-        ("round-robin", Policy::RoundRobin, usual),
-        ("random", Policy::Random, usual),
-        ("least-outstanding", Policy::LeastOutstanding, usual),
-        ("two-choices", Policy::TwoChoices, usual),
-        ("drill(2,1)", drill(2, 1), usual),
-        ("drill(4,1)", drill(4, 1), usual),
-        ("full-scan", Policy::FullScan, usual),
-        ("affinity(2,1)", ours(2, 1), usual),
-        ("affinity(4,1)", ours(4, 1), usual),
-        ("affinity(4,0)", ours(4, 0), usual),
-        ("affinity(8,0)", ours(8, 0), usual),
-        ("affinity(4,0) 1 s", ours(4, 0), second),
-        ("affinity(4,0) never", ours(4, 0), NO_DECAY),
+        ("round-robin", Policy::RoundRobin, default),
+        ("random", Policy::Random, default),
+        ("least-outstanding", Policy::LeastOutstanding, default),
+        ("two-choices", Policy::TwoChoices, default),
+        ("drill(2,1)", drill(2, 1), default),
+        ("drill(4,1)", drill(4, 1), default),
+        ("full-scan", Policy::FullScan, default),
+        ("affinity(2,1)", affinity(2, 1), default),
+        ("affinity(4,1)", affinity(4, 1), default),
+        ("affinity(4,0)", affinity(4, 0), default),
+        ("affinity(8,0)", affinity(8, 0), default),
+        ("affinity(4,0) 1 s", affinity(4, 0), second),
+        ("affinity(4,0) never", affinity(4, 0), NO_DECAY),
     ]
 }
 
@@ -382,10 +382,10 @@
             "{:<21} {:>10} {:>12} {:>12} {:>10} {:>10} {:>8}",
             "policy", "views", "sd requests", "sd prefill s", "p50 s", "p99 s", "/fresh"
         );
-        for (name, policy, staleness) in policies() {
+        for (name, policy, decay_time) in policies() {
             let mut fresh = 0.0;
             for views in VIEWS {
-                let mut figures = Trial::new(policy, views, engines, staleness).run();
+                let mut figures = Trial::new(policy, views, engines, decay_time).run();
                 let requests = figures.requests / figures.samples;
                 let prefill = figures.prefill / figures.samples;
                 if views.name == "fresh" {
--- a/crates/routing/examples/overload.rs
+++ b/crates/routing/examples/overload.rs
@@ -1,4 +1,4 @@
-//! Twice the capacity for a minute, and the time after it.
+//! Overload: twice the capacity for one minute, and the recovery after it.
 //!
 //! `cargo run --release -p routing --example overload`
 
@@ -30,7 +30,7 @@
         let mut trial = Trial::new(Setup {
             phases: &PHASES,
             kinds,
-            pace: |_, _| 1.0,
+            speed_factor: |_, _| 1.0,
             reports: true,
             frames: true,
         });
--- a/crates/routing/examples/trial/mod.rs
+++ b/crates/routing/examples/trial/mod.rs
@@ -1,5 +1,5 @@
-//! A loop of entries with the whole router before engines that are counters, with callers that come
-//! back when they are told to. It is a fake at the interface and no simulator of a cluster.
+//! Test bed of entries with complete routers, modelled engines, and callers that return when told
+//! to. It does not simulate a cluster.
 
 #[path = "../counters/mod.rs"]
 mod counters;
@@ -26,29 +26,29 @@
 const ENGINES: usize = 18;
 const STEP: Duration = Duration::from_millis(5);
 
-/// A time with the same load.
+/// A period of constant load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Phase {
     pub(crate) name: &'static str,
-    /// Prefill that is asked for, as a share of what all engines can do.
+    /// Requested prefill, as a share of the capacity of all engines.
     pub(crate) load: f64,
     pub(crate) seconds: u64,
 }
 
-/// What is tried.
+/// Configuration of a trial.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Setup {
     pub(crate) phases: &'static [Phase],
     pub(crate) kinds: &'static [Kind; KINDS],
-    /// Share of its speed at which an engine works at a moment.
-    pub(crate) pace: fn(usize, Moment) -> f64,
-    /// Whether load reports arrive.
+    /// Speed factor of an engine at a given time.
+    pub(crate) speed_factor: fn(usize, Moment) -> f64,
+    /// Whether load reports are delivered.
     pub(crate) reports: bool,
-    /// Whether frames of peers arrive.
+    /// Whether frames of peers are delivered.
     pub(crate) frames: bool,
 }
 
-/// Times that a caller comes back after a refusal.
+/// Number of times that a caller returns after a refusal.
 const RETURNS: u32 = 3;
 
 const SPEED: Speed = Speed {
@@ -61,11 +61,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kind {
     class: Class,
-    /// Share of the requests.
+    /// Share of all requests.
     share: f64,
-    /// Time to the first token.
+    /// Time allowed until the first token.
     deadline: Duration,
-    /// Means of the tokens.
+    /// Mean token counts.
     prompt: f64,
     output: f64,
 }
@@ -80,10 +80,10 @@
     }
 }
 
-/// Kinds of request.
+/// Number of kinds of request.
 const KINDS: usize = 5;
 
-/// Prompts are what fills the engines.
+/// Prefill is the bottleneck.
 pub(crate) const LONG_PROMPTS: [Kind; KINDS] = [
     kind(Class::Authorisation, 0.05, 1_000, 100.0, 5.0),
     kind(Class::Status, 0.05, 1_000, 50.0, 5.0),
@@ -92,7 +92,7 @@
     kind(Class::Batch, 0.2, 600_000, 4_000.0, 200.0),
 ];
 
-/// Slots are what fills them, and deadlines are short.
+/// Decode slots are the bottleneck, and deadlines are short.
 pub(crate) const SHORT_DEADLINES: [Kind; KINDS] = [
     kind(Class::Authorisation, 0.05, 1_000, 100.0, 5.0),
     kind(Class::Status, 0.05, 1_000, 50.0, 5.0),
@@ -118,7 +118,7 @@
     load: Load,
 }
 
-/// The loop.
+/// A trial.
 pub(crate) struct Trial {
     setup: Setup,
     now: Moment,
@@ -130,7 +130,7 @@
     returning: BTreeMap<(Moment, u64), Call>,
     numbers: u64,
     figures: Vec<[Figures; KINDS]>,
-    /// Prompt tokens processed per phase.
+    /// Prompt tokens processed, by phase.
     processed: Vec<f64>,
     phase: usize,
 }
@@ -204,13 +204,13 @@
                 sum.refused += figures.refused;
             }
             print_row(name, "all", sum, *seconds);
-            let able = SPEED.prefill_rate * ENGINES as f64 * *seconds as f64;
+            let capacity = SPEED.prefill_rate * ENGINES as f64 * *seconds as f64;
             println!(
                 "{name:<12} prefill used    {:.3}",
-                self.processed[phase] / able
+                self.processed[phase] / capacity
             );
         }
-        println!("of the rest the fate was open when the trial ended");
+        println!("the remaining requests were unfinished when the trial ended");
     }
 
     fn arrive(&mut self, phase: usize, load: f64) {
@@ -327,10 +327,10 @@
 
     fn work(&mut self) {
         for number in 0..ENGINES {
-            let pace = (self.setup.pace)(number, self.now);
+            let speed_factor = (self.setup.speed_factor)(number, self.now);
             let speed = Speed {
-                prefill_rate: SPEED.prefill_rate * pace,
-                decode_rate: SPEED.decode_rate * pace,
+                prefill_rate: SPEED.prefill_rate * speed_factor,
+                decode_rate: SPEED.decode_rate * speed_factor,
                 ..SPEED
             };
             for event in self.engines[number].step(speed, STEP) {
@@ -366,7 +366,7 @@
         }
     }
 
-    /// Reports two seconds old every second, frames of peers every half.
+    /// Delivers reports two seconds old every second, and frames of peers every half second.
     fn inform(&mut self) {
         let ms = self.now.as_millis();
         if self.setup.reports && ms.is_multiple_of(1_000) && ms >= 2_000 {
