--- a/crates/routing/examples/counters/mod.rs
+++ b/crates/routing/examples/counters/mod.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     /// Id assigned by its sender.
-    pub(crate) number: u64,
+    pub(crate) id: u64,
     /// Index of its sender.
     pub(crate) router: usize,
     pub(crate) priority: u8,
@@ -25,9 +25,9 @@
 }
 
 impl Job {
-    pub(crate) fn new(number: u64, router: usize, priority: u8, load: Load, sent: Moment) -> Self {
+    pub(crate) fn new(id: u64, router: usize, priority: u8, load: Load, sent: Moment) -> Self {
         Self {
-            number,
+            id,
             router,
             priority,
             prompt: load.prefill,
--- a/crates/routing/examples/herd.rs
+++ b/crates/routing/examples/herd.rs
@@ -80,7 +80,7 @@
 
 /// An engine and its past loads, from which delayed reports are made.
 #[derive(Default)]
-struct Reported {
+struct EngineHistory {
     engine: Engine,
     past: VecDeque<(Moment, Load)>,
 }
@@ -103,7 +103,7 @@
     views: Views,
     rng: SmallRng,
     now: Moment,
-    engines: Vec<Reported>,
+    engines: Vec<EngineHistory>,
     entries: Vec<Entry>,
     history: History,
     figures: Figures,
@@ -133,7 +133,7 @@
             views,
             rng,
             now: Moment::ZERO,
-            engines: (0..engines).map(|_| Reported::default()).collect(),
+            engines: (0..engines).map(|_| EngineHistory::default()).collect(),
             entries,
             history: History::new(1),
             figures: Figures::default(),
@@ -143,9 +143,9 @@
     fn run(mut self) -> Figures {
         let steps = SECONDS * 1_000 / STEP.as_millis() as u64;
         for _ in 0..steps {
-            self.inform();
+            self.deliver_load_info();
             self.arrive();
-            self.work();
+            self.step_engines();
             self.measure();
             self.now += STEP;
         }
@@ -158,7 +158,7 @@
 
     /// Delivers reports and frames. All routers get the same report at the same time, the worst
     /// case for herding.
-    fn inform(&mut self) {
+    fn deliver_load_info(&mut self) {
         let now = self.now;
         if let Some(age) = self.views.report_age {
             let due = self.due(self.views.report_every);
@@ -229,12 +229,12 @@
             .choose(self.now, &self.config, &entry.members, &self.history, &work)
             .expect("all engines take work");
         let load = Load::of(prompt as u32, output as u32);
-        self.change(router, pick.position, |now, ledger| ledger.add(now, load));
+        self.update_ledger(router, pick.position, |now, ledger| ledger.add(now, load));
         let job = Job::new(0, router, 0, load, self.now);
         self.engines[pick.position].engine.push(job);
     }
 
-    fn change(
+    fn update_ledger(
         &mut self,
         router: usize,
         position: usize,
@@ -245,7 +245,7 @@
         change(self.now, &mut member.ledger);
     }
 
-    fn work(&mut self) {
+    fn step_engines(&mut self) {
         // Slots are unlimited, since they are not compared here.
         let speed = Speed {
             slots: u32::MAX,
@@ -253,15 +253,15 @@
         };
         for number in 0..self.engines.len() {
             for event in self.engines[number].engine.step(speed, STEP) {
-                self.event(number, &event);
+                self.handle_event(number, &event);
             }
         }
     }
 
-    fn event(&mut self, number: usize, event: &Event) {
+    fn handle_event(&mut self, number: usize, event: &Event) {
         let (job, load) = match event {
             Event::Prefilled(job) => {
-                self.note_wait(job);
+                self.record_wait(job);
                 let prefill = Load {
                     prefill: job.prompt,
                     ..Load::default()
@@ -277,10 +277,10 @@
                 (job, rest)
             }
         };
-        self.change(job.router, number, |now, ledger| ledger.remove(now, load));
+        self.update_ledger(job.router, number, |now, ledger| ledger.remove(now, load));
     }
 
-    fn note_wait(&mut self, job: &Job) {
+    fn record_wait(&mut self, job: &Job) {
         if self.now.as_secs() >= WARM_UP {
             let wait = (self.now - job.sent).as_secs_f64();
             let own = job.prompt / self.config.speed.prefill_rate;
--- a/crates/routing/examples/roles.rs
+++ b/crates/routing/examples/roles.rs
@@ -149,13 +149,13 @@
 fn run(config: &Config, trace: &[Demand]) -> (f64, u32) {
     let mut planner = Planner::new(config.clone());
     let mut engines = start();
-    let mut work: Vec<(usize, Change)> = Vec::new();
+    let mut in_progress: Vec<(usize, Change)> = Vec::new();
     let mut smoothed = trace[0];
     let (mut sum, mut changes) = (0.0, 0);
     for (at, demand) in trace.iter().enumerate() {
         smoothed.prefill += SMOOTHING * (demand.prefill - smoothed.prefill);
         smoothed.decode += SMOOTHING * (demand.decode - smoothed.decode);
-        work.retain(|(end, change)| {
+        in_progress.retain(|(end, change)| {
             let over = *end <= at;
             set(&mut engines, change, !over);
             !over
@@ -168,7 +168,7 @@
         for change in planner.step(now, &input) {
             set(&mut engines, &change, true);
             changes += 1;
-            work.push((at + config.change_duration.as_secs() as usize, change));
+            in_progress.push((at + config.change_duration.as_secs() as usize, change));
         }
         let available = engines.iter().filter(|engine| engine.eligible);
         let counts = Counts::of(available.map(|engine| engine.role));
@@ -180,7 +180,7 @@
 /// Sets an engine's new role; the engine is out of service while the change is in progress.
 fn set(engines: &mut [Engine], change: &Change, in_progress: bool) {
     let engine = engines.iter_mut().find(|engine| engine.id == change.engine);
-    let engine = engine.expect("it is one of them");
+    let engine = engine.expect("planners return known engines");
     engine.role = change.role;
     engine.changing = in_progress;
     engine.eligible = !in_progress;
--- a/crates/routing/examples/trial/mod.rs
+++ b/crates/routing/examples/trial/mod.rs
@@ -128,7 +128,7 @@
     waiting: HashMap<(usize, u64), Call>,
     running: HashMap<(usize, u64), Call>,
     returning: BTreeMap<(Moment, u64), Call>,
-    numbers: u64,
+    last_call_id: u64,
     figures: Vec<[Figures; KINDS]>,
     /// Prompt tokens processed, by phase.
     processed: Vec<f64>,
@@ -160,7 +160,7 @@
             waiting: HashMap::new(),
             running: HashMap::new(),
             returning: BTreeMap::new(),
-            numbers: 0,
+            last_call_id: 0,
             figures: vec![Default::default(); setup.phases.len()],
             processed: vec![0.0; setup.phases.len()],
             setup,
@@ -175,11 +175,11 @@
             self.phase = phase;
             for _ in 0..steps {
                 self.arrive(phase, *load);
-                self.work();
-                self.inform();
+                self.step_engines();
+                self.deliver_load_info();
                 for entry in 0..ENTRIES {
                     let outputs = self.routers[entry].tick(self.now);
-                    self.take(entry, outputs);
+                    self.apply_outputs(entry, outputs);
                 }
                 self.now += STEP;
             }
@@ -221,7 +221,7 @@
         let expected = load * ENGINES as f64 / work * STEP.as_secs_f64();
         for _ in 0..8 {
             if self.rng.random_bool(expected / 8.0) {
-                let call = self.call(phase);
+                let call = self.new_call(phase);
                 self.figures[phase][call.kind].offered += 1;
                 self.admit(call);
             }
@@ -236,7 +236,7 @@
         }
     }
 
-    fn call(&mut self, phase: usize) -> Call {
+    fn new_call(&mut self, phase: usize) -> Call {
         let mut draw: f64 = self.rng.random();
         let mut kind = 0;
         while kind + 1 < KINDS && draw >= self.setup.kinds[kind].share {
@@ -303,12 +303,12 @@
             return;
         }
         call.returns += 1;
-        self.numbers += 1;
+        self.last_call_id += 1;
         let due = self.now + refusal.retry_after;
-        self.returning.insert((due, self.numbers), call);
+        self.returning.insert((due, self.last_call_id), call);
     }
 
-    fn take(&mut self, entry: usize, outputs: impl IntoIterator<Item = Output>) {
+    fn apply_outputs(&mut self, entry: usize, outputs: impl IntoIterator<Item = Output>) {
         for output in outputs {
             match output {
                 Output::Send { ticket, assignment } => {
@@ -325,7 +325,7 @@
         }
     }
 
-    fn work(&mut self) {
+    fn step_engines(&mut self) {
         for number in 0..ENGINES {
             let speed_factor = (self.setup.speed_factor)(number, self.now);
             let speed = Speed {
@@ -334,18 +334,18 @@
                 ..SPEED
             };
             for event in self.engines[number].step(speed, STEP) {
-                self.event(event);
+                self.handle_event(event);
             }
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Prefilled(job) => {
                 self.processed[self.phase] += job.prompt;
                 let router = &mut self.routers[job.router];
-                router.progress(self.now, job.number, Progress::Prefilled);
-                let Some(call) = self.running.get(&(job.router, job.number)) else {
+                router.progress(self.now, job.id, Progress::Prefilled);
+                let Some(call) = self.running.get(&(job.router, job.id)) else {
                     return;
                 };
                 let figures = &mut self.figures[call.phase][call.kind];
@@ -358,16 +358,16 @@
             Event::Finished(job) => {
                 let router = &mut self.routers[job.router];
                 let tokens = Progress::Tokens(job.output as u32);
-                router.progress(self.now, job.number, tokens);
-                let outputs = router.finished(self.now, job.number);
-                self.running.remove(&(job.router, job.number));
-                self.take(job.router, outputs);
+                router.progress(self.now, job.id, tokens);
+                let outputs = router.finished(self.now, job.id);
+                self.running.remove(&(job.router, job.id));
+                self.apply_outputs(job.router, outputs);
             }
         }
     }
 
     /// Delivers reports two seconds old every second, and frames of peers every half second.
-    fn inform(&mut self) {
+    fn deliver_load_info(&mut self) {
         let ms = self.now.as_millis();
         if self.setup.reports && ms.is_multiple_of(1_000) && ms >= 2_000 {
             for (number, engine) in self.engines.iter().enumerate() {
