--- a/crates/routing/benches/decisions.rs
+++ b/crates/routing/benches/decisions.rs
@@ -197,7 +197,7 @@
     limits.set_peers((2..=8).map(|peer| format!("entry-{peer}").into()));
     let subjects = [subject];
     bencher.bench_local(|| {
-        black_box(limits.check(NOW, &subjects, 1_300)).ok();
+        black_box(limits.try_acquire(NOW, &subjects, 1_300)).ok();
         limits.release(&subjects, Usage::none(1_300));
     });
 }
--- a/crates/routing/src/limit/mod.rs
+++ b/crates/routing/src/limit/mod.rs
@@ -152,7 +152,7 @@
 
     /// Demand to advertise now. Shares are computed from the advertised values, so that all
     /// entries compute with the same numbers.
-    pub fn demand(&mut self, now: Moment) -> Vec<Demand> {
+    pub fn advertise(&mut self, now: Moment) -> Vec<Demand> {
         let accounts = self.accounts.iter_mut();
         accounts
             .filter_map(|(subject, account)| account.advertise(now, subject))
@@ -160,13 +160,13 @@
     }
 
     /// Charges a request to all limits of its subjects, or to none of them if one refuses it.
-    pub fn check(
+    pub fn try_acquire(
         &mut self,
         now: Moment,
         subjects: &[Subject],
         tokens: u64,
     ) -> Result<(), LimitExceeded> {
-        self.refresh(now);
+        self.refresh_shares(now);
         let tokens = tokens as f64;
         for subject in subjects {
             if let Some(account) = self.accounts.get_mut(subject) {
@@ -197,7 +197,7 @@
     }
 
     /// Recomputes the shares when due.
-    pub fn refresh(&mut self, now: Moment) {
+    pub fn refresh_shares(&mut self, now: Moment) {
         let due = self
             .shared_at
             .is_none_or(|last| now.saturating_sub(last) >= SHARE_INTERVAL);
--- a/crates/routing/src/router/mod.rs
+++ b/crates/routing/src/router/mod.rs
@@ -143,7 +143,9 @@
             None => return self.refuse(Reason::NoPool, Duration::ZERO),
             Some(pool) => pool.record_arrival(&request),
         }
-        let checked = self.limits.check(now, &request.subjects, request.tokens());
+        let checked = self
+            .limits
+            .try_acquire(now, &request.subjects, request.tokens());
         if let Err(refused) = checked {
             return self.refuse(refused.kind.into(), refused.wait);
         }
@@ -202,7 +204,7 @@
 
     /// Demand to advertise to the peers.
     pub fn demand(&mut self, now: Moment) -> Vec<Demand> {
-        self.limits.demand(now)
+        self.limits.advertise(now)
     }
 
     /// This entry's outstanding work, to be sent to the peers.
@@ -235,7 +237,7 @@
     }
 
     /// Number of requests queued for a pool.
-    pub fn waiting(&self, pool: &str) -> usize {
+    pub fn queued(&self, pool: &str) -> usize {
         self.pools.get(pool).map_or(0, |pool| pool.queue.len())
     }
 
@@ -255,7 +257,7 @@
         }
         if sweep {
             self.last_sweep = now;
-            self.limits.refresh(now);
+            self.limits.refresh_shares(now);
         }
         self.refuse_orphans(&mut outputs);
         outputs
--- a/crates/routing/src/window.rs
+++ b/crates/routing/src/window.rs
@@ -6,8 +6,8 @@
 /// Share of the slots above which waiting requests shrink the window.
 const SHRINK_ABOVE_WAITING: f64 = 0.05;
 
-/// Bounds of the window, as shares of the slots. Beyond the slots, only the requests in transit
-/// are of use.
+/// Bounds of the window, as shares of the slots. Requests beyond the slots only bridge the time
+/// that answers and new requests are in transit.
 const MIN_LIMIT: f64 = 0.5;
 const MAX_LIMIT: f64 = 1.1;
 
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -16,13 +16,13 @@
 use smallvec::smallvec;
 
 /// A deadline that no test reaches.
-const LATE: u64 = 10_000_000;
+const FAR_DEADLINE: u64 = 10_000_000;
 
 /// Fills a pool of one engine with interactive requests and returns the attempts.
-fn full(router: &mut Router) -> Vec<Attempt> {
+fn fill(router: &mut Router) -> Vec<Attempt> {
     let mut attempts = Vec::new();
     loop {
-        match router.admit(ms(0), request(Class::Interactive, ms(LATE))) {
+        match router.admit(ms(0), request(Class::Interactive, ms(FAR_DEADLINE))) {
             Decision::Send(assignment) => attempts.push(assignment.attempt),
             Decision::Wait(ticket) => {
                 router.cancel(ticket);
@@ -33,7 +33,7 @@
     }
 }
 
-fn wait(router: &mut Router, now: u64, class: Class, deadline: u64) -> Ticket {
+fn admit_queued(router: &mut Router, now: u64, class: Class, deadline: u64) -> Ticket {
     let decision = router.admit(ms(now), request(class, ms(deadline)));
     assert_matches!(decision, Decision::Wait(ticket) => ticket)
 }
@@ -57,11 +57,11 @@
 #[test]
 fn queued_requests_are_sent_by_class_and_then_by_deadline() {
     let mut router = router(config(), engines(1));
-    let attempts = full(&mut router);
-    let batch = wait(&mut router, 1, Class::Batch, LATE);
-    let late = wait(&mut router, 2, Class::Interactive, LATE);
-    let soon = wait(&mut router, 3, Class::Interactive, LATE - 1_000);
-    let dispatch = wait(&mut router, 4, Class::Dispatch, 5_000_000);
+    let attempts = fill(&mut router);
+    let batch = admit_queued(&mut router, 1, Class::Batch, FAR_DEADLINE);
+    let late = admit_queued(&mut router, 2, Class::Interactive, FAR_DEADLINE);
+    let soon = admit_queued(&mut router, 3, Class::Interactive, FAR_DEADLINE - 1_000);
+    let dispatch = admit_queued(&mut router, 4, Class::Dispatch, 5_000_000);
     let mut order = Vec::new();
     for (n, attempt) in attempts.iter().enumerate() {
         order.extend(sent(&router.finished(ms(10 + n as u64), *attempt)));
@@ -74,9 +74,9 @@
     // Guards against authorisations queued behind summaries: with the pool and the queue full, a
     // late authorisation leaves a customer waiting at a kiosk.
     let mut router = router(config(), engines(1));
-    full(&mut router);
+    fill(&mut router);
     for n in 0..256 {
-        wait(&mut router, n, Class::Batch, LATE);
+        admit_queued(&mut router, n, Class::Batch, FAR_DEADLINE);
     }
     for class in [Class::Authorisation, Class::Status] {
         let decision = router.admit(ms(300), request(class, ms(1_300)));
@@ -91,16 +91,16 @@
         ..config()
     };
     let mut router = router(pool, engines(1));
-    full(&mut router);
+    fill(&mut router);
     let batch: Vec<Ticket> = (0..3)
-        .map(|n| wait(&mut router, n, Class::Batch, LATE + n))
+        .map(|n| admit_queued(&mut router, n, Class::Batch, FAR_DEADLINE + n))
         .collect();
-    let decision = router.admit(ms(5), request(Class::Batch, ms(LATE)));
+    let decision = router.admit(ms(5), request(Class::Batch, ms(FAR_DEADLINE)));
     assert_matches!(decision, Decision::Refuse(refusal) => {
         assert_eq!(refusal.reason, Reason::Overload(Class::Batch));
     });
     for n in 0..3 {
-        wait(&mut router, 10 + n, Class::Interactive, LATE);
+        admit_queued(&mut router, 10 + n, Class::Interactive, FAR_DEADLINE);
     }
     let mut shed = refused(&router.tick(ms(20)));
     shed.sort_by_key(|(ticket, _)| *ticket);
@@ -109,7 +109,7 @@
         .map(|ticket| (*ticket, Reason::Overload(Class::Batch)))
         .collect();
     assert_eq!(shed, expected);
-    let decision = router.admit(ms(30), request(Class::Dispatch, ms(LATE)));
+    let decision = router.admit(ms(30), request(Class::Dispatch, ms(FAR_DEADLINE)));
     assert_matches!(decision, Decision::Refuse(refusal) => {
         assert_eq!(refusal.reason, Reason::Overload(Class::Dispatch));
     });
@@ -124,12 +124,12 @@
         ..config()
     };
     let mut router = router(pool, engines(1));
-    full(&mut router);
+    fill(&mut router);
     let flood: Vec<Ticket> = (0..8)
-        .map(|n| wait(&mut router, n, Class::Interactive, LATE + n))
+        .map(|n| admit_queued(&mut router, n, Class::Interactive, FAR_DEADLINE + n))
         .collect();
     let of = |owner: &str| {
-        let mut request = request(Class::Interactive, ms(LATE));
+        let mut request = request(Class::Interactive, ms(FAR_DEADLINE));
         request.subjects = smallvec![owner.into()];
         request
     };
@@ -149,10 +149,10 @@
 #[test]
 fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut router = router(config(), engines(1));
-    full(&mut router);
+    fill(&mut router);
     // The rate at which requests are sent is known: 40 in the first second.
     for n in 0..30 {
-        wait(&mut router, 1_000 + n, Class::Interactive, LATE);
+        admit_queued(&mut router, 1_000 + n, Class::Interactive, FAR_DEADLINE);
     }
     let decision = router.admit(ms(1_100), request(Class::Interactive, ms(1_200)));
     assert_matches!(decision, Decision::Refuse(refusal) => {
@@ -166,8 +166,8 @@
     // Guards against callers learning only at their deadline that their request was not run, as
     // happens if the queue is checked only when something is sent.
     let mut router = router(config(), engines(1));
-    full(&mut router);
-    let ticket = wait(&mut router, 10, Class::Interactive, 3_000);
+    fill(&mut router);
+    let ticket = admit_queued(&mut router, 10, Class::Interactive, 3_000);
     let mut refused_at = None;
     for now in (20..3_000).step_by(20) {
         let refusals = refused(&router.tick(ms(now)));
@@ -180,7 +180,7 @@
         refused_at.is_some_and(|refused_at| refused_at < 3_000),
         "{refused_at:?}"
     );
-    assert_eq!(router.waiting(common::POOL), 0);
+    assert_eq!(router.queued(common::POOL), 0);
 }
 
 #[test]
@@ -190,22 +190,22 @@
     views[1].models = smallvec!["b@1".into()];
     let mut router = router(config(), views);
     let of = |model: &str| {
-        let mut request = request(Class::Interactive, ms(LATE));
+        let mut request = request(Class::Interactive, ms(FAR_DEADLINE));
         request.model = Some(model.into());
         request
     };
     while let Decision::Send(_) = router.admit(ms(0), of("a@1")) {}
-    assert_eq!(router.waiting(common::POOL), 1);
+    assert_eq!(router.queued(common::POOL), 1);
     assert_matches!(router.admit(ms(1), of("b@1")), Decision::Send(_));
 }
 
 #[test]
 fn a_cancelled_request_leaves_the_queue() {
     let mut router = router(config(), engines(1));
-    let attempts = full(&mut router);
-    let ticket = wait(&mut router, 1, Class::Interactive, LATE);
+    let attempts = fill(&mut router);
+    let ticket = admit_queued(&mut router, 1, Class::Interactive, FAR_DEADLINE);
     router.cancel(ticket);
-    assert_eq!(router.waiting(common::POOL), 0);
+    assert_eq!(router.queued(common::POOL), 0);
     assert!(router.finished(ms(2), attempts[0]).is_empty());
 }
 
@@ -216,7 +216,7 @@
     let mut router = router(config(), vec![]);
     let mut seconds = [0_usize; 10];
     for _ in 0..1_000 {
-        let decision = router.admit(ms(0), request(Class::Interactive, ms(LATE)));
+        let decision = router.admit(ms(0), request(Class::Interactive, ms(FAR_DEADLINE)));
         let refusal = assert_matches!(decision, Decision::Refuse(refusal) => refusal);
         let tenth = (refusal.retry_after.as_millis() - 1_000) / 100;
         seconds[(tenth as usize).min(9)] += 1;
@@ -234,7 +234,7 @@
         let now = n * 10;
         let mut sent: Vec<Attempt> = Vec::new();
         if let Decision::Send(assignment) =
-            router.admit(ms(now), request(Class::Interactive, ms(LATE)))
+            router.admit(ms(now), request(Class::Interactive, ms(FAR_DEADLINE)))
         {
             sent.push(assignment.attempt);
         }
@@ -257,7 +257,7 @@
     let mut router = router(config(), engines(8));
     let mut due: Vec<Moment> = Vec::new();
     for _ in 0..20 {
-        let decision = router.admit(ms(0), request(Class::Interactive, ms(LATE)));
+        let decision = router.admit(ms(0), request(Class::Interactive, ms(FAR_DEADLINE)));
         let assignment = assert_matches!(decision, Decision::Send(assignment) => assignment);
         let next = router.failed(ms(0), assignment.attempt, Execution::NotRun);
         assert_matches!(next, RetryDecision::Wait(_));
@@ -280,13 +280,13 @@
         let decision = router.admit(ms(60_000), request(Class::Interactive, ms(61_500)));
         assert!(!matches!(decision, Decision::Refuse(_)), "{decision:?}");
     }
-    assert!(router.waiting(common::POOL) > 0);
+    assert!(router.queued(common::POOL) > 0);
 }
 
 #[test]
 fn the_only_upstream_is_retried() {
     let mut router = router(config(), engines(1));
-    let decision = router.admit(ms(0), request(Class::Interactive, ms(LATE)));
+    let decision = router.admit(ms(0), request(Class::Interactive, ms(FAR_DEADLINE)));
     let first = assert_matches!(decision, Decision::Send(assignment) => assignment);
     let next = router.failed(ms(1), first.attempt, Execution::NotRun);
     let ticket = assert_matches!(next, RetryDecision::Wait(ticket) => ticket);
@@ -299,7 +299,7 @@
     // it, which the engine serves later by priority.
     let mut router = router(config(), engines(1));
     for n in 0..5 {
-        let decision = router.admit(ms(n), request(Class::Batch, ms(LATE)));
+        let decision = router.admit(ms(n), request(Class::Batch, ms(FAR_DEADLINE)));
         assert_matches!(decision, Decision::Send(_));
     }
     // The 2,500 tokens of the batch requests take a quarter of a second.
@@ -315,7 +315,7 @@
     let mut router = router(config(), engines(1));
     let mut now = 0;
     for _ in 0..100 {
-        let decision = router.admit(ms(now), request(Class::Interactive, ms(LATE)));
+        let decision = router.admit(ms(now), request(Class::Interactive, ms(FAR_DEADLINE)));
         let assignment = assert_matches!(decision, Decision::Send(assignment) => assignment);
         now += 1_000;
         router.progress(ms(now), assignment.attempt, Progress::Prefilled);
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -49,7 +49,7 @@
 
     fn add(&mut self, now: Moment, pick: &Pick, load: Load) {
         let id = self.id(pick);
-        let member = self.members.get_mut(&id).expect("it was picked");
+        let member = self.members.get_mut(&id).expect("the pick is a member");
         member.ledger.add(now, load);
     }
 }
@@ -115,7 +115,7 @@
             ..work(&prefixes)
         };
         for _ in 0..20 {
-            let pick = side.choose(ms(1), &only).expect("one has it");
+            let pick = side.choose(ms(1), &only).expect("one engine has the model");
             assert_eq!(side.id(&pick), "engine-0007", "{policy:?}");
         }
         let tried = ["engine-0007".into()];
@@ -142,7 +142,9 @@
         }
         side.members.refresh_statistics(ms(12_000));
         for _ in 0..18 {
-            let pick = side.choose(ms(12_000), &work(&[])).expect("all are open");
+            let pick = side
+                .choose(ms(12_000), &work(&[]))
+                .expect("all upstreams are open");
             sent_to_idle += u32::from(pick.position == 4);
             side.add(ms(12_000), &pick, Load::of(1_000, 100));
         }
@@ -159,18 +161,22 @@
         let id = format!("engine-{engine:04}");
         side.members.apply_report(&id, report(ms(10_000), prompt));
     }
-    let pick = side.choose(ms(10_000), &work(&[])).expect("all are open");
+    let pick = side
+        .choose(ms(10_000), &work(&[]))
+        .expect("all upstreams are open");
     assert_eq!(pick.position, 4);
 }
 
 #[test]
 fn own_work_is_not_counted_twice_when_the_report_shows_it() {
     let mut side = Harness::new(Policy::FullScan, engines(2), 1);
-    let first = side.choose(ms(0), &work(&[])).expect("all are open");
+    let first = side
+        .choose(ms(0), &work(&[]))
+        .expect("all upstreams are open");
     side.add(ms(0), &first, Load::of(8_000, 100));
     let id = side.id(&first);
     side.members.apply_report(&id, report(ms(500), 8_000));
-    let member = side.members.get_mut(&id).expect("it is there");
+    let member = side.members.get_mut(&id).expect("the upstream is a member");
     let load = member
         .ledger
         .estimate(ms(500), Load::default(), Duration::MAX, &side.config.speed);
@@ -185,7 +191,14 @@
     side.members
         .apply_report("engine-0000", report(ms(400), 9_000));
     let ledger = &side.members.at(0).ledger;
-    assert_eq!(ledger.others(ms(500)).expect("reported").0.prefill, 100.0);
+    assert_eq!(
+        ledger
+            .others(ms(500))
+            .expect("a report was applied")
+            .0
+            .prefill,
+        100.0
+    );
 }
 
 #[test]
@@ -203,11 +216,15 @@
     ];
     let holder = side.members.at(11).view.id.clone();
     side.history.record(&prefixes, &holder);
-    let pick = side.choose(ms(0), &work(&prefixes)).expect("all are open");
+    let pick = side
+        .choose(ms(0), &work(&prefixes))
+        .expect("all upstreams are open");
     assert_eq!((pick.position, pick.cached), (11, 900));
 
     side.add(ms(0), &pick, Load::of(60_000, 100));
-    let pick = side.choose(ms(0), &work(&prefixes)).expect("all are open");
+    let pick = side
+        .choose(ms(0), &work(&prefixes))
+        .expect("all upstreams are open");
     assert_ne!(pick.position, 11);
 }
 
@@ -221,7 +238,7 @@
         .map(|seed| {
             let mut side = Harness::new(Policy::default(), engines(18), seed);
             let pick = side.choose(ms(0), &work(&prefixes));
-            pick.expect("all are open").position
+            pick.expect("all upstreams are open").position
         })
         .collect();
     assert!(homes.iter().all(|home| *home == homes[0]), "{homes:?}");
@@ -235,7 +252,9 @@
     let home = |views: Vec<View>, hash| {
         let mut side = Harness::new(Policy::PrefixHash, views, 1);
         let prefixes = [Prefix { hash, tokens: 64 }];
-        let pick = side.choose(ms(0), &work(&prefixes)).expect("all are open");
+        let pick = side
+            .choose(ms(0), &work(&prefixes))
+            .expect("all upstreams are open");
         side.id(&pick)
     };
     for hash in hashes {
@@ -254,13 +273,13 @@
     views[1].health = Health::Suspect;
     let mut side = Harness::new(Policy::Random, views.clone(), 1);
     for _ in 0..20 {
-        let pick = side.choose(ms(0), &work(&[])).expect("one is up");
+        let pick = side.choose(ms(0), &work(&[])).expect("one upstream is up");
         assert_eq!(pick.position, 2);
     }
     views[2].health = Health::Down;
     let mut side = Harness::new(Policy::Random, views, 1);
     for _ in 0..20 {
-        let pick = side.choose(ms(0), &work(&[])).expect("suspects are left");
+        let pick = side.choose(ms(0), &work(&[])).expect("suspects remain");
         assert_ne!(pick.position, 2);
     }
 }
@@ -273,7 +292,9 @@
     side.config.slow_start = Duration::from_secs(10);
     let mut counts = [0, 0];
     for _ in 0..40 {
-        let pick = side.choose(ms(11_000), &work(&[])).expect("both are up");
+        let pick = side
+            .choose(ms(11_000), &work(&[]))
+            .expect("both upstreams are up");
         side.add(ms(11_000), &pick, Load::of(1_000, 100));
         counts[pick.position] += 1;
     }
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -21,12 +21,12 @@
 enum Step {
     Admit {
         class: usize,
-        left: u64,
+        time_left: u64,
         prompt: u32,
     },
     Prefilled(usize),
     Tokens(usize, u32),
-    Together(usize),
+    TransferFailed(usize),
     Finish(usize),
     Fail(usize, bool),
     GiveUp(usize),
@@ -39,10 +39,10 @@
 fn step() -> impl Strategy<Value = Step> {
     let admit = (0..Class::COUNT, 1_u64..20_000, 0_u32..6_000);
     prop_oneof![
-        8 => admit.prop_map(|(class, left, prompt)| Step::Admit { class, left, prompt }),
+        8 => admit.prop_map(|(class, time_left, prompt)| Step::Admit { class, time_left, prompt }),
         2 => any::<usize>().prop_map(Step::Prefilled),
         2 => (any::<usize>(), 0_u32..200).prop_map(|(n, count)| Step::Tokens(n, count)),
-        1 => any::<usize>().prop_map(Step::Together),
+        1 => any::<usize>().prop_map(Step::TransferFailed),
         4 => any::<usize>().prop_map(Step::Finish),
         2 => (any::<usize>(), any::<bool>()).prop_map(|(n, ran)| Step::Fail(n, ran)),
         1 => any::<usize>().prop_map(Step::GiveUp),
@@ -102,22 +102,22 @@
             .set_upstreams(self.now, POOL, self.views.clone());
     }
 
-    fn sent(&mut self, assignment: Assignment) {
+    fn record_sent(&mut self, assignment: Assignment) {
         let ids = [Some(&assignment.upstream), assignment.prefill.as_ref()];
         for id in ids.into_iter().flatten() {
             let view = self.views.iter().find(|view| view.id == *id);
-            assert!(view.expect("it is listed").open, "{id} is closed");
+            assert!(view.expect("the upstream is listed").open, "{id} is closed");
         }
         let known = self.running.insert(assignment.attempt, assignment);
         assert!(known.is_none(), "attempt id reused");
     }
 
-    fn take(&mut self, outputs: Outputs) {
+    fn apply_outputs(&mut self, outputs: Outputs) {
         for output in outputs {
             match output {
                 Output::Send { ticket, assignment } => {
                     assert!(self.waiting.remove(&ticket), "{ticket} was not queued");
-                    self.sent(assignment);
+                    self.record_sent(assignment);
                 }
                 Output::Refuse { ticket, .. } => {
                     assert!(self.waiting.remove(&ticket), "{ticket} was not queued");
@@ -136,9 +136,9 @@
         match *step {
             Step::Admit {
                 class,
-                left,
+                time_left,
                 prompt,
-            } => self.admit(class, left, prompt),
+            } => self.admit(class, time_left, prompt),
             Step::Prefilled(n) => {
                 if let Some(attempt) = self.attempt(n) {
                     self.router.progress(self.now, attempt, Progress::Prefilled);
@@ -150,7 +150,7 @@
                         .progress(self.now, attempt, Progress::Tokens(count));
                 }
             }
-            Step::Together(n) => {
+            Step::TransferFailed(n) => {
                 if let Some(attempt) = self.attempt(n) {
                     self.router.transfer_failed(self.now, attempt);
                 }
@@ -193,12 +193,12 @@
         }
     }
 
-    fn admit(&mut self, class: usize, left: u64, prompt: u32) {
-        let mut request = request(Class::ALL[class], self.now + ms(left));
+    fn admit(&mut self, class: usize, time_left: u64, prompt: u32) {
+        let mut request = request(Class::ALL[class], self.now + ms(time_left));
         request.prompt_tokens = prompt;
         request.repeatable = prompt.is_multiple_of(2);
         match self.router.admit(self.now, request) {
-            Decision::Send(assignment) => self.sent(assignment),
+            Decision::Send(assignment) => self.record_sent(assignment),
             Decision::Wait(ticket) => assert!(self.waiting.insert(ticket)),
             Decision::Refuse(_) => {}
         }
@@ -207,7 +207,7 @@
     fn finish(&mut self, attempt: Attempt) {
         self.running.remove(&attempt);
         let outputs = self.router.finished(self.now, attempt);
-        self.take(outputs);
+        self.apply_outputs(outputs);
     }
 
     fn fail(&mut self, attempt: Attempt, ran: bool) {
@@ -224,11 +224,11 @@
 
     fn tick(&mut self) {
         let outputs = self.router.tick(self.now);
-        self.take(outputs);
+        self.apply_outputs(outputs);
     }
 
     /// Ends all attempts and lets all deadlines pass.
-    fn end(&mut self) {
+    fn drain(&mut self) {
         for _ in 0..50 {
             while let Some(attempt) = self.attempt(0) {
                 self.finish(attempt);
@@ -248,10 +248,10 @@
         for step in &steps {
             model.apply(step);
         }
-        model.end();
+        model.drain();
         prop_assert!(model.running.is_empty());
         prop_assert!(model.waiting.is_empty(), "{:?}", model.waiting);
-        prop_assert_eq!(model.router.waiting(POOL), 0);
+        prop_assert_eq!(model.router.queued(POOL), 0);
         let outstanding = model.router.outstanding();
         prop_assert!(outstanding.is_empty(), "{outstanding:?}");
         let demand = model.router.demand(model.now);
--- a/crates/routing/tests/limit.rs
+++ b/crates/routing/tests/limit.rs
@@ -61,12 +61,12 @@
 }
 
 impl Group {
-    fn new(terms: &[Quota]) -> Self {
+    fn new(quotas: &[Quota]) -> Self {
         let mut entries: Vec<Limits> = (0..ENTRIES)
             .map(|entry| Limits::new(Config::default(), name(entry)))
             .collect();
         for (own, entry) in entries.iter_mut().enumerate() {
-            entry.set_quotas(Moment::ZERO, terms.to_vec());
+            entry.set_quotas(Moment::ZERO, quotas.to_vec());
             entry.set_peers((0..ENTRIES).filter(|peer| *peer != own).map(name));
         }
         Self {
@@ -113,9 +113,11 @@
         }
         self.arrivals += 1;
         let limits = &mut self.entries[entry];
-        if limits.check(self.now, &[subject()], 0).is_ok() {
+        if limits.try_acquire(self.now, &[subject()], 0).is_ok() {
             limits.release(&[subject()], Usage::none(0));
-            self.counts.last_mut().expect("a second is open")[entry] += 1.0;
+            self.counts
+                .last_mut()
+                .expect("a counter exists for this second")[entry] += 1.0;
         }
     }
 
@@ -124,7 +126,7 @@
             if !self.alive[from] || self.steps % FRAME_EVERY != from as u32 * 6 {
                 continue;
             }
-            let demand = self.entries[from].demand(self.now);
+            let demand = self.entries[from].advertise(self.now);
             for to in (0..ENTRIES).filter(|to| *to != from) {
                 self.frames.push_back(Frame {
                     due: self.now + FRAME_DELAY,
@@ -139,7 +141,7 @@
             .front()
             .is_some_and(|frame| frame.due <= self.now)
         {
-            let frame = self.frames.pop_front().expect("there is a front");
+            let frame = self.frames.pop_front().expect("the queue has a front");
             if self.alive[frame.to] && self.partition[frame.from] == self.partition[frame.to] {
                 self.entries[frame.to].update_peer(self.now, &name(frame.from), &frame.demand);
             }
@@ -246,7 +248,7 @@
     let mut admitted = 0.0;
     for step in 0..1_000 {
         let now = STEP * step;
-        if new_entry.check(now, &[subject()], 0).is_ok() {
+        if new_entry.try_acquire(now, &[subject()], 0).is_ok() {
             admitted += 1.0;
         }
     }
@@ -272,9 +274,9 @@
             let now = Duration::from_millis(ms);
             if ms % 500 == 0 {
                 small.update_peer(now, &name(1), std::slice::from_ref(&large));
-                small.demand(now);
+                small.advertise(now);
             }
-            if small.check(now, &[subject()], 0).is_ok() {
+            if small.try_acquire(now, &[subject()], 0).is_ok() {
                 small.release(&[subject()], Usage::none(0));
                 admitted += 1;
             }
@@ -300,7 +302,7 @@
     let mut open = [0_u32; ENTRIES];
     for (entry, open) in open.iter_mut().enumerate() {
         while group.entries[entry]
-            .check(group.now, &[subject()], 0)
+            .try_acquire(group.now, &[subject()], 0)
             .is_ok()
         {
             *open += 1;
@@ -308,8 +310,11 @@
     }
     println!("slots per entry: {open:?}");
     assert_eq!(open.iter().sum::<u32>(), 10);
-    let refused = group.entries[0].check(group.now, &[subject()], 0);
-    assert_eq!(refused.expect_err("it is full").kind, Kind::Concurrent);
+    let refused = group.entries[0].try_acquire(group.now, &[subject()], 0);
+    assert_eq!(
+        refused.expect_err("all slots are used").kind,
+        Kind::Concurrent
+    );
 }
 
 #[test]
@@ -322,11 +327,11 @@
     one[0] = 20.0;
     group.run(3, one);
     for entry in 1..ENTRIES {
-        let first = group.entries[entry].check(group.now, &[subject()], 0);
+        let first = group.entries[entry].try_acquire(group.now, &[subject()], 0);
         assert_matches!(first, Ok(()), "entry {entry}");
     }
     let busy = &mut group.entries[0];
-    let slots = (0..200).take_while(|_| busy.check(group.now, &[subject()], 0).is_ok());
+    let slots = (0..200).take_while(|_| busy.try_acquire(group.now, &[subject()], 0).is_ok());
     assert!(slots.count() >= 150, "the busy entry keeps most slots");
 }
 
--- a/crates/routing/tests/passive_health.rs
+++ b/crates/routing/tests/passive_health.rs
@@ -41,7 +41,7 @@
         };
         if &*assignment.upstream == SILENT {
             hanging.push_back((step + 20, assignment.attempt));
-            *counts.last_mut().expect("ten seconds are open") += 1;
+            *counts.last_mut().expect("a counter exists for this period") += 1;
         } else {
             answering.push(assignment.attempt);
         }
--- a/crates/routing/tests/plan.rs
+++ b/crates/routing/tests/plan.rs
@@ -71,10 +71,10 @@
 /// changes.
 fn run(config: &Config, engines: &mut [Engine], trace: &[Demand]) -> (f64, Vec<Change>) {
     let mut planner = Planner::new(config.clone());
-    let mut work: Vec<(usize, Change)> = Vec::new();
+    let mut in_progress: Vec<(usize, Change)> = Vec::new();
     let (mut sum, mut changes) = (0.0, Vec::new());
     for (at, demand) in trace.iter().enumerate() {
-        work.retain(|(end, change)| {
+        in_progress.retain(|(end, change)| {
             set(engines, change, *end > at);
             *end > at
         });
@@ -85,7 +85,7 @@
         };
         for change in planner.step(now, &input) {
             set(engines, &change, true);
-            work.push((at + CHANGE_S, change.clone()));
+            in_progress.push((at + CHANGE_S, change.clone()));
             changes.push(change);
         }
         let available = engines.iter().filter(|engine| engine.eligible);
@@ -97,18 +97,18 @@
 
 fn set(engines: &mut [Engine], change: &Change, in_progress: bool) {
     let engine = engines.iter_mut().find(|engine| engine.id == change.engine);
-    let engine = engine.expect("planners name engines that they were given");
+    let engine = engine.expect("planners return known engines");
     engine.role = change.role;
     engine.changing = in_progress;
     engine.eligible = !in_progress;
 }
 
-fn step(seconds: usize) -> Vec<Demand> {
+fn shifted(seconds: usize) -> Vec<Demand> {
     let share = |at| if at < seconds / 3 { 0.5 } else { 0.75 };
     (0..seconds).map(|at| demand(share(at))).collect()
 }
 
-fn swings(seconds: usize, period: usize) -> Vec<Demand> {
+fn alternating(seconds: usize, period: usize) -> Vec<Demand> {
     let share = |at: usize| {
         if (at / (period / 2)).is_multiple_of(2) {
             0.3
@@ -132,8 +132,12 @@
 #[test]
 fn a_lasting_shift_changes_roles() {
     let mut fleet = engines(5, 5);
-    let (served, changes) = run(&config(Kind::Gain, 0.2), &mut fleet, &step(300));
-    let (fixed, _) = run(&config(Kind::Static, 0.2), &mut engines(5, 5), &step(300));
+    let (served, changes) = run(&config(Kind::Gain, 0.2), &mut fleet, &shifted(300));
+    let (fixed, _) = run(
+        &config(Kind::Static, 0.2),
+        &mut engines(5, 5),
+        &shifted(300),
+    );
     assert!(served > fixed + 0.1, "{served} against {fixed}");
     assert!((1..=4).contains(&changes.len()), "{changes:?}");
     assert!(changes.iter().all(|change| change.role == Role::Prefill));
@@ -146,7 +150,7 @@
     // Guards against role changes that chase a fluctuating mix. Each change is right when ordered
     // and wrong when complete if the mix alternates every four seconds and a change takes five;
     // goodput then falls below that of static roles.
-    let trace = swings(600, 8);
+    let trace = alternating(600, 8);
     let (served, changes) = run(&config(Kind::Gain, 0.2), &mut engines(5, 5), &trace);
     let (fixed, _) = run(&config(Kind::Static, 0.2), &mut engines(5, 5), &trace);
     assert!(changes.len() <= 3, "{}", changes.len());
@@ -155,7 +159,7 @@
 
 #[test]
 fn a_higher_price_leads_to_fewer_changes() {
-    let trace = swings(900, 120);
+    let trace = alternating(900, 120);
     let count = |price| {
         let config = config(Kind::Gain, price);
         run(&config, &mut engines(5, 5), &trace).1.len()
@@ -179,7 +183,7 @@
 
 #[test]
 fn no_planner_exceeds_the_offline_optimum() {
-    for trace in [step(200), swings(200, 60), swings(200, 20)] {
+    for trace in [shifted(200), alternating(200, 60), alternating(200, 20)] {
         let start = Counts::new([0, 5, 5]);
         let best = optimum::solve(&config(Kind::Gain, 0.0), start, &trace);
         for (kind, price) in [
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -133,8 +133,8 @@
             break;
         }
     }
-    let waiting = waiting.expect("one engine has room for few only");
-    assert_eq!(router.waiting(POOL), 1);
+    let waiting = waiting.expect("one engine has room for few requests");
+    assert_eq!(router.queued(POOL), 1);
     router.set_pools(ms(300), vec![]);
     let outputs = router.tick(ms(500));
     assert_matches!(&outputs[..], [Output::Refuse { ticket, refusal }] => {
