--- a/crates/routing/src/member.rs
+++ b/crates/routing/src/member.rs
@@ -33,7 +33,7 @@
     pub window: Window,
     /// Health as observed by this entry.
     pub passive_health: PassiveHealth,
-    /// Factor on the nominal speed, below 1 for an upstream slower than its peers.
+    /// Factor on the nominal speed, below 1 for an upstream slower than others in its role.
     pub(crate) speed_factor: f64,
     /// Whether it is ejected because of its passive health.
     pub(crate) ejected: bool,
--- a/crates/routing/src/passive_health.rs
+++ b/crates/routing/src/passive_health.rs
@@ -130,7 +130,7 @@
         known.then_some(self.rate)
     }
 
-    /// Factor on the upstream's speed, given the mean answer rate of its peers.
+    /// Factor on the upstream's speed, given the mean answer rate in its role.
     pub fn speed_share(&self, now: Moment, mean_rate: f64) -> f64 {
         let Some(rate) = self.answer_rate(now) else {
             return 1.0;
--- a/crates/routing/src/router/waiting.rs
+++ b/crates/routing/src/router/waiting.rs
@@ -40,7 +40,7 @@
         if pool.queue.is_empty() {
             return None;
         }
-        // If a request finds no room, neither do later ones for the same model.
+        // Heads are ordered by class: later ones for a model without room find none either.
         let mut full: SmallVec<[Option<Model>; 4]> = SmallVec::new();
         for (_, ticket) in pool.queue.heads() {
             let Some(pending) = pool.queue.get(ticket).cloned() else {
