--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,90 +1,92 @@
-//! Whether a call may go to an engine now, by what is known of the engines that it ended. Asked before every way to an engine:
-//! first sends, repeats, prompts that are only read, memory that is taken over, and streams that go on elsewhere.
+//! Decides whether a call may go to an engine now, given the engines that crashed while running it.
+//! Every dispatch to an engine asks first: first sends, retries, prefill, KV cache transfers and
+//! streams that resume elsewhere.
 
 use std::time::Duration;
 
 use serving::EngineId;
 use serving::quarantine::{Builds, Verdict};
 
-use crate::attempt::Asked;
+use crate::attempt::Request;
 use crate::instance::Instance;
 use crate::{suspects, trials};
 
-/// How a call may go to an engine.
+/// How a call may be dispatched.
 pub(crate) enum Admission {
-    /// As any call.
-    Usual,
-    /// Alone, since it may end its engine.
+    /// Without restriction.
+    Unrestricted,
+    /// To an engine that runs no other call, since it may crash the engine.
     Alone,
-    /// To no engine but those that it has run well on.
-    Avoiding(Vec<EngineId>),
-    /// Not now; it may be tried after this time.
+    /// To any engine except these, which run builds that it has not run well on.
+    Excluding(Vec<EngineId>),
+    /// Not now; retry after this time.
     Held(Duration),
 }
 
-/// When a caller may come back while another instance tries its call, or the store does not say who may.
-const TRIED_AFTER: Duration = Duration::from_secs(1);
+/// Retry-after while another instance tries the call, or while the store does not say who may.
+const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Decides on a call that is about to be placed. A held one whose trial is due is claimed for this instance.
-pub(crate) async fn admit(instance: &Instance, asked: &Asked) -> Admission {
-    if asked.on_trial.get() {
+/// Decides on a call that is about to be placed. Claims the trial of a held call for this instance
+/// when it is due.
+pub(crate) async fn admit(instance: &Instance, request: &Request) -> Admission {
+    if request.on_trial.get() {
         return Admission::Alone;
     }
-    let admission = match instance.suspects.verdict(asked, suspects::now(instance)) {
-        Verdict::TrialDue if trials::claim(instance, asked).await => {
-            log::info!(id = asked.call.id.as_str(), fingerprint = asked.fingerprint_text(); "a held call is tried");
-            asked.on_trial.set(true);
+    let admission = match instance.suspects.verdict(request, suspects::now(instance)) {
+        Verdict::TrialDue if trials::claim(instance, request).await => {
+            log::info!(id = request.call.id.as_str(), fingerprint = request.fingerprint_text(); "a held call is tried");
+            request.on_trial.set(true);
             Admission::Alone
         }
-        Verdict::TrialDue => Admission::Held(TRIED_AFTER),
-        decided => judge(instance, asked, decided),
+        Verdict::TrialDue => Admission::Held(TRIAL_RETRY_AFTER),
+        decided => admission_for(instance, request, decided),
     };
     if let Admission::Held(after) = &admission {
-        tell_held(instance, asked, *after);
+        log_held(instance, request, *after);
     }
     admission
 }
 
-/// As [`admit`], for a call that an engine has begun to serve already: no trial begins there.
-pub(crate) fn admit_further(instance: &Instance, asked: &Asked) -> Admission {
-    let verdict = instance.suspects.verdict(asked, suspects::now(instance));
-    judge(instance, asked, verdict)
+/// As [`admit`], for a call that an engine has already begun to serve; starts no trial.
+pub(crate) fn admit_started(instance: &Instance, request: &Request) -> Admission {
+    let verdict = instance.suspects.verdict(request, suspects::now(instance));
+    admission_for(instance, request, verdict)
 }
 
-fn judge(instance: &Instance, asked: &Asked, verdict: Verdict) -> Admission {
+fn admission_for(instance: &Instance, request: &Request, verdict: Verdict) -> Admission {
     match verdict {
-        Verdict::Clear => Admission::Usual,
+        Verdict::Clear => Admission::Unrestricted,
         Verdict::Suspected => Admission::Alone,
-        Verdict::TrialDue => Admission::Held(TRIED_AFTER),
-        Verdict::Held {
-            after,
-            good_builds: well_on,
+        Verdict::TrialDue => Admission::Held(TRIAL_RETRY_AFTER),
+        Verdict::Held { after, good_builds: well_on ,
         } if well_on.is_empty() => Admission::Held(after),
-        Verdict::Held {
-            good_builds: well_on,
-            ..
-        } => Admission::Avoiding(all_but(instance, asked, &well_on)),
+        Verdict::Held { good_builds: well_on, .. } => {
+            Admission::Excluding(engines_with_other_builds(instance, request, &well_on))}
     }
 }
 
-/// Engines of a call's service that run another build.
-fn all_but(instance: &Instance, asked: &Asked, builds: &Builds) -> Vec<EngineId> {
+/// Engines of the call's service that run a build not in `builds`.
+fn engines_with_other_builds(
+    instance: &Instance,
+    request: &Request,
+    builds: &Builds,
+) -> Vec<EngineId> {
     let fleet = instance.fleet.borrow();
     let others = fleet
-        .ready(&asked.service.name)
+        .ready(&request.service.name)
         .filter(|engine| !builds.contains(&engine.record.build()));
     others.map(|engine| engine.record.id.clone()).collect()
 }
 
-fn tell_held(instance: &Instance, asked: &Asked, after: Duration) {
+fn log_held(instance: &Instance, request: &Request, after: Duration) {
     instance.metrics.held();
     let entry = instance
         .suspects
-        .get(asked.fingerprint())
+        .get(request.fingerprint())
         .unwrap_or_default();
     let last = entry.last_crash().unwrap_or_default();
     log::info!(
-        id = asked.call.id.as_str(), fingerprint = asked.fingerprint_text(), caller:% = asked.caller,
+        id = request.call.id.as_str(), fingerprint = request.fingerprint_text(), caller:% = request.caller,
         ended = entry.uncleared_crashes(), last_ms:% = suspects::now(instance).saturating_sub(last).as_millis(),
         trials = entry.trials, failed = entry.failed_trials, after_ms:% = after.as_millis();
         "held"
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One call and its attempts at engines, common to plain calls and generations.
+//! A request and its attempts at engines, shared by plain calls and generations.
 
 use std::cell::{Cell, OnceCell};
 use std::net::IpAddr;
@@ -24,45 +24,45 @@
 use crate::front::NO_ROUTE;
 use crate::instance::Instance;
 use crate::limits;
-use crate::reply::Refusal;
+use crate::refusal::Refusal;
 use crate::suspects::{self, Subject};
 
-/// A caller's request with all that was looked up for it.
-pub(crate) struct Asked {
+/// A caller's request with everything that was looked up for it.
+pub(crate) struct Request {
     pub head: RequestHead,
     pub body: Bytes,
     pub call: Call,
-    /// Where its connection comes from.
+    /// Address that the connection comes from.
     pub caller: IpAddr,
     fingerprint: OnceCell<Fingerprint>,
-    /// Whether it counts among what its organisation uses already.
-    counted: Cell<bool>,
-    /// Whether this instance may send it although it is held, until an engine has got it.
+    /// Whether it is already counted in its organisation's usage.
+    is_counted: Cell<bool>,
+    /// Whether this instance may send it although it is held; cleared once an engine has received
+    /// it.
     pub on_trial: Cell<bool>,
     pub route: Rc<Route>,
-    /// Who calls.
     pub principal: Principal,
     pub service: Service,
-    /// When its caller, or the operator, no longer waits.
-    pub until: Instant,
-    pub begun: Instant,
-    /// How long its caller had waited before it sent this.
-    pub before: Duration,
+    /// When the caller's deadline or the route's time-out ends.
+    pub deadline: Instant,
+    pub started: Instant,
+    /// Time that the caller had waited before it sent this request.
+    pub waited_before: Duration,
 }
 
-/// Who calls, as far as the configuration asks for it.
+/// The caller's identity, as far as the configuration asks for it.
 #[derive(Clone, Debug)]
 pub(crate) enum Principal {
-    /// There are no organisations.
+    /// No organisations are configured.
     Anyone,
-    /// Somebody of no organisation, on a public route.
+    /// No organisation, on a public route.
     Unnamed,
-    /// Somebody of this organisation.
     Of(Rc<Organisation>),
 }
 
 impl Principal {
-    /// By the key that a request bears; nothing if the route asks for a key and no organisation holds this one.
+    /// Looks the request's key up. `None` if the route requires a key and no organisation holds
+    /// this one.
     fn of(table: &Table, route: &Route, head: &RequestHead) -> Option<Self> {
         let Some(organisations) = &table.organisations else {
             return Some(Self::Anyone);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The organisation, where there is one.
+    /// The organisation, if there is one.
     pub(crate) fn organisation(&self) -> Option<&Organisation> {
         match self {
             Self::Of(organisation) => Some(organisation),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The organisation's name for logs; empty where there is none.
+    /// The organisation's name for logs, or an empty string.
     pub(crate) fn name(&self) -> &str {
         self.organisation()
             .map_or("", |organisation| &organisation.name)
@@ -97,18 +97,18 @@
     }
 }
 
-/// Why a request is answered at once.
-pub(crate) struct Unserved {
+/// A request that is refused before any attempt.
+pub(crate) struct Rejection {
     status: StatusCode,
     id: Option<String>,
     after: Option<Duration>,
     detail: &'static str,
-    /// Version of the configuration that decided it; 0 before the first.
+    /// Version of the configuration in force at the decision; 0 before the first.
     configuration: Version,
 }
 
-impl Unserved {
-    pub(crate) fn tell(&self) {
+impl Rejection {
+    pub(crate) fn log(&self) {
         log::info!(
             id = self.id.as_deref().unwrap_or_default(), status = self.status.as_u16(),
             after_ms:% = self.after.unwrap_or_default().as_millis(), why = self.detail,
@@ -121,32 +121,32 @@
         Refusal {
             status: self.status,
             id: self.id.as_deref(),
-            after: self.after,
+            retry_after: self.after,
             detail: self.detail,
-            ran: false,
+            may_have_run: false,
         }
     }
 }
 
-/// When a caller may come back to an instance that knows no configuration or no engines yet. Another instance is
+/// Retry-after from an instance that knows no configuration or no engines yet. Another instance is
 /// likely to know them.
-const UNKNOWING_AFTER: Duration = Duration::from_millis(200);
+const UNSYNCED_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-impl Asked {
+impl Request {
     pub(crate) fn new(
         instance: &Instance,
         arrival: Arrival,
         caller: IpAddr,
-    ) -> Result<Self, Unserved> {
+    ) -> Result<Self, Rejection> {
         let configuration = instance.table().map_or(0, |table| table.version);
-        let call = ingress::parse_call(&arrival.head).map_err(|finding| Unserved {
+        let call = ingress::parse_call(&arrival.head).map_err(|finding| Rejection {
             status: StatusCode::BAD_REQUEST,
             id: None,
             after: None,
             detail: finding.message(),
             configuration,
         })?;
-        let unserved = |status, after, detail| Unserved {
+        let reject = |status, after, detail| Rejection {
             status,
             id: Some(call.id.clone()),
             after,
@@ -155,42 +155,42 @@
         };
         let table = instance.table().ok_or_else(|| {
             let detail = "No configuration is known yet.";
-            unserved(
+            reject(
                 StatusCode::SERVICE_UNAVAILABLE,
-                Some(UNKNOWING_AFTER),
+                Some(UNSYNCED_RETRY_AFTER),
                 detail,
             )
         })?;
         if !instance.engines_known.get() {
             let detail = "No engines are known yet.";
-            return Err(unserved(
+            return Err(reject(
                 StatusCode::SERVICE_UNAVAILABLE,
-                Some(UNKNOWING_AFTER),
+                Some(UNSYNCED_RETRY_AFTER),
                 detail,
             ));
         }
         let path = arrival.head.uri.path();
         let route = table
             .find(&call.host, path)
-            .ok_or_else(|| unserved(NO_ROUTE, None, "No route matches."))?;
+            .ok_or_else(|| reject(NO_ROUTE, None, "No route matches."))?;
         let principal = Principal::of(&table, route, &arrival.head).ok_or_else(|| {
             if instance.is_current() {
-                unserved(
+                reject(
                     StatusCode::UNAUTHORIZED,
                     None,
                     "No organisation holds the key.",
                 )
             } else {
                 let detail = "The key is not known here yet.";
-                unserved(
+                reject(
                     StatusCode::SERVICE_UNAVAILABLE,
-                    Some(UNKNOWING_AFTER),
+                    Some(UNSYNCED_RETRY_AFTER),
                     detail,
                 )
             }
         })?;
-        let service = service(&table, route, &call);
-        let patience = call
+        let service = select_service(&table, route, &call);
+        let timeout = call
             .deadline
             .map_or(route.timeout, |d| d.min(route.timeout));
         let before = call.deadline.map_or(Duration::ZERO, |left| {
@@ -198,9 +198,9 @@
             usual.estimate(&route.name, left, instance.now())
         });
         Ok(Self {
-            until: arrival.begun + patience,
-            before,
-            begun: arrival.begun,
+            deadline: arrival.begun + timeout,
+            waited_before: before,
+            started: arrival.begun,
             route: route.clone(),
             principal,
             service,
@@ -209,12 +209,12 @@
             call,
             caller,
             fingerprint: OnceCell::new(),
-            counted: Cell::new(false),
+            is_counted: Cell::new(false),
             on_trial: Cell::new(false),
         })
     }
 
-    /// What its repeats share with it. Made when it is first asked for, since few calls need it.
+    /// Identifies the call across its repeats. Computed on first use, since few calls need it.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let uri = &self.head.uri;
@@ -232,12 +232,12 @@
         })
     }
 
-    /// [`Asked::fingerprint`] as logs have it.
+    /// [`Request::fingerprint`] in the form that logs use.
     pub(crate) fn fingerprint_text(&self) -> String {
         suspects::text(self.fingerprint())
     }
 
-    /// What is remembered of it beyond its end.
+    /// What crash detection keeps of the request after it has ended.
     pub(crate) fn subject(&self) -> Subject {
         Subject {
             id: self.call.id.clone(),
@@ -246,43 +246,43 @@
         }
     }
 
-    /// Takes in that an engine began it at a moment. It counts once, however many engines it goes to.
-    pub(crate) fn began(&self, instance: &Instance, at: UnixTime) {
+    /// Records that an engine began the request. Counted once, however many engines it goes to.
+    pub(crate) fn note_started(&self, instance: &Instance, at: UnixTime) {
         if let Some(organisation) = self.principal.organisation()
-            && !self.counted.replace(true)
+            && !self.is_counted.replace(true)
         {
             instance.used(&organisation.name, at);
         }
     }
 
-    /// Its rank: that of its organisation, which goes before that of its route.
+    /// The organisation's rank if it has one, else the route's.
     pub(crate) fn priority(&self) -> Rank {
         let organisation = self.principal.organisation();
         let own = organisation.and_then(|organisation| organisation.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    pub(crate) fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    pub(crate) fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Time that the caller still waits for a first answer.
-    pub(crate) fn first_left(&self) -> Duration {
+    /// Time left until the caller gives up waiting for a first answer.
+    pub(crate) fn first_answer_remaining(&self) -> Duration {
         if !self.route.kind.is_stream() {
-            return self.left();
+            return self.remaining();
         }
-        let patience = self.route.event_timeout().saturating_sub(self.waited());
-        patience.min(self.left())
+        let timeout = self.route.event_timeout().saturating_sub(self.elapsed());
+        timeout.min(self.remaining())
     }
 
-    pub(crate) fn waited(&self) -> Duration {
-        self.begun.elapsed()
+    pub(crate) fn elapsed(&self) -> Duration {
+        self.started.elapsed()
     }
 }
 
-/// The service of a call on a route with several: by the request's id, so that the same request
-/// goes the same way at every instance.
-fn service(table: &Table, route: &Route, call: &Call) -> Service {
+/// The service of a call. Routes with several pick by the request's id, so that every instance
+/// picks the same one.
+fn select_service(table: &Table, route: &Route, call: &Call) -> Service {
     let drawn = serving::hash::unit_interval(&call.id).min(1.0 - f64::EPSILON);
     let name = route.service(drawn);
     table.service(name).cloned().unwrap_or_else(|| Service {
@@ -293,10 +293,10 @@
     })
 }
 
-/// What one attempt came to.
-pub(crate) enum Tried {
-    /// An answer to this request, up to its head.
-    Answer(Box<Answered>),
+/// Result of one attempt.
+pub(crate) enum AttemptResult {
+    /// A response to this request, read up to its head.
+    Answer(Box<EngineResponse>),
     /// The engine certainly did not run it.
     NotRun(NotRun),
     /// It may have run.
@@ -306,17 +306,17 @@
 /// Why an engine did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NotRun {
-    /// The request never reached it.
+    /// No engine received the request.
     Unreachable,
-    /// It refused for want of room.
+    /// The engine refused for lack of capacity.
     Full,
-    /// It has ended, and another one has its address.
+    /// The engine has ended, and another one listens at its address.
     Ended,
 }
 
 impl NotRun {
-    /// Whether the request arrived at some engine, which the budget of repeats counts.
-    pub(crate) fn arrived(self) -> bool {
+    /// Whether some engine received the request; the retry budget counts only these.
+    pub(crate) fn reached_engine(self) -> bool {
         self != Self::Unreachable
     }
 
@@ -329,133 +329,139 @@
     }
 }
 
-/// Engines that may refuse one call before its caller is refused; each costs a repeat.
-const REFUSALS: u32 = 2;
-/// Engines that one call may not reach before its caller is refused. When a part of the fleet ends at once,
-/// every call meets several of them within milliseconds, while the rest is well.
-const UNREACHED: u32 = 8;
+/// Engines that may refuse one call before it is refused; each refusal costs a retry.
+const MAX_REFUSALS: u32 = 2;
+/// Engines that one call may fail to reach before it is refused. When part of the fleet ends at
+/// once, every call meets several of them within milliseconds, while the rest is healthy.
+const MAX_UNREACHED: u32 = 8;
 
-/// Sends of one call that came to nothing.
+/// Sends of one call that no engine ran.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Rejections {
+pub(crate) struct FailedSends {
     refused: u32,
     unreached: u32,
 }
 
-impl Rejections {
-    /// Counts one more, which arrived at an engine or not. Says whether another engine may be tried.
-    pub(crate) fn may_go_on(&mut self, arrived: bool) -> bool {
+impl FailedSends {
+    /// Counts a failed send. Returns whether another engine may be tried.
+    pub(crate) fn count(&mut self, arrived: bool) -> bool {
         if arrived {
             self.refused += 1;
         } else {
             self.unreached += 1;
         }
-        self.refused <= REFUSALS && self.unreached <= UNREACHED
+        self.refused <= MAX_REFUSALS && self.unreached <= MAX_UNREACHED
     }
 }
 
-/// An engine's answer whose body is still to come.
-pub(crate) struct Answered {
+/// An engine's response whose body is still to be read.
+pub(crate) struct EngineResponse {
     pub head: ResponseHead,
     pub reply: Reply,
     pub framing: Framing,
     pub client: Client,
 }
 
-/// Answers to other requests that are read past on one connection before it is given up.
-const FOREIGN: usize = 3;
-/// Largest body of an answer that is held in memory, in bytes.
-pub(crate) const MOST: usize = 8 * 1024 * 1024;
+/// Responses to other requests that are skipped on one connection before it is given up.
+const MAX_MISMATCHED: usize = 3;
+/// Largest response body that is buffered.
+pub(crate) const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Sends a call to an engine and waits for the head of its answer.
+/// Sends a call to an engine and waits for the head of its response.
 pub(crate) async fn send(
     instance: &Instance,
-    asked: &Asked,
+    request: &Request,
     engine: &Record,
     sending: &RequestOptions<'_>,
-) -> Tried {
+) -> AttemptResult {
     let client = match instance.pool.take(instance, engine).await {
         Ok(client) => client,
         Err(failure) => {
-            log::info!(id = asked.call.id.as_str(), engine = &*engine.id, failure:% = failure; "no connection");
-            return Tried::NotRun(NotRun::Unreachable);
+            log::info!(id = request.call.id.as_str(), engine = &*engine.id, failure:% = failure; "no connection");
+            return AttemptResult::NotRun(NotRun::Unreachable);
         }
     };
     let sending = RequestOptions {
-        caller: asked.principal.as_caller(),
+        caller: request.principal.as_caller(),
         ..*sending
     };
-    let head = upstream::request_head(&asked.head, &sending);
-    // Engines of plain calls begin what they get; those of streams, with the first event.
+    let head = upstream::request_head(&request.head, &sending);
+    // Engines begin plain calls on receipt, and streams with the first event.
     let (sent, sent_at) = (instance.unix(), instance.now());
-    let is_plain = !asked.route.kind.is_stream();
-    let exchanged = exchange(client, head, asked, &engine.name).await;
-    if let Ok(Answered { reply, .. }) = &exchanged {
+    let is_plain = !request.route.kind.is_stream();
+    let exchanged = exchange(client, head, request, &engine.name).await;
+    if let Ok(EngineResponse { reply, .. }) = &exchanged {
         limits::observe(instance, &engine.id, reply, sent_at);
     }
     match exchanged {
-        Ok(answered) if answered.reply.was_not_run() => {
-            let ended = answered.reply.is_misdirected();
-            keep(instance, engine, answered).await;
-            Tried::NotRun(if ended { NotRun::Ended } else { NotRun::Full })
+        Ok(response) if response.reply.was_not_run() => {
+            let ended = response.reply.is_misdirected();
+            drain_and_keep(instance, engine, response).await;
+            AttemptResult::NotRun(if ended { NotRun::Ended } else { NotRun::Full })
         }
-        Ok(answered) => {
+        Ok(response) => {
             if is_plain {
-                asked.began(instance, sent);
+                request.note_started(instance, sent);
             }
-            asked.on_trial.set(false);
-            Tried::Answer(Box::new(answered))
+            request.on_trial.set(false);
+            AttemptResult::Answer(Box::new(response))
         }
-        Err(failure) if failure.not_sent() => Tried::NotRun(NotRun::Unreachable),
+        Err(failure) if failure.not_sent() => AttemptResult::NotRun(NotRun::Unreachable),
         Err(failure) => {
-            // It may have run, and mostly has.
+            // It may have run, and usually has.
             if is_plain {
-                asked.began(instance, sent);
+                request.note_started(instance, sent);
             }
-            asked.on_trial.set(false);
-            Tried::Lost(failure)
+            request.on_trial.set(false);
+            AttemptResult::Lost(failure)
         }
     }
 }
 
-/// Reads answers until one belongs to this request.
+/// Reads responses until one belongs to this request.
 ///
-/// An engine may send an answer twice, or late, where the next one is expected. The caller of the
-/// next request would get it as its own; one would notice it by a foreign id in the answer. The id
-/// is compared before anything else is looked at.
+/// An engine may send a response twice, or late, where the next one is expected; the caller of the
+/// next request would get it as its own, with a foreign id. So the id is compared before anything
+/// else is looked at.
 async fn exchange(
     mut client: Client,
     head: RequestHead,
-    asked: &Asked,
+    request: &Request,
     instance: &str,
-) -> Result<Answered, Failure> {
-    let mut answer = client.send(head, &asked.body).await?;
-    for _ in 0..FOREIGN {
-        let reply = upstream::parse_reply(&answer.head, &asked.call.id, instance);
+) -> Result<EngineResponse, Failure> {
+    let mut answer = client.send(head, &request.body).await?;
+    for _ in 0..MAX_MISMATCHED {
+        let reply = upstream::parse_reply(&answer.head, &request.call.id, instance);
         if !reply.names_other_request {
-            return Ok(Answered {
+            return Ok(EngineResponse {
                 head: answer.head,
                 reply,
                 framing: answer.framing,
                 client,
             });
         }
-        log::info!(id = asked.call.id.as_str(); "an answer to another request is read past");
-        client.body(MOST).await?;
+        log::info!(id = request.call.id.as_str(); "an answer to another request is read past");
+        client.body(MAX_BODY_BYTES).await?;
         answer = client.next_answer().await?;
     }
     Err(Failure::Broken("answers of other requests only"))
 }
 
-/// Reads an answer that is not passed on, so that its connection can be used again.
-async fn keep(instance: &Instance, engine: &Record, mut answered: Answered) {
-    if answered.framing != Framing::UntilClose && answered.client.body(MOST).await.is_ok() {
-        give(instance, &engine.id, answered.client, &answered.reply);
+/// Reads a response that is not passed on, so that its connection can be reused.
+async fn drain_and_keep(instance: &Instance, engine: &Record, mut response: EngineResponse) {
+    if response.framing != Framing::UntilClose && response.client.body(MAX_BODY_BYTES).await.is_ok()
+    {
+        return_to_pool(instance, &engine.id, response.client, &response.reply);
     }
 }
 
-/// Keeps a connection for the next call.
-pub(crate) fn give(instance: &Instance, engine: &EngineId, client: Client, reply: &Reply) {
+/// Returns a connection to the pool.
+pub(crate) fn return_to_pool(
+    instance: &Instance,
+    engine: &EngineId,
+    client: Client,
+    reply: &Reply,
+) {
     let now = instance.now();
     instance.pool.give(engine, client, reply.keep_alive, now);
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::attempt::Asked;
+use crate::attempt::Request;
 use crate::instance::Instance;
 use crate::placement;
 use crate::suspects::{self, Subject};
@@ -70,7 +70,7 @@
 
 /// Takes in that an engine's answer to a call broke off. Returns once it is known whether the engine has ended, if that
 /// matters for what is done with the call next.
-pub(crate) async fn broke_off(instance: &Rc<Instance>, asked: &Asked, engine: &Record) {
+pub(crate) async fn broke_off(instance: &Rc<Instance>, asked: &Request, engine: &Record) {
     if is_leaving(instance, &engine.id) {
         return;
     }
@@ -102,7 +102,7 @@
 
 /// Takes in that a suspect was given up while an engine had it. Its caller sees no end of the engine any more, and without this a call
 /// whose caller never waits would end engines unseen.
-pub(crate) fn given_up(instance: &Rc<Instance>, asked: &Asked, engine: &EngineId) {
+pub(crate) fn given_up(instance: &Rc<Instance>, asked: &Request, engine: &EngineId) {
     if !instance.suspects.is_noted(asked) || is_leaving(instance, engine) {
         return;
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::instance::Instance;
-use crate::reply::{Refusal, refuse};
-use crate::{attempt::Asked, generate, plain};
+use crate::refusal::{Refusal, refuse};
+use crate::{attempt::Request, generate, plain};
 
 /// A caller's connection counts as dead after about six seconds of silence of its machine, which is
 /// longer than callers wait for most answers.
@@ -115,9 +115,9 @@
     let refusal = Refusal {
         status,
         id: None,
-        after: None,
+        retry_after: None,
         detail: "The request cannot be read.",
-        ran: false,
+        may_have_run: false,
     };
     // The caller may have gone, and the connection is closed either way.
     drop(refuse(writer, refusal, true).await);
@@ -136,17 +136,17 @@
         let refusal = Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
             id: adapter::ingress::request_id(&arrival.head),
-            after: Some(CLOSING_AFTER),
+            retry_after: Some(CLOSING_AFTER),
             detail: "The instance is about to end.",
-            ran: false,
+            may_have_run: false,
         };
         return refuse(writer, refusal, true).await.is_ok();
     }
     until_known(instance).await;
-    match Asked::new(instance, arrival, caller) {
+    match Request::new(instance, arrival, caller) {
         Ok(asked) => answer(instance, &asked, writer).await,
         Err(unserved) => {
-            unserved.tell();
+            unserved.log();
             refuse(writer, unserved.as_refusal(), leaving).await.is_ok()
         }
     }
@@ -181,7 +181,7 @@
     instance.is_registered.get() || instance.now() >= HELD_READ
 }
 
-async fn answer(instance: &Rc<Instance>, asked: &Asked, writer: &mut http1::Writer) -> bool {
+async fn answer(instance: &Rc<Instance>, asked: &Request, writer: &mut http1::Writer) -> bool {
     let waiting = Waiting {
         asked,
         is_answered: Cell::new(false),
@@ -200,7 +200,7 @@
 /// One that leaves ends everything that is done for its call, wherever that stands, so that no other line tells its end.
 /// Without this one the request could not be told from one whose instance was killed.
 struct Waiting<'a> {
-    asked: &'a Asked,
+    asked: &'a Request,
     is_answered: Cell<bool>,
 }
 
@@ -211,8 +211,8 @@
         }
         let asked = self.asked;
         log::info!(
-            id = asked.call.id.as_str(), route = asked.route.name.as_str(), ms:% = asked.waited().as_millis(),
-            left_ms:% = asked.left().as_millis();
+            id = asked.call.id.as_str(), route = asked.route.name.as_str(), ms:% = asked.elapsed().as_millis(),
+            left_ms:% = asked.remaining().as_millis();
             "the caller left"
         );
     }
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -13,7 +13,9 @@
 use serving::{Choice, EngineId, Zone};
 use tokio::time::timeout_at;
 
-use crate::attempt::{self, Answered, Asked, MOST, NotRun, Rejections, Tried};
+use crate::attempt::{
+    self, AttemptResult, EngineResponse, FailedSends, MAX_BODY_BYTES, NotRun, Request,
+};
 use crate::crashes;
 use crate::held::{Held, Step};
 use crate::instance::Instance;
@@ -39,14 +41,14 @@
 const FULL_AFTER: Duration = Duration::from_millis(300);
 
 /// Answers a call. Says whether the connection may be used on.
-pub(crate) async fn answer(instance: &Rc<Instance>, asked: &Asked, writer: &mut Writer) -> bool {
+pub(crate) async fn answer(instance: &Rc<Instance>, asked: &Request, writer: &mut Writer) -> bool {
     let close = instance.phase.is_leaving();
     let sent = Cell::new(false);
     let run = async {
         let relay = Relay::new(writer, asked.call.resume_after, close);
         Run::new(instance, asked, relay, &sent).run().await
     };
-    let done = timeout_at(asked.until, run).await;
+    let done = timeout_at(asked.deadline, run).await;
     let done = match done {
         Ok(done) => done,
         Err(_) if writer.has_begun() => Done::Broken("out of time"),
@@ -69,7 +71,7 @@
     }
 }
 
-fn tell(instance: &Instance, asked: &Asked, done: &Done) {
+fn tell(instance: &Instance, asked: &Request, done: &Done) {
     instance.metrics.stream(match done {
         Done::Whole(_) => metrics::End::Served,
         Done::Broken(_) => metrics::End::Cut,
@@ -77,10 +79,10 @@
     });
     let id = asked.call.id.as_str();
     let route = asked.route.name.as_str();
-    let ms = asked.waited().as_millis();
+    let ms = asked.elapsed().as_millis();
     match done {
         Done::Whole(times) => {
-            let first = times.first.map(|first| first - asked.begun);
+            let first = times.first.map(|first| first - asked.started);
             instance.metrics.first_event(first.unwrap_or_default());
             log::info!(
                 id = id, route = route, ms:% = ms,
@@ -110,13 +112,13 @@
 
 struct Run<'a> {
     instance: &'a Rc<Instance>,
-    asked: &'a Asked,
+    asked: &'a Request,
     relay: Relay<'a>,
     /// Whether an engine may have begun to run the call.
     sent: &'a Cell<bool>,
     avoid: Avoid,
     runs: u32,
-    rejections: Rejections,
+    rejections: FailedSends,
     weights: Option<u64>,
     /// Whether the prompt may still be read at one engine for another.
     may_split: bool,
@@ -138,7 +140,7 @@
 impl<'a> Run<'a> {
     fn new(
         instance: &'a Rc<Instance>,
-        asked: &'a Asked,
+        asked: &'a Request,
         relay: Relay<'a>,
         sent: &'a Cell<bool>,
     ) -> Self {
@@ -149,7 +151,7 @@
             sent,
             avoid: Avoid::new(),
             runs: 0,
-            rejections: Rejections::default(),
+            rejections: FailedSends::default(),
             weights: None,
             may_split: true,
         }
@@ -231,7 +233,7 @@
             };
             match self.generate(&decode, Some(&memory)).await {
                 Generated::Next(next) => return next,
-                Generated::NotRun(why) => match self.rejected(why.arrived()) {
+                Generated::NotRun(why) => match self.rejected(why.reached_engine()) {
                     // A refusal for want of room may have used the memory up.
                     Next::Again if why == NotRun::Full => return Next::Again,
                     Next::Again => {}
@@ -245,7 +247,7 @@
     async fn direct(&mut self, target: &Target) -> Next {
         match self.generate(target, None).await {
             Generated::Next(next) => next,
-            Generated::NotRun(why) => self.rejected(why.arrived()),
+            Generated::NotRun(why) => self.rejected(why.reached_engine()),
         }
     }
 
@@ -257,23 +259,23 @@
         let mut held = Held::new(self.instance, self.asked, target, Step::Read);
         let sending = RequestOptions {
             instance: &engine.name,
-            remaining: self.asked.left(),
+            remaining: self.asked.remaining(),
             priority: Some(target.rank),
             prefill_only: true,
             fetch_from: placement::address(self.instance, target.fetch_from.as_ref()),
             ..RequestOptions::default()
         };
         let answered = match attempt::send(self.instance, self.asked, &engine, &sending).await {
-            Tried::Answer(answered) => answered,
-            Tried::NotRun(why) => {
+            AttemptResult::Answer(answered) => answered,
+            AttemptResult::NotRun(why) => {
                 held.note(why.outcome());
-                return if why.arrived() {
+                return if why.reached_engine() {
                     Prompt::Rejected
                 } else {
                     Prompt::Lost
                 };
             }
-            Tried::Lost(failure) => {
+            AttemptResult::Lost(failure) => {
                 log::info!(id = self.asked.call.id.as_str(), engine = &*engine.id, failure:% = failure,
                     fingerprint = self.asked.fingerprint_text(), caller:% = self.asked.caller;
                     "the prompt's reading was lost");
@@ -283,10 +285,10 @@
                 return Prompt::Lost;
             }
         };
-        let Answered {
+        let EngineResponse {
             reply, mut client, ..
         } = *answered;
-        let body = client.body(MOST).await;
+        let body = client.body(MAX_BODY_BYTES).await;
         if body.is_err() {
             crashes::broke_off(self.instance, self.asked, &engine).await;
         }
@@ -297,7 +299,7 @@
         };
         held.first("read");
         held.note(Outcome::Success);
-        attempt::give(self.instance, &engine.id, client, &reply);
+        attempt::return_to_pool(self.instance, &engine.id, client, &reply);
         self.weights = self.weights.or(read.weight_version);
         let memory = KvLocation {
             address: engine.address,
@@ -329,7 +331,7 @@
         let mut held = Held::new(self.instance, self.asked, target, step);
         let sending = RequestOptions {
             instance: &engine.name,
-            remaining: self.asked.left(),
+            remaining: self.asked.remaining(),
             priority: Some(target.rank),
             kv_source: memory.map(|guard| &guard.memory),
             resume_after: self.relay.last(),
@@ -340,19 +342,19 @@
         self.sent.set(true);
         let tried = attempt::send(self.instance, self.asked, &engine, &sending).await;
         match tried {
-            Tried::Answer(answered) => {
+            AttemptResult::Answer(answered) => {
                 if let Some(memory) = memory {
                     memory.taken();
                 }
                 Generated::Next(self.pass(answered, held, &engine).await)
             }
-            Tried::NotRun(why) => {
+            AttemptResult::NotRun(why) => {
                 self.sent.set(self.runs > 0);
                 held.note(why.outcome());
                 self.avoid.push(target.engine.clone());
                 Generated::NotRun(why)
             }
-            Tried::Lost(failure) => {
+            AttemptResult::Lost(failure) => {
                 log::info!(id = self.asked.call.id.as_str(), engine = &*engine.id, failure:% = failure,
                     fingerprint = self.asked.fingerprint_text(), caller:% = self.asked.caller;
                     "the engine's answer was lost");
@@ -367,7 +369,7 @@
 
     async fn pass(
         &mut self,
-        mut answered: Box<Answered>,
+        mut answered: Box<EngineResponse>,
         mut held: Held<'_>,
         engine: &Record,
     ) -> Next {
@@ -396,8 +398,8 @@
                 self.instance
                     .suspects
                     .ended_well(self.asked, engine, suspects::now(self.instance));
-                let Answered { client, reply, .. } = *answered;
-                attempt::give(self.instance, &engine.id, client, &reply);
+                let EngineResponse { client, reply, .. } = *answered;
+                attempt::return_to_pool(self.instance, &engine.id, client, &reply);
                 Next::Done(Done::Whole(self.relay.times()))
             }
             relay::End::Gone(error) => {
@@ -419,13 +421,13 @@
 
     /// An engine's own failure: another engine is tried where the call may be repeated, else the
     /// caller gets it as it is.
-    async fn failure(&mut self, mut answered: Answered, engine: &EngineId) -> Next {
-        let body = answered.client.body(MOST).await;
+    async fn failure(&mut self, mut answered: EngineResponse, engine: &EngineId) -> Next {
+        let body = answered.client.body(MAX_BODY_BYTES).await;
         let reply = answered.reply;
         let Ok(body) = body else {
             return self.lost("The engine's failure is broken.");
         };
-        attempt::give(self.instance, engine, answered.client, &reply);
+        attempt::return_to_pool(self.instance, engine, answered.client, &reply);
         self.runs += 1;
         if self.may_repeat() {
             return Next::Again;
@@ -443,9 +445,7 @@
     }
 
     fn rejected(&mut self, arrived: bool) -> Next {
-        if self.rejections.may_go_on(arrived)
-            && (!arrived || take_repeat(self.instance, self.asked))
-        {
+        if self.rejections.count(arrived) && (!arrived || take_repeat(self.instance, self.asked)) {
             return Next::Again;
         }
         Next::Done(self.refused(FULL_AFTER, Refusal::TooMuchWork, None))
--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/held.rs
@@ -12,7 +12,7 @@
 use serving::place::Target;
 use tokio::time::Instant;
 
-use crate::attempt::Asked;
+use crate::attempt::Request;
 use crate::crashes;
 use crate::instance::Instance;
 
@@ -47,7 +47,7 @@
 /// A call that is in an engine's books until this is dropped.
 pub(crate) struct Held<'a> {
     instance: &'a Rc<Instance>,
-    asked: &'a Asked,
+    asked: &'a Request,
     sent: SentCall,
     expected: Duration,
     unread: u32,
@@ -61,7 +61,7 @@
 impl<'a> Held<'a> {
     pub(crate) fn new(
         instance: &'a Rc<Instance>,
-        asked: &'a Asked,
+        asked: &'a Request,
         target: &Target,
         step: Step,
     ) -> Self {
@@ -70,7 +70,7 @@
         let sent = fleet.begin_call(&target.engine, target.work, target.rank, now);
         log::info!(
             id = asked.call.id.as_str(), engine = &*target.engine, step = step.name(),
-            waited_ms:% = asked.waited().as_millis(), left_ms:% = asked.left().as_millis(),
+            waited_ms:% = asked.elapsed().as_millis(), left_ms:% = asked.remaining().as_millis(),
             expected_ms:% = target.expected_latency.as_millis(), unread = target.prefill_tokens, rank = target.rank,
             fetch = target.fetch_from.as_deref().unwrap_or_default(),
             configuration = instance.table.borrow().as_ref().map_or(0, |table| table.version);
@@ -110,7 +110,7 @@
 
     /// The engine has begun to generate.
     pub(crate) fn generates(&self) {
-        self.asked.began(self.instance, self.instance.unix());
+        self.asked.note_started(self.instance, self.instance.unix());
         self.first("generate");
     }
 
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 use wire::gateway::RateLimit;
 
-use crate::attempt::Asked;
+use crate::attempt::Request;
 use crate::frame;
 use crate::instance::Instance;
 use crate::metrics::Throttled;
@@ -116,7 +116,7 @@
 }
 
 /// Waits until a call may be sent to its engine. Says whether the engine takes calls then.
-pub(crate) async fn wait(instance: &Instance, asked: &Asked, target: &Target) -> bool {
+pub(crate) async fn wait(instance: &Instance, asked: &Request, target: &Target) -> bool {
     if target.limit_wait.is_zero() {
         return true;
     }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -9,7 +9,7 @@
 use smallvec::SmallVec;
 
 use crate::admission::{self, Admission};
-use crate::attempt::Asked;
+use crate::attempt::Request;
 use crate::instance::Instance;
 use crate::limits;
 
@@ -22,7 +22,7 @@
 /// Finds a place for a call, and waits until the engine's rate limit lets it go there.
 pub(crate) async fn place(
     instance: &Instance,
-    asked: &Asked,
+    asked: &Request,
     avoid: &Avoid,
     may_split: bool,
 ) -> Choice {
@@ -38,7 +38,7 @@
     }
 }
 
-async fn choose(instance: &Instance, asked: &Asked, avoid: &Avoid, may_split: bool) -> Choice {
+async fn choose(instance: &Instance, asked: &Request, avoid: &Avoid, may_split: bool) -> Choice {
     let admission = admission::admit(instance, asked).await;
     if let Admission::Held(after) = admission {
         return Choice::Refuse {
@@ -60,7 +60,7 @@
 /// Engines that a call must not go to, with those that its admission excludes.
 fn avoided(avoid: &Avoid, admission: &Admission) -> Avoid {
     let mut all = avoid.clone();
-    if let Admission::Avoiding(others) = admission {
+    if let Admission::Excluding(others) = admission {
         all.extend(others.iter().cloned());
     }
     all
@@ -69,12 +69,12 @@
 /// Finds the engine that takes over a prompt that was read in a data centre, as [`place`] does.
 pub(crate) async fn place_decode(
     instance: &Instance,
-    asked: &Asked,
+    asked: &Request,
     avoid: &Avoid,
     reserved: Option<&EngineId>,
     source: &Zone,
 ) -> Option<Target> {
-    let admission = admission::admit_further(instance, asked);
+    let admission = admission::admit_started(instance, asked);
     if matches!(admission, Admission::Held(_)) {
         return None;
     }
@@ -94,7 +94,7 @@
 
 fn demand<'a>(
     instance: &'a Instance,
-    asked: &'a Asked,
+    asked: &'a Request,
     avoid: &'a Avoid,
     connected: &'a [EngineId],
 ) -> Demand<'a> {
@@ -113,13 +113,13 @@
         latency_target: asked
             .route
             .latency_target
-            .saturating_sub(asked.before + asked.waited()),
+            .saturating_sub(asked.waited_before + asked.elapsed()),
         zone: &instance.zone,
         may_split: true,
         send_time: instance.sending(asked.body.len()),
         excluded: avoid,
         connected,
-        time_left: asked.first_left(),
+        time_left: asked.first_answer_remaining(),
         isolated: false,
         reserved: None,
     }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -14,13 +14,15 @@
 use serving::{Choice, Kind};
 use tokio::time::{Instant, timeout_at};
 
-use crate::attempt::{self, Answered, Asked, MOST, NotRun, Rejections, Tried};
+use crate::attempt::{
+    self, AttemptResult, EngineResponse, FailedSends, MAX_BODY_BYTES, NotRun, Request,
+};
 use crate::crashes;
 use crate::held::{Held, Step};
 use crate::instance::Instance;
 use crate::metrics;
 use crate::placement::{self, Avoid};
-use crate::reply::{Refusal, refuse};
+use crate::refusal::{Refusal, refuse};
 use crate::suspects;
 
 /// How a call ended.
@@ -54,8 +56,8 @@
 const STUCK: f64 = 0.8;
 
 /// Answers a call. Says whether the connection may be used on.
-pub(crate) async fn answer(instance: &Rc<Instance>, asked: &Asked, writer: &mut Writer) -> bool {
-    let end = timeout_at(asked.until, attempts(instance, asked)).await;
+pub(crate) async fn answer(instance: &Rc<Instance>, asked: &Request, writer: &mut Writer) -> bool {
+    let end = timeout_at(asked.deadline, attempts(instance, asked)).await;
     let end = end.unwrap_or(End::Late);
     tell(instance, asked, &end);
     let close = instance.phase.is_leaving();
@@ -69,7 +71,12 @@
 }
 
 /// Answers a call that no engine answered.
-pub(crate) async fn refuse_end(asked: &Asked, end: &End, writer: &mut Writer, close: bool) -> bool {
+pub(crate) async fn refuse_end(
+    asked: &Request,
+    end: &End,
+    writer: &mut Writer,
+    close: bool,
+) -> bool {
     let (status, after, detail, ran) = match end {
         End::NotRun { after, why, .. } => {
             (StatusCode::SERVICE_UNAVAILABLE, Some(*after), *why, false)
@@ -85,9 +92,9 @@
     let refusal = Refusal {
         status,
         id: Some(&asked.call.id),
-        after,
+        retry_after: after,
         detail,
-        ran,
+        may_have_run: ran,
     };
     refuse(writer, refusal, close).await.is_ok()
 }
@@ -102,11 +109,11 @@
     }
 }
 
-fn tell(instance: &Instance, asked: &Asked, end: &End) {
-    instance.metrics.plain(counted(end), asked.waited());
+fn tell(instance: &Instance, asked: &Request, end: &End) {
+    instance.metrics.plain(counted(end), asked.elapsed());
     let id = asked.call.id.as_str();
     let route = asked.route.name.as_str();
-    let ms = asked.waited().as_millis();
+    let ms = asked.elapsed().as_millis();
     match end {
         End::Answer(answered, _) => {
             log::info!(id = id, route = route, ms:% = ms, status = answered.reply.status; "answered");
@@ -122,25 +129,22 @@
 }
 
 /// Tells of a refusal, with what was expected where: else nobody can tell a long prompt from a full fleet.
-pub(crate) fn tell_refused(asked: &Asked, after: Duration, why: &str, best: Option<&Target>) {
+pub(crate) fn tell_refused(asked: &Request, after: Duration, why: &str, best: Option<&Target>) {
     let expected = best.map_or(Duration::ZERO, |best| best.expected_latency);
     log::info!(
-        id = asked.call.id.as_str(), route = asked.route.name.as_str(), ms:% = asked.waited().as_millis(),
-        after_ms:% = after.as_millis(), expected_ms:% = expected.as_millis(), left_ms:% = asked.left().as_millis(),
+        id = asked.call.id.as_str(), route = asked.route.name.as_str(), ms:% = asked.elapsed().as_millis(),
+        after_ms:% = after.as_millis(), expected_ms:% = expected.as_millis(), left_ms:% = asked.remaining().as_millis(),
         unread = best.map_or(0, |best| best.prefill_tokens), rank = best.map_or(asked.priority(), |best| best.rank),
         engine = best.map_or("", |best| &*best.engine), why = why;
         "refused"
     );
 }
 
-async fn attempts(instance: &Rc<Instance>, asked: &Asked) -> End {
+async fn attempts(instance: &Rc<Instance>, asked: &Request) -> End {
     let mut avoid = Avoid::new();
     let mut runs = 0;
-    let mut rejections = Rejections::default();
-    instance
-        .budgets
-        .borrow_mut()
-        .record_first_attempt(&asked.service.name);
+    let mut rejections = FailedSends::default();
+    instance.budgets.borrow_mut().record_first_attempt(&asked.service.name);
     loop {
         let target = match placement::place(instance, asked, &avoid, false).await {
             Choice::Direct(target) => target,
@@ -173,9 +177,8 @@
             }
             One::Whole(answered, body) => return judge(asked, answered, body),
             One::NotRun(reason) => {
-                let arrived = reason.arrived();
-                let may =
-                    rejections.may_go_on(arrived) && (!arrived || take_repeat(instance, asked));
+                let arrived = reason.reached_engine();
+                let may = rejections.count(arrived) && (!arrived || take_repeat(instance, asked));
                 if !may && runs == 0 {
                     return End::NotRun {
                         after: FULL_AFTER,
@@ -197,11 +200,8 @@
     }
 }
 
-pub(crate) fn take_repeat(instance: &Instance, asked: &Asked) -> bool {
-    instance
-        .budgets
-        .borrow_mut()
-        .take_repeat(&asked.service.name)
+pub(crate) fn take_repeat(instance: &Instance, asked: &Request) -> bool {
+    instance.budgets.borrow_mut().take_repeat(&asked.service.name)
 }
 
 fn is_failure(answered: &Finished) -> bool {
@@ -211,7 +211,7 @@
 /// An engine's 429, 503, 408 or 421 tells the caller that its request has not run. Where the
 /// engine does not say so itself, it may have run, and a caller that trusts the status would have
 /// it run twice.
-fn judge(asked: &Asked, answered: Box<Finished>, body: Bytes) -> End {
+fn judge(asked: &Request, answered: Box<Finished>, body: Bytes) -> End {
     if answered.reply.promises_not_run() && asked.route.kind != Kind::Safe {
         return End::Unknown("The engine failed.");
     }
@@ -226,27 +226,27 @@
     Late,
 }
 
-async fn one(instance: &Rc<Instance>, asked: &Asked, target: &Target, more: bool) -> One {
+async fn one(instance: &Rc<Instance>, asked: &Request, target: &Target, more: bool) -> One {
     let Some(engine) = placement::record(instance, &target.engine) else {
         return One::NotRun(NotRun::Unreachable);
     };
     let mut held = Held::new(instance, asked, target, Step::Run);
     let sending = RequestOptions {
         instance: &engine.name,
-        remaining: asked.left(),
+        remaining: asked.remaining(),
         ..RequestOptions::default()
     };
     let stuck = Instant::now() + asked.route.latency_target.mul_f64(STUCK);
     let until = if more {
-        stuck.min(asked.until)
+        stuck.min(asked.deadline)
     } else {
-        asked.until
+        asked.deadline
     };
     let whole = async {
         match attempt::send(instance, asked, &engine, &sending).await {
-            Tried::Answer(answered) => whole(instance, asked, &engine, answered).await,
-            Tried::NotRun(why) => One::NotRun(why),
-            Tried::Lost(failure) => {
+            AttemptResult::Answer(answered) => whole(instance, asked, &engine, answered).await,
+            AttemptResult::NotRun(why) => One::NotRun(why),
+            AttemptResult::Lost(failure) => {
                 log::info!(id = asked.call.id.as_str(), engine = &*engine.id, failure = failure.name(),
                     fingerprint = asked.fingerprint_text(), caller:% = asked.caller;
                     "answer lost");
@@ -256,7 +256,7 @@
         }
     };
     let result = timeout_at(until, whole).await;
-    let result = result.unwrap_or(if until < asked.until {
+    let result = result.unwrap_or(if until < asked.deadline {
         One::Lost
     } else {
         One::Late
@@ -276,24 +276,24 @@
 
 async fn whole(
     instance: &Rc<Instance>,
-    asked: &Asked,
+    asked: &Request,
     engine: &Record,
-    answered: Box<Answered>,
+    answered: Box<EngineResponse>,
 ) -> One {
     let reply = &answered.reply;
     if reply.is_success() && !reply.is_own_success() {
         log::info!(id = asked.call.id.as_str(), engine = &*engine.id; "a success that the engine did not sign");
         return One::Lost;
     }
-    let Answered {
+    let EngineResponse {
         head,
         reply,
         mut client,
         ..
     } = *answered;
-    match client.body(MOST).await {
+    match client.body(MAX_BODY_BYTES).await {
         Ok(body) => {
-            attempt::give(instance, &engine.id, client, &reply);
+            attempt::return_to_pool(instance, &engine.id, client, &reply);
             instance
                 .suspects
                 .ended_well(asked, engine, suspects::now(instance));
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own.
+//! Refusals that the gateway itself sends.
 
 use std::io;
 use std::time::Duration;
@@ -8,32 +8,35 @@
 use bytes::Bytes;
 use http1::Writer;
 
-/// An answer that is not an engine's.
+/// A response that is not an engine's.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refusal<'a> {
     pub status: StatusCode,
     pub id: Option<&'a str>,
-    /// When the caller may come back.
-    pub after: Option<Duration>,
-    /// For people.
+    /// Retry-after for the caller.
+    pub retry_after: Option<Duration>,
+    /// Human-readable explanation.
     pub detail: &'a str,
-    /// Whether the request may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
 }
 
-/// Writes an answer of the system's own.
+/// Writes a refusal.
 pub(crate) async fn refuse(
     writer: &mut Writer,
     refusal: Refusal<'_>,
     close: bool,
 ) -> io::Result<()> {
-    let head = ingress::refusal(refusal.status, refusal.id, refusal.after, close);
+    let head = ingress::refusal(refusal.status, refusal.id, refusal.retry_after, close);
     writer.whole(head, body(&refusal)).await
 }
 
 fn body(refusal: &Refusal) -> Bytes {
     let title = refusal.status.canonical_reason().unwrap_or("Error");
-    let ran = if refusal.ran { "unknown" } else { "no" };
+    let ran = if refusal.may_have_run {
+        "unknown"
+    } else {
+        "no"
+    };
     let detail = refusal.detail;
     let body =
         format!(r#"{{"type":"about:blank","title":"{title}","detail":"{detail}","ran":"{ran}"}}"#);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -9,7 +9,7 @@
 use http1::{Failure, Writer};
 use tokio::time::Instant;
 
-use crate::attempt::Answered;
+use crate::attempt::EngineResponse;
 use crate::events::{EventId, Splitter};
 use crate::held::Held;
 
@@ -85,7 +85,7 @@
 
     /// Passes an engine's events on as they arrive. The head of the first engine's answer goes out
     /// with its first event, so that an engine which ends before it can still be replaced.
-    pub(crate) async fn pass(&mut self, answered: &mut Answered, held: &Held<'_>) -> End {
+    pub(crate) async fn pass(&mut self, answered: &mut EngineResponse, held: &Held<'_>) -> End {
         // What an engine before left of an event is sent again by this one.
         drop(self.splitter.rest());
         let mut first = true;
@@ -108,13 +108,13 @@
         }
     }
 
-    async fn write(&mut self, answered: &Answered, events: Bytes) -> io::Result<()> {
+    async fn write(&mut self, answered: &EngineResponse, events: Bytes) -> io::Result<()> {
         self.begin(answered).await?;
         self.times.note(Instant::now());
         self.writer.piece(events).await
     }
 
-    async fn begin(&mut self, answered: &Answered) -> io::Result<()> {
+    async fn begin(&mut self, answered: &EngineResponse) -> io::Result<()> {
         if self.writer.has_begun() {
             return Ok(());
         }
@@ -122,7 +122,7 @@
         self.writer.head(head, BodySize::Stream).await
     }
 
-    async fn finish(&mut self, answered: &Answered) -> End {
+    async fn finish(&mut self, answered: &EngineResponse) -> End {
         let rest = self.splitter.rest();
         match self.end(answered, rest).await {
             Ok(()) => End::Whole,
@@ -130,7 +130,7 @@
         }
     }
 
-    async fn end(&mut self, answered: &Answered, rest: Bytes) -> io::Result<()> {
+    async fn end(&mut self, answered: &EngineResponse, rest: Bytes) -> io::Result<()> {
         self.begin(answered).await?;
         if !rest.is_empty() {
             self.writer.piece(rest).await?;
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -13,7 +13,7 @@
 use serving::{Record, ServiceName};
 use tokio::time::timeout;
 
-use crate::attempt::MOST;
+use crate::attempt::MAX_BODY_BYTES;
 use crate::claims::Grant;
 use crate::instance::Instance;
 use crate::limits;
@@ -149,6 +149,6 @@
         upstream::announced_limit(&answer.head),
     );
     let status = answer.head.status.as_u16();
-    client.body(MOST).await?;
+    client.body(MAX_BODY_BYTES).await?;
     Ok(orders::parse_answer(status))
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -17,7 +17,7 @@
 use serving::quarantine::{Crash, Entry, GoodRun, Quarantine, Verdict};
 use wire::gateway::{Frame, State, Suspect};
 
-use crate::attempt::Asked;
+use crate::attempt::Request;
 use crate::frame;
 use crate::instance::Instance;
 
@@ -78,7 +78,7 @@
 
 impl Suspects {
     /// What may be done with a call.
-    pub(crate) fn verdict(&self, asked: &Asked, now: Moment) -> Verdict {
+    pub(crate) fn verdict(&self, asked: &Request, now: Moment) -> Verdict {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() {
             return Verdict::Clear;
@@ -87,7 +87,7 @@
     }
 
     /// Whether engines ended with a call in hand, so that one more would matter.
-    pub(crate) fn is_noted(&self, asked: &Asked) -> bool {
+    pub(crate) fn is_noted(&self, asked: &Request) -> bool {
         let quarantine = self.quarantine.borrow();
         !quarantine.is_empty() && quarantine.get(asked.fingerprint()).is_some()
     }
@@ -133,7 +133,7 @@
     }
 
     /// Takes in that an engine outlived a run of a call.
-    pub(crate) fn ended_well(&self, asked: &Asked, engine: &Record, now: Moment) {
+    pub(crate) fn ended_well(&self, asked: &Request, engine: &Record, now: Moment) {
         if self.quarantine.borrow().is_empty() {
             return;
         }
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/trials.rs
@@ -13,7 +13,7 @@
 use wire::Message as _;
 use wire::gateway::Suspect;
 
-use crate::attempt::Asked;
+use crate::attempt::Request;
 use crate::frame;
 use crate::instance::Instance;
 use crate::suspects::{self, text};
@@ -143,7 +143,7 @@
 /// Instances that tried it each by itself would end as many engines as there are of them. The claim is an append that the store
 /// carries out only if nobody has written since this instance read, so that of two claims one fails. Without the store
 /// nobody tries.
-pub(crate) async fn claim(instance: &Instance, asked: &Asked) -> bool {
+pub(crate) async fn claim(instance: &Instance, asked: &Request) -> bool {
     match timeout(CLAIM, claim_at_store(instance, asked.fingerprint())).await {
         Ok(Ok(is_claimed)) => is_claimed,
         Ok(Err(trouble)) => {
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -15,7 +15,7 @@
 use serving::parts::Part;
 use tokio::time::{sleep, timeout};
 
-use crate::attempt::MOST;
+use crate::attempt::MAX_BODY_BYTES;
 use crate::instance::Instance;
 use crate::limits;
 
@@ -76,12 +76,9 @@
     let mut client = client.ok()?;
     let head = upstream::held_parts_request(engine.address);
     let response = client.send(head, &Bytes::new()).await.ok()?;
-    limits::note_announced(
-        instance,
-        &engine.id,
-        upstream::announced_limit(&response.head),
+    limits::note_announced(instance, &engine.id, upstream::announced_limit(&response.head),
     );
-    let body = client.body(MOST).await.ok()?;
+    let body = client.body(MAX_BODY_BYTES).await.ok()?;
     upstream::parse_held_parts(&body, engine.started_ms)
 }
 
