--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/engine_call.rs
@@ -1,4 +1,4 @@
-//! A call at an engine, in the books for as long as it lasts.
+//! Accounts for a call at its engine while it runs there.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,23 +16,23 @@
 use crate::crashes;
 use crate::instance::Instance;
 
-/// What an engine is sent a call for.
+/// What an engine is asked to do for a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
-    /// To answer it as a whole.
+    /// Run it and respond as a whole.
     Run,
-    /// To read its prompt for another engine.
+    /// Prefill the prompt for another engine.
     Read,
-    /// To read its prompt and to generate.
+    /// Prefill the prompt and decode.
     Generate,
-    /// To generate from memory that another engine holds.
+    /// Decode with the KV cache of another engine.
     TakeOver,
-    /// To go on with a stream that another engine broke off.
+    /// Resume a stream that another engine broke off.
     Resume,
 }
 
 impl Step {
-    /// Its name in logs.
+    /// Name in logs.
     fn name(self) -> &'static str {
         match self {
             Self::Run => "run",
@@ -44,24 +44,24 @@
     }
 }
 
-/// A call that is in an engine's books until this is dropped.
-pub(crate) struct Held<'a> {
+/// A call that counts as work of its engine until this is dropped.
+pub(crate) struct EngineCall<'a> {
     instance: &'a Rc<Instance>,
-    asked: &'a Request,
+    request: &'a Request,
     sent: SentCall,
     expected: Duration,
     unread: u32,
-    begun: Instant,
+    started: Instant,
     outcome: Option<Outcome>,
     placed_by: Option<(SocketAddr, Ticket)>,
-    /// Where the stream was at its last event.
-    last: Cell<Option<StreamMark>>,
+    /// State of the pause accounting at the last event.
+    last_event: Cell<Option<StreamMark>>,
 }
 
-impl<'a> Held<'a> {
+impl<'a> EngineCall<'a> {
     pub(crate) fn new(
         instance: &'a Rc<Instance>,
-        asked: &'a Request,
+        request: &'a Request,
         target: &Target,
         step: Step,
     ) -> Self {
@@ -69,8 +69,8 @@
         let mut fleet = instance.fleet.borrow_mut();
         let sent = fleet.begin_call(&target.engine, target.work, target.rank, now);
         log::info!(
-            id = asked.call.id.as_str(), engine = &*target.engine, step = step.name(),
-            waited_ms:% = asked.elapsed().as_millis(), left_ms:% = asked.remaining().as_millis(),
+            id = request.call.id.as_str(), engine = &*target.engine, step = step.name(),
+            waited_ms:% = request.elapsed().as_millis(), left_ms:% = request.remaining().as_millis(),
             expected_ms:% = target.expected_latency.as_millis(), unread = target.prefill_tokens, rank = target.rank,
             fetch = target.fetch_from.as_deref().unwrap_or_default(),
             configuration = instance.table.borrow().as_ref().map_or(0, |table| table.version);
@@ -84,38 +84,40 @@
         }
         Self {
             instance,
-            asked,
+            request,
             sent,
             expected: target.expected_latency,
             unread: target.prefill_tokens,
-            begun: Instant::now(),
+            started: Instant::now(),
             outcome: None,
             placed_by: target.placed_by,
-            last: Cell::new(None),
+            last_event: Cell::new(None),
         }
     }
 
-    /// An event of the stream is there. Gives the time since the one before in which the engine had prompts to read.
-    pub(crate) fn event(&self) -> Duration {
+    /// Records an event of the stream. Returns the part of the time since the last one in which the
+    /// engine had prompts to prefill.
+    pub(crate) fn on_event(&self) -> Duration {
         let now = self.instance.now();
         let mut fleet = self.instance.fleet.borrow_mut();
-        let (Some(mut last), Some(longest)) = (self.last.get(), self.asked.route.max_gap) else {
-            self.last.set(fleet.stream_mark(&self.sent.engine, now));
+        let (Some(mut last), Some(longest)) = (self.last_event.get(), self.request.route.max_gap) else {
+            self.last_event.set(fleet.stream_mark(&self.sent.engine, now));
             return Duration::ZERO;
         };
         let read = fleet.record_stream_event(&self.sent.engine, &mut last, longest, now);
-        self.last.set(Some(last));
+        self.last_event.set(Some(last));
         read
     }
 
-    /// The engine has begun to generate.
-    pub(crate) fn generates(&self) {
-        self.asked.note_started(self.instance, self.instance.unix());
-        self.first("generate");
+    /// The engine has begun to decode.
+    pub(crate) fn on_generation_started(&self) {
+        self.request
+            .note_started(self.instance, self.instance.unix());
+        self.on_first_answer("generate");
     }
 
-    /// The first answer is there.
-    pub(crate) fn first(&self, step: &str) {
+    /// The first response is there.
+    pub(crate) fn on_first_answer(&self, step: &str) {
         let now = self.instance.now();
         let mut fleet = self.instance.fleet.borrow_mut();
         fleet.prompt_read(&self.sent, now);
@@ -125,28 +127,28 @@
         }
         let engine = fleet.get(&self.sent.engine);
         log::info!(
-            id = self.asked.call.id.as_str(), engine = &*self.sent.engine, step = step,
-            ms:% = self.begun.elapsed().as_millis(), expected_ms:% = self.expected.as_millis(),
+            id = self.request.call.id.as_str(), engine = &*self.sent.engine, step = step,
+            ms:% = self.started.elapsed().as_millis(), expected_ms:% = self.expected.as_millis(),
             unread = self.unread, pace:? = engine.map(|engine| engine.slowdown),
             stage:? = engine.map(|engine| engine.record.stage), running = engine.map_or(0, |e| e.running_calls());
             "engine began"
         );
     }
 
-    /// How the call ended, for the engine's health.
-    pub(crate) fn note(&mut self, outcome: Outcome) {
+    /// Sets the outcome that counts for the engine's health.
+    pub(crate) fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = Some(outcome);
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for EngineCall<'_> {
     fn drop(&mut self) {
         let now = self.instance.now();
         let mut fleet = self.instance.fleet.borrow_mut();
         fleet.end_call(&self.sent, self.outcome, now);
         drop(fleet);
         if self.outcome.is_none() {
-            crashes::given_up(self.instance, self.asked, &self.sent.engine);
+            crashes::given_up(self.instance, self.request, &self.sent.engine);
         }
         if let Some(placed_by) = self.placed_by {
             self.instance.reports.ended(placed_by, self.outcome);
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,4 +1,4 @@
-//! Whole events out of a stream that may break off anywhere.
+//! Splits a stream that may break off anywhere into whole events.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
@@ -8,22 +8,22 @@
 
 /// Splits a stream of server-sent events.
 ///
-/// An engine may stop in the middle of an event. A piece of one that had been passed on could
-/// not be taken back when another engine goes on, and the caller would see half an event joined to
-/// the next; so only whole events leave here.
+/// An engine may stop in the middle of an event. A partial event that was passed on could not be
+/// taken back when another engine resumes the stream, and the caller would see half an event joined
+/// to the next; so only whole events are returned.
 #[derive(Debug, Default)]
 pub struct Splitter {
     partial: BytesMut,
     last: Option<EventId>,
 }
 
-/// Ends an event.
+/// Terminator of an event.
 const END: &[u8] = b"\n\n";
-/// Begins the line with an event's id.
+/// Prefix of the line with an event's id.
 const ID: &[u8] = b"id:";
 
 impl Splitter {
-    /// A splitter of a stream that begins after this event.
+    /// A splitter for a stream that begins after this event.
     pub fn after(last: Option<EventId>) -> Self {
         Self {
             partial: BytesMut::new(),
@@ -36,7 +36,7 @@
         self.last
     }
 
-    /// Takes bytes and gives the whole events that they complete.
+    /// Takes bytes and returns the whole events that they complete.
     pub fn push(&mut self, bytes: &Bytes) -> Option<Bytes> {
         if self.partial.is_empty() {
             return self.split(bytes);
@@ -58,7 +58,7 @@
         Some(whole)
     }
 
-    /// Bytes behind the last whole event.
+    /// Removes and returns the bytes after the last whole event.
     pub fn rest(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
--- a/crates/gateway/src/generate/memory.rs
+++ b/crates/gateway/src/generate/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a prompt that one engine holds for another one.
+//! A prompt's KV cache that one engine holds for another.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,18 +13,18 @@
 use crate::instance::Instance;
 use crate::limits;
 
-/// Time in which memory that nobody takes is freed.
-const FREE: Duration = Duration::from_millis(500);
+/// Time-out of the call that frees a KV cache.
+const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Memory that is freed unless it was taken.
-pub(super) struct Guard {
+/// Frees the KV cache on drop unless it was fetched.
+pub(super) struct MemoryGuard {
     instance: Rc<Instance>,
     holder: EngineId,
     pub(super) memory: KvLocation,
     taken: Cell<bool>,
 }
 
-impl Guard {
+impl MemoryGuard {
     pub(super) fn new(instance: &Rc<Instance>, holder: EngineId, memory: KvLocation) -> Self {
         Self {
             instance: instance.clone(),
@@ -34,14 +34,14 @@
         }
     }
 
-    pub(super) fn taken(&self) {
+    pub(super) fn mark_taken(&self) {
         self.taken.set(true);
     }
 }
 
-impl Drop for Guard {
+impl Drop for MemoryGuard {
     fn drop(&mut self) {
-        // It lapses by itself at an engine that takes no more requests now.
+        // If the engine's rate limit allows no request now, the cache is left to expire.
         if !self.taken.get() && limits::try_charge(&self.instance, &self.holder) {
             let (instance, holder) = (self.instance.clone(), self.holder.clone());
             actix_rt::spawn(free(instance, holder, self.memory.clone()));
@@ -50,12 +50,12 @@
 }
 
 async fn free(instance: Rc<Instance>, holder: EngineId, memory: KvLocation) {
-    let patience = Patience::within(FREE);
+    let patience = Patience::within(FREE_TIMEOUT);
     let freeing = async {
         let mut client = Client::open(memory.address, &patience, &instance.codec).await?;
         client.send(upstream::free_kv(&memory), &Bytes::new()).await
     };
-    if let Ok(Ok(answer)) = timeout(FREE, freeing).await {
+    if let Ok(Ok(answer)) = timeout(FREE_TIMEOUT, freeing).await {
         limits::note_announced(&instance, &holder, upstream::announced_limit(&answer.head));
     } else {
         log::debug!(handle = memory.handle.as_str(); "memory that nobody takes could not be freed, it lapses");
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls that are answered as a whole.
+//! Calls with a single, complete response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     self, AttemptResult, EngineResponse, FailedSends, MAX_BODY_BYTES, NotRun, Request,
 };
 use crate::crashes;
-use crate::held::{Held, Step};
+use crate::engine_call::{EngineCall, Step};
 use crate::instance::Instance;
 use crate::metrics;
 use crate::placement::{self, Avoid};
@@ -27,52 +27,56 @@
 
 /// How a call ended.
 pub(crate) enum End {
-    /// An engine's whole answer.
-    Answer(Box<Finished>, Bytes),
+    /// With the complete response of an engine.
+    Answer(Box<WholeAnswer>, Bytes),
     /// It has not run and will not.
     NotRun {
         after: Duration,
         why: &'static str,
-        /// The place that it would have had, where it was refused by a forecast.
+        /// The best placement, if a forecast refused it.
         best: Option<Box<Target>>,
     },
     /// It may have run.
     Unknown(&'static str),
-    /// Nobody waits any more; it may have run.
+    /// The caller's time ended; it may have run.
     Late,
 }
 
-/// The head of an answer whose body is there.
-pub(crate) struct Finished {
+/// The head of a response that was read completely.
+pub(crate) struct WholeAnswer {
     pub head: ResponseHead,
     pub reply: Reply,
 }
 
-/// When a caller may come back after all engines refused. One of them is likely to have room after
-/// the time of some calls.
-const FULL_AFTER: Duration = Duration::from_millis(100);
-/// Share of the target after which a call that may be repeated is taken to be stuck, where another
-/// attempt is left.
-const STUCK: f64 = 0.8;
+/// Retry-after once all engines refused. One of them is likely to have room after a few calls'
+/// time.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Share of the route's target after which an attempt of a call that may be retried counts as
+/// stuck, if another attempt is left.
+const STUCK_SHARE: f64 = 0.8;
 
-/// Answers a call. Says whether the connection may be used on.
-pub(crate) async fn answer(instance: &Rc<Instance>, asked: &Request, writer: &mut Writer) -> bool {
-    let end = timeout_at(asked.deadline, attempts(instance, asked)).await;
+/// Serves a call. Returns whether the connection can be reused.
+pub(crate) async fn answer(
+    instance: &Rc<Instance>,
+    request: &Request,
+    writer: &mut Writer,
+) -> bool {
+    let end = timeout_at(request.deadline, run_attempts(instance, request)).await;
     let end = end.unwrap_or(End::Late);
-    tell(instance, asked, &end);
+    log_end(instance, request, &end);
     let close = instance.phase.is_leaving();
     match end {
-        End::Answer(answered, body) => {
-            let head = ingress::relayed_head(&answered.head, close);
+        End::Answer(response, body) => {
+            let head = ingress::relayed_head(&response.head, close);
             writer.whole(head, body).await.is_ok()
         }
-        other => refuse_end(asked, &other, writer, close).await,
+        other => refuse_end(request, &other, writer, close).await,
     }
 }
 
-/// Answers a call that no engine answered.
+/// Refuses a call that has no engine's response.
 pub(crate) async fn refuse_end(
-    asked: &Request,
+    request: &Request,
     end: &End,
     writer: &mut Writer,
     close: bool,
@@ -91,7 +95,7 @@
     };
     let refusal = Refusal {
         status,
-        id: Some(&asked.call.id),
+        id: Some(&request.call.id),
         retry_after: after,
         detail,
         may_have_run: ran,
@@ -99,26 +103,26 @@
     refuse(writer, refusal, close).await.is_ok()
 }
 
-/// How an end is counted.
-pub(crate) fn counted(end: &End) -> metrics::End {
+/// The metrics label of an end.
+pub(crate) fn metric_end(end: &End) -> metrics::End {
     match end {
-        End::Answer(answered, _) if answered.reply.is_success() => metrics::End::Served,
+        End::Answer(response, _) if response.reply.is_success() => metrics::End::Served,
         End::Answer(..) | End::Unknown(_) => metrics::End::Failed,
         End::NotRun { .. } => metrics::End::Refused,
         End::Late => metrics::End::Late,
     }
 }
 
-fn tell(instance: &Instance, asked: &Request, end: &End) {
-    instance.metrics.plain(counted(end), asked.elapsed());
-    let id = asked.call.id.as_str();
-    let route = asked.route.name.as_str();
-    let ms = asked.elapsed().as_millis();
+fn log_end(instance: &Instance, request: &Request, end: &End) {
+    instance.metrics.plain(metric_end(end), request.elapsed());
+    let id = request.call.id.as_str();
+    let route = request.route.name.as_str();
+    let ms = request.elapsed().as_millis();
     match end {
-        End::Answer(answered, _) => {
-            log::info!(id = id, route = route, ms:% = ms, status = answered.reply.status; "answered");
+        End::Answer(response, _) => {
+            log::info!(id = id, route = route, ms:% = ms, status = response.reply.status; "answered");
         }
-        End::NotRun { after, why, best } => tell_refused(asked, *after, why, best.as_deref()),
+        End::NotRun { after, why, best } => log_refused(request, *after, why, best.as_deref()),
         End::Unknown(why) => {
             log::info!(id = id, route = route, ms:% = ms, why = *why; "failed, may have run");
         }
@@ -128,25 +132,25 @@
     }
 }
 
-/// Tells of a refusal, with what was expected where: else nobody can tell a long prompt from a full fleet.
-pub(crate) fn tell_refused(asked: &Request, after: Duration, why: &str, best: Option<&Target>) {
+/// Logs a refusal with the best placement's forecast, which tells a long prompt from a full fleet.
+pub(crate) fn log_refused(request: &Request, after: Duration, why: &str, best: Option<&Target>) {
     let expected = best.map_or(Duration::ZERO, |best| best.expected_latency);
     log::info!(
-        id = asked.call.id.as_str(), route = asked.route.name.as_str(), ms:% = asked.elapsed().as_millis(),
-        after_ms:% = after.as_millis(), expected_ms:% = expected.as_millis(), left_ms:% = asked.remaining().as_millis(),
-        unread = best.map_or(0, |best| best.prefill_tokens), rank = best.map_or(asked.priority(), |best| best.rank),
+        id = request.call.id.as_str(), route = request.route.name.as_str(), ms:% = request.elapsed().as_millis(),
+        after_ms:% = after.as_millis(), expected_ms:% = expected.as_millis(), left_ms:% = request.remaining().as_millis(),
+        unread = best.map_or(0, |best| best.prefill_tokens), rank = best.map_or(request.priority(), |best| best.rank),
         engine = best.map_or("", |best| &*best.engine), why = why;
         "refused"
     );
 }
 
-async fn attempts(instance: &Rc<Instance>, asked: &Request) -> End {
+async fn run_attempts(instance: &Rc<Instance>, request: &Request) -> End {
     let mut avoid = Avoid::new();
     let mut runs = 0;
     let mut rejections = FailedSends::default();
-    instance.budgets.borrow_mut().record_first_attempt(&asked.service.name);
+    instance.budgets.borrow_mut().record_first_attempt(&request.service.name);
     loop {
-        let target = match placement::place(instance, asked, &avoid, false).await {
+        let target = match placement::place(instance, request, &avoid, false).await {
             Choice::Direct(target) => target,
             Choice::Split { prefill, .. } => prefill,
             Choice::Refuse {
@@ -165,23 +169,23 @@
                 };
             }
         };
-        let more = runs + 1 < asked.route.max_attempts && asked.route.kind.is_idempotent();
-        let tried = one(instance, asked, &target, more).await;
+        let may_retry = runs + 1 < request.route.max_attempts && request.route.kind.is_idempotent();
+        let end = attempt_once(instance, request, &target, may_retry).await;
         avoid.push(target.engine);
-        match tried {
-            One::Whole(answered, body) if more && is_failure(&answered) => {
+        match end {
+            AttemptEnd::Whole(response, body) if may_retry && is_failure(&response) => {
                 runs += 1;
-                if !take_repeat(instance, asked) {
-                    return End::Answer(answered, body);
+                if !take_retry(instance, request) {
+                    return End::Answer(response, body);
                 }
             }
-            One::Whole(answered, body) => return judge(asked, answered, body),
-            One::NotRun(reason) => {
+            AttemptEnd::Whole(response, body) => return checked_end(request, response, body),
+            AttemptEnd::NotRun(reason) => {
                 let arrived = reason.reached_engine();
-                let may = rejections.count(arrived) && (!arrived || take_repeat(instance, asked));
+                let may = rejections.count(arrived) && (!arrived || take_retry(instance, request));
                 if !may && runs == 0 {
                     return End::NotRun {
-                        after: FULL_AFTER,
+                        after: FULL_RETRY_AFTER,
                         why: "The engines are full.",
                         best: None,
                     };
@@ -189,10 +193,10 @@
                     return End::Unknown("The engines are full.");
                 }
             }
-            One::Late => return End::Late,
-            One::Lost => {
+            AttemptEnd::Late => return End::Late,
+            AttemptEnd::Lost => {
                 runs += 1;
-                if !more || !take_repeat(instance, asked) {
+                if !may_retry || !take_retry(instance, request) {
                     return End::Unknown("The engine's answer was lost.");
                 }
             }
@@ -200,111 +204,117 @@
     }
 }
 
-pub(crate) fn take_repeat(instance: &Instance, asked: &Request) -> bool {
-    instance.budgets.borrow_mut().take_repeat(&asked.service.name)
+pub(crate) fn take_retry(instance: &Instance, request: &Request) -> bool {
+    instance.budgets.borrow_mut().take_repeat(&request.service.name)
 }
 
-fn is_failure(answered: &Finished) -> bool {
-    answered.reply.status >= 500
+fn is_failure(response: &WholeAnswer) -> bool {
+    response.reply.status >= 500
 }
 
-/// An engine's 429, 503, 408 or 421 tells the caller that its request has not run. Where the
-/// engine does not say so itself, it may have run, and a caller that trusts the status would have
-/// it run twice.
-fn judge(asked: &Request, answered: Box<Finished>, body: Bytes) -> End {
-    if answered.reply.promises_not_run() && asked.route.kind != Kind::Safe {
+/// An engine's 429, 503, 408 or 421 tells the caller that its request has not run. Unless the
+/// engine says so itself, it may have run, and a caller that trusts the status would run it twice.
+fn checked_end(request: &Request, response: Box<WholeAnswer>, body: Bytes) -> End {
+    if response.reply.promises_not_run() && request.route.kind != Kind::Safe {
         return End::Unknown("The engine failed.");
     }
-    End::Answer(answered, body)
+    End::Answer(response, body)
 }
 
-enum One {
-    Whole(Box<Finished>, Bytes),
+enum AttemptEnd {
+    Whole(Box<WholeAnswer>, Bytes),
     NotRun(NotRun),
     Lost,
-    /// The caller's time ended before an answer was there.
+    /// The caller's time ended before a response.
     Late,
 }
 
-async fn one(instance: &Rc<Instance>, asked: &Request, target: &Target, more: bool) -> One {
+async fn attempt_once(
+    instance: &Rc<Instance>,
+    request: &Request,
+    target: &Target,
+    may_retry: bool,
+) -> AttemptEnd {
     let Some(engine) = placement::record(instance, &target.engine) else {
-        return One::NotRun(NotRun::Unreachable);
+        return AttemptEnd::NotRun(NotRun::Unreachable);
     };
-    let mut held = Held::new(instance, asked, target, Step::Run);
+    let mut engine_call = EngineCall::new(instance, request, target, Step::Run);
     let sending = RequestOptions {
         instance: &engine.name,
-        remaining: asked.remaining(),
+        remaining: request.remaining(),
         ..RequestOptions::default()
     };
-    let stuck = Instant::now() + asked.route.latency_target.mul_f64(STUCK);
-    let until = if more {
-        stuck.min(asked.deadline)
+    let stuck_at = Instant::now() + request.route.latency_target.mul_f64(STUCK_SHARE);
+    let until = if may_retry {
+        stuck_at.min(request.deadline)
     } else {
-        asked.deadline
+        request.deadline
     };
     let whole = async {
-        match attempt::send(instance, asked, &engine, &sending).await {
-            AttemptResult::Answer(answered) => whole(instance, asked, &engine, answered).await,
-            AttemptResult::NotRun(why) => One::NotRun(why),
+        match attempt::send(instance, request, &engine, &sending).await {
+            AttemptResult::Answer(response) => {
+                read_whole(instance, request, &engine, response).await
+            }
+            AttemptResult::NotRun(why) => AttemptEnd::NotRun(why),
             AttemptResult::Lost(failure) => {
-                log::info!(id = asked.call.id.as_str(), engine = &*engine.id, failure = failure.name(),
-                    fingerprint = asked.fingerprint_text(), caller:% = asked.caller;
+                log::info!(id = request.call.id.as_str(), engine = &*engine.id, failure = failure.name(),
+                    fingerprint = request.fingerprint_text(), caller:% = request.caller;
                     "answer lost");
-                crashes::broke_off(instance, asked, &engine).await;
-                One::Lost
+                crashes::broke_off(instance, request, &engine).await;
+                AttemptEnd::Lost
             }
         }
     };
     let result = timeout_at(until, whole).await;
-    let result = result.unwrap_or(if until < asked.deadline {
-        One::Lost
+    let result = result.unwrap_or(if until < request.deadline {
+        AttemptEnd::Lost
     } else {
-        One::Late
+        AttemptEnd::Late
     });
-    held.note(outcome(&result));
+    engine_call.set_outcome(outcome(&result));
     result
 }
 
-fn outcome(one: &One) -> Outcome {
+fn outcome(one: &AttemptEnd) -> Outcome {
     match one {
-        One::Whole(answered, _) if answered.reply.status >= 500 => Outcome::Failed,
-        One::Whole(..) => Outcome::Success,
-        One::NotRun(why) => why.outcome(),
-        One::Lost | One::Late => Outcome::Failed,
+        AttemptEnd::Whole(response, _) if response.reply.status >= 500 => Outcome::Failed,
+        AttemptEnd::Whole(..) => Outcome::Success,
+        AttemptEnd::NotRun(why) => why.outcome(),
+        AttemptEnd::Lost | AttemptEnd::Late => Outcome::Failed,
     }
 }
 
-async fn whole(
+async fn read_whole(
     instance: &Rc<Instance>,
-    asked: &Request,
+    request: &Request,
     engine: &Record,
-    answered: Box<EngineResponse>,
-) -> One {
-    let reply = &answered.reply;
+    response: Box<EngineResponse>,
+) -> AttemptEnd {
+    let reply = &response.reply;
     if reply.is_success() && !reply.is_own_success() {
-        log::info!(id = asked.call.id.as_str(), engine = &*engine.id; "a success that the engine did not sign");
-        return One::Lost;
+        log::info!(id = request.call.id.as_str(), engine = &*engine.id; "a success that the engine did not sign");
+        return AttemptEnd::Lost;
     }
     let EngineResponse {
         head,
         reply,
         mut client,
         ..
-    } = *answered;
+    } = *response;
     match client.body(MAX_BODY_BYTES).await {
         Ok(body) => {
             attempt::return_to_pool(instance, &engine.id, client, &reply);
             instance
                 .suspects
-                .ended_well(asked, engine, suspects::now(instance));
-            One::Whole(Box::new(Finished { head, reply }), body)
+                .ended_well(request, engine, suspects::now(instance));
+            AttemptEnd::Whole(Box::new(WholeAnswer { head, reply }), body)
         }
         Err(failure) => {
-            log::info!(id = asked.call.id.as_str(), engine = &*engine.id, failure:% = failure,
-                fingerprint = asked.fingerprint_text(), caller:% = asked.caller;
+            log::info!(id = request.call.id.as_str(), engine = &*engine.id, failure:% = failure,
+                fingerprint = request.fingerprint_text(), caller:% = request.caller;
                 "broken answer");
-            crashes::broke_off(instance, asked, engine).await;
-            One::Lost
+            crashes::broke_off(instance, request, engine).await;
+            AttemptEnd::Lost
         }
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! One answer in events, from however many engines, as one stream to the caller.
+//! Relays the event streams of one or more engines to a caller as one stream.
 
 use std::io;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 use tokio::time::Instant;
 
 use crate::attempt::EngineResponse;
+use crate::engine_call::EngineCall;
 use crate::events::{EventId, Splitter};
-use crate::held::Held;
 
-/// How a stream from one engine ended.
+/// How the stream of one engine ended.
 #[derive(Debug)]
 pub(crate) enum End {
-    /// The answer is whole.
+    /// The stream is complete.
     Whole,
     /// The engine broke off.
     Broken(Failure),
-    /// The caller has gone.
+    /// The caller has disconnected.
     Gone(io::Error),
 }
 
@@ -32,25 +32,25 @@
     times: Times,
 }
 
-/// When events went to the caller.
+/// Timing of the events sent to the caller.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Times {
-    /// The first one.
+    /// Time of the first event.
     pub first: Option<Instant>,
     last: Option<Instant>,
-    /// The longest pause between two.
-    pub gap: Duration,
-    /// How many pieces with events there were.
+    /// The longest pause between two events.
+    pub longest_gap: Duration,
+    /// Number of chunks with events.
     pub events: u32,
-    /// Time in which the engine had prompts to read beside it.
-    pub beside: Duration,
+    /// Time in which the engine had prompts to prefill beside this stream.
+    pub beside_prefill: Duration,
 }
 
 impl Times {
     fn note(&mut self, now: Instant) {
         self.first.get_or_insert(now);
         if let Some(last) = self.last {
-            self.gap = self.gap.max(now - last);
+            self.longest_gap = self.longest_gap.max(now - last);
         }
         self.last = Some(now);
         self.events += 1;
@@ -68,70 +68,74 @@
         }
     }
 
-    /// When events went to the caller.
+    /// Timing of the events sent so far.
     pub(crate) fn times(&self) -> Times {
         self.times
     }
 
-    /// Whether the caller has received something.
+    /// Whether anything was sent to the caller.
     pub(crate) fn has_begun(&self) -> bool {
         self.writer.has_begun()
     }
 
-    /// Id of the last event that the caller was sent.
+    /// Id of the last event sent to the caller.
     pub(crate) fn last(&self) -> Option<EventId> {
         self.splitter.last()
     }
 
-    /// Passes an engine's events on as they arrive. The head of the first engine's answer goes out
-    /// with its first event, so that an engine which ends before it can still be replaced.
-    pub(crate) async fn pass(&mut self, answered: &mut EngineResponse, held: &Held<'_>) -> End {
-        // What an engine before left of an event is sent again by this one.
+    /// Relays an engine's events as they arrive. The first engine's response head is sent with its
+    /// first event, so that an engine which ends before that can still be replaced.
+    pub(crate) async fn relay(
+        &mut self,
+        response: &mut EngineResponse,
+        engine_call: &EngineCall<'_>,
+    ) -> End {
+        // The next engine sends the partial event of the previous one again.
         drop(self.splitter.rest());
         let mut first = true;
         loop {
-            let piece = match answered.client.chunk().await {
+            let chunk = match response.client.chunk().await {
                 Ok(Some(piece)) => piece,
-                Ok(None) => return self.finish(answered).await,
+                Ok(None) => return self.finish(response).await,
                 Err(failure) => return End::Broken(failure),
             };
             if std::mem::take(&mut first) {
-                held.generates();
+                engine_call.on_generation_started();
             }
-            let Some(events) = self.splitter.push(&piece) else {
+            let Some(events) = self.splitter.push(&chunk) else {
                 continue;
             };
-            self.times.beside += held.event();
-            if let Err(error) = self.write(answered, events).await {
+            self.times.beside_prefill += engine_call.on_event();
+            if let Err(error) = self.write(response, events).await {
                 return End::Gone(error);
             }
         }
     }
 
-    async fn write(&mut self, answered: &EngineResponse, events: Bytes) -> io::Result<()> {
-        self.begin(answered).await?;
+    async fn write(&mut self, response: &EngineResponse, events: Bytes) -> io::Result<()> {
+        self.begin(response).await?;
         self.times.note(Instant::now());
         self.writer.piece(events).await
     }
 
-    async fn begin(&mut self, answered: &EngineResponse) -> io::Result<()> {
+    async fn begin(&mut self, response: &EngineResponse) -> io::Result<()> {
         if self.writer.has_begun() {
             return Ok(());
         }
-        let head = ingress::relayed_head(&answered.head, self.close);
+        let head = ingress::relayed_head(&response.head, self.close);
         self.writer.head(head, BodySize::Stream).await
     }
 
-    async fn finish(&mut self, answered: &EngineResponse) -> End {
+    async fn finish(&mut self, response: &EngineResponse) -> End {
         let rest = self.splitter.rest();
-        match self.end(answered, rest).await {
+        match self.end(response, rest).await {
             Ok(()) => End::Whole,
             Err(error) => End::Gone(error),
         }
     }
 
-    async fn end(&mut self, answered: &EngineResponse, rest: Bytes) -> io::Result<()> {
-        self.begin(answered).await?;
+    async fn end(&mut self, response: &EngineResponse, rest: Bytes) -> io::Result<()> {
+        self.begin(response).await?;
         if !rest.is_empty() {
             self.writer.piece(rest).await?;
         }
