--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -21,7 +21,7 @@
 use serving::{EngineId, Route, Service, Table};
 use tokio::time::Instant;
 
-use crate::front::NO_ROUTE;
+use crate::connection::NO_ROUTE_STATUS;
 use crate::instance::Instance;
 use crate::limits;
 use crate::refusal::Refusal;
@@ -172,7 +172,7 @@
         let path = arrival.head.uri.path();
         let route = table
             .find(&call.host, path)
-            .ok_or_else(|| reject(NO_ROUTE, None, "No route matches."))?;
+            .ok_or_else(|| reject(NO_ROUTE_STATUS, None, "No route matches."))?;
         let principal = Principal::of(&table, route, &arrival.head).ok_or_else(|| {
             if instance.is_current() {
                 reject(
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -11,7 +11,7 @@
 
 use crate::{daemon, explain, journal, operate};
 
-/// Exit code when the settings have findings.
+/// Exit code for invalid settings.
 const BAD_SETTINGS: u8 = 2;
 
 /// One of the instances between callers and engines, on the users' platform.
@@ -33,45 +33,46 @@
         #[arg(long)]
         metrics: Option<u16>,
     },
-    /// Tells a request's way from the logs of instances, in order of time.
+    /// Prints the log lines of a request from the logs of several instances, in order of time.
     Explain {
         /// Id of the request.
         id: String,
-        /// Log files, one an instance.
+        /// Log files, one per instance.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
-        /// Writes JSON, for programs.
+        /// Writes JSON instead of text.
         #[arg(long)]
         json: bool,
     },
-    /// Prints the calls that are held since engines ended under them, with their fingerprints.
+    /// Prints the calls that are held because engines crashed while running them, with their
+    /// fingerprints.
     Held {
         /// Settings file of any instance; without it the platform's environment variable names it.
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Lets a held call go, at all instances within a minute.
+    /// Releases a held call, at all instances within a minute.
     Release {
-        /// Its fingerprint.
+        /// Fingerprint of the call.
         #[arg(value_parser = fingerprint)]
         fingerprint: Fingerprint,
         /// Settings file of any instance; without it the platform's environment variable names it.
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Prints how many engines were ordered last, and what operators wish.
+    /// Prints how many engines were ordered last, and what operators requested.
     Engines {
         /// Settings file of any instance; without it the platform's environment variable names it.
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Holds orders for engines at all instances: none are ordered until `resume`.
+    /// Suspends orders for engines at all instances until `resume`.
     Hold {
         /// Settings file of any instance; without it the platform's environment variable names it.
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Lets engines be ordered again.
+    /// Resumes orders for engines.
     Resume {
         /// Settings file of any instance; without it the platform's environment variable names it.
         #[arg(long)]
@@ -83,16 +84,16 @@
         service: String,
         /// The data centre.
         zone: String,
-        /// How many; without it the plan decides again.
+        /// Number of engines; without it the plan decides again.
         engines: Option<u32>,
-        /// Those that may be reclaimed, instead of the others.
+        /// Applies to engines that may be reclaimed, instead of the others.
         #[arg(long)]
         reclaimable: bool,
         /// Settings file of any instance; without it the platform's environment variable names it.
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Checks settings and prints every finding with its place, and names that are not known.
+    /// Checks settings and prints every finding with its place, and unknown names.
     Check {
         /// Settings file.
         settings: PathBuf,
@@ -100,7 +101,7 @@
 }
 
 impl Command {
-    /// Carries the command out.
+    /// Runs the command.
     pub fn run(self) -> ExitCode {
         match self.action {
             Action::Serve { settings, metrics } => serve(settings, metrics),
@@ -150,14 +151,14 @@
 }
 
 fn explain(id: &str, logs: &[PathBuf], json: bool) -> ExitCode {
-    let told = explain::read(id, logs).and_then(|story| {
+    let result = explain::read(id, logs).and_then(|trace| {
         if json {
-            story.json().map_err(std::io::Error::from)
+            trace.json().map_err(std::io::Error::from)
         } else {
-            Ok(story.text())
+            Ok(trace.text())
         }
     });
-    match told {
+    match result {
         Ok(text) => {
             println!("{}", text.trim_end());
             ExitCode::SUCCESS
--- /dev/null
+++ b/crates/gateway/src/connection.rs
@@ -0,0 +1,229 @@
+//! Callers' connections: serves one request after the other, and cancels a request whose caller
+//! disconnects.
+
+use std::cell::Cell;
+use std::io;
+use std::net::IpAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use actix_http::StatusCode;
+use http1::{Bad, Limits, Patience, Server};
+use serving::route;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{Instant, sleep};
+
+use crate::instance::Instance;
+use crate::refusal::{Refusal, refuse};
+use crate::{attempt::Request, generate, plain};
+
+/// A caller's connection counts as dead after about six seconds without an acknowledgement, which
+/// is longer than callers wait for most responses.
+pub(crate) const CALLER_PATIENCE: Patience = Patience {
+    connect: Duration::from_secs(1),
+    acknowledge: Duration::from_secs(5),
+    probe: Duration::from_secs(2),
+    probes: 2,
+};
+
+/// Limits until a configuration sets others.
+pub(crate) const DEFAULT_LIMITS: Limits = Limits {
+    head: 16 * 1024,
+    body: 4 * 1024 * 1024,
+    head_time: Duration::from_secs(3),
+    idle: Duration::from_secs(15),
+};
+
+/// Pause after a failed accept. Descriptors may have run out, and a busy loop would take the
+/// processor from the calls that free them.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+
+pub(crate) async fn accept_failed(error: &io::Error) {
+    log::warn!(error:% = error; "a connection could not be accepted");
+    tokio::time::sleep(ACCEPT_PAUSE).await;
+}
+
+/// Accepts callers until shortly before the process ends. Then the listener is closed: a caller
+/// whose connection is refused goes to another instance at once, even while the balancer still
+/// lists this one.
+pub(crate) async fn accept(instance: Rc<Instance>, listener: TcpListener) {
+    loop {
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
+            () = instance.phase.wait_for_closing() => return,
+        };
+        match accepted {
+            Ok((stream, peer)) => drop(actix_rt::spawn(serve(instance.clone(), stream, peer.ip()))),
+            Err(error) => accept_failed(&error).await,
+        }
+    }
+}
+
+async fn serve(instance: Rc<Instance>, stream: TcpStream, caller: IpAddr) {
+    let Ok(mut server) = Server::new(stream, &CALLER_PATIENCE, &instance.codec) else {
+        return;
+    };
+    loop {
+        let limits = limits(&instance);
+        tokio::select! {
+            biased;
+            received = server.wait(&limits) => if received.is_err() { return },
+            () = instance.phase.wait_for_closing(), if !server.has_more() => return,
+        }
+        if !serve_request(&instance, &mut server, &limits, caller).await {
+            return;
+        }
+    }
+}
+
+fn limits(instance: &Instance) -> Limits {
+    let table = instance.table.borrow();
+    let limits: Option<route::Limits> = table.as_ref().map(|table| table.limits);
+    limits.map_or(DEFAULT_LIMITS, |limits| Limits {
+        head: limits.head_bytes,
+        body: limits.body_bytes,
+        head_time: limits.head_time,
+        idle: limits.idle,
+    })
+}
+
+/// Serves one request. Returns whether another may follow on the connection.
+async fn serve_request(
+    instance: &Rc<Instance>,
+    server: &mut Server,
+    limits: &Limits,
+    caller: IpAddr,
+) -> bool {
+    let _in_hand = instance.phase.enter();
+    let arrival = match server.request(limits).await {
+        Ok(arrival) => arrival,
+        Err(bad) => {
+            refuse_malformed(server, bad).await;
+            return false;
+        }
+    };
+    let (reader, writer) = server.sides();
+    tokio::select! {
+        biased;
+        done = respond(instance, arrival, caller, writer) => done && writer.keeps_open(),
+        () = reader.gone() => false,
+    }
+}
+
+async fn refuse_malformed(server: &mut Server, bad: Bad) {
+    let Some(status) = bad.status() else { return };
+    log::info!(status = status.as_u16(), why:? = bad; "a request cannot be read");
+    let (_, writer) = server.sides();
+    let refusal = Refusal {
+        status,
+        id: None,
+        retry_after: None,
+        detail: "The request cannot be read.",
+        may_have_run: false,
+    };
+    // The caller may have disconnected; the connection is closed either way.
+    drop(refuse(writer, refusal, true).await);
+}
+
+/// Responds to a request. Returns whether the response is complete.
+async fn respond(
+    instance: &Rc<Instance>,
+    arrival: http1::Arrival,
+    caller: IpAddr,
+    writer: &mut http1::Writer,
+) -> bool {
+    let leaving = instance.phase.is_leaving();
+    if instance.phase.is_closing() {
+        // A call that begins now may not complete in the time that is left.
+        let refusal = Refusal {
+            status: StatusCode::SERVICE_UNAVAILABLE,
+            id: adapter::ingress::id(&arrival.head),
+            retry_after: Some(CLOSING_RETRY_AFTER),
+            detail: "The instance is about to end.",
+            may_have_run: false,
+        };
+        return refuse(writer, refusal, true).await.is_ok();
+    }
+    wait_until_synced(instance).await;
+    match Request::new(instance, arrival, caller) {
+        Ok(request) => answer(instance, &request, writer).await,
+        Err(rejection) => {
+            rejection.log();
+            refuse(writer, rejection.as_refusal(), leaving)
+                .await
+                .is_ok()
+        }
+    }
+}
+
+/// Longest wait of a call at an instance that has just started and is still receiving state. Most
+/// sync sooner; one that does not sends its callers elsewhere.
+const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval between checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Waits a short time for the configuration and the engines.
+///
+/// After a restart of all instances, a caller that one refuses is refused by the next one too, and
+/// many retry only once; all instances would refuse calls in the second after such a restart.
+async fn wait_until_synced(instance: &Instance) {
+    let until = Instant::now() + SYNC_TIMEOUT;
+    let lacks = || !instance.knows_all() || !knows_held(instance);
+    while lacks() && Instant::now() < until {
+        sleep(POLL_INTERVAL).await;
+    }
+}
+
+/// Time after the start within which the held calls have been read, while the store is healthy.
+const HELD_READ_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Whether this instance knows the held calls, or has waited long enough for them.
+///
+/// All instances may have been killed at once. One that sent a held call before reading its record
+/// would let the call crash an engine after each such restart.
+fn knows_held(instance: &Instance) -> bool {
+    instance.is_registered.get() || instance.now() >= HELD_READ_TIMEOUT
+}
+
+async fn answer(instance: &Rc<Instance>, request: &Request, writer: &mut http1::Writer) -> bool {
+    let waiting = AnswerGuard {
+        request,
+        is_answered: Cell::new(false),
+    };
+    let done = if request.route.kind.is_stream() {
+        generate::answer(instance, request, writer).await
+    } else {
+        plain::answer(instance, request, writer).await
+    };
+    waiting.is_answered.set(true);
+    done
+}
+
+/// Logs a caller that disconnects before its response.
+///
+/// Its disconnection cancels all work for the call, wherever that stands, so that no other line
+/// logs the call's end. Without this one, the request could not be told from one whose instance was
+/// killed.
+struct AnswerGuard<'a> {
+    request: &'a Request,
+    is_answered: Cell<bool>,
+}
+
+impl Drop for AnswerGuard<'_> {
+    fn drop(&mut self) {
+        if self.is_answered.get() {
+            return;
+        }
+        let request = self.request;
+        log::info!(
+            id = request.call.id.as_str(), route = request.route.name.as_str(), ms:% = request.elapsed().as_millis(),
+            left_ms:% = request.remaining().as_millis();
+            "the caller left"
+        );
+    }
+}
+
+/// Retry-after of an instance that is shutting down: at once, at another instance.
+const CLOSING_RETRY_AFTER: Duration = Duration::from_millis(10);
+
+pub(crate) const NO_ROUTE_STATUS: StatusCode = StatusCode::NOT_FOUND;
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of a process and ends them.
+//! Starts and stops the tasks of a process.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use signals::{Early, Request, Signals};
 
 use crate::instance::Instance;
-use crate::{duties, follow, front, mesh, metrics, ready, status};
+use crate::{connection, duties, follow, mesh, metrics, readiness, status};
 
 /// Why the process cannot serve.
 #[derive(Clone, Copy, Debug)]
@@ -56,8 +56,8 @@
     );
     let front = http1::listen(listen.front).change_context(Failure::Listen)?;
     let ready = http1::listen(listen.ready).change_context(Failure::Listen)?;
-    actix_rt::spawn(front::accept(instance.clone(), front));
-    actix_rt::spawn(status::serve(instance.clone(), ready, ready::reply));
+    actix_rt::spawn(connection::accept(instance.clone(), front));
+    actix_rt::spawn(status::serve(instance.clone(), ready, readiness::reply));
     if let Some(port) = port {
         metrics::start(&instance, port);
     }
@@ -67,47 +67,47 @@
     mesh::start(&instance)
         .await
         .change_context(Failure::Listen)?;
-    let mut file = Stamp::of(&path);
+    let mut file = FileStamp::of(&path);
     loop {
         tokio::select! {
             request = signals.next() => match request {
                 Request::Stop => break,
                 Request::Reload => {
-                    file = Stamp::of(&path);
-                    load_again(&instance, &path);
+                    file = FileStamp::of(&path);
+                    reload(&instance, &path);
                 }
             },
-            () = tokio::time::sleep(FILE_PACE) => {
-                let now = Stamp::of(&path);
+            () = tokio::time::sleep(FILE_POLL_INTERVAL) => {
+                let now = FileStamp::of(&path);
                 if std::mem::replace(&mut file, now) != now {
-                    load_again(&instance, &path);
+                    reload(&instance, &path);
                 }
             }
         }
     }
     log::info!("asked to end");
     let grace = instance.settings.borrow().bounds.grace;
-    instance.phase.leave(grace).await;
+    instance.phase.shut_down(grace).await;
     Ok(())
 }
 
-/// Pause between two looks whether the settings file has changed without a signal.
-const FILE_PACE: Duration = Duration::from_secs(1);
+/// Interval between checks whether the settings file has changed.
+const FILE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// By what a changed file is told from the one before. A file that cannot be looked at has none.
+/// Modification time and length, by which a change of the file is detected; `None` if it cannot be
+/// read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Stamp(Option<(SystemTime, u64)>);
+struct FileStamp(Option<(SystemTime, u64)>);
 
-impl Stamp {
+impl FileStamp {
     fn of(path: &Path) -> Self {
         let found = std::fs::metadata(path).ok();
         Self(found.and_then(|found| Some((found.modified().ok()?, found.len()))))
     }
 }
 
-/// Takes changed settings over. Addresses are bound already and stay; a file with findings leaves
-/// the settings in force.
-fn load_again(instance: &Instance, path: &Path) {
+/// Reloads the settings. Bound addresses stay; invalid settings leave the current ones in force.
+fn reload(instance: &Instance, path: &Path) {
     match settings::load(path) {
         Ok(settings) => {
             instance
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -23,9 +23,9 @@
 use crate::bootstrap::Snapshot;
 use crate::claim_log::ClaimLog;
 use crate::crashes::Crashes;
+use crate::lifecycle::Lifecycle;
 use crate::metrics::Metrics;
 use crate::peers::{self, Peers, Topic};
-use crate::phase::Phase;
 use crate::placement::client::Pending;
 use crate::pool::Pool;
 use crate::reports::Reports;
@@ -76,7 +76,7 @@
     /// Engines of which it is being found out whether they have ended.
     pub crashes: Crashes,
     pub peers: RefCell<Peers>,
-    pub phase: Phase,
+    pub phase: Lifecycle,
     pub metrics: Metrics,
     /// Something happened of which the others should hear at once.
     pub stirred: Notify,
@@ -123,7 +123,7 @@
             suspects: Suspects::default(),
             crashes: Crashes::default(),
             peers: RefCell::default(),
-            phase: Phase::default(),
+            phase: Lifecycle::default(),
             metrics: Metrics::default(),
             stirred: Notify::new(),
             era: Cell::new(None),
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon; see the library for what it does.
+//! Entry point of the daemon; the library holds the implementation.
 
 use std::process::ExitCode;
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -309,7 +309,7 @@
             gauge.set(count(number));
         }
         self.instances.set(count(instance.peers.borrow().count()));
-        self.in_hand.set(count(instance.phase.in_hand()));
+        self.in_hand.set(count(instance.phase.open_calls()));
         let mut page = String::new();
         encode(&mut page, &self.registry)?;
         Ok(page)
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,11 +1,11 @@
-//! Answers whether callers may be sent here.
+//! Readiness: whether the balancer may send callers here.
 
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 
 use crate::instance::Instance;
 
-/// The answer, whatever the path.
+/// The response, for any path.
 pub(crate) fn reply(instance: &Instance, _path: &str) -> (Response<()>, Bytes) {
     let status = if is_ready(instance) {
         StatusCode::OK
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -7,7 +7,7 @@
 use http1::Server;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::front::{CALLER, LIMITS, accept_failed};
+use crate::connection::{CALLER_PATIENCE, DEFAULT_LIMITS, accept_failed};
 use crate::instance::Instance;
 
 /// Maps the path of a status request to its response.
@@ -28,11 +28,11 @@
 }
 
 async fn serve_connection(instance: Rc<Instance>, stream: TcpStream, handler: Handler) {
-    let Ok(mut server) = Server::new(stream, &CALLER, &instance.codec) else {
+    let Ok(mut server) = Server::new(stream, &CALLER_PATIENCE, &instance.codec) else {
         return;
     };
-    while server.wait(&LIMITS).await.is_ok() {
-        let Ok(arrival) = server.request(&LIMITS).await else {
+    while server.wait(&DEFAULT_LIMITS).await.is_ok() {
+        let Ok(arrival) = server.request(&DEFAULT_LIMITS).await else {
             return;
         };
         let (head, body) = handler(&instance, arrival.head.uri.path());
