--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -9,7 +9,7 @@
 
 use crate::attempt::Request;
 use crate::instance::Instance;
-use crate::{suspects, trials};
+use crate::{quarantine_store, suspects};
 
 /// How a call may be dispatched.
 pub(crate) enum Admission {
@@ -33,7 +33,7 @@
         return Admission::Alone;
     }
     let admission = match instance.suspects.verdict(request, suspects::now(instance)) {
-        Verdict::TrialDue if trials::claim(instance, request).await => {
+        Verdict::TrialDue if quarantine_store::claim_trial(instance, request).await => {
             log::info!(id = request.call.id.as_str(), fingerprint = request.fingerprint_text(); "a held call is tried");
             request.on_trial.set(true);
             Admission::Alone
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -234,7 +234,7 @@
 
     /// [`Request::fingerprint`] in the form that logs use.
     pub(crate) fn fingerprint_text(&self) -> String {
-        suspects::text(self.fingerprint())
+        suspects::fingerprint_text(self.fingerprint())
     }
 
     /// What crash detection keeps of the request after it has ended.
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -9,7 +9,7 @@
 use serving::fingerprint::Fingerprint;
 use signals::Early;
 
-use crate::{daemon, explain, journal, operate};
+use crate::{daemon, explain, journal, operator};
 
 /// Exit code for invalid settings.
 const BAD_SETTINGS: u8 = 2;
@@ -107,7 +107,7 @@
             Action::Serve { settings, metrics } => serve(settings, metrics),
             Action::Explain { id, logs, json } => explain(&id, &logs, json),
             Action::Held { settings } => operate(settings, async |settings| {
-                for line in operate::held(&settings).await? {
+                for line in operator::held(&settings).await? {
                     println!("{line}");
                 }
                 Ok(())
@@ -116,19 +116,19 @@
                 fingerprint,
                 settings,
             } => operate(settings, async |settings| {
-                operate::release(&settings, fingerprint).await
+                operator::release(&settings, fingerprint).await
             }),
             Action::Engines { settings } => operate(settings, async |settings| {
-                for line in operate::engines(&settings).await? {
+                for line in operator::engines(&settings).await? {
                     println!("{line}");
                 }
                 Ok(())
             }),
             Action::Hold { settings } => operate(settings, async |settings| {
-                operate::hold(&settings, true).await
+                operator::hold(&settings, true).await
             }),
             Action::Resume { settings } => operate(settings, async |settings| {
-                operate::hold(&settings, false).await
+                operator::hold(&settings, false).await
             }),
             Action::Fix {
                 service,
@@ -143,7 +143,7 @@
                     reclaimable,
                     engines: engines.unwrap_or_default(),
                 };
-                operate::fix(&settings, &fixed, engines.is_some()).await
+                operator::fix(&settings, &fixed, engines.is_some()).await
             }),
             Action::Check { settings } => check(settings),
         }
@@ -176,7 +176,7 @@
 
 fn operate(
     path: Option<PathBuf>,
-    act: impl AsyncFnOnce(Settings) -> Result<(), operate::Failure>,
+    act: impl AsyncFnOnce(Settings) -> Result<(), operator::Failure>,
 ) -> ExitCode {
     let settings = match load(path) {
         Ok((_, settings)) => settings,
--- a/crates/gateway/src/discover.rs
+++ b/crates/gateway/src/discover.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::instance::Instance;
-use crate::trials;
+use crate::quarantine_store;
 
 /// Pause between two reads of the other instances. Each one that starts tells all that are registered
 /// of itself, so that a read finds only what was lost.
@@ -63,7 +63,7 @@
     let mut peers = instance.peers.borrow_mut();
     let others = records
         .iter()
-        .filter(|record| !trials::take(instance, record));
+        .filter(|record| !quarantine_store::apply_record(instance, record));
     let values = others.filter_map(|record| record.value.as_ref());
     let texts = values.filter_map(|value| std::str::from_utf8(value).ok());
     let now = instance.now();
--- a/crates/gateway/src/engine_call.rs
+++ b/crates/gateway/src/engine_call.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::attempt::Request;
-use crate::crashes;
+use crate::crash_detection;
 use crate::instance::Instance;
 
 /// What an engine is asked to do for a call.
@@ -148,7 +148,7 @@
         fleet.end_call(&self.sent, self.outcome, now);
         drop(fleet);
         if self.outcome.is_none() {
-            crashes::given_up(self.instance, self.request, &self.sent.engine);
+            crash_detection::on_abandoned(self.instance, self.request, &self.sent.engine);
         }
         if let Some(placed_by) = self.placed_by {
             self.instance.reports.ended(placed_by, self.outcome);
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -16,7 +16,7 @@
 use crate::attempt::{
     self, AttemptResult, EngineResponse, FailedSends, MAX_BODY_BYTES, NotRun, Request,
 };
-use crate::crashes;
+use crate::crash_detection;
 use crate::engine_call::{EngineCall, Step};
 use crate::instance::Instance;
 use crate::metrics;
@@ -280,7 +280,7 @@
                     "the prompt's reading was lost");
                 engine_call.set_outcome(Outcome::Failed);
                 drop(engine_call);
-                crashes::broke_off(self.instance, self.request, &engine).await;
+                crash_detection::on_broken_response(self.instance, self.request, &engine).await;
                 return PrefillResult::Lost;
             }
         };
@@ -289,7 +289,7 @@
         } = *response;
         let body = client.body(MAX_BODY_BYTES).await;
         if body.is_err() {
-            crashes::broke_off(self.instance, self.request, &engine).await;
+            crash_detection::on_broken_response(self.instance, self.request, &engine).await;
         }
         let read = body.ok().filter(|_| reply.is_success());
         let Some(read) = read.and_then(|body| upstream::parse_prefill_result(&body)) else {
@@ -359,7 +359,7 @@
                     "the engine's answer was lost");
                 engine_call.set_outcome(Outcome::Failed);
                 drop(engine_call);
-                crashes::broke_off(self.instance, self.request, &engine).await;
+                crash_detection::on_broken_response(self.instance, self.request, &engine).await;
                 self.avoid.push(target.engine.clone());
                 GenerateResult::Next(self.after_loss("The engine's answer was lost."))
             }
@@ -381,7 +381,7 @@
             });
             self.instance
                 .suspects
-                .ended_well(self.request, engine, suspects::now(self.instance));
+                .on_good_run(self.request, engine, suspects::now(self.instance));
             self.avoid.push(engine.id.clone());
             return self.after_failure(*response, &engine.id).await;
         }
@@ -394,9 +394,10 @@
         match self.relay.relay(&mut response, &engine_call).await {
             relay::End::Whole => {
                 engine_call.set_outcome(Outcome::Success);
-                self.instance
-                    .suspects
-                    .ended_well(self.request, engine, suspects::now(self.instance),
+                self.instance.suspects.on_good_run(
+                    self.request,
+                    engine,
+                    suspects::now(self.instance),
                 );
                 let EngineResponse { client, reply, .. } = *response;
                 attempt::return_to_pool(self.instance, &engine.id, client, &reply);
@@ -412,7 +413,7 @@
                     "the engine broke off");
                 engine_call.set_outcome(Outcome::Failed);
                 drop(engine_call);
-                crashes::broke_off(self.instance, self.request, engine).await;
+                crash_detection::on_broken_response(self.instance, self.request, engine).await;
                 self.avoid.push(engine.id.clone());
                 self.after_loss("The engine broke off.")
             }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -22,7 +22,7 @@
 
 use crate::bootstrap::Snapshot;
 use crate::claim_log::ClaimLog;
-use crate::crashes::Crashes;
+use crate::crash_detection::Crashes;
 use crate::lifecycle::Lifecycle;
 use crate::metrics::Metrics;
 use crate::peers::{self, Peers, Topic};
@@ -266,7 +266,7 @@
             ledger.fixed_reports_lost(self.unix());
         }
         if self.peers.borrow().before(self.order(), now) == 0 {
-            self.suspects.write_again();
+            self.suspects.mark_held_unwritten();
         }
         self.store_went_back.notify_waiters();
     }
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -21,7 +21,7 @@
 use crate::peers::{self, PARTS, Topic};
 use crate::placement::server;
 use crate::usage::REPORTERS;
-use crate::{bootstrap, discover, limits, receive, suspects, trials, usage, warmup};
+use crate::{bootstrap, discover, limits, quarantine_store, receive, suspects, usage, warmup};
 
 /// Pause between two frames while nothing is placed.
 const PACE: Duration = Duration::from_millis(100);
@@ -60,7 +60,7 @@
     actix_rt::spawn(tell(instance.clone(), socket));
     actix_rt::spawn(warmup::run(instance.clone()));
     actix_rt::spawn(discover::run(instance.clone()));
-    actix_rt::spawn(trials::run(instance.clone()));
+    actix_rt::spawn(quarantine_store::run(instance.clone()));
     Ok(())
 }
 
@@ -81,7 +81,8 @@
                     for told in lacking.into_iter().flatten() {
                         broadcast(&socket, &told, &[from]);
                     }
-                    let differs = state.and_then(|state| suspects::lacking(&instance, from, state));
+                    let differs =
+                        state.and_then(|state| suspects::missing_suspects(&instance, from, state));
                     if let Some(told) = differs {
                         broadcast(&socket, &told, &[from]);
                     }
--- a/crates/gateway/src/operate.rs
+++ b/crates/gateway/src/operator.rs
@@ -1,5 +1,5 @@
-//! What operators do about held calls and about the numbers of engines, by way of the store: no instance is asked, and those that
-//! have to know read there.
+//! Operators' commands on held calls and on the numbers of engines. They work through the store
+//! alone: no instance is called, and those concerned read the change there.
 
 use std::fmt;
 
@@ -15,13 +15,13 @@
 use wire::Message as _;
 use wire::gateway::Suspect;
 
-use crate::suspects::{START, text};
-use crate::{claims, frame, trials};
+use crate::suspects::{CLOCK_OFFSET, fingerprint_text};
+use crate::{claims, frame, quarantine_store};
 
-/// Why nothing was done.
+/// Why a command failed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// The store gave no answer, or refused.
+    /// The store did not respond, or refused.
     Store(StoreError),
     /// The store has no such call.
     Unknown,
@@ -42,29 +42,31 @@
     }
 }
 
-/// The present moment, from which ages of records are counted back.
-const NOW: Moment = START;
+/// The present moment, from which the ages in records count back.
+const NOW: Moment = CLOCK_OFFSET;
 
 /// A call that the store has.
-struct Known {
+struct StoredCall {
     call: Fingerprint,
     entry: Entry,
-    /// The present time, in milliseconds since the Unix epoch, as far as this machine and the record tell.
+    /// The present time, in milliseconds since the Unix epoch: the later of this machine's clock
+    /// and the record's time.
     ///
-    /// This machine's clock may be behind that of the instance which wrote the record. Ages that count from a time before the record was written would
-    /// let ends go that came before it, and not those that it tells of.
+    /// This machine's clock may lag that of the instance which wrote the record. With an age from
+    /// before the record was written, a release would cover earlier crashes, and not those in the
+    /// record.
     now_unix_ms: u64,
 }
 
-/// A line for each call that the store has, the ones that are held first.
+/// A line for each call in the store, held ones first.
 pub(crate) async fn held(settings: &Settings) -> Result<Vec<String>, Failure> {
-    let mut calls: Vec<Known> = read(&mut store(settings)).await?;
+    let mut calls: Vec<StoredCall> = read_calls(&mut store(settings)).await?;
     calls.sort_by_key(|known| (!known.entry.is_held(), known.call));
-    let lines = calls.iter().map(|Known { call, entry, .. }| {
+    let lines = calls.iter().map(|StoredCall { call, entry, .. }| {
         let state = if entry.is_held() { "held" } else { "let go" };
         let last = NOW.saturating_sub(entry.last_crash().unwrap_or(NOW));
         let (ended, trials) = (entry.uncleared_crashes(), entry.trials);
-        let call = text(*call);
+        let call = fingerprint_text(*call);
         format!(
             "{call} {state} ended={ended} last_s={} trials={trials}",
             last.as_secs()
@@ -73,10 +75,10 @@
     Ok(lines.collect())
 }
 
-/// Lets a call go: ends of engines until now no longer count against it.
+/// Releases a call: earlier crashes no longer count against it.
 pub(crate) async fn release(settings: &Settings, call: Fingerprint) -> Result<(), Failure> {
     let mut store = store(settings);
-    let calls = read(&mut store).await?;
+    let calls = read_calls(&mut store).await?;
     let known = calls.into_iter().find(|known| known.call == call);
     let mut known = known.ok_or(Failure::Unknown)?;
     known.entry.released = Some(NOW);
@@ -86,7 +88,7 @@
     };
     let value = released.encode_to_vec();
     store
-        .append(INSTANCES_TOPIC, &trials::key(call), &value, None)
+        .append(INSTANCES_TOPIC, &quarantine_store::key(call), &value, None)
         .await?;
     Ok(())
 }
@@ -96,7 +98,7 @@
     let newest = store(settings).newest(CLAIMS_TOPIC).await?;
     let record = newest.records.iter().find(|record| record.key == CLAIM_KEY);
     let claim = record.and_then(|record| Claim::from_bytes(record.value.as_ref()?).ok());
-    let number = |ordered: Option<u32>| ordered.map_or("none".to_owned(), |n| n.to_string());
+    let format_number = |ordered: Option<u32>| ordered.map_or("none".to_owned(), |n| n.to_string());
     let numbers = claim
         .iter()
         .flat_map(|claim| &claim.numbers)
@@ -106,8 +108,8 @@
                 numbers.service,
                 numbers.zone,
                 numbers.found,
-                number(numbers.firm),
-                number(numbers.reclaimable)
+                format_number(numbers.firm),
+                format_number(numbers.reclaimable)
             )
         });
     let wishes = claims::wishes(&newest.records);
@@ -115,7 +117,7 @@
         .held
         .then(|| "held: no engines are ordered".to_owned());
     let fixed = wishes.fixed.iter().map(|fixed| {
-        let kind = kind(fixed.reclaimable);
+        let kind = kind_name(fixed.reclaimable);
         format!(
             "{} {} fixed {kind}={}",
             fixed.service, fixed.zone, fixed.engines
@@ -124,20 +126,17 @@
     Ok(numbers.chain(held).chain(fixed).collect())
 }
 
-fn kind(reclaimable: bool) -> &'static str {
+fn kind_name(reclaimable: bool) -> &'static str {
     if reclaimable { "reclaimable" } else { "others" }
 }
 
-/// Holds orders for engines, or lets them go on.
+/// Suspends or resumes orders for engines.
 pub(crate) async fn hold(settings: &Settings, held: bool) -> Result<(), Failure> {
     change_wishes(settings, |wishes| wishes.held = held).await
 }
 
-/// Fixes a number of engines, or leaves it to the plan again.
-pub(crate) async fn fix(
-    settings: &Settings,
-    fixed: &FixedCount,
-    stands: bool,
+/// Fixes a number of engines, or returns it to the plan.
+pub(crate) async fn fix(settings: &Settings, fixed: &FixedCount, is_fixed: bool,
 ) -> Result<(), Failure> {
     let is_same = |other: &FixedCount| {
         (&other.service, &other.zone, other.reclaimable)
@@ -145,14 +144,14 @@
     };
     change_wishes(settings, |wishes| {
         wishes.fixed.retain(|other| !is_same(other));
-        if stands {
+        if is_fixed {
             wishes.fixed.push(fixed.clone());
         }
     })
     .await
 }
 
-/// Changes what operators wish, unless another one does at the same moment.
+/// Changes the operators' requests, unless another operator does so at the same moment.
 async fn change_wishes(
     settings: &Settings,
     change: impl FnOnce(&mut ScalingOverrides),
@@ -172,20 +171,20 @@
     Store::new(settings.store, http1::config())
 }
 
-async fn read(store: &mut Store) -> Result<Vec<Known>, Failure> {
+async fn read_calls(store: &mut Store) -> Result<Vec<StoredCall>, Failure> {
     let newest = store.newest(INSTANCES_TOPIC).await?;
-    Ok(newest.records.iter().filter_map(known).collect())
+    Ok(newest.records.iter().filter_map(decode_record).collect())
 }
 
-fn known(record: &KeyedRecord) -> Option<Known> {
-    trials::call_of(&record.key)?;
+fn decode_record(record: &KeyedRecord) -> Option<StoredCall> {
+    quarantine_store::call_of(&record.key)?;
     match Suspect::decode(&record.value.as_ref()?[..]) {
         Ok(suspect) => {
-            let own = trials::unix_ms(System::new().wall_time());
+            let own = quarantine_store::unix_ms(System::new().wall_time());
             let now_unix_ms = own.max(suspect.written_unix_ms + 1);
             let aged = frame::aged(suspect, now_unix_ms);
             let (call, entry) = frame::suspect(&aged, NOW);
-            Some(Known {
+            Some(StoredCall {
                 call,
                 entry,
                 now_unix_ms,
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -17,7 +17,7 @@
 use crate::attempt::{
     self, AttemptResult, EngineResponse, FailedSends, MAX_BODY_BYTES, NotRun, Request,
 };
-use crate::crashes;
+use crate::crash_detection;
 use crate::engine_call::{EngineCall, Step};
 use crate::instance::Instance;
 use crate::metrics;
@@ -260,7 +260,7 @@
                 log::info!(id = request.call.id.as_str(), engine = &*engine.id, failure = failure.name(),
                     fingerprint = request.fingerprint_text(), caller:% = request.caller;
                     "answer lost");
-                crashes::broke_off(instance, request, &engine).await;
+                crash_detection::on_broken_response(instance, request, &engine).await;
                 AttemptEnd::Lost
             }
         }
@@ -306,14 +306,14 @@
             attempt::return_to_pool(instance, &engine.id, client, &reply);
             instance
                 .suspects
-                .ended_well(request, engine, suspects::now(instance));
+                .on_good_run(request, engine, suspects::now(instance));
             AttemptEnd::Whole(Box::new(WholeAnswer { head, reply }), body)
         }
         Err(failure) => {
             log::info!(id = request.call.id.as_str(), engine = &*engine.id, failure:% = failure,
                 fingerprint = request.fingerprint_text(), caller:% = request.caller;
                 "broken answer");
-            crashes::broke_off(instance, request, engine).await;
+            crash_detection::on_broken_response(instance, request, engine).await;
             AttemptEnd::Lost
         }
     }
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/quarantine_store.rs
@@ -1,5 +1,5 @@
-//! What of the calls that end engines goes through the platform's store: that they are held, which has to outlast all instances,
-//! and who tries one again, which has to be one instance.
+//! Stores calls that crash engines on the platform: that they are held, which has to survive all
+//! instances, and which one instance tries a call again.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
@@ -16,30 +16,31 @@
 use crate::attempt::Request;
 use crate::frame;
 use crate::instance::Instance;
-use crate::suspects::{self, text};
+use crate::suspects::{self, fingerprint_text};
 
-/// Begins the keys of held calls. They stand beside the registered instances, which each instance that starts reads: it
-/// knows whom to hold back before it knows whom to ask, at no further call to the store.
-const PREFIX: &str = "held/";
-/// Pause between two looks whether something is to be written, and after a write that failed.
-const LOOK: Duration = Duration::from_millis(250);
-/// Age of a record after which no call is held by it any more, by a clock that may be off by hours. Records that nobody deletes would
-/// stand in the store for ever, and each instance that starts reads all of them.
-const OLD: Duration = Duration::from_secs(2 * 24 * 60 * 60);
-/// Longest time that a call waits for the word whether this instance may try it.
-const CLAIM: Duration = Duration::from_millis(400);
+/// Key prefix of held calls. Their records lie beside the registered instances, which every
+/// starting instance reads: it knows the held calls as soon as it knows its peers, without another
+/// call to the store.
+const KEY_PREFIX: &str = "held/";
+/// Interval between checks for changes to write, and pause after a failed write.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Age after which a record holds no call any more, even by a clock that is off by hours. Without
+/// deletion the records would pile up, and every starting instance reads them all.
+const MAX_RECORD_AGE: Duration = Duration::from_secs(2 * 24 * 60 * 60);
+/// Longest wait of a call for the claim of its trial.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The call that a record of the store is about, if it is about one.
+/// The fingerprint in a record's key; `None` for other records.
 pub(crate) fn call_of(key: &str) -> Option<Fingerprint> {
-    Fingerprint::from_str_radix(key.strip_prefix(PREFIX)?, 16).ok()
+    Fingerprint::from_str_radix(key.strip_prefix(KEY_PREFIX)?, 16).ok()
 }
 
 /// Key of a call's record.
 pub(crate) fn key(call: Fingerprint) -> String {
-    format!("{PREFIX}{}", text(call))
+    format!("{KEY_PREFIX}{}", fingerprint_text(call))
 }
 
-/// A call's record.
+/// Value of a call's record.
 pub(crate) fn value(call: Fingerprint, entry: &Entry, instance: &Instance) -> Vec<u8> {
     let suspect = frame::told_suspect(call, entry, suspects::now(instance));
     let written = Suspect {
@@ -49,7 +50,7 @@
     written.encode_to_vec()
 }
 
-/// Milliseconds since the epoch.
+/// Milliseconds since the Unix epoch.
 pub(crate) fn unix_ms(time: SystemTime) -> u64 {
     let since = time.duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| {
@@ -57,8 +58,8 @@
     })
 }
 
-/// Takes in a record of the store, if it is about a call. Says whether it is.
-pub(crate) fn take(instance: &Instance, record: &KeyedRecord) -> bool {
+/// Applies a record of the store if it is about a call. Returns whether it is.
+pub(crate) fn apply_record(instance: &Instance, record: &KeyedRecord) -> bool {
     let Some(call) = call_of(&record.key) else {
         return false;
     };
@@ -69,8 +70,8 @@
         Ok(suspect) => {
             let now = unix_ms(instance.clock.wall_time());
             let age = Duration::from_millis(now.saturating_sub(suspect.written_unix_ms));
-            if age > OLD {
-                instance.suspects.note_old(call);
+            if age > MAX_RECORD_AGE {
+                instance.suspects.mark_expired(call);
                 return true;
             }
             let aged = frame::aged(suspect, now);
@@ -85,12 +86,12 @@
     true
 }
 
-/// Writes what this instance saw of calls that end engines, and forgets those whose time is over, until the process ends.
+/// Writes crashes that this instance saw and removes expired calls, until the process ends.
 pub(crate) async fn run(instance: Rc<Instance>) {
     let address = instance.settings.borrow().store;
     let mut store = Store::new(address, instance.codec.clone());
     loop {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
         instance.suspects.expire(suspects::now(&instance));
         if instance
             .peers
@@ -98,7 +99,7 @@
             .before(instance.order(), instance.now())
             == 0
         {
-            delete_old(&instance, &mut store).await;
+            delete_expired(&instance, &mut store).await;
         }
         for (call, entry) in instance.suspects.unwritten() {
             let value = value(call, &entry, &instance);
@@ -107,11 +108,11 @@
                 .await
             {
                 Ok(_) => {
-                    instance.suspects.written(call, &entry);
-                    log::info!(fingerprint = text(call), ended = entry.uncleared_crashes(); "the store knows of a call that ends engines");
+                    instance.suspects.mark_written(call, &entry);
+                    log::info!(fingerprint = fingerprint_text(call), ended = entry.uncleared_crashes(); "the store knows of a call that ends engines");
                 }
                 Err(trouble) => {
-                    log::info!(fingerprint = text(call), trouble:% = trouble; "a held call could not be written yet");
+                    log::info!(fingerprint = fingerprint_text(call), trouble:% = trouble; "a held call could not be written yet");
                     break;
                 }
             }
@@ -119,39 +120,44 @@
     }
 }
 
-/// Deletes records of calls that nobody holds any more, unless the call is known by now.
-async fn delete_old(instance: &Instance, store: &mut Store) {
-    while let Some(call) = instance.suspects.take_old() {
+/// Deletes outdated records, unless the call is known again.
+async fn delete_expired(instance: &Instance, store: &mut Store) {
+    while let Some(call) = instance.suspects.take_expired() {
         if instance.suspects.get(call).is_some() {
             continue;
         }
         match store.append(INSTANCES_TOPIC, &key(call), &[], None).await {
             Ok(_) => {
-                log::info!(fingerprint = text(call); "an old record of a held call is deleted");
+                log::info!(fingerprint = fingerprint_text(call); "an old record of a held call is deleted");
             }
             Err(trouble) => {
-                log::info!(fingerprint = text(call), trouble:% = trouble; "an old record could not be deleted yet");
-                instance.suspects.note_old(call);
+                log::info!(fingerprint = fingerprint_text(call), trouble:% = trouble; "an old record could not be deleted yet");
+                instance.suspects.mark_expired(call);
                 return;
             }
         }
     }
 }
 
-/// Claims the trial of a held call for this instance. Says whether it may send the call.
+/// Claims the trial of a held call for this instance. Returns whether it may send the call.
 ///
-/// Instances that tried it each by itself would end as many engines as there are of them. The claim is an append that the store
-/// carries out only if nobody has written since this instance read, so that of two claims one fails. Without the store
-/// nobody tries.
-pub(crate) async fn claim(instance: &Instance, asked: &Request) -> bool {
-    match timeout(CLAIM, claim_at_store(instance, asked.fingerprint())).await {
+/// If each instance tried it on its own, as many engines would crash as there are instances. The
+/// store appends the claim only if nothing was written since this instance read, so that of two
+/// claims one fails. Without the store, no instance tries.
+pub(crate) async fn claim_trial(instance: &Instance, request: &Request) -> bool {
+    match timeout(
+        CLAIM_TIMEOUT,
+        claim_at_store(instance, request.fingerprint()),
+    )
+    .await
+    {
         Ok(Ok(is_claimed)) => is_claimed,
         Ok(Err(trouble)) => {
-            log::info!(id = asked.call.id.as_str(), trouble:% = trouble; "no trial of a held call without the store");
+            log::info!(id = request.call.id.as_str(), trouble:% = trouble; "no trial of a held call without the store");
             false
         }
         Err(_) => {
-            log::info!(id = asked.call.id.as_str(); "no trial of a held call, the store takes too long");
+            log::info!(id = request.call.id.as_str(); "no trial of a held call, the store takes too long");
             false
         }
     }
@@ -162,7 +168,7 @@
     let mut store = Store::new(address, instance.codec.clone());
     let newest = store.newest(INSTANCES_TOPIC).await?;
     for record in &newest.records {
-        take(instance, record);
+        apply_record(instance, record);
     }
     let now = suspects::now(instance);
     let Some(entry) = instance.suspects.trial(call, now) else {
@@ -174,7 +180,7 @@
         .await
     {
         Ok(_) => {
-            instance.suspects.begun_trial(call, &entry, now);
+            instance.suspects.on_trial_claimed(call, &entry, now);
             Ok(true)
         }
         Err(StoreError::EndMismatch(_)) => Ok(false),
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,9 +1,10 @@
-//! What this instance knows of calls that end engines, and what it tells the others of them. What is done with such a call
-//! is decided in [`serving::quarantine`].
+//! Calls that crash engines, as known to this instance, and their exchange with the others.
+//! [`serving::quarantine`] decides how such a call is treated.
 //!
-//! A call comes again at any instance, so that all must know within the time in which one that is whole is heard of: news is
-//! told to all at once, and once more, since datagrams are lost. What is lost all the same shows in a digest that every state
-//! bears; whoever places calls tells what the other lacks.
+//! A call may be repeated at any instance, so all must know of it within the time in which live
+//! peers hear of each other: changes are sent to all at once, and a second time, since datagrams
+//! are lost. What is lost nevertheless shows in a digest that every state carries; placers then
+//! send what the other lacks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,41 +22,43 @@
 use crate::frame;
 use crate::instance::Instance;
 
-/// Times that news is told.
-const TELLINGS: u8 = 2;
-/// Pause between two tellings, so that what loses the first does not lose the second.
-const PACE: Duration = Duration::from_millis(350);
-/// Most calls in one frame, a hundred bytes each: a datagram of several packets is lost with any of them.
-const MOST: usize = 32;
-/// Pause between two answers to one instance that lacks something: the first may be on its way.
-const ANSWER_PACE: Duration = Duration::from_millis(600);
-
-/// The moment of this process's start on the clock by which calls are remembered. What instances and the store tell may be older than
-/// the process; it must keep its order, or a good run of long ago would clear the ends after it. Longer than a call is held.
-pub(crate) const START: Moment = Duration::from_secs(2 * 24 * 60 * 60);
-
-/// The present moment on the clock by which calls are remembered.
+/// Times that a change is sent.
+const TRANSMISSIONS: u8 = 2;
+/// Pause between the two, so that what drops the first does not drop the second.
+const RESEND_INTERVAL: Duration = Duration::from_millis(350);
+/// Most calls in one frame, at a hundred bytes each: a datagram of several packets is lost with any
+/// of them.
+const MAX_SUSPECTS_PER_FRAME: usize = 32;
+/// Pause between two answers to an instance that lacks something: the first may be on its way.
+const ANSWER_INTERVAL: Duration = Duration::from_millis(600);
+
+/// Offset of the clock that dates crashes and good runs. Peers and the store report ones from
+/// before this process started; they must keep their order, or an old good run would clear the
+/// crashes after it. Longer than a call is held.
+pub(crate) const CLOCK_OFFSET: Moment = Duration::from_secs(2 * 24 * 60 * 60);
+
+/// The present moment on the clock that dates crashes and good runs.
 pub(crate) fn now(instance: &Instance) -> Moment {
-    START + instance.now()
+    CLOCK_OFFSET + instance.now()
 }
 
-/// News that is still to be told.
+/// A change that is still to be sent.
 #[derive(Clone, Copy, Debug)]
-struct Telling {
+struct PendingSend {
     left: u8,
     due: Moment,
 }
 
-impl Telling {
+impl PendingSend {
     fn new(now: Moment) -> Self {
         Self {
-            left: TELLINGS,
+            left: TRANSMISSIONS,
             due: now,
         }
     }
 }
 
-/// A call as it is remembered once it has ended.
+/// What is kept of a call after it has ended.
 #[derive(Clone, Debug)]
 pub(crate) struct Subject {
     pub(crate) id: String,
@@ -63,33 +66,33 @@
     pub(crate) caller: IpAddr,
 }
 
-/// The calls that end engines, as this instance knows them.
+/// Calls that crash engines, as known to this instance.
 #[derive(Debug, Default)]
 pub(crate) struct Suspects {
     quarantine: RefCell<Quarantine>,
-    news: RefCell<BTreeMap<Fingerprint, Telling>>,
-    /// Calls under which this instance saw engines end, and whose record in the store is behind.
+    pending_sends: RefCell<BTreeMap<Fingerprint, PendingSend>>,
+    /// Calls under which this instance saw crashes, and whose record in the store is outdated.
     unwritten: RefCell<BTreeSet<Fingerprint>>,
-    /// Calls whose record in the store is so old that it holds nobody.
-    old: RefCell<BTreeSet<Fingerprint>>,
-    answered: RefCell<BTreeMap<SocketAddr, Moment>>,
+    /// Calls whose record in the store is too old to hold them.
+    expired: RefCell<BTreeSet<Fingerprint>>,
+    last_answered: RefCell<BTreeMap<SocketAddr, Moment>>,
     digest: Cell<u64>,
 }
 
 impl Suspects {
-    /// What may be done with a call.
-    pub(crate) fn verdict(&self, asked: &Request, now: Moment) -> Verdict {
+    /// How a call may be treated.
+    pub(crate) fn verdict(&self, request: &Request, now: Moment) -> Verdict {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() {
             return Verdict::Clear;
         }
-        quarantine.verdict(asked.fingerprint(), now)
+        quarantine.verdict(request.fingerprint(), now)
     }
 
-    /// Whether engines ended with a call in hand, so that one more would matter.
-    pub(crate) fn is_noted(&self, asked: &Request) -> bool {
+    /// Whether engines crashed while running a call, so that another crash would matter.
+    pub(crate) fn is_noted(&self, request: &Request) -> bool {
         let quarantine = self.quarantine.borrow();
-        !quarantine.is_empty() && quarantine.get(asked.fingerprint()).is_some()
+        !quarantine.is_empty() && quarantine.get(request.fingerprint()).is_some()
     }
 
     /// What is known of a call.
@@ -97,7 +100,7 @@
         self.quarantine.borrow().get(call).cloned()
     }
 
-    /// Calls that are held, and those that go alone.
+    /// Number of calls that are held, and of those that run alone.
     pub(crate) fn count(&self) -> (usize, usize) {
         let quarantine = self.quarantine.borrow();
         let held = quarantine.suspects().filter(|(_, entry)| entry.is_held());
@@ -105,8 +108,8 @@
         (held, quarantine.suspects().count() - held)
     }
 
-    /// Takes in that engines ended with a call in hand.
-    pub(crate) fn crashed(&self, subject: &Subject, engine: &Record, at: Moment) {
+    /// Records that an engine crashed while running a call.
+    pub(crate) fn on_crash(&self, subject: &Subject, engine: &Record, at: Moment) {
         let call = subject.fingerprint;
         let crash = Crash {
             engine: hash::hash32(&engine.id),
@@ -124,20 +127,20 @@
         }
         let standing = self.get(call).map_or(0, |entry| entry.uncleared_crashes());
         log::info!(
-            id = subject.id.as_str(), fingerprint = text(call), caller:% = subject.caller,
+            id = subject.id.as_str(), fingerprint = fingerprint_text(call), caller:% = subject.caller,
             engine = &*engine.id, ended = standing;
             "an engine ended with the call in hand"
         );
-        self.changed(call, at);
-        self.note_held(call, was_held, "own");
+        self.on_changed(call, at);
+        self.log_held_change(call, was_held, "own");
     }
 
-    /// Takes in that an engine outlived a run of a call.
-    pub(crate) fn ended_well(&self, asked: &Request, engine: &Record, now: Moment) {
+    /// Records that an engine survived a call.
+    pub(crate) fn on_good_run(&self, request: &Request, engine: &Record, now: Moment) {
         if self.quarantine.borrow().is_empty() {
             return;
         }
-        let call = asked.fingerprint();
+        let call = request.fingerprint();
         let good = GoodRun {
             build: engine.build(),
             at: now,
@@ -145,64 +148,67 @@
         let is_news = self.quarantine.borrow_mut().record_good_run(call, good);
         if is_news {
             log::info!(
-                id = asked.call.id.as_str(), fingerprint = text(call), engine = &*engine.id;
+                id = request.call.id.as_str(), fingerprint = fingerprint_text(call), engine = &*engine.id;
                 "a call that had engines end ran well"
             );
-            self.changed(call, now);
+            self.on_changed(call, now);
         }
     }
 
-    /// What is known of a held call once it is tried, if its trial is due.
+    /// The entry of a held call with its trial begun, if a trial is due.
     pub(crate) fn trial(&self, call: Fingerprint, now: Moment) -> Option<Entry> {
         self.quarantine.borrow().next_trial(call, now)
     }
 
-    /// Takes in that this instance tries a held call, since its claim stands.
-    pub(crate) fn begun_trial(&self, call: Fingerprint, entry: &Entry, now: Moment) {
+    /// Applies a trial that this instance has claimed.
+    pub(crate) fn on_trial_claimed(&self, call: Fingerprint, entry: &Entry, now: Moment) {
         self.quarantine.borrow_mut().merge(call, entry);
-        self.news(call, now);
-        self.count_digest();
+        self.queue_news(call, now);
+        self.update_digest();
     }
 
     /// Merges a suspect from a peer or from the store.
-    pub(crate) fn merge(&self, told: &Suspect, source: &'static str, now: Moment) {
-        let (call, entry) = frame::suspect(told, now);
+    pub(crate) fn merge(&self, suspect: &Suspect, source: &'static str, now: Moment) {
+        let (call, entry) = frame::suspect(suspect, now);
         let was_held = self.is_held(call);
         if self.quarantine.borrow_mut().merge(call, &entry) {
-            self.count_digest();
-            self.note_held(call, was_held, source);
+            self.update_digest();
+            self.log_held_change(call, was_held, source);
         }
-        // Whoever told this has missed that the call was cleared, or let go.
+        // The sender has missed that the call was cleared or released.
         let standing = self.get(call).map_or(0, |known| known.uncleared_crashes());
         if standing < entry.uncleared_crashes() {
-            let telling = Telling::new(now);
-            self.news.borrow_mut().entry(call).or_insert(telling);
+            let telling = PendingSend::new(now);
+            self.pending_sends
+                .borrow_mut().entry(call).or_insert(telling);
         }
     }
 
-    /// Drops calls whose time is over.
+    /// Drops expired calls.
     pub(crate) fn expire(&self, now: Moment) {
         self.quarantine.borrow_mut().expire(now);
         let quarantine = self.quarantine.borrow();
-        let lives = |call: &Fingerprint| quarantine.get(*call).is_some();
-        self.unwritten.borrow_mut().retain(lives);
-        self.news.borrow_mut().retain(|call, _| lives(call));
+        let is_known = |call: &Fingerprint| quarantine.get(*call).is_some();
+        self.unwritten.borrow_mut().retain(is_known);
+        self.pending_sends
+            .borrow_mut()
+            .retain(|call, _| is_known(call));
         drop(quarantine);
-        self.count_digest();
+        self.update_digest();
     }
 
-    /// Takes in that the record of a call is so old that it holds nobody.
-    pub(crate) fn note_old(&self, call: Fingerprint) {
-        self.old.borrow_mut().insert(call);
+    /// Marks a call's record as too old to hold it.
+    pub(crate) fn mark_expired(&self, call: Fingerprint) {
+        self.expired.borrow_mut().insert(call);
     }
 
-    /// A call whose record is to be deleted.
-    pub(crate) fn take_old(&self) -> Option<Fingerprint> {
-        self.old.borrow_mut().pop_first()
+    /// The next call whose record is to be deleted.
+    pub(crate) fn take_expired(&self) -> Option<Fingerprint> {
+        self.expired.borrow_mut().pop_first()
     }
 
-    /// Takes in that the store may have lost what it knew of held calls.
-    pub(crate) fn write_again(&self) {
+    /// Queues all held calls for writing, when the store may have lost them.
+    pub(crate) fn mark_held_unwritten(&self) {
         let quarantine = self.quarantine.borrow();
         let held = quarantine.suspects().filter(|(_, entry)| entry.is_held());
         self.unwritten
@@ -210,7 +216,7 @@
             .extend(held.map(|(call, _)| call));
     }
 
-    /// Calls whose record in the store is behind, with what it should say.
+    /// Calls whose record in the store is outdated, with the content to write.
     pub(crate) fn unwritten(&self) -> Vec<(Fingerprint, Entry)> {
         let quarantine = self.quarantine.borrow();
         let unwritten = self.unwritten.borrow();
@@ -223,34 +229,38 @@
             .collect()
     }
 
-    /// Takes in that the store has this of a call. What has changed since stays to be written.
-    pub(crate) fn written(&self, call: Fingerprint, entry: &Entry) {
+    /// Notes that the store has this entry. Changes since then stay unwritten.
+    pub(crate) fn mark_written(&self, call: Fingerprint, entry: &Entry) {
         if self.get(call).as_ref() == Some(entry) {
             self.unwritten.borrow_mut().remove(&call);
         }
     }
 
-    /// What is to be told to all now.
+    /// Changes to send to all now.
     pub(crate) fn take_news(&self, now: Moment) -> Vec<Suspect> {
-        let mut news = self.news.borrow_mut();
+        let mut news = self.pending_sends.borrow_mut();
         let due = news.iter().filter(|(_, telling)| telling.due <= now);
-        let due: Vec<Fingerprint> = due.map(|(call, _)| *call).take(MOST).collect();
+        let due: Vec<Fingerprint> = due
+            .map(|(call, _)| *call)
+            .take(MAX_SUSPECTS_PER_FRAME)
+            .collect();
         for call in &due {
             if let Some(telling) = news.get_mut(call) {
                 telling.left -= 1;
-                telling.due = now + PACE;
+                telling.due = now + RESEND_INTERVAL;
             }
         }
         news.retain(|_, telling| telling.left > 0);
         let quarantine = self.quarantine.borrow();
-        let told = due
+        let entries = due
             .iter()
             .filter_map(|call| Some((*call, quarantine.get(*call)?)));
-        told.map(|(call, entry)| frame::told_suspect(call, entry, now))
+        entries
+            .map(|(call, entry)| frame::told_suspect(call, entry, now))
             .collect()
     }
 
-    /// Digest of what all must know.
+    /// Digest of what all instances must know.
     pub(crate) fn digest(&self) -> u64 {
         self.digest.get()
     }
@@ -260,21 +270,23 @@
         quarantine.get(call).is_some_and(Entry::is_held)
     }
 
-    fn changed(&self, call: Fingerprint, now: Moment) {
+    fn on_changed(&self, call: Fingerprint, now: Moment) {
         self.unwritten.borrow_mut().insert(call);
-        self.news(call, now);
-        self.count_digest();
+        self.queue_news(call, now);
+        self.update_digest();
     }
 
-    fn news(&self, call: Fingerprint, now: Moment) {
-        self.news.borrow_mut().insert(call, Telling::new(now));
+    fn queue_news(&self, call: Fingerprint, now: Moment) {
+        self.pending_sends
+            .borrow_mut()
+            .insert(call, PendingSend::new(now));
     }
 
-    fn count_digest(&self) {
+    fn update_digest(&self) {
         self.digest.set(self.quarantine.borrow().digest());
     }
 
-    fn note_held(&self, call: Fingerprint, was_held: bool, source: &str) {
+    fn log_held_change(&self, call: Fingerprint, was_held: bool, source: &str) {
         let is_held = self.is_held(call);
         if is_held != was_held {
             let what = if is_held {
@@ -282,47 +294,54 @@
             } else {
                 "a call is no longer held"
             };
-            log::warn!(fingerprint = text(call), source = source; "{what}");
+            log::warn!(fingerprint = fingerprint_text(call), source = source; "{what}");
         }
     }
 
-    /// Whether an instance is to be told now what it lacks.
+    /// Whether an instance may be sent what it lacks now.
     fn is_answer_due(&self, to: SocketAddr, now: Moment) -> bool {
-        let mut answered = self.answered.borrow_mut();
-        answered.retain(|_, at| now.saturating_sub(*at) < ANSWER_PACE);
-        answered.insert(to, now).is_none()
+        let mut last_answered = self.last_answered.borrow_mut();
+        last_answered.retain(|_, at| now.saturating_sub(*at) < ANSWER_INTERVAL);
+        last_answered.insert(to, now).is_none()
     }
 }
 
-/// A fingerprint as logs, operators and the store's keys have it.
-pub(crate) fn text(call: Fingerprint) -> String {
+/// A fingerprint as it appears in logs, commands and the store's keys.
+pub(crate) fn fingerprint_text(call: Fingerprint) -> String {
     format!("{call:032x}")
 }
 
-/// What an instance that sent this state is to be told, if it knows other calls than this one does.
+/// What the sender of this state lacks, if its digest differs.
 ///
-/// Those that place calls tell whoever differs. Any other instance hears of placers only, and tells them what it saw itself.
-pub(crate) fn lacking(instance: &Instance, from: SocketAddr, state: &State) -> Option<Frame> {
+/// Placers answer anyone that differs. Other instances receive states from placers only, and send
+/// them what they saw themselves.
+pub(crate) fn missing_suspects(
+    instance: &Instance,
+    from: SocketAddr,
+    state: &State,
+) -> Option<Frame> {
     let suspects = &instance.suspects;
     if state.suspects_digest == suspects.digest() || suspects.digest() == 0 {
         return None;
     }
     let now = now(instance);
     let is_placing = instance.is_placing();
-    let told = {
+    let missing = {
         let quarantine = suspects.quarantine.borrow();
         let unwritten = suspects.unwritten.borrow();
-        let told = quarantine
+        let suspects = quarantine
             .suspects()
             .filter(|(call, _)| is_placing || unwritten.contains(call));
-        let told = told.map(|(call, entry)| frame::told_suspect(call, entry, now));
-        told.take(MOST).collect::<Vec<Suspect>>()
+        let suspects = suspects.map(|(call, entry)| frame::told_suspect(call, entry, now));
+        suspects
+            .take(MAX_SUSPECTS_PER_FRAME)
+            .collect::<Vec<Suspect>>()
     };
-    if told.is_empty() || !suspects.is_answer_due(from, now) {
+    if missing.is_empty() || !suspects.is_answer_due(from, now) {
         return None;
     }
     Some(Frame {
-        suspects: told,
+        suspects: missing,
         ..instance.frame()
     })
 }
