--- a/crates/gateway/src/bootstrap.rs
+++ b/crates/gateway/src/bootstrap.rs
@@ -16,7 +16,7 @@
 const FRAME_BYTES: usize = 8 * 1024;
 /// Largest configuration that is transferred; a larger one is read from the store faster.
 const MAX_CONFIGURATION_BYTES: usize = 24 * 1024;
-/// Instances, in the common order, that transfer state to placers of other data centres.
+/// Instances, first in the read order, that transfer state to placers of other data centres.
 const SEEDERS: u32 = 2;
 
 /// Copies of the store's records, kept for transfer.
@@ -61,19 +61,19 @@
         );
     }
     if state.lacks_engines && instance.has(Topic::Engines) {
-        let mut some = Vec::new();
+        let mut batch = Vec::new();
         let mut bytes = 0;
         for news in snapshot.engines.values() {
             bytes += news.value.as_ref().map_or(0, Vec::len);
-            some.push(news.clone());
+            batch.push(news.clone());
             if bytes > FRAME_BYTES {
                 bytes = 0;
-                frames.push(frame(instance, std::mem::take(&mut some)));
+                frames.push(frame(instance, std::mem::take(&mut batch)));
             }
         }
         frames.push(Frame {
             all_engines: instance.knows(Topic::Engines).digest,
-            ..frame(instance, some)
+            ..frame(instance, batch)
         });
     }
     frames
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -9,7 +9,7 @@
 use signals::{Early, Request, Signals};
 
 use crate::instance::Instance;
-use crate::{connection, duties, follow, mesh, metrics, readiness, status};
+use crate::{connection, duties, mesh, metrics, readiness, status, store_reader};
 
 /// Why the process cannot serve.
 #[derive(Clone, Copy, Debug)]
@@ -61,8 +61,8 @@
     if let Some(port) = port {
         metrics::start(&instance, port);
     }
-    follow::start(&instance);
-    actix_rt::spawn(follow::sweep(instance.clone()));
+    store_reader::start(&instance);
+    actix_rt::spawn(store_reader::sweep(instance.clone()));
     actix_rt::spawn(duties::run(instance.clone()));
     mesh::start(&instance)
         .await
--- a/crates/gateway/src/discover.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Registers this instance in the store and finds the others there.
+//! Registers this instance in the store and discovers the others there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,16 +12,16 @@
 use crate::instance::Instance;
 use crate::quarantine_store;
 
-/// Pause between two reads of the other instances. Each one that starts tells all that are registered
-/// of itself, so that a read finds only what was lost.
-const DISCOVERY: Duration = Duration::from_secs(60);
-/// How much longer than the one before it an instance waits before it registers again in a store that has come back from an older copy:
-/// hundreds that did so at once would be turned away.
-const RETURN_STEP: Duration = Duration::from_millis(20);
-/// Pause after a read that failed.
-const RETRY: Duration = Duration::from_millis(500);
+/// Interval between reads of the other instances. An instance that starts greets all registered
+/// ones, so that a read finds only those whose greeting was lost.
+const READ_INTERVAL: Duration = Duration::from_secs(60);
+/// Time between the registrations of two instances in a store that was restored from an older copy:
+/// the store would reject hundreds at once.
+const REREGISTRATION_STAGGER: Duration = Duration::from_millis(20);
+/// Pause after a failed read.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Registers this instance and reads the others, now and then.
+/// Registers this instance and reads the others periodically.
 pub(crate) async fn run(instance: Rc<Instance>) {
     let address = instance.settings.borrow().store;
     let mut store = Store::new(address, instance.codec.clone());
@@ -40,11 +40,11 @@
                 next = Some(end);
                 may_be_first = false;
                 add_all(&instance, &records);
-                if timeout(DISCOVERY, instance.store_went_back.notified())
+                if timeout(READ_INTERVAL, instance.store_went_back.notified())
                     .await
                     .is_ok()
                 {
-                    sleep(RETURN_STEP * instance.rank()).await;
+                    sleep(REREGISTRATION_STAGGER * instance.rank()).await;
                     next = None;
                 }
             }
@@ -53,7 +53,7 @@
                 if matches!(trouble, StoreError::OffsetOutOfRange(_)) {
                     next = None;
                 }
-                sleep(RETRY).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
@@ -68,7 +68,7 @@
     let texts = values.filter_map(|value| std::str::from_utf8(value).ok());
     let now = instance.now();
     for text in texts {
-        let Some((address, zone, order)) = entry(text) else {
+        let Some((address, zone, order)) = parse_entry(text) else {
             log::debug!(entry = text; "a registered instance has no address");
             continue;
         };
@@ -82,8 +82,8 @@
     instance.stirred.notify_one();
 }
 
-/// Address, data centre and place in the common order of a registered instance.
-fn entry(text: &str) -> Option<(SocketAddr, &str, Option<u64>)> {
+/// Address, data centre and read order of a registered instance.
+fn parse_entry(text: &str) -> Option<(SocketAddr, &str, Option<u64>)> {
     let (address, rest) = text.split_once(' ')?;
     let address = address.parse().ok()?;
     let with_order = rest.rsplit_once(' ');
@@ -94,12 +94,12 @@
     })
 }
 
-/// Reads who is registered, and registers where this instance is not yet.
+/// Registers this instance if it is not, and reads the registered ones.
 ///
-/// The store carries out one append of a topic after the other. If each instance registered at each start, the last of hundreds that
-/// are started again at once would know nobody for seconds; one would notice it by calls that are placed blindly long after
-/// such a restart. So only those register that are not, and they read on to what was registered meanwhile: of two
-/// instances that start at the same time, the one that registers last reads of the other one.
+/// The store handles appends to a topic one by one. If each instance registered at each start, the
+/// last of hundreds that restart together would know no other for seconds, and place calls blindly.
+/// So only instances that are not registered append, and they read again afterwards: of two that
+/// start together, the one that registers last reads the other.
 async fn register_and_read(
     store: &mut Store,
     instance: &Instance,
@@ -108,7 +108,7 @@
     let key = instance.address.to_string();
     let order = instance.order();
     let value = format!("{} {} {order}", instance.address, instance.zone);
-    // Nobody is registered then.
+    // On a first start nobody is registered.
     if !may_be_first {
         let newest = store.newest(INSTANCES_TOPIC).await?;
         let own = newest.records.iter().find(|record| record.key == key);
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -21,7 +21,7 @@
 use crate::peers::{self, PARTS, Topic};
 use crate::placement::server;
 use crate::usage::REPORTERS;
-use crate::{bootstrap, discover, limits, quarantine_store, receive, suspects, usage, warmup};
+use crate::{bootstrap, discovery, limits, quarantine_store, receive, suspects, usage, warmup};
 
 /// Pause between two frames while nothing is placed.
 const PACE: Duration = Duration::from_millis(100);
@@ -59,7 +59,7 @@
     actix_rt::spawn(listen(instance.clone(), socket.clone()));
     actix_rt::spawn(tell(instance.clone(), socket));
     actix_rt::spawn(warmup::run(instance.clone()));
-    actix_rt::spawn(discover::run(instance.clone()));
+    actix_rt::spawn(discovery::run(instance.clone()));
     actix_rt::spawn(quarantine_store::run(instance.clone()));
     Ok(())
 }
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -14,7 +14,7 @@
 use crate::instance::Instance;
 use crate::peers::Topic;
 use crate::placement::{client, server};
-use crate::{follow, limits, mesh, suspects, usage};
+use crate::{limits, mesh, store_reader, suspects, usage};
 
 /// Dispatches a frame to the handlers of its parts.
 pub(crate) fn on_frame(instance: &Instance, from: SocketAddr, frame: Frame) {
@@ -167,5 +167,5 @@
         key: news.key,
         value: news.value.map(Bytes::from),
     };
-    follow::apply_update(instance, topic, &record);
+    store_reader::apply_update(instance, topic, &record);
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -1,6 +1,6 @@
-//! Follows the store: the configuration and the engines. Each has a task and a connection of its
-//! own, so that a slow read of one does not age the other. Where enough other instances read and
-//! tell, this one does not read.
+//! Reads the configuration and the engines from the store. Each topic has a task and a connection
+//! of its own, so that a slow read of one does not delay the other. Where enough other instances
+//! read and announce changes, this one does not read.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,68 +16,69 @@
 use crate::instance::Instance;
 use crate::peers::Topic;
 
-/// Longest wait of one read for a new configuration. Each call is paid for, and others take a
-/// reader for stale that has not had an answer for somewhat longer.
+/// Longest wait of one read for a new configuration. Calls to the store are paid for, and peers
+/// take a reader for stale that has had no response for somewhat longer.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(700);
-/// Pause between two reads of the engines' records. Every engine writes about once a second, so a
-/// read that waited for the next record would return at once; work may go to a leaving engine for
-/// two seconds, of which this takes a part.
-const ENGINES_PACE: Duration = Duration::from_millis(400);
-/// Pause after a call that failed; doubles up to [`LONGEST_RETRY`] while calls fail.
-const RETRY: Duration = Duration::from_millis(200);
-/// Longest pause after calls that failed.
-const LONGEST_RETRY: Duration = Duration::from_millis(800);
-/// Pause between two looks whether the first read is due.
-const FIRST_LOOK: Duration = Duration::from_millis(10);
-/// Pause between two looks whether a read is due.
-const LOOK: Duration = Duration::from_millis(100);
-/// Time after the start within which the other instances are known, if the store is well.
-const REGISTERED: Duration = Duration::from_millis(400);
-/// The same where all instances start for the first time, and register one after the other.
-const ALL_REGISTERED: Duration = Duration::from_millis(3_000);
-/// A reader that has not read for this long reads the newest records instead of all since: nearly
-/// all of them are heartbeats.
-const BACKLOG: Duration = Duration::from_secs(2);
+/// Interval between reads of the engines' records. Every engine writes about once a second, so a
+/// read that waited for the next record would return at once. A leaving engine may get work for two
+/// seconds, of which this takes a part.
+const ENGINES_READ_INTERVAL: Duration = Duration::from_millis(400);
+/// Pause after a failed call; doubles up to [`MAX_RETRY_INTERVAL`] while calls fail.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest pause after failed calls.
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
+/// Interval between checks whether the first read is due.
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between checks whether a read is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait after the start for the discovery of the other instances; shorter suffices while
+/// the store is healthy.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(400);
+/// The same on a first start, where all instances register one after the other.
+const FIRST_START_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// A reader that has not read for this long reads the newest records instead of the whole backlog,
+/// which is nearly all heartbeats.
+const MAX_BACKLOG: Duration = Duration::from_secs(2);
 
-/// Starts following.
+/// Starts the readers.
 pub(crate) fn start(instance: &Rc<Instance>) {
     actix_rt::spawn(follow_configuration(instance.clone()));
     actix_rt::spawn(follow_engines(instance.clone()));
 }
 
-/// Reads of one topic: how it is paced and where it stands.
+/// Reads one topic.
 struct Reader {
     instance: Rc<Instance>,
     topic: Topic,
     store: Store,
     watch: Watch,
-    wait: Duration,
-    pace: Duration,
+    max_wait: Duration,
+    interval: Duration,
     next: Option<Offset>,
     due: Instant,
-    /// When following began.
-    begun: Instant,
+    /// When the reader started.
+    started: Instant,
     failures: u32,
 }
 
-/// What one read gave.
+/// Result of one read.
 enum Read {
-    All(Vec<KeyedRecord>),
-    More(Vec<KeyedRecord>),
+    Snapshot(Vec<KeyedRecord>),
+    Batch(Vec<KeyedRecord>),
 }
 
 impl Reader {
-    fn new(instance: Rc<Instance>, topic: Topic, wait: Duration, pace: Duration) -> Self {
+    fn new(instance: Rc<Instance>, topic: Topic, max_wait: Duration, interval: Duration) -> Self {
         let address = instance.settings.borrow().store;
         Self {
             topic,
             store: Store::new(address, instance.codec.clone()),
             watch: Watch::default(),
-            wait,
-            pace,
+            max_wait,
+            interval,
             next: None,
             due: Instant::now(),
-            begun: Instant::now(),
+            started: Instant::now(),
             failures: 0,
             instance,
         }
@@ -90,13 +91,13 @@
         }
     }
 
-    /// The next records, however long it takes.
+    /// Returns the next records; retries until a read succeeds.
     async fn read(&mut self) -> Read {
         loop {
             sleep_until(self.due).await;
             self.wait_until_due().await;
-            self.due = Instant::now() + self.pace;
-            match self.once().await {
+            self.due = Instant::now() + self.interval;
+            match self.read_once().await {
                 Ok(read) => {
                     self.succeeded();
                     return read;
@@ -111,23 +112,28 @@
     }
 
     async fn wait_until_due(&mut self) {
-        // Whoever does not know the others yet would take itself for the first.
+        // An instance that does not know the others yet would take itself for the first.
         let is_first_start = self.instance.settings.borrow().is_first_start;
-        let within = if is_first_start {
-            ALL_REGISTERED
+        let timeout = if is_first_start {
+            FIRST_START_DISCOVERY_TIMEOUT
         } else {
-            REGISTERED
+            DISCOVERY_TIMEOUT
         };
-        while !self.instance.is_registered.get() && self.begun.elapsed() < within {
-            sleep(FIRST_LOOK).await;
+        while !self.instance.is_registered.get() && self.started.elapsed() < timeout {
+            sleep(INITIAL_POLL_INTERVAL).await;
         }
         while !self.must_read() && !self.is_due() {
-            let has = self.instance.has(self.topic);
-            sleep(if has { LOOK } else { FIRST_LOOK }).await;
+            let has_state = self.instance.has(self.topic);
+            sleep(if has_state {
+                POLL_INTERVAL
+            } else {
+                INITIAL_POLL_INTERVAL
+            })
+            .await;
         }
         let now = self.instance.now();
         let last = self.instance.last_read(self.topic).get();
-        if last.is_none_or(|last| now.saturating_sub(last) > BACKLOG) {
+        if last.is_none_or(|last| now.saturating_sub(last) > MAX_BACKLOG) {
             self.next = None;
         }
     }
@@ -147,17 +153,17 @@
         self.watch.is_due(order, rank, others, own, now)
     }
 
-    async fn once(&mut self) -> Result<Read, StoreError> {
+    async fn read_once(&mut self) -> Result<Read, StoreError> {
         let name = self.name();
         let Some(from) = self.next else {
             let newest = self.store.newest(name).await?;
             self.next = Some(newest.end);
             self.instance.on_era(store::era(newest.end));
-            return Ok(Read::All(newest.records));
+            return Ok(Read::Snapshot(newest.records));
         };
-        let batch = self.store.read(name, from, self.wait).await?;
+        let batch = self.store.read(name, from, self.max_wait).await?;
         self.next = Some(batch.next);
-        Ok(Read::More(batch.records))
+        Ok(Read::Batch(batch.records))
     }
 
     fn succeeded(&mut self) {
@@ -174,14 +180,14 @@
 
     fn failed(&mut self, trouble: &StoreError) {
         self.instance.metrics.store_failed();
-        // Others must not rely on this instance while it cannot read.
+        // Other instances must not rely on this one while it cannot read.
         self.instance.last_read(self.topic).set(None);
         if self.failures == 0 {
             log::warn!(topic = self.name(), trouble:% = trouble; "the store does not answer");
         }
-        let pause = RETRY * 2_u32.saturating_pow(self.failures.min(4));
+        let pause = RETRY_INTERVAL * 2_u32.saturating_pow(self.failures.min(4));
         self.failures += 1;
-        self.due = Instant::now() + pause.min(LONGEST_RETRY);
+        self.due = Instant::now() + pause.min(MAX_RETRY_INTERVAL);
     }
 }
 
@@ -189,20 +195,21 @@
     let topic = Topic::Configuration;
     let mut reader = Reader::new(instance.clone(), topic, CONFIGURATION_WAIT, Duration::ZERO);
     loop {
-        let (Read::All(records) | Read::More(records)) = reader.read().await;
+        let (Read::Snapshot(records) | Read::Batch(records)) = reader.read().await;
         for record in records {
-            let Some(record) = sealed(record) else {
+            let Some(record) = seal(record) else {
                 continue;
             };
-            if take_configuration(&instance, &record, "store") {
-                tell(&instance, topic, &record);
+            if apply_configuration(&instance, &record, "store") {
+                announce(&instance, topic, &record);
             }
         }
     }
 }
 
-/// A record of the operator as it may be kept and told: keys of organisations are secret. Nothing if it cannot be read.
-fn sealed(record: KeyedRecord) -> Option<KeyedRecord> {
+/// The operator's record in the form that may be kept and announced: with hashed keys, since
+/// organisations' keys are secret. `None` if it cannot be parsed.
+fn seal(record: KeyedRecord) -> Option<KeyedRecord> {
     let Some(value) = record
         .value
         .as_ref()
@@ -227,17 +234,17 @@
     instance.on_era(store::era(record.offset));
     match topic {
         Topic::Configuration => {
-            take_configuration(instance, record, "instance");
+            apply_configuration(instance, record, "instance");
         }
         Topic::Engines => {
             let mut registry = instance.registry.borrow_mut();
             registry.store_answered(instance.now());
-            take_engine(instance, &mut registry, record);
+            apply_engine(instance, &mut registry, record);
         }
     }
 }
 
-fn news(topic: Topic, record: &KeyedRecord) -> News {
+fn to_news(topic: Topic, record: &KeyedRecord) -> News {
     News {
         configuration: topic == Topic::Configuration,
         offset: record.offset,
@@ -246,12 +253,13 @@
     }
 }
 
-/// Tells the other instances of a record that changed something.
+/// Announces a record that changed something to the other instances.
 ///
-/// Where another reader comes before this one, that one tells. It may lose the store before it has read the record; then
-/// all others would find themselves behind, and read. So the record is told a little later if that one does not know it by then.
-fn tell(instance: &Instance, topic: Topic, record: &KeyedRecord) {
-    let news = news(topic, record);
+/// If another reader comes before this one, that one announces. It may lose the store before it has
+/// read the record, and then all others would find themselves behind, and read. So this instance
+/// announces the record a little later if the other one does not know it by then.
+fn announce(instance: &Instance, topic: Topic, record: &KeyedRecord) {
+    let news = to_news(topic, record);
     let now = instance.now();
     let upto = match topic {
         Topic::Configuration => instance.knows(topic).upto,
@@ -267,7 +275,7 @@
     instance.stirred.notify_one();
 }
 
-fn take_configuration(instance: &Instance, record: &KeyedRecord, source: &str) -> bool {
+fn apply_configuration(instance: &Instance, record: &KeyedRecord, source: &str) -> bool {
     if record.key != records::CONFIGURATION_KEY {
         return false;
     }
@@ -279,7 +287,7 @@
         Ok(table) => {
             let is_new = instance.configure(table, source);
             if is_new {
-                let news = news(Topic::Configuration, record);
+                let news = to_news(Topic::Configuration, record);
                 instance.snapshot.borrow_mut().apply(news);
             }
             is_new
@@ -293,39 +301,44 @@
 
 async fn follow_engines(instance: Rc<Instance>) {
     let topic = Topic::Engines;
-    let mut reader = Reader::new(instance.clone(), topic, Duration::ZERO, ENGINES_PACE);
+    let mut reader = Reader::new(
+        instance.clone(),
+        topic,
+        Duration::ZERO,
+        ENGINES_READ_INTERVAL,
+    );
     loop {
         let read = reader.read().await;
         let mut registry = instance.registry.borrow_mut();
         registry.store_answered(instance.now());
         match read {
-            Read::All(records) => take_all(&instance, &mut registry, &records),
-            Read::More(records) => take_more(&instance, &mut registry, &records),
+            Read::Snapshot(records) => apply_snapshot(&instance, &mut registry, &records),
+            Read::Batch(records) => apply_batch(&instance, &mut registry, &records),
         }
     }
 }
 
-fn take_more(instance: &Instance, registry: &mut Registry, records: &[KeyedRecord]) {
+fn apply_batch(instance: &Instance, registry: &mut Registry, records: &[KeyedRecord]) {
     for record in records {
-        if take_engine(instance, registry, record) {
-            tell(instance, Topic::Engines, record);
+        if apply_engine(instance, registry, record) {
+            announce(instance, Topic::Engines, record);
         }
     }
 }
 
-fn take_all(instance: &Instance, registry: &mut Registry, records: &[KeyedRecord]) {
-    let mut kept = instance.snapshot.borrow_mut();
-    kept.clear_engines();
+fn apply_snapshot(instance: &Instance, registry: &mut Registry, records: &[KeyedRecord]) {
+    let mut snapshot = instance.snapshot.borrow_mut();
+    snapshot.clear_engines();
     for record in records {
         registry.is_newer(&record.key, record.offset);
         registry.advance_to(record.offset);
-        kept.apply(news(Topic::Engines, record));
+        snapshot.apply(to_news(Topic::Engines, record));
     }
-    drop(kept);
+    drop(snapshot);
     let mut fleet = instance.fleet.borrow_mut();
     let engines: Vec<Record> = records
         .iter()
-        .filter_map(|record| engine(&mut fleet, registry, record))
+        .filter_map(|record| decode_engine(&mut fleet, registry, record))
         .collect();
     let count = engines.len();
     let changes = registry.replace(&mut fleet, engines, instance.now());
@@ -333,15 +346,15 @@
     log::info!(engines = count, changes = changes; "all engines read");
 }
 
-/// Takes in an engine's record. Says whether it changed something.
-fn take_engine(instance: &Instance, registry: &mut Registry, record: &KeyedRecord) -> bool {
+/// Applies an engine's record. Returns whether it changed something.
+fn apply_engine(instance: &Instance, registry: &mut Registry, record: &KeyedRecord) -> bool {
     if !registry.is_newer(&record.key, record.offset) {
         return false;
     }
     instance
         .snapshot
         .borrow_mut()
-        .apply(news(Topic::Engines, record));
+        .apply(to_news(Topic::Engines, record));
     let mut fleet = instance.fleet.borrow_mut();
     if record.value.is_none() {
         let change = registry.remove(&mut fleet, &record.key, instance.now());
@@ -352,7 +365,7 @@
         return change != Change::None;
     }
     let was_readable = !registry.is_unreadable(&record.key);
-    let Some(engine) = engine(&mut fleet, registry, record) else {
+    let Some(engine) = decode_engine(&mut fleet, registry, record) else {
         if was_readable {
             registry.advance_to(record.offset);
         }
@@ -369,8 +382,8 @@
     changed
 }
 
-/// The engine that a record names. One that names none is told of once, however often it is read.
-fn engine(fleet: &mut Fleet, registry: &mut Registry, record: &KeyedRecord) -> Option<Record> {
+/// Parses an engine's record. An invalid one is logged once, however often it is read.
+fn decode_engine(fleet: &mut Fleet, registry: &mut Registry, record: &KeyedRecord) -> Option<Record> {
     let value = record.value.as_ref()?;
     match records::parse_engine(&record.key, value) {
         Ok(engine) => Some(engine),
@@ -383,13 +396,13 @@
     }
 }
 
-/// Pause between two sweeps of engines that have not come back, and of idle connections.
-const SWEEP: Duration = Duration::from_millis(200);
+/// Interval between sweeps of engines that have not come back and of idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Removes what has lapsed, until the process ends.
+/// Removes what has expired, until the process ends.
 pub(crate) async fn sweep(instance: Rc<Instance>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         let now = instance.now();
         let mut fleet = instance.fleet.borrow_mut();
         for engine in instance.registry.borrow_mut().expire(&mut fleet, now) {
