--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -129,7 +129,7 @@
         let unix = instance.unix();
         let is_first = {
             let peers = instance.peers.borrow();
-            peers.placing_before(instance.order(), now) < REPORTERS
+            peers.placers_before(instance.order(), now) < REPORTERS
         };
         let mut ledger = instance.usage.borrow_mut();
         if let Some(ledger) = ledger.as_mut() {
@@ -145,7 +145,7 @@
     /// How long this instance leaves what is due to those before it in the common order.
     fn patience(&self, now: Moment) -> Duration {
         let peers = self.instance.peers.borrow();
-        let before = peers.before(self.instance.order(), now);
+        let before = peers.live_before(self.instance.order(), now);
         STAGGER * before.min(STAGGERED)
     }
 
--- a/crates/gateway/src/engine_call.rs
+++ b/crates/gateway/src/engine_call.rs
@@ -80,7 +80,7 @@
             instance.stirred.notify_one();
         }
         if let Some(placed_by) = target.placed_by {
-            instance.reports.begun(placed_by);
+            instance.reports.call_started(placed_by);
         }
         Self {
             instance,
@@ -122,7 +122,7 @@
         let mut fleet = self.instance.fleet.borrow_mut();
         fleet.prompt_read(&self.sent, now);
         if let Some(placed_by) = self.placed_by {
-            self.instance.reports.read(placed_by, now);
+            self.instance.reports.prompt_read(placed_by, now);
             self.instance.stirred.notify_one();
         }
         let engine = fleet.get(&self.sent.engine);
@@ -151,7 +151,7 @@
             crash_detection::on_abandoned(self.instance, self.request, &self.sent.engine);
         }
         if let Some(placed_by) = self.placed_by {
-            self.instance.reports.ended(placed_by, self.outcome);
+            self.instance.reports.call_ended(placed_by, self.outcome);
             self.instance.stirred.notify_one();
         }
     }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -234,7 +234,8 @@
     /// What this instance knows of a topic, as instances compare it.
     pub(crate) fn knows(&self, topic: Topic) -> TopicState {
         match topic {
-            Topic::Configuration => peers::version(self.table().map_or(0, |table| table.version)),
+            Topic::Configuration => {
+                peers::known_version(self.table().map_or(0, |table| table.version))}
             Topic::Engines => self.registry.borrow().topic_state(),
         }
     }
@@ -265,7 +266,7 @@
         if let Some(ledger) = self.usage.borrow_mut().as_mut() {
             ledger.fixed_reports_lost(self.unix());
         }
-        if self.peers.borrow().before(self.order(), now) == 0 {
+        if self.peers.borrow().live_before(self.order(), now) == 0 {
             self.suspects.mark_held_unwritten();
         }
         self.store_went_back.notify_waiters();
@@ -281,7 +282,7 @@
         let peers = self.peers.borrow();
         own.is_some_and(is_recent)
             || peers
-                .said(Topic::Configuration)
+                .reader_states(Topic::Configuration)
                 .any(|said| said.is_fresh(now))
     }
 
@@ -309,7 +310,7 @@
     /// Takes in that an engine uses these parts for a call that this instance placed, to be told to the other placers.
     pub(crate) fn uses(&self, engine: &EngineId, parts: &[Part]) {
         self.note_parts(engine, parts);
-        self.peers.borrow_mut().uses(engine, parts);
+        self.peers.borrow_mut().queue_parts(engine, parts);
     }
 
     /// Puts a configuration in force if it is newer than the one in force.
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -58,7 +58,7 @@
         };
         let announcement = Announcement {
             limit: rate,
-            at: frame::before(now, limit.age_ms),
+            at: frame::moment_before(now, limit.age_ms),
         };
         merge(instance, &engine, announcement, "instance");
     }
@@ -92,7 +92,7 @@
     let limits = said.into_iter().map(|(engine, said)| RateLimit {
         engine: hash::hash32(&engine),
         limit: said.limit.map(Rate::per_second),
-        age_ms: frame::since(said.at, now),
+        age_ms: frame::elapsed_ms(said.at, now),
     });
     limits.collect()
 }
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -1,5 +1,5 @@
-//! What instances tell each other: their calls at engines and the parts that engines use, to those that place calls, and what
-//! changed in the store, to all. Frames are datagrams that replace each other, so that a lost one needs no
+//! Messages between instances: calls at engines and parts in use go to the placers, and changes in
+//! the store to all. Frames are datagrams that supersede each other, so that a lost one needs no
 //! repair; instances find each other through the store.
 
 use std::io;
@@ -16,48 +16,52 @@
 use wire::Message as _;
 use wire::gateway::{Frame, State};
 
-use crate::frame::{add_changes, age, packed, started, told_changing, told_work, unpacked};
+use crate::frame::{
+    add_changes, encode_age, encode_changing, encode_started, encode_work, pack_address,
+    unpack_address,
+};
 use crate::instance::Instance;
-use crate::peers::{self, PARTS, Topic};
+use crate::peers::{self, MAX_PARTS_PER_FRAME, Topic};
 use crate::placement::server;
 use crate::usage::REPORTERS;
 use crate::{bootstrap, discovery, limits, quarantine_store, receive, suspects, usage, warmup};
 
-/// Pause between two frames while nothing is placed.
-const PACE: Duration = Duration::from_millis(100);
-/// Time for which calls are gathered into one frame of an instance that places them. Others report to one placer a call,
-/// which waits for it, so that they gather nothing.
+/// Pause between frames while nothing is placed.
+const IDLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for which a placer batches calls into one frame. Other instances report to one placer per
+/// call, which waits for it, so they do not batch.
 ///
-/// Two instances that place calls within the same moment choose the same engine, and the second
-/// call waits for the first one's prompt. One notices it by calls that wait although their engine
-/// looked idle. The shorter this time, the fewer they are; each frame costs some bytes between
-/// data centres.
-const GATHER: Duration = Duration::from_millis(10);
-/// Pause between two frames that tell all. What a lost frame would have told is wrong for this long.
-const STATE_PACE: Duration = Duration::from_millis(700);
-/// The same where the sender reads the store for the others, which rely on news of it.
-const READER_PACE: Duration = Duration::from_millis(450);
-/// Pause between two tellings of what organisations use. What an instance counted since the last one goes with it when it is killed.
-const USAGE_PACE: Duration = Duration::from_millis(500);
-/// Share of the instance's link that frames may take; what is beyond it waits and is gathered.
+/// Two placers that place calls within this time choose the same engine, and the second call waits
+/// for the first one's prompt although the engine looked idle. A shorter time makes this rarer, but
+/// each frame costs bytes between data centres.
+const BATCH_TIME: Duration = Duration::from_millis(10);
+/// Interval between frames with the whole state, and so the time for which a lost frame leaves
+/// peers with wrong state.
+const STATE_INTERVAL: Duration = Duration::from_millis(700);
+/// The same for an instance that reads the store for the others, which rely on its updates.
+const READER_STATE_INTERVAL: Duration = Duration::from_millis(450);
+/// Interval between usage frames. When an instance is killed, what it has counted since the last
+/// one is lost.
+const USAGE_INTERVAL: Duration = Duration::from_millis(500);
+/// Share of the instance's link for frames; changes beyond it are batched.
 const LINK_SHARE: f64 = 0.15;
-/// Bytes of a datagram's headers on the link.
-const HEADERS: usize = 46;
-/// An instance whose last read of the store is younger, in milliseconds, reads it for the others.
-const READER_AGE: u32 = 2_000;
-/// A prompt that was sent less than this long ago is told in every frame, so that the loss of one
-/// does not hide it.
-const RECENT: Duration = Duration::from_millis(250);
+/// Header bytes of a datagram on the link.
+const HEADER_BYTES: usize = 46;
+/// An instance whose last read of the store is younger than this reads it for the others.
+const MAX_READER_AGE_MS: u32 = 2_000;
+/// Prompts sent within this time are repeated in every frame, so that the loss of one does not hide
+/// them.
+const RESEND_WINDOW: Duration = Duration::from_millis(250);
 /// Largest datagram.
-const LARGEST: usize = 48 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 48 * 1024;
 
-/// Starts telling and listening.
+/// Starts the tasks that send and receive.
 pub(crate) async fn start(instance: &Rc<Instance>) -> io::Result<()> {
     let own = instance.address;
     let socket = Rc::new(UdpSocket::bind(own).await?);
     instance.pending.bind(socket.clone());
     actix_rt::spawn(listen(instance.clone(), socket.clone()));
-    actix_rt::spawn(tell(instance.clone(), socket));
+    actix_rt::spawn(send_loop(instance.clone(), socket));
     actix_rt::spawn(warmup::run(instance.clone()));
     actix_rt::spawn(discovery::run(instance.clone()));
     actix_rt::spawn(quarantine_store::run(instance.clone()));
@@ -65,26 +69,26 @@
 }
 
 async fn listen(instance: Rc<Instance>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; LARGEST];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((size, from)) => match Frame::decode(&buffer[..size]) {
                 Ok(frame) => {
                     if !frame.pass_to.is_empty() {
-                        pass_on(&socket, &frame);
+                        forward(&socket, &frame);
                     }
                     if let Some(answer) = server::on_request(&instance, from, &frame) {
                         broadcast(&socket, &answer, &[from]);
                     }
                     let state = frame.state.as_ref();
-                    let lacking = state.map(|state| bootstrap::transfer(&instance, state));
-                    for told in lacking.into_iter().flatten() {
-                        broadcast(&socket, &told, &[from]);
+                    let transfer = state.map(|state| bootstrap::transfer(&instance, state));
+                    for missing in transfer.into_iter().flatten() {
+                        broadcast(&socket, &missing, &[from]);
                     }
-                    let differs =
+                    let missing_suspects =
                         state.and_then(|state| suspects::missing_suspects(&instance, from, state));
-                    if let Some(told) = differs {
-                        broadcast(&socket, &told, &[from]);
+                    if let Some(missing) = missing_suspects {
+                        broadcast(&socket, &missing, &[from]);
                     }
                     receive::on_frame(&instance, from, frame);
                 }
@@ -92,69 +96,76 @@
             },
             Err(error) => {
                 log::debug!(error:% = error; "a datagram could not be received");
-                sleep(PACE).await;
+                sleep(IDLE_INTERVAL).await;
             }
         }
     }
 }
 
-async fn tell(instance: Rc<Instance>, socket: Rc<UdpSocket>) {
+async fn send_loop(instance: Rc<Instance>, socket: Rc<UdpSocket>) {
     let mut earliest = Instant::now();
     let mut state_due = Instant::now();
     let mut usage_due = Instant::now();
     loop {
-        let stirred = timeout(PACE, instance.stirred.notified()).await.is_ok();
-        if stirred && instance.is_placing() {
-            sleep(GATHER).await;
+        let was_notified = timeout(IDLE_INTERVAL, instance.stirred.notified())
+            .await
+            .is_ok();
+        if was_notified && instance.is_placing() {
+            sleep(BATCH_TIME).await;
         }
         sleep_until(earliest).await;
         let now = instance.now();
         instance.fleet.borrow_mut().expire(now);
         let is_greeting = instance.greeting_due.take() | instance.elect();
-        tell_news(&instance, &socket, now);
-        tell_suspects(&instance, &socket);
-        announce_limits(&instance, &socket, now);
+        send_news(&instance, &socket, now);
+        send_suspects(&instance, &socket);
+        send_limits(&instance, &socket, now);
         let is_state_due = is_greeting || !instance.knows_all() || Instant::now() >= state_due;
         let mut reports = instance.reports.take_reports(now);
         if is_state_due {
-            // Makes the loss of a report good.
+            // Repairs the loss of a report.
             reports.extend(instance.reports.take_open(now));
         }
-        let mut bytes = tell_reports(&instance, &socket, reports);
+        let mut bytes = send_reports(&instance, &socket, reports);
         if Instant::now() >= usage_due {
-            usage_due = Instant::now() + USAGE_PACE;
-            bytes += tell_usage(&instance, &socket, now);
+            usage_due = Instant::now() + USAGE_INTERVAL;
+            bytes += send_usage(&instance, &socket, now);
         }
         if let Some(frame) = next_frame(&instance, is_state_due, now) {
             if is_state_due {
                 let reads = frame.state.as_ref().is_some_and(reads_store);
-                state_due = Instant::now() + if reads { READER_PACE } else { STATE_PACE };
+                state_due = Instant::now()
+                    + if reads {
+                        READER_STATE_INTERVAL
+                    } else {
+                        STATE_INTERVAL
+                    };
             }
-            bytes += send(&instance, &socket, frame, is_greeting);
+            bytes += send_frame(&instance, &socket, frame, is_greeting);
         }
         earliest = Instant::now() + instance.sending(bytes).mul_f64(1.0 / LINK_SHARE);
-        greet(&instance, &socket);
+        seed_new_placers(&instance, &socket);
     }
 }
 
-/// Tells those that placed calls what became of them.
-fn tell_reports(
+/// Reports the progress of calls to the placers that placed them.
+fn send_reports(
     instance: &Instance,
     socket: &UdpSocket,
     reports: Vec<(SocketAddr, wire::gateway::Reports)>,
 ) -> usize {
-    let told = reports.into_iter().map(|(placer, reports)| {
+    let sent_bytes = reports.into_iter().map(|(placer, reports)| {
         let frame = Frame {
             reports: Some(reports),
             ..instance.frame()
         };
         broadcast(socket, &frame, &[placer])
     });
-    told.sum()
+    sent_bytes.sum()
 }
 
-/// Tells those that may report it what organisations use.
-fn tell_usage(instance: &Instance, socket: &UdpSocket, now: Moment) -> usize {
+/// Sends organisations' usage to the instances that may report it.
+fn send_usage(instance: &Instance, socket: &UdpSocket, now: Moment) -> usize {
     let mut ledger = instance.usage.borrow_mut();
     let Some(ledger) = ledger.as_mut() else {
         return 0;
@@ -170,18 +181,19 @@
     broadcast(socket, &frame, &reporters)
 }
 
-/// Sends a frame to those that should know. An instance that places calls tells all others that do of all that it placed, and the
-/// rest that it lives; so does one that reads the store, also to those that are silent: that is how instances hear of each
-/// other. Any other instance tells the placers of its data centre that it lives, and all once it has started.
-fn send(instance: &Instance, socket: &UdpSocket, frame: Frame, is_greeting: bool) -> usize {
+/// Sends a frame to the peers that need it. A placer sends all other placers what it placed, and
+/// the rest that it is alive; so does an instance that reads the store, also to silent ones: that
+/// is how instances learn of each other. Any other instance tells the placers of its data centre
+/// that it is alive, and all instances once after its start.
+fn send_frame(instance: &Instance, socket: &UdpSocket, frame: Frame, is_greeting: bool) -> usize {
     let placers = instance.placers.borrow();
     let own = hash::hash32(&instance.zone);
-    let mut told = placers.others.clone();
+    let mut recipients = placers.others.clone();
     if !placers.includes_self && !is_greeting {
-        told.retain(|(_, place)| *place == own);
+        recipients.retain(|(_, place)| *place == own);
     }
-    let told: Vec<SocketAddr> = told.into_iter().map(|(address, _)| address).collect();
-    let bytes = broadcast(socket, &frame, &told);
+    let recipients: Vec<SocketAddr> = recipients.into_iter().map(|(address, _)| address).collect();
+    let bytes = broadcast(socket, &frame, &recipients);
     let is_for_all = |state: &State| state.placing || reads_store(state);
     let Some(state) = frame.state.filter(is_for_all) else {
         return bytes;
@@ -196,41 +208,41 @@
         rate_limits: frame.rate_limits,
         ..instance.frame()
     };
-    let mut rest = instance.peers.borrow().all();
-    rest.retain(|address| !told.contains(address));
+    let mut rest = instance.peers.borrow().addresses();
+    rest.retain(|address| !recipients.contains(address));
     bytes + broadcast(socket, &frame, &rest)
 }
 
-/// What is to be told now, if anything.
+/// The next frame, if there is anything to send.
 fn next_frame(instance: &Instance, is_state_due: bool, now: Moment) -> Option<Frame> {
     let mut fleet = instance.fleet.borrow_mut();
     let mut peers = instance.peers.borrow_mut();
     let mut frame = instance.frame();
     let mut changes = fleet.take_changes();
     if !instance.is_placing() {
-        // Those that placed its calls tell the others.
+        // The placers of its calls inform the others.
         if !is_state_due {
             return None;
         }
         changes.clear();
-        peers.forget_parts();
+        peers.clear_parts();
     }
-    let mut reads = Vec::new();
+    let mut completed = Vec::new();
     if is_state_due {
-        // A state says all but this.
-        let besides = changes.into_iter().filter(is_told_besides);
-        add_changes(&mut frame, besides.collect(), now);
-        frame.state = Some(state(instance, &fleet, peers.knows, now));
+        // A state contains everything but these.
+        let others = changes.into_iter().filter(is_missing_from_state);
+        add_changes(&mut frame, others.collect(), now);
+        frame.state = Some(encode_state(instance, &fleet, peers.is_warm, now));
         frame.rate_limits = limits::to_wire(fleet.throttles.to_repeat(), now);
     } else {
-        let recent = fleet.recent_jobs(RECENT, now);
-        let recent = recent.iter().map(|(engine, job)| started(engine, job, now));
+        let recent = fleet.recent_jobs(RESEND_WINDOW, now);
+        let recent = recent.iter().map(|(engine, job)| encode_started(engine, job, now));
         frame.started = recent.collect();
-        reads = add_changes(&mut frame, changes, now);
+        completed = add_changes(&mut frame, changes, now);
     }
-    frame.read = peers.take_read(reads, now);
+    frame.read = peers.take_read(completed, now);
     frame.parts = peers.take_parts();
-    frame.changing = fleet.own_stage_changes().map(told_changing).collect();
+    frame.changing = fleet.own_stage_changes().map(encode_changing).collect();
     let is_empty = frame.state.is_none()
         && frame.started.is_empty()
         && frame.read.is_empty()
@@ -241,15 +253,12 @@
     (!is_empty).then_some(frame)
 }
 
-/// Whether a state does not say this.
-fn is_told_besides(change: &WorkChange) -> bool {
-    matches!(
-        change,
-        WorkChange::EngineEnded(_) | WorkChange::Ended(_, _, Some(_))
-    )
+/// Whether a state does not contain this change.
+fn is_missing_from_state(change: &WorkChange) -> bool {
+    matches!(change, WorkChange::EngineEnded(_) | WorkChange::Ended(_, _, Some(_)))
 }
 
-fn state(instance: &Instance, fleet: &Fleet, knows: bool, now: Moment) -> State {
+fn encode_state(instance: &Instance, fleet: &Fleet, knows: bool, now: Moment) -> State {
     let engines = instance.knows(Topic::Engines);
     let placing = instance.is_placing();
     let (claimed, numbers) = instance.claim_log.snapshot();
@@ -260,15 +269,15 @@
     };
     let works = works
         .iter()
-        .map(|(engine, work)| told_work(engine, work, now));
+        .map(|(engine, work)| encode_work(engine, work, now));
     State {
         works: works.collect(),
         configuration: instance.table().map_or(0, |table| table.version),
         engines_digest: engines.digest,
         engines_upto: engines.upto,
         lacks_engines: !instance.has(Topic::Engines),
-        configuration_age_ms: age(instance.configuration_read.get(), now),
-        engines_age_ms: age(instance.engines_read.get(), now),
+        configuration_age_ms: encode_age(instance.configuration_read.get(), now),
+        engines_age_ms: encode_age(instance.engines_read.get(), now),
         knows,
         zone: hash::hash32(&instance.zone),
         order: instance.order(),
@@ -283,23 +292,23 @@
 
 /// Whether an instance reads the store for the others.
 pub(crate) fn reads_store(state: &State) -> bool {
-    let is_recent = |age: u32| age > 0 && age < READER_AGE;
+    let is_recent = |age: u32| age > 0 && age < MAX_READER_AGE_MS;
     is_recent(state.configuration_age_ms) || is_recent(state.engines_age_ms)
 }
 
-fn tell_news(instance: &Instance, socket: &UdpSocket, now: Moment) {
+fn send_news(instance: &Instance, socket: &UdpSocket, now: Moment) {
     let order = instance.order();
     let news = {
         let mut peers = instance.peers.borrow_mut();
-        peers.take_over(order, now);
+        peers.promote_deferred(order, now);
         peers.take_news(now)
     };
     if news.is_empty() {
         return;
     }
-    let all = instance.peers.borrow().all();
-    for (first, rest) in peers::groups(&all) {
-        let pass_to = rest.iter().filter_map(|address| packed(*address));
+    let all = instance.peers.borrow().addresses();
+    for (first, rest) in peers::forwarding_groups(&all) {
+        let pass_to = rest.iter().filter_map(|address| pack_address(*address));
         let frame = Frame {
             news: news.clone(),
             pass_to: pass_to.collect(),
@@ -309,8 +318,8 @@
     }
 }
 
-/// Tells all others what is new of calls that end engines.
-fn tell_suspects(instance: &Instance, socket: &UdpSocket) {
+/// Sends changes of calls that crash engines to all others.
+fn send_suspects(instance: &Instance, socket: &UdpSocket) {
     let suspects = instance.suspects.take_news(suspects::now(instance));
     if suspects.is_empty() {
         return;
@@ -319,11 +328,11 @@
         suspects,
         ..instance.frame()
     };
-    broadcast(socket, &frame, &instance.peers.borrow().all());
+    broadcast(socket, &frame, &instance.peers.borrow().addresses());
 }
 
-/// Announces to those that place calls which limits of engines have changed.
-fn announce_limits(instance: &Instance, socket: &UdpSocket, now: Moment) {
+/// Announces changed limits of engines to the placers.
+fn send_limits(instance: &Instance, socket: &UdpSocket, now: Moment) {
     let changed = instance.fleet.borrow_mut().throttles.take_changed();
     if changed.is_empty() {
         return;
@@ -337,12 +346,12 @@
     broadcast(socket, &frame, &placers);
 }
 
-/// Passes news on to the rest of this instance's group.
-fn pass_on(socket: &UdpSocket, frame: &Frame) {
+/// Forwards updates to the rest of this instance's group.
+fn forward(socket: &UdpSocket, frame: &Frame) {
     let rest: Vec<SocketAddr> = frame
         .pass_to
         .iter()
-        .map(|packed| unpacked(*packed))
+        .map(|packed| unpack_address(*packed))
         .collect();
     let frame = Frame {
         incarnation: frame.incarnation,
@@ -352,43 +361,43 @@
     broadcast(socket, &frame, &rest);
 }
 
-/// Sends a frame to several instances. Gives the bytes that this put on the link.
-fn broadcast(socket: &UdpSocket, frame: &Frame, addressees: &[SocketAddr]) -> usize {
+/// Sends a frame to several instances. Returns the bytes put on the link.
+fn broadcast(socket: &UdpSocket, frame: &Frame, recipients: &[SocketAddr]) -> usize {
     let bytes = frame.encode_to_vec();
-    for address in addressees {
+    for address in recipients {
         if let Err(error) = socket.try_send_to(&bytes, *address) {
             log::debug!(to:% = address, error:% = error; "a frame could not be sent");
         }
     }
-    (bytes.len() + HEADERS) * addressees.len()
+    (bytes.len() + HEADER_BYTES) * recipients.len()
 }
 
-/// Tells instances that have begun to place calls what the engines of this instance's share hold.
-fn greet(instance: &Instance, socket: &UdpSocket) {
+/// Sends new placers the cached parts of the engines in this instance's share.
+fn seed_new_placers(instance: &Instance, socket: &UdpSocket) {
     let placers = instance.peers.borrow_mut().take_new_placers();
     if placers.is_empty() {
         return;
     }
-    let reads = share_of_parts(instance);
-    for some in reads.chunks(PARTS) {
+    let parts = parts_of_share(instance);
+    for chunk in parts.chunks(MAX_PARTS_PER_FRAME) {
         let frame = Frame {
-            parts: some.to_vec(),
+            parts: chunk.to_vec(),
             ..instance.frame()
         };
         broadcast(socket, &frame, &placers);
     }
-    log::info!(placers = placers.len(), parts = reads.len(); "told new placers what engines hold");
+    log::info!(placers = placers.len(), parts = parts.len(); "told new placers what engines hold");
 }
 
-fn share_of_parts(instance: &Instance) -> Vec<wire::gateway::Part> {
+fn parts_of_share(instance: &Instance) -> Vec<wire::gateway::Part> {
     let fleet = instance.fleet.borrow();
     let share = fleet
         .all()
         .filter(|engine| instance.has_share(&engine.record.id));
-    let reads = share.flat_map(|engine| {
+    let parts = share.flat_map(|engine| {
         let id = &engine.record.id;
         let held = fleet.parts.cached_parts(id);
-        held.into_iter().map(move |part| peers::told_part(id, part))
+        held.into_iter().map(move |part| peers::encode_engine_part(id, part))
     });
-    reads.collect()
+    parts.collect()
 }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -84,7 +84,7 @@
     known.entry.released = Some(NOW);
     let released = Suspect {
         written_unix_ms: known.now_unix_ms,
-        ..frame::told_suspect(call, &known.entry, NOW)
+        ..frame::encode_suspect(call, &known.entry, NOW)
     };
     let value = released.encode_to_vec();
     store
@@ -182,8 +182,8 @@
         Ok(suspect) => {
             let own = quarantine_store::unix_ms(System::new().wall_time());
             let now_unix_ms = own.max(suspect.written_unix_ms + 1);
-            let aged = frame::aged(suspect, now_unix_ms);
-            let (call, entry) = frame::suspect(&aged, NOW);
+            let aged = frame::with_current_ages(suspect, now_unix_ms);
+            let (call, entry) = frame::decode_suspect(&aged, NOW);
             Some(StoredCall {
                 call,
                 entry,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! What is known of the other instances, and what is to be told to them.
+//! State of the other instances, and the changes queued for them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 use serving::{EngineId, hash};
 use wire::gateway::{News, State, Ticket};
 
-use crate::frame::{moment, since};
+use crate::frame::{elapsed_ms, moment_from_age};
 
 mod news;
 
-pub(crate) use news::groups;
+pub(crate) use news::forwarding_groups;
 
-/// An instance that was silent for this long, or did not make itself known for this long after it was found registered, is
-/// taken to have ended.
-const SILENT: Duration = Duration::from_secs(3);
-/// Time for which an instance that did not answer a question is asked nothing: it may be paused or cut off, and each
-/// question costs a call some milliseconds.
-const MISSED: Duration = Duration::from_millis(1_000);
+/// An instance that was silent for this long, or has not announced itself for this long after it
+/// was found registered, counts as ended.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time for which an instance that did not respond gets no further placement requests: it may be
+/// paused or partitioned, and each request costs a call some milliseconds.
+const MISSED_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Most parts in one frame.
-pub(crate) const PARTS: usize = 128;
+pub(crate) const MAX_PARTS_PER_FRAME: usize = 128;
 
-/// What the store holds that all instances follow.
+/// The topics of the store that all instances follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Topic {
     Configuration,
@@ -34,7 +34,7 @@
 }
 
 impl Topic {
-    /// What a record is of.
+    /// Topic of a record.
     pub(crate) fn of(news: &News) -> Self {
         if news.configuration {
             Self::Configuration
@@ -44,14 +44,14 @@
     }
 }
 
-/// Another instance.
+/// Last announced state of another instance.
 #[derive(Clone, Debug)]
 struct Peer {
     incarnation: u64,
-    heard: Moment,
+    last_heard: Moment,
     leaving: bool,
     placing: bool,
-    knows: bool,
+    is_warm: bool,
     configuration: u64,
     configuration_read: Option<Moment>,
     engines: TopicState,
@@ -62,13 +62,13 @@
 #[derive(Clone, Debug)]
 struct Registered {
     place: ZoneHash,
-    /// Missing where only its address is known.
+    /// Place in the read order; `None` if only the address is known.
     order: Option<u64>,
     added: Moment,
-    /// What it last said.
+    /// State that it last announced.
     peer: Option<Peer>,
-    /// When it last did not answer.
-    missed: Option<Moment>,
+    /// When it last did not respond.
+    last_missed: Option<Moment>,
 }
 
 impl Registered {
@@ -78,21 +78,21 @@
             order,
             added: now,
             peer: None,
-            missed: None,
+            last_missed: None,
         }
     }
 
     fn is_heard(&self, now: Moment) -> bool {
         let peer = self.peer.as_ref();
-        peer.is_some_and(|peer| now.saturating_sub(peer.heard) < SILENT)
+        peer.is_some_and(|peer| now.saturating_sub(peer.last_heard) < SILENCE_TIMEOUT)
     }
 
-    /// As the election sees it. One that has fallen silent is none of its members.
+    /// As a member of the election; `None` once it has fallen silent.
     fn member(&self, address: SocketAddr, now: Moment) -> Option<Member> {
         let lives = match &self.peer {
             Some(peer) if peer.leaving || !self.is_heard(now) => return None,
             Some(_) => true,
-            None => now.saturating_sub(self.added) < SILENT,
+            None => now.saturating_sub(self.added) < SILENCE_TIMEOUT,
         };
         Some(Member {
             address,
@@ -104,19 +104,19 @@
 }
 
 impl Peer {
-    /// Whether it places calls and does not know yet what engines hold.
-    fn learns(&self) -> bool {
-        self.placing && !self.knows
+    /// Whether it places calls and does not know yet which parts engines have cached.
+    fn needs_seeding(&self) -> bool {
+        self.placing && !self.is_warm
     }
 
-    fn said(&self, order: u64, topic: Topic) -> ReaderReport {
+    fn reader_state(&self, order: u64, topic: Topic) -> ReaderReport {
         let (knows, read) = match topic {
-            Topic::Configuration => (version(self.configuration), self.configuration_read),
+            Topic::Configuration => (known_version(self.configuration), self.configuration_read),
             Topic::Engines => (self.engines, self.engines_read),
         };
         ReaderReport {
             order,
-            heard_at: self.heard,
+            heard_at: self.last_heard,
             read_at: read,
             state: knows,
         }
@@ -131,16 +131,16 @@
     parts: Vec<(EngineId, Part)>,
     read_before: Vec<(Ticket, Moment)>,
     news: Vec<(News, u8)>,
-    news_told: Option<Moment>,
-    /// News that another reader is to tell.
+    news_sent: Option<Moment>,
+    /// Updates that another reader is to send.
     deferred: Deferred<News>,
-    /// Whether this instance knows what engines hold.
-    pub knows: bool,
+    /// Whether this instance knows which parts engines have cached.
+    pub is_warm: bool,
     new_placers: Vec<SocketAddr>,
 }
 
-/// The place of an instance in the order in which instances read the store: those with the fastest
-/// links first, since they tell all others, and else by chance.
+/// The place of an instance in the order in which instances read the store: fastest links first,
+/// since readers update all others, and otherwise by hash.
 pub(crate) fn order(address: SocketAddr, link_mbps: f64) -> u64 {
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let slow = u64::from(u16::MAX) - (link_mbps.clamp(0.0, f64::from(u16::MAX)) as u64);
@@ -148,40 +148,42 @@
 }
 
 impl Peers {
-    /// Notes the parts of a prompt that an engine is about to use. Those that it has read before
-    /// count as well: others must know what was used last to know what yields next.
-    pub(crate) fn uses(&mut self, engine: &EngineId, prompt: &[Part]) {
+    /// Queues the parts of a prompt that an engine is about to use. Parts that it has already
+    /// cached count as well: the order of last use decides which are evicted.
+    pub(crate) fn queue_parts(&mut self, engine: &EngineId, prompt: &[Part]) {
         let parts = prompt.iter().map(|part| (engine.clone(), *part));
         self.parts.extend(parts);
     }
 
-    /// Drops what nobody is to be told: this instance does not place calls.
-    pub(crate) fn forget_parts(&mut self) {
+    /// Drops the queued parts, when this instance does not place calls.
+    pub(crate) fn clear_parts(&mut self) {
         self.parts.clear();
         self.read_before.clear();
     }
 
     /// Parts for the next frame.
     pub(crate) fn take_parts(&mut self) -> Vec<wire::gateway::Part> {
-        let most = self.parts.len().min(PARTS);
-        let told = self.parts.drain(..most);
-        told.map(|(engine, part)| told_part(&engine, part))
+        let most = self.parts.len().min(MAX_PARTS_PER_FRAME);
+        let parts = self.parts.drain(..most);
+        parts
+            .map(|(engine, part)| encode_engine_part(&engine, part))
             .collect()
     }
 
-    /// Prompts that were read, for the next frame: the new ones, and once more those of the frame
-    /// before.
+    /// Completed prefills for the next frame: the new ones, and once more those of the previous
+    /// frame.
     pub(crate) fn take_read(&mut self, new: Vec<(Ticket, Moment)>, now: Moment) -> Vec<Ticket> {
         let before = std::mem::replace(&mut self.read_before, new.clone());
-        let told = before.into_iter().chain(new);
-        let told = told.map(|(ticket, at)| Ticket {
-            age_ms: since(at, now),
+        let read = before.into_iter().chain(new);
+        let read = read.map(|(ticket, at)| Ticket {
+            age_ms: elapsed_ms(at, now),
             ..ticket
         });
-        told.collect()
+        read.collect()
     }
 
-    /// Adds an instance that is registered, with the hash of its data centre and its place in the common order.
+    /// Adds a registered instance, with the hash of its data centre and its place in the read
+    /// order.
     pub(crate) fn add(
         &mut self,
         address: SocketAddr,
@@ -193,30 +195,30 @@
         known.or_insert_with(|| Registered::new(place, order, now));
     }
 
-    /// Who places calls now, as this instance sees it.
+    /// The current placers, as this instance sees them.
     pub(crate) fn elect(&mut self, own: &Member, now: Moment) -> Placers {
         let members = self.by_address.iter();
-        let members = members.filter_map(|(address, known)| known.member(*address, now));
+        let members = members.filter_map(|(address, registered)| registered.member(*address, now));
         let members: Vec<Member> = members.collect();
         self.election.update(own, &members, now)
     }
 
-    /// Takes in that an instance did not answer.
-    pub(crate) fn missed(&mut self, address: SocketAddr, now: Moment) {
-        if let Some(known) = self.by_address.get_mut(&address) {
-            known.missed = Some(now);
+    /// Notes that an instance did not respond.
+    pub(crate) fn on_missed(&mut self, address: SocketAddr, now: Moment) {
+        if let Some(registered) = self.by_address.get_mut(&address) {
+            registered.last_missed = Some(now);
         }
     }
 
-    /// Whether an instance has answered lately, as far as it was asked.
-    pub(crate) fn answers(&self, address: SocketAddr, now: Moment) -> bool {
-        let known = self.by_address.get(&address);
-        let missed = known.and_then(|known| known.missed);
-        missed.is_none_or(|missed| now.saturating_sub(missed) >= MISSED)
+    /// Whether an instance has not missed a request lately.
+    pub(crate) fn is_responsive(&self, address: SocketAddr, now: Moment) -> bool {
+        let registered = self.by_address.get(&address);
+        let missed = registered.and_then(|registered| registered.last_missed);
+        missed.is_none_or(|missed| now.saturating_sub(missed) >= MISSED_BACKOFF)
     }
 
     /// Addresses of all registered instances.
-    pub(crate) fn all(&self) -> Vec<SocketAddr> {
+    pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         self.by_address.keys().copied().collect()
     }
 
@@ -228,55 +230,67 @@
         state: &State,
         now: Moment,
     ) -> Option<u64> {
-        let known = self.by_address.entry(from);
-        let known = known.or_insert_with(|| Registered::new(state.zone, None, now));
-        known.place = state.zone;
-        known.order = Some(state.order);
-        let peer = peer(incarnation, state, now);
-        let learns = peer.learns();
-        let before = known.peer.replace(peer);
+        let registered = self.by_address.entry(from);
+        let registered = registered.or_insert_with(|| Registered::new(state.zone, None, now));
+        registered.place = state.zone;
+        registered.order = Some(state.order);
+        let peer = decode_peer(incarnation, state, now);
+        let learns = peer.needs_seeding();
+        let before = registered.peer.replace(peer);
         let was_learning = before
             .as_ref()
-            .is_some_and(|before| before.incarnation == incarnation && before.learns());
-        if self.knows && learns && !was_learning {
+            .is_some_and(|before| before.incarnation == incarnation && before.needs_seeding());
+        if self.is_warm && learns && !was_learning {
             self.new_placers.push(from);
         }
         let before = before.filter(|before| before.incarnation != incarnation)?;
         Some(before.incarnation)
     }
 
-    /// What the others said of their reading of a topic.
-    pub(crate) fn said(&self, topic: Topic) -> impl Iterator<Item = ReaderReport> {
-        let known = self.by_address.values();
-        known.filter_map(move |known| Some(known.peer.as_ref()?.said(known.order?, topic)))
+    /// What the others announced of their reading of a topic.
+    pub(crate) fn reader_states(&self, topic: Topic) -> impl Iterator<Item = ReaderReport> {
+        let registered = self.by_address.values();
+        registered.filter_map(move |registered| {
+            Some(registered
+                    .peer.as_ref()?.reader_state(registered.order?, topic),
+            )})
     }
 
-    /// Instances that place calls and were heard of lately, the first ones of the common order.
+    /// Placers that were heard of lately, the first `most` in the read order.
     pub(crate) fn first_placers(&self, most: usize, now: Moment) -> Vec<SocketAddr> {
-        let is_placing = |known: &Registered| known.peer.as_ref().is_some_and(|peer| peer.placing);
-        let known = self.by_address.iter();
-        let placing = known.filter(|(_, known)| known.is_heard(now) && is_placing(known));
+        let is_placing =
+            |registered: &Registered| registered.peer.as_ref().is_some_and(|peer| peer.placing);
+        let registered = self.by_address.iter();
+        let placing =
+            registered.filter(|(_, registered)| registered.is_heard(now) && is_placing(registered));
         let mut placing: Vec<_> = placing
-            .map(|(address, known)| (known.order, *address))
+            .map(|(address, registered)| (registered.order, *address))
             .collect();
         placing.sort_unstable();
         placing.truncate(most);
         placing.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Instances that place calls, were heard of lately and come before `order`.
-    pub(crate) fn placing_before(&self, order: u64, now: Moment) -> usize {
-        let is_placing = |known: &Registered| known.peer.as_ref().is_some_and(|peer| peer.placing);
-        let count = self.count_before(order, |known| known.is_heard(now) && is_placing(known));
+    /// Number of placers that were heard of lately and come before `order`.
+    pub(crate) fn placers_before(&self, order: u64, now: Moment) -> usize {
+        let is_placing =
+            |registered: &Registered| registered.peer.as_ref().is_some_and(|peer| peer.placing);
+        let count = self.count_before(order, |registered| {
+            registered.is_heard(now) && is_placing(registered)
+        });
         usize::try_from(count).unwrap_or(usize::MAX)
     }
 
-    /// Instances that come before `order` and may live, if any other instance is heard of at all, or may have just started.
+    /// Number of instances that come before `order` and may be alive; 0 unless another instance was
+    /// heard of lately or may have just started.
     pub(crate) fn rank(&self, order: u64, now: Moment) -> u32 {
-        let is_new = |known: &Registered| now.saturating_sub(known.added) < SILENT;
-        let mut known = self.by_address.values();
-        if known.any(|known| known.is_heard(now) || is_new(known)) {
-            self.count_before(order, |known| known.peer.is_none() || known.is_heard(now))
+        let is_new =
+            |registered: &Registered| now.saturating_sub(registered.added) < SILENCE_TIMEOUT;
+        let mut registered = self.by_address.values();
+        if registered.any(|registered| registered.is_heard(now) || is_new(registered)) {
+            self.count_before(order, |registered| {
+                registered.peer.is_none() || registered.is_heard(now)
+            })
         } else {
             0
         }
@@ -284,48 +298,52 @@
 
     /// Whether a fresh reader of a topic comes before `order`.
     pub(crate) fn has_reader_before(&self, order: u64, topic: Topic, now: Moment) -> bool {
-        let mut said = self.said(topic);
+        let mut said = self.reader_states(topic);
         said.any(|said| said.order < order && said.is_fresh(now))
     }
 
-    /// Instances that have been heard of lately and come before `order`.
-    pub(crate) fn before(&self, order: u64, now: Moment) -> u32 {
-        self.count_before(order, |known| known.is_heard(now))
+    /// Number of instances that were heard of lately and come before `order`.
+    pub(crate) fn live_before(&self, order: u64, now: Moment) -> u32 {
+        self.count_before(order, |registered| registered.is_heard(now))
     }
 
     fn count_before(&self, order: u64, counts: impl Fn(&Registered) -> bool) -> u32 {
-        let known = self.by_address.values().filter(|known| counts(known));
-        let before = known.filter(|known| known.order.is_some_and(|other| other < order));
+        let registered = self.by_address.values().filter(|known| counts(known));
+        let before =
+            registered.filter(|registered| registered.order.is_some_and(|other| other < order));
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
 
-    /// Registered instances, this one included.
+    /// Number of registered instances, this one included.
     pub(crate) fn count(&self) -> usize {
         1 + self.by_address.len()
     }
 
-    /// Whether a live peer announces that it knows what engines hold.
+    /// Whether a live peer announces that it knows which parts engines have cached.
     pub(crate) fn has_warm_peer(&self, now: Moment) -> bool {
-        let mut heard = self.by_address.values().filter(|known| known.is_heard(now));
-        heard.any(|known| known.peer.as_ref().is_some_and(|peer| peer.knows))
+        let mut heard = self
+            .by_address
+            .values()
+            .filter(|registered| registered.is_heard(now));
+        heard.any(|registered| registered.peer.as_ref().is_some_and(|peer| peer.is_warm))
     }
 
-    /// Instances that have begun to place calls, to be told what engines hold.
+    /// Instances that have started to place calls and need the cached parts.
     pub(crate) fn take_new_placers(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.new_placers)
     }
 }
 
-/// How far a version of the configuration goes.
-pub(crate) fn version(version: u64) -> TopicState {
+/// A version of the configuration in the form in which instances compare topics.
+pub(crate) fn known_version(version: u64) -> TopicState {
     TopicState {
         upto: version,
         digest: version,
     }
 }
 
-/// A part at an engine, as it is told.
-pub(crate) fn told_part(engine: &EngineId, part: Part) -> wire::gateway::Part {
+/// Encodes a part at an engine.
+pub(crate) fn encode_engine_part(engine: &EngineId, part: Part) -> wire::gateway::Part {
     wire::gateway::Part {
         engine: hash::hash32(engine),
         part: part.id,
@@ -333,19 +351,19 @@
     }
 }
 
-fn peer(incarnation: u64, state: &State, now: Moment) -> Peer {
+fn decode_peer(incarnation: u64, state: &State, now: Moment) -> Peer {
     Peer {
         incarnation,
-        heard: now,
+        last_heard: now,
         leaving: state.leaving,
         placing: state.placing,
-        knows: state.knows,
+        is_warm: state.knows,
         configuration: state.configuration,
-        configuration_read: moment(state.configuration_age_ms, now),
+        configuration_read: moment_from_age(state.configuration_age_ms, now),
         engines: TopicState {
             upto: state.engines_upto,
             digest: state.engines_digest,
         },
-        engines_read: moment(state.engines_age_ms, now),
+        engines_read: moment_from_age(state.engines_age_ms, now),
     }
 }
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -1,4 +1,4 @@
-//! Records of the store that changed, to be told to all instances.
+//! Changed records of the store, queued for all instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,21 +8,21 @@
 
 use super::{Peers, Topic};
 
-/// Times that news of engines are told, since datagrams are lost.
-const TELLINGS: u8 = 2;
-/// Pause between two frames of news, which is gathered meanwhile.
-const NEWS_PACE: Duration = Duration::from_millis(350);
-/// Most bytes of news in one frame, unless a single record is larger.
-const NEWS_BYTES: usize = 8 * 1024;
-/// Instances up to which news are sent to each directly.
-const DIRECT: usize = 12;
+/// Times that an engine's record is sent, since datagrams are lost.
+const TRANSMISSIONS: u8 = 2;
+/// Interval between frames of updates, which are batched meanwhile.
+const NEWS_INTERVAL: Duration = Duration::from_millis(350);
+/// Most bytes of updates in one frame, unless a single record is larger.
+const MAX_NEWS_BYTES: usize = 8 * 1024;
+/// Up to this many instances, updates are sent to each directly.
+const MAX_DIRECT_PEERS: usize = 12;
 
-/// Groups of instances that pass news on: the first of each group gets them and passes them to the
-/// rest, so that one slow link does not carry them to all.
-pub(crate) fn groups(
+/// Groups of instances for forwarding updates: the first of each group receives them and forwards
+/// them to the rest, so that one slow link does not carry them to all.
+pub(crate) fn forwarding_groups(
     addresses: &[SocketAddr],
 ) -> impl Iterator<Item = (SocketAddr, &[SocketAddr])> {
-    let size = if addresses.len() <= DIRECT {
+    let size = if addresses.len() <= MAX_DIRECT_PEERS {
         1
     } else {
         addresses.len().isqrt() + 1
@@ -32,62 +32,67 @@
 }
 
 impl Peers {
-    /// Notes a record that changed, to be told.
+    /// Queues a changed record for sending.
     ///
-    /// Of configurations only the newest is told, and not more often than [`NEWS_PACE`]: operators
-    /// that edit in quick succession would else take the links of small instances from calls.
-    pub(crate) fn add_news(&mut self, news: News) {
+    /// Of configurations only the newest is sent, and at most one per [`NEWS_INTERVAL`]: operators
+    /// that edit in quick succession would otherwise take the links of small instances from calls.
+    pub(crate) fn queue_news(&mut self, news: News) {
         if news.configuration {
             self.news.retain(|(known, _)| !known.configuration);
         }
-        // A lost configuration shows in the versions that all tell, and is large to tell twice.
-        let tellings = if news.configuration { 1 } else { TELLINGS };
+        // A lost configuration shows in the versions that all announce, and is too large to send
+        // twice.
+        let tellings = if news.configuration { 1 } else { TRANSMISSIONS };
         self.news.push((news, tellings));
     }
 
-    /// Notes a record that another reader is to tell, and how far whoever has read it knows the topic.
+    /// Leaves a record to another reader, with the position that the topic reaches with it.
     pub(crate) fn defer_news(&mut self, news: News, upto: u64, now: Moment) {
         self.deferred.defer(news, upto, now);
     }
 
-    /// Takes over what the readers before `order` do not know although they have had time to read it.
-    pub(crate) fn take_over(&mut self, order: u64, now: Moment) {
+    /// Queues the records that the readers before `order` do not know although they have had time
+    /// to read them.
+    pub(crate) fn promote_deferred(&mut self, order: u64, now: Moment) {
         let mut deferred = std::mem::take(&mut self.deferred);
         let known = |news: &News| {
-            let before = self.said(Topic::of(news)).filter(|said| said.order < order);
+            let before = self
+                .reader_states(Topic::of(news))
+                .filter(|said| said.order < order);
             let fresh = before.filter(|said| said.is_fresh(now));
             fresh.map(|said| said.state.upto).max()
         };
         let due = deferred.take_due(known, now);
         self.deferred = deferred;
         for news in due {
-            self.add_news(news);
+            self.queue_news(news);
         }
     }
 
-    /// News for the next frame.
+    /// Updates for the next frame.
     pub(crate) fn take_news(&mut self, now: Moment) -> Vec<News> {
-        let told = self.news_told;
-        if told.is_some_and(|told| now.saturating_sub(told) < NEWS_PACE) || self.news.is_empty() {
+        let told = self.news_sent;
+        if told.is_some_and(|told| now.saturating_sub(told) < NEWS_INTERVAL) || self.news.is_empty()
+        {
             return Vec::new();
         }
-        self.news_told = Some(now);
+        self.news_sent = Some(now);
         let mut bytes = 0;
         let mut most = 0;
         for (news, _) in &self.news {
             bytes += news.value.as_ref().map_or(0, Vec::len);
-            if most > 0 && bytes > NEWS_BYTES {
+            if most > 0 && bytes > MAX_NEWS_BYTES {
                 break;
             }
             most += 1;
         }
-        let mut told = Vec::with_capacity(most);
+        let mut batch = Vec::with_capacity(most);
         for (news, tellings) in self.news.drain(..most).collect::<Vec<_>>() {
-            told.push(news.clone());
+            batch.push(news.clone());
             if tellings > 1 {
                 self.news.push((news, tellings - 1));
             }
         }
-        told
+        batch
     }
 }
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -16,7 +16,7 @@
 use wire::Message as _;
 use wire::gateway::{self, Answer, Ask, Frame, answer};
 
-use crate::frame::{micros, millis, piece};
+use crate::frame::{encode_part, micros, millis};
 use crate::instance::Instance;
 use crate::metrics::Asked;
 
@@ -108,7 +108,7 @@
     };
     let candidates = order
         .into_iter()
-        .filter(|address| instance.peers.borrow().answers(*address, now));
+        .filter(|address| instance.peers.borrow().is_responsive(*address, now));
     let candidates: SmallVec<[SocketAddr; MAX_ATTEMPTS]> = candidates.take(MAX_ATTEMPTS).collect();
     for address in candidates {
         match request_one(instance, address, demand, read_in).await {
@@ -131,7 +131,10 @@
                 log::info!(placer:% = address; "a placer does not answer");
             }
         }
-        instance.peers.borrow_mut().missed(address, instance.now());
+        instance
+            .peers
+            .borrow_mut()
+            .on_missed(address, instance.now());
     }
     None
 }
@@ -148,7 +151,9 @@
         ask: Some(request),
         ..instance.frame()
     };
-    instance.reports.asked(address, instance.now());
+    instance
+        .reports
+        .placement_requested(address, instance.now());
     let (sender, receiver) = oneshot::channel();
     let open = Open::new(&instance.pending, ticket, sender);
     let socket = instance.pending.socket.get()?;
@@ -200,7 +205,7 @@
             .generation
             .as_ref()
             .map(|generation| gateway::Prompt {
-                pieces: generation.prompt.iter().map(piece).collect(),
+                pieces: generation.prompt.iter().map(encode_part).collect(),
                 tokens: generation.tokens,
             }),
         priority: u32::from(demand.priority),
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -18,10 +18,11 @@
     let now = instance.now();
     let mut fleet = instance.fleet.borrow_mut();
     for read in &reports.read {
-        fleet.remote_prompt_read(peer, read.ticket, frame::before(now, read.age_ms));
+        fleet.remote_prompt_read(peer, read.ticket, frame::moment_before(now, read.age_ms));
     }
     for ended in &reports.ended {
-        fleet.end_remote_call(peer, ended.ticket, frame::outcome(ended.outcome()), now);
+        fleet.end_remote_call(peer, ended.ticket, frame::decode_outcome(ended.outcome()), now,
+        );
     }
     if reports.says_open {
         fleet.retain_remote_calls(peer, &reports.open, now);
@@ -57,7 +58,7 @@
     let model = known.model.as_ref();
     let prompt: Prompt = {
         let pieces = request.prompt.iter().flat_map(|prompt| &prompt.pieces);
-        pieces.map(frame::part).collect()
+        pieces.map(frame::decode_part).collect()
     };
     let tokens = request.prompt.as_ref().map(|prompt| prompt.tokens);
     let generation = tokens.zip(model).map(|(tokens, model)| Generation {
--- a/crates/gateway/src/quarantine_store.rs
+++ b/crates/gateway/src/quarantine_store.rs
@@ -42,7 +42,7 @@
 
 /// Value of a call's record.
 pub(crate) fn value(call: Fingerprint, entry: &Entry, instance: &Instance) -> Vec<u8> {
-    let suspect = frame::told_suspect(call, entry, suspects::now(instance));
+    let suspect = frame::encode_suspect(call, entry, suspects::now(instance));
     let written = Suspect {
         written_unix_ms: unix_ms(instance.clock.wall_time()),
         ..suspect
@@ -74,7 +74,7 @@
                 instance.suspects.mark_expired(call);
                 return true;
             }
-            let aged = frame::aged(suspect, now);
+            let aged = frame::with_current_ages(suspect, now);
             instance
                 .suspects
                 .merge(&aged, "store", suspects::now(instance));
@@ -96,7 +96,7 @@
         if instance
             .peers
             .borrow()
-            .before(instance.order(), instance.now())
+            .live_before(instance.order(), instance.now())
             == 0
         {
             delete_expired(&instance, &mut store).await;
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -10,7 +10,7 @@
 use serving::parts::Part;
 use wire::gateway::{Frame, News, State};
 
-use crate::frame::{before, job, moment, outcome, work};
+use crate::frame::{decode_job, decode_outcome, decode_work, moment_before, moment_from_age};
 use crate::instance::Instance;
 use crate::peers::Topic;
 use crate::placement::{client, server};
@@ -77,7 +77,7 @@
     if mesh::reads_store(state) {
         check_synced(instance, state.engines_digest);
     }
-    if let Some(read) = moment(state.engines_age_ms, now) {
+    if let Some(read) = moment_from_age(state.engines_age_ms, now) {
         instance.registry.borrow_mut().store_answered(read);
     }
     if let Some(replaced) = replaced {
@@ -110,14 +110,12 @@
     let mut fleet = instance.fleet.borrow_mut();
     let started = frame.started.iter().filter_map(|started| {
         let engine = fleet.by_hash(started.engine)?;
-        Some(WorkChange::Started(engine, job(started.job.as_ref()?, now)))
+        Some(WorkChange::Started(engine, decode_job(started.job.as_ref()?, now),
+        ))
     });
     let read = frame.read.iter().filter_map(|read| {
         let engine = fleet.by_hash(read.engine)?;
-        Some(WorkChange::Read(
-            engine,
-            read.ticket,
-            before(now, read.age_ms),
+        Some(WorkChange::Read(engine, read.ticket, moment_before(now, read.age_ms),
         ))
     });
     let ended = frame.ended.iter().filter_map(|ended| {
@@ -125,7 +123,7 @@
         Some(WorkChange::Ended(
             engine,
             ended.ticket,
-            outcome(ended.outcome()),
+            decode_outcome(ended.outcome()),
         ))
     });
     let gone = frame.gone.iter();
@@ -134,7 +132,8 @@
     let works = frame.state.as_ref().map(|state| {
         let works = state.works.iter();
         let works =
-            works.filter_map(|work_at| Some((fleet.by_hash(work_at.engine)?, work(work_at, now))));
+            works.filter_map(|work_at| {
+            Some((fleet.by_hash(work_at.engine)?, decode_work(work_at, now)))});
         works.collect()
     });
     fleet.apply_frame(frame.incarnation, &changes, works, now);
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -1,4 +1,4 @@
-//! Calls that other instances placed for this one, and what is to be reported of them.
+//! Calls that placers placed for this instance, and the reports on them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,72 +12,72 @@
 
 use crate::frame;
 
-/// What one placer is to be told.
+/// Reports for one placer.
 #[derive(Debug, Default)]
-struct Books {
+struct PlacerReports {
     read: Vec<(Ticket, Moment)>,
     ended: Vec<(Ticket, Option<Outcome>)>,
     open: BTreeSet<Ticket>,
-    /// When it was last asked.
-    asked: Moment,
+    /// When it last got a placement request.
+    last_requested: Moment,
 }
 
-/// Time after a question for which its addressee is told which calls are in hand.
+/// Time after a placement request for which the placer is told which calls are open.
 ///
-/// It may have placed a call whose answer came too late or was not followed, which stands in its books then while nobody
-/// sends it. One would notice it by engines that look busy and are idle. Longer than it waits before it takes a call that is
-/// not named for over.
-const ASKED: Duration = Duration::from_secs(3);
+/// It may have placed a call whose answer came too late or was not followed, and would count it as
+/// work that nobody sends: engines would look busy while idle. Must exceed the time after which the
+/// placer assumes that a call which is not listed is over.
+const OPEN_REPORT_TIME: Duration = Duration::from_secs(3);
 
-impl Books {
+impl PlacerReports {
     fn has_reports(&self) -> bool {
         !(self.read.is_empty() && self.ended.is_empty())
     }
 }
 
-/// Calls of this instance by who placed them.
+/// Calls of this instance by placer.
 #[derive(Debug, Default)]
-pub struct Reports(RefCell<BTreeMap<SocketAddr, Books>>);
+pub struct Reports(RefCell<BTreeMap<SocketAddr, PlacerReports>>);
 
 impl Reports {
-    /// A placer is asked for a place.
-    pub fn asked(&self, placer: SocketAddr, now: Moment) {
+    /// Notes a placement request to a placer.
+    pub fn placement_requested(&self, placer: SocketAddr, now: Moment) {
         let mut all = self.0.borrow_mut();
-        all.entry(placer).or_default().asked = now;
+        all.entry(placer).or_default().last_requested = now;
     }
 
-    /// A call is about to be sent where a placer said.
-    pub fn begun(&self, (placer, ticket): (SocketAddr, Ticket)) {
+    /// Notes that a call is about to be sent to the engine that the placer chose.
+    pub fn call_started(&self, (placer, ticket): (SocketAddr, Ticket)) {
         let mut all = self.0.borrow_mut();
         all.entry(placer).or_default().open.insert(ticket);
     }
 
-    /// Its prompt was read.
-    pub fn read(&self, (placer, ticket): (SocketAddr, Ticket), now: Moment) {
+    /// Notes that a call's prefill completed.
+    pub fn prompt_read(&self, (placer, ticket): (SocketAddr, Ticket), now: Moment) {
         let mut all = self.0.borrow_mut();
         all.entry(placer).or_default().read.push((ticket, now));
     }
 
-    /// It has ended.
-    pub fn ended(&self, (placer, ticket): (SocketAddr, Ticket), outcome: Option<Outcome>) {
+    /// Notes that a call has ended.
+    pub fn call_ended(&self, (placer, ticket): (SocketAddr, Ticket), outcome: Option<Outcome>) {
         let mut all = self.0.borrow_mut();
-        let books = all.entry(placer).or_default();
-        books.open.remove(&ticket);
-        books.ended.push((ticket, outcome));
+        let reports = all.entry(placer).or_default();
+        reports.open.remove(&ticket);
+        reports.ended.push((ticket, outcome));
     }
 
-    /// Reports that were not told yet, by placer.
+    /// Takes the unsent reports, by placer.
     pub fn take_reports(&self, now: Moment) -> Vec<(SocketAddr, gateway::Reports)> {
         let mut all = self.0.borrow_mut();
-        let due = all.iter_mut().filter(|(_, books)| books.has_reports());
-        due.map(|(placer, books)| (*placer, drained(books, now)))
+        let due = all.iter_mut().filter(|(_, reports)| reports.has_reports());
+        due.map(|(placer, reports)| (*placer, drain(reports, now)))
             .collect()
     }
 
-    /// Those that have placed calls which are in hand, or were asked a while ago, each with the calls in hand.
+    /// The open calls for each placer that has some or got a request recently.
     pub fn take_open(&self, now: Moment) -> Vec<(SocketAddr, gateway::Reports)> {
         let mut all = self.0.borrow_mut();
-        let told = all.iter().map(|(placer, books)| {
+        let open = all.iter().map(|(placer, books)| {
             let open = gateway::Reports {
                 open: books.open.iter().copied().collect(),
                 says_open: true,
@@ -85,24 +85,24 @@
             };
             (*placer, open)
         });
-        let told = told.collect();
-        let is_recent = |asked: Moment| now.saturating_sub(asked) < ASKED;
-        all.retain(|_, books| {
-            books.has_reports() || !books.open.is_empty() || is_recent(books.asked)
+        let open = open.collect();
+        let is_recent = |requested: Moment| now.saturating_sub(requested) < OPEN_REPORT_TIME;
+        all.retain(|_, reports| {
+            reports.has_reports() || !reports.open.is_empty() || is_recent(reports.last_requested)
         });
-        told
+        open
     }
 }
 
-fn drained(books: &mut Books, now: Moment) -> gateway::Reports {
-    let read = books.read.drain(..).map(|(ticket, at)| Report {
+fn drain(reports: &mut PlacerReports, now: Moment) -> gateway::Reports {
+    let read = reports.read.drain(..).map(|(ticket, at)| Report {
         ticket,
-        age_ms: frame::since(at, now),
+        age_ms: frame::elapsed_ms(at, now),
         ..Report::default()
     });
-    let ended = books.ended.drain(..).map(|(ticket, outcome)| Report {
+    let ended = reports.ended.drain(..).map(|(ticket, outcome)| Report {
         ticket,
-        outcome: frame::told_outcome(outcome).into(),
+        outcome: frame::encode_outcome(outcome).into(),
         ..Report::default()
     });
     gateway::Reports {
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -146,7 +146,7 @@
         let instance = &self.instance;
         let own = instance.knows(self.topic);
         let peers = instance.peers.borrow();
-        let others = peers.said(self.topic);
+        let others = peers.reader_states(self.topic);
         let order = instance.order();
         let now = instance.now();
         let rank = peers.rank(order, now);
@@ -269,7 +269,7 @@
     if peers.has_reader_before(instance.order(), topic, now) {
         peers.defer_news(news, upto, now);
     } else {
-        peers.add_news(news);
+        peers.queue_news(news);
     }
     drop(peers);
     instance.stirred.notify_one();
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -169,7 +169,7 @@
 
     /// Merges a suspect from a peer or from the store.
     pub(crate) fn merge(&self, suspect: &Suspect, source: &'static str, now: Moment) {
-        let (call, entry) = frame::suspect(suspect, now);
+        let (call, entry) = frame::decode_suspect(suspect, now);
         let was_held = self.is_held(call);
         if self.quarantine.borrow_mut().merge(call, &entry) {
             self.update_digest();
@@ -256,7 +256,7 @@
             .iter()
             .filter_map(|call| Some((*call, quarantine.get(*call)?)));
         entries
-            .map(|(call, entry)| frame::told_suspect(call, entry, now))
+            .map(|(call, entry)| frame::encode_suspect(call, entry, now))
             .collect()
     }
 
@@ -332,7 +332,7 @@
         let suspects = quarantine
             .suspects()
             .filter(|(call, _)| is_placing || unwritten.contains(call));
-        let suspects = suspects.map(|(call, entry)| frame::told_suspect(call, entry, now));
+        let suspects = suspects.map(|(call, entry)| frame::encode_suspect(call, entry, now));
         suspects
             .take(MAX_SUSPECTS_PER_FRAME)
             .collect::<Vec<Suspect>>()
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -39,11 +39,11 @@
         if !has_warm_peer {
             query_share(&instance).await;
         }
-        instance.peers.borrow_mut().knows = true;
+        instance.peers.borrow_mut().is_warm = true;
         while instance.is_placing() {
             sleep(POLL_INTERVAL).await;
         }
-        instance.peers.borrow_mut().knows = false;
+        instance.peers.borrow_mut().is_warm = false;
     }
 }
 
@@ -84,5 +84,5 @@
 
 fn record(instance: &Instance, engine: &EngineId, parts: &[Part]) {
     instance.note_parts(engine, parts);
-    instance.peers.borrow_mut().uses(engine, parts);
+    instance.peers.borrow_mut().queue_parts(engine, parts);
 }
--- a/crates/gateway/tests/reports.rs
+++ b/crates/gateway/tests/reports.rs
@@ -25,11 +25,11 @@
 fn each_placer_is_told_of_the_calls_that_it_placed() {
     let own = Reports::default();
     for (port, ticket) in [(1, 10), (1, 11), (2, 12)] {
-        own.asked(placer(port), ms(0));
-        own.begun((placer(port), ticket));
+        own.placement_requested(placer(port), ms(0));
+        own.call_started((placer(port), ticket));
     }
-    own.read((placer(1), 10), ms(5));
-    own.ended((placer(1), 10), Some(Outcome::Success));
+    own.prompt_read((placer(1), 10), ms(5));
+    own.call_ended((placer(1), 10), Some(Outcome::Success));
     let reports = own.take_reports(ms(8));
     assert_eq!(reports.len(), 1, "the other one has nothing to be told");
     let (to, told) = &reports[0];
@@ -46,7 +46,7 @@
 #[test]
 fn a_placer_whose_answer_was_not_followed_is_told_so_for_a_while() {
     let own = Reports::default();
-    own.asked(placer(1), ms(0));
+    own.placement_requested(placer(1), ms(0));
     for now in [700, 1_400, 2_100, 2_800] {
         assert_eq!(open(&own, ms(now)), [(1, vec![])]);
     }
