--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -251,7 +251,7 @@
         if let Some(organisation) = self.principal.organisation()
             && !self.is_counted.replace(true)
         {
-            instance.used(&organisation.name, at);
+            instance.note_request(&organisation.name, at);
         }
     }
 
@@ -463,5 +463,5 @@
     reply: &Reply,
 ) {
     let now = instance.now();
-    instance.pool.give(engine, client, reply.keep_alive, now);
+    instance.pool.put(engine, client, reply.keep_alive, now);
 }
--- a/crates/gateway/src/bootstrap.rs
+++ b/crates/gateway/src/bootstrap.rs
@@ -60,7 +60,7 @@
                 .map(|news| configuration(instance, news)),
         );
     }
-    if state.lacks_engines && instance.has(Topic::Engines) {
+    if state.lacks_engines && instance.has_topic(Topic::Engines) {
         let mut batch = Vec::new();
         let mut bytes = 0;
         for news in snapshot.engines.values() {
@@ -72,7 +72,7 @@
             }
         }
         frames.push(Frame {
-            all_engines: instance.knows(Topic::Engines).digest,
+            all_engines: instance.known(Topic::Engines).digest,
             ..frame(instance, batch)
         });
     }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -168,7 +168,7 @@
 /// many retry only once; all instances would refuse calls in the second after such a restart.
 async fn wait_until_synced(instance: &Instance) {
     let until = Instant::now() + SYNC_TIMEOUT;
-    let lacks = || !instance.knows_all() || !knows_held(instance);
+    let lacks = || !instance.is_synced() || !knows_held(instance);
     while lacks() && Instant::now() < until {
         sleep(POLL_INTERVAL).await;
     }
@@ -182,7 +182,7 @@
 /// All instances may have been killed at once. One that sent a held call before reading its record
 /// would let the call crash an engine after each such restart.
 fn knows_held(instance: &Instance) -> bool {
-    instance.is_registered.get() || instance.now() >= HELD_READ_TIMEOUT
+    instance.peers_discovered.get() || instance.now() >= HELD_READ_TIMEOUT
 }
 
 async fn answer(instance: &Rc<Instance>, request: &Request, writer: &mut http1::Writer) -> bool {
--- a/crates/gateway/src/crash_detection.rs
+++ b/crates/gateway/src/crash_detection.rs
@@ -139,7 +139,7 @@
     // The probe drops its sender without a value if the verdict stays open.
     if verdict.wait_for(|ended| *ended).await.is_ok() {
         instance.suspects.on_crash(subject, engine, at);
-        instance.stirred.notify_one();
+        instance.frame_due.notify_one();
     }
 }
 
@@ -196,7 +196,7 @@
             if !stays_open(&mut client).await {
                 return ProbeResult::Silent;
             }
-            instance.pool.give(&engine.id, client, None, instance.now());
+            instance.pool.put(&engine.id, client, None, instance.now());
             ProbeResult::Alive
         }
         Err(Failure::NotSent(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -77,9 +77,9 @@
         }
     }
     drop(peers);
-    instance.is_registered.set(true);
+    instance.peers_discovered.set(true);
     instance.greeting_due.set(true);
-    instance.stirred.notify_one();
+    instance.frame_due.notify_one();
 }
 
 /// Address, data centre and read order of a registered instance.
--- a/crates/gateway/src/engine_call.rs
+++ b/crates/gateway/src/engine_call.rs
@@ -77,7 +77,7 @@
             "sent"
         );
         if target.work > 0 {
-            instance.stirred.notify_one();
+            instance.frame_due.notify_one();
         }
         if let Some(placed_by) = target.placed_by {
             instance.reports.call_started(placed_by);
@@ -123,7 +123,7 @@
         fleet.prompt_read(&self.sent, now);
         if let Some(placed_by) = self.placed_by {
             self.instance.reports.prompt_read(placed_by, now);
-            self.instance.stirred.notify_one();
+            self.instance.frame_due.notify_one();
         }
         let engine = fleet.get(&self.sent.engine);
         log::info!(
@@ -152,7 +152,7 @@
         }
         if let Some(placed_by) = self.placed_by {
             self.instance.reports.call_ended(placed_by, self.outcome);
-            self.instance.stirred.notify_one();
+            self.instance.frame_due.notify_one();
         }
     }
 }
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -312,7 +312,7 @@
         if let Some(sizes) = &self.request.call.generation
             && target.placed_by.is_none()
         {
-            self.instance.uses(&target.engine, &sizes.prompt);
+            self.instance.announce_parts(&target.engine, &sizes.prompt);
         }
     }
 
--- a/crates/gateway/src/generate/memory.rs
+++ b/crates/gateway/src/generate/memory.rs
@@ -56,7 +56,7 @@
         client.send(upstream::free_kv(&memory), &Bytes::new()).await
     };
     if let Ok(Ok(answer)) = timeout(FREE_TIMEOUT, freeing).await {
-        limits::note_announced(&instance, &holder, upstream::announced_limit(&answer.head));
+        limits::observe_announced(&instance, &holder, upstream::announced_limit(&answer.head));
     } else {
         log::debug!(handle = memory.handle.as_str(); "memory that nobody takes could not be freed, it lapses");
     }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a process share.
+//! State that all tasks of a process share.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -31,31 +31,31 @@
 use crate::reports::Reports;
 use crate::suspects::Suspects;
 
-/// One process.
+/// State of the process.
 pub(crate) struct Instance {
     pub settings: RefCell<Settings>,
     pub zone: Zone,
     pub incarnation: u64,
-    /// Where other instances send their frames.
+    /// Address to which other instances send frames.
     pub address: SocketAddr,
     pub clock: System,
     pub codec: http1::Config,
     pub table: RefCell<Option<Rc<Table>>>,
     pub fleet: RefCell<Fleet>,
     pub registry: RefCell<Registry>,
-    /// What organisations use, where that is reported.
+    /// Organisations' usage, if it is reported.
     pub usage: RefCell<Option<Ledger>>,
     /// Claims, and what was ordered under them.
     pub claim_log: ClaimLog,
     /// True time when the process started.
     started: UnixTime,
-    /// Who places calls.
+    /// The instances that place calls.
     pub placers: RefCell<Placers>,
     /// Placement requests that await their responses.
-    pub pending: Pending,
-    /// Calls that others placed for this instance, and what is to be reported of them.
+    pub pending_placements: Pending,
+    /// Calls that placers placed for this instance, and what to report of them.
     pub reports: Reports,
-    /// Whether other instances should hear of this one soon.
+    /// Whether to announce this instance to the others soon.
     pub greeting_due: Cell<bool>,
     /// When this instance last read each topic itself.
     pub configuration_read: Cell<Option<Moment>>,
@@ -65,29 +65,29 @@
     /// Copies of the store's records, for instances that start.
     pub snapshot: RefCell<Snapshot>,
     /// Whether the other instances have been read from the store.
-    pub is_registered: Cell<bool>,
-    /// Whether another instance said that the configuration is to be read.
-    pub must_read: Cell<bool>,
+    pub peers_discovered: Cell<bool>,
+    /// Whether a peer asked this instance to read the configuration.
+    pub must_read_configuration: Cell<bool>,
     pub budgets: RefCell<RepeatBudgets>,
     pub usual: RefCell<PriorWaits>,
     pub pool: Pool,
-    /// Calls that end engines.
+    /// Calls that crash engines.
     pub suspects: Suspects,
-    /// Engines of which it is being found out whether they have ended.
+    /// Ongoing crash detection.
     pub crashes: Crashes,
     pub peers: RefCell<Peers>,
     pub phase: Lifecycle,
     pub metrics: Metrics,
-    /// Something happened of which the others should hear at once.
-    pub stirred: Notify,
-    /// How often the store had come back from an older copy when it was last heard of.
+    /// Notified when a change should be sent to the other instances at once.
+    pub frame_due: Notify,
+    /// Last known era: how often the store was restored from an older copy.
     pub era: Cell<Option<Era>>,
-    /// The store has come back from an older copy.
+    /// Notified when the store was restored from an older copy.
     pub store_went_back: Notify,
 }
 
-/// Instances assumed until the others have been heard of.
-const INSTANCES: u32 = 6;
+/// Number of instances assumed until the others are known.
+const ASSUMED_INSTANCES: u32 = 6;
 
 impl Instance {
     pub(crate) fn new(settings: Settings) -> Self {
@@ -107,7 +107,7 @@
             fleet: RefCell::default(),
             registry: RefCell::default(),
             placers: RefCell::default(),
-            pending: Pending::default(),
+            pending_placements: Pending::default(),
             reports: Reports::default(),
             greeting_due: Cell::new(true),
             configuration_read: Cell::new(None),
@@ -115,9 +115,9 @@
             address: SocketAddr::new(settings.ip, settings.ports.0),
             engines_known: Cell::new(false),
             snapshot: RefCell::default(),
-            is_registered: Cell::new(false),
-            must_read: Cell::new(false),
-            budgets: RefCell::new(RepeatBudgets::new(settings.bounds.retry_budget, INSTANCES)),
+            peers_discovered: Cell::new(false),
+            must_read_configuration: Cell::new(false),
+            budgets: RefCell::new(RepeatBudgets::new(settings.bounds.retry_budget, ASSUMED_INSTANCES)),
             usual: RefCell::default(),
             pool: Pool::default(),
             suspects: Suspects::default(),
@@ -125,7 +125,7 @@
             peers: RefCell::default(),
             phase: Lifecycle::default(),
             metrics: Metrics::default(),
-            stirred: Notify::new(),
+            frame_due: Notify::new(),
             era: Cell::new(None),
             store_went_back: Notify::new(),
             settings: RefCell::new(settings),
@@ -136,14 +136,14 @@
         self.clock.now()
     }
 
-    /// True time, as it was when the process started and has gone on since. The time of day may be set meanwhile, and back again; windows of
-    /// true time would come twice or not at all.
+    /// True time, extrapolated from the process's start. The wall clock may be set meanwhile,
+    /// forwards and backwards, and windows of true time would come twice or not at all.
     pub(crate) fn unix(&self) -> UnixTime {
         self.started + self.clock.now_boottime()
     }
 
-    /// Takes in that an engine began a request of an organisation.
-    pub(crate) fn used(&self, organisation: &Name, at: UnixTime) {
+    /// Records that an engine began a request of an organisation.
+    pub(crate) fn note_request(&self, organisation: &Name, at: UnixTime) {
         let table = self.table.borrow();
         let directory = table
             .as_ref()
@@ -155,13 +155,13 @@
         }
     }
 
-    /// Windows whose use the platform has been told.
-    pub(crate) fn reported(&self) -> Vec<Window> {
+    /// Windows whose usage the platform has accepted.
+    pub(crate) fn reported_windows(&self) -> Vec<Window> {
         let ledger = self.usage.borrow();
         ledger.iter().flat_map(Ledger::taken_windows).collect()
     }
 
-    /// A frame that tells nothing yet.
+    /// A frame without content.
     pub(crate) fn frame(&self) -> Frame {
         Frame {
             incarnation: self.incarnation,
@@ -174,14 +174,14 @@
         self.placers.borrow().includes_self
     }
 
-    /// Whether an engine is in this instance's share, of all that place calls. Each engine is in the share of one, which
-    /// all compute alike from the instances that they know.
-    pub(crate) fn has_share(&self, engine: &EngineId) -> bool {
+    /// Whether an engine is in this instance's share among all placers. Each engine is in the share
+    /// of exactly one; all compute it alike from the instances that they know.
+    pub(crate) fn is_in_share(&self, engine: &EngineId) -> bool {
         placer::rank(engine, self.address, &self.placers.borrow().others) == 0
     }
 
-    /// Looks who places calls now. Says whether this instance has begun to, or has ceased.
-    pub(crate) fn elect(&self) -> bool {
+    /// Updates who places calls. Returns whether this instance has started or stopped placing.
+    pub(crate) fn update_placers(&self) -> bool {
         let own = Member {
             address: self.address,
             zone: hash::hash32(&self.zone),
@@ -190,8 +190,8 @@
         };
         let now = self.now();
         let mut placers = self.peers.borrow_mut().elect(&own, now);
-        // Whoever does not know the others yet would take itself for the first.
-        placers.includes_self &= !self.phase.is_leaving() && self.is_registered.get();
+        // An instance that does not know the others yet would take itself for the first.
+        placers.includes_self &= !self.phase.is_leaving() && self.peers_discovered.get();
         let before = self.placers.replace(placers);
         let after = self.placers.borrow();
         let throttles = &mut self.fleet.borrow_mut().throttles;
@@ -207,13 +207,13 @@
         peers::order(self.address, self.settings.borrow().link_mbps)
     }
 
-    /// Instances that come before this one in that order and may live.
+    /// Number of instances that precede this one in that order and may be alive.
     pub(crate) fn rank(&self) -> u32 {
         self.peers.borrow().rank(self.order(), self.now())
     }
 
-    /// Time that some bytes take this instance's link.
-    pub(crate) fn sending(&self, bytes: usize) -> Duration {
+    /// Time to send `bytes` over this instance's link.
+    pub(crate) fn transmission_time(&self, bytes: usize) -> Duration {
         #[allow(clippy::cast_precision_loss)]
         let bits = bytes as f64 * 8.0;
         Duration::from_secs_f64(bits / (self.settings.borrow().link_mbps * 1e6))
@@ -231,8 +231,8 @@
         }
     }
 
-    /// What this instance knows of a topic, as instances compare it.
-    pub(crate) fn knows(&self, topic: Topic) -> TopicState {
+    /// State of a topic, in the form in which instances compare it.
+    pub(crate) fn known(&self, topic: Topic) -> TopicState {
         match topic {
             Topic::Configuration => {
                 peers::known_version(self.table().map_or(0, |table| table.version))}
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Whether something of a topic is known at all.
-    pub(crate) fn has(&self, topic: Topic) -> bool {
+    /// Whether anything of a topic is known.
+    pub(crate) fn has_topic(&self, topic: Topic) -> bool {
         match topic {
             Topic::Configuration => self.table.borrow().is_some(),
             Topic::Engines => self.engines_known.get(),
@@ -250,7 +250,8 @@
 
     /// Applies the store's era, as read or as announced by a peer.
     ///
-    /// What this process wrote since the copy was made is gone, and so is what others did.
+    /// In a new era, all records written since the copy was made are lost, this process's and
+    /// others'.
     pub(crate) fn on_era(&self, era: Era) {
         let before = self.era.get();
         if before.is_some_and(|before| before >= era) {
@@ -272,9 +273,9 @@
         self.store_went_back.notify_waiters();
     }
 
-    /// Whether the configuration in force is the newest, as far as that can be known: this instance or one that it hears of has read the
-    /// store just now. Whoever is cut off may lack a key that was given out meanwhile, and what it refuses for ever would be
-    /// served elsewhere.
+    /// Whether the configuration in force is the newest, as far as can be known: this instance or a
+    /// peer has just read the store. A partitioned instance may lack a key that was issued
+    /// meanwhile, and would reject for good what others serve.
     pub(crate) fn is_current(&self) -> bool {
         let now = self.now();
         let is_recent = |read: Moment| now.saturating_sub(read) <= watch::FRESH_AGE;
@@ -286,7 +287,7 @@
                 .any(|said| said.is_fresh(now))
     }
 
-    /// Takes in that an engine uses these parts.
+    /// Notes that an engine uses these parts.
     pub(crate) fn note_parts(&self, engine: &EngineId, parts: &[Part]) {
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
@@ -302,25 +303,26 @@
         }
     }
 
-    /// Whether all is known that calls need.
-    pub(crate) fn knows_all(&self) -> bool {
-        self.has(Topic::Configuration) && self.has(Topic::Engines)
+    /// Whether everything that calls need is known.
+    pub(crate) fn is_synced(&self) -> bool {
+        self.has_topic(Topic::Configuration) && self.has_topic(Topic::Engines)
     }
 
-    /// Takes in that an engine uses these parts for a call that this instance placed, to be told to the other placers.
-    pub(crate) fn uses(&self, engine: &EngineId, parts: &[Part]) {
+    /// Notes that an engine uses these parts for a call that this instance placed, and queues them
+    /// for the other placers.
+    pub(crate) fn announce_parts(&self, engine: &EngineId, parts: &[Part]) {
         self.note_parts(engine, parts);
         self.peers.borrow_mut().queue_parts(engine, parts);
     }
 
-    /// Puts a configuration in force if it is newer than the one in force.
+    /// Puts a configuration in force if it is newer than the current one.
     ///
-    /// Reads that overtake each other, a store that lags and peers that are behind all bring older
-    /// versions. One would notice it by requests on new routes that get 404 after they were served.
-    /// The comparison makes the order of arrival irrelevant. Says whether it was newer.
-    pub(crate) fn configure(&self, table: Table, source: &str) -> bool {
-        let mut present = self.table.borrow_mut();
-        let before = present.as_ref().map(|table| table.version);
+    /// Overtaking reads, a lagging store and stale peers all deliver older versions; applying one
+    /// would answer requests on new routes with 404 after they were served. The comparison makes
+    /// the order of arrival irrelevant. Returns whether it was newer.
+    pub(crate) fn apply_configuration(&self, table: Table, source: &str) -> bool {
+        let mut current = self.table.borrow_mut();
+        let before = current.as_ref().map(|table| table.version);
         if before.is_some_and(|before| before >= table.version) {
             return false;
         }
@@ -328,14 +330,14 @@
             version = table.version, before = before.unwrap_or_default(), source = source;
             "configuration in force"
         );
-        *present = Some(Rc::new(table));
+        *current = Some(Rc::new(table));
         true
     }
 }
 
 /// Time since the Unix epoch.
 fn unix(time: SystemTime) -> UnixTime {
-    // A clock before the epoch shows nothing.
+    // A clock set before the epoch counts as the epoch.
     time.duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits of engines: what answers say of them, what instances tell each other, and waiting for one's turn. How a limit is
-//! divided is decided in [`serving::throttle`].
+//! Rate limits of engines: reads them from responses, exchanges them with other instances, and
+//! delays calls. [`serving::throttle`] decides how a limit is divided.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 use crate::instance::Instance;
 use crate::metrics::Throttled;
 
-/// Takes note of what an answer to a call says of its engine's rate limit. The call was sent at this moment.
+/// Applies what the response to a call that was sent at `sent` says of its engine's rate limit.
 pub(crate) fn observe(instance: &Instance, engine: &EngineId, reply: &Reply, sent: Moment) {
     if reply.is_misdirected() {
         return;
     }
     match reply.rate_limit {
-        AnnouncedLimit::Rate(_) => note_announced(instance, engine, reply.rate_limit),
+        AnnouncedLimit::Rate(_) => observe_announced(instance, engine, reply.rate_limit),
         AnnouncedLimit::Absent if reply.is_success() => {
             let lifted = Announcement {
                 limit: None,
@@ -34,8 +34,8 @@
     }
 }
 
-/// Takes note of a limit that an answer to any request names. Only answers to calls tell that there is none any more.
-pub(crate) fn note_announced(instance: &Instance, engine: &EngineId, limit: AnnouncedLimit) {
+/// Applies a limit named in any response. Only responses to calls lift a limit.
+pub(crate) fn observe_announced(instance: &Instance, engine: &EngineId, limit: AnnouncedLimit) {
     if let AnnouncedLimit::Rate(rate) = limit {
         let announcement = Announcement {
             limit: Some(rate),
@@ -45,8 +45,8 @@
     }
 }
 
-/// Merges what another instance knows of limits.
-pub(crate) fn receive(instance: &Instance, limits: &[RateLimit], now: Moment) {
+/// Merges limits that another instance announces.
+pub(crate) fn merge_from_peer(instance: &Instance, limits: &[RateLimit], now: Moment) {
     for limit in limits {
         let engine = instance.fleet.borrow().by_hash(limit.engine);
         let Some(engine) = engine else {
@@ -64,20 +64,20 @@
     }
 }
 
-fn merge(instance: &Instance, engine: &EngineId, said: Announcement, source: &str) {
+fn merge(instance: &Instance, engine: &EngineId, announcement: Announcement, source: &str) {
     let now = instance.now();
     let mut fleet = instance.fleet.borrow_mut();
     if fleet.get(engine).is_none() {
-        // Nothing would remove its limit again.
+        // The limit of an unknown engine would never be removed.
         return;
     }
     let throttles = &mut fleet.throttles;
-    if !throttles.merge(engine, said, now) {
+    if !throttles.merge(engine, announcement, now) {
         return;
     }
-    instance.stirred.notify_one();
+    instance.frame_due.notify_one();
     let share = throttles.share(engine).unwrap_or_default();
-    if let Some(limit) = said.limit {
+    if let Some(limit) = announcement.limit {
         log::info!(
             engine = &**engine, limit:% = limit, share = share, source = source;
             "the engine announces a rate limit"
@@ -87,12 +87,13 @@
     }
 }
 
-/// Limits as frames tell them.
-pub(crate) fn to_wire(said: Vec<(EngineId, Announcement)>, now: Moment) -> Vec<RateLimit> {
-    let limits = said.into_iter().map(|(engine, said)| RateLimit {
+/// Encodes limits for a frame.
+pub(crate) fn to_wire(announcements: Vec<(EngineId, Announcement)>, now: Moment) -> Vec<RateLimit> {
+    let limits = announcements
+        .into_iter().map(|(engine, announcement)| RateLimit {
         engine: hash::hash32(&engine),
-        limit: said.limit.map(Rate::per_second),
-        age_ms: frame::elapsed_ms(said.at, now),
+        limit: announcement.limit.map(Rate::per_second),
+        age_ms: frame::elapsed_ms(announcement.at, now),
     });
     limits.collect()
 }
@@ -104,7 +105,8 @@
     throttles.charge(engine, now);
 }
 
-/// Whether a request of the system's own, which can be left out, may go to an engine now. It is counted if so.
+/// Counts an optional request of the gateway's own if it may go to the engine now. Returns whether
+/// it may.
 pub(crate) fn try_charge(instance: &Instance, engine: &EngineId) -> bool {
     let now = instance.now();
     let throttles = &mut instance.fleet.borrow_mut().throttles;
@@ -115,14 +117,15 @@
     may_go
 }
 
-/// Waits until a call may be sent to its engine. Says whether the engine takes calls then.
-pub(crate) async fn wait(instance: &Instance, asked: &Request, target: &Target) -> bool {
+/// Delays a call until its engine's rate limit admits it. Returns whether the engine takes calls
+/// then.
+pub(crate) async fn wait(instance: &Instance, request: &Request, target: &Target) -> bool {
     if target.limit_wait.is_zero() {
         return true;
     }
     instance.metrics.throttled(Throttled::Waited);
     log::info!(
-        id = asked.call.id.as_str(), engine = &*target.engine, wait_ms:% = target.limit_wait.as_millis();
+        id = request.call.id.as_str(), engine = &*target.engine, wait_ms:% = target.limit_wait.as_millis();
         "waits for the engine's rate limit"
     );
     sleep(target.limit_wait).await;
@@ -131,7 +134,7 @@
     engine.is_some_and(serving::engine::Engine::takes_calls)
 }
 
-/// Counts a refusal by rate limits.
+/// Counts a refusal caused by rate limits.
 pub(crate) fn note_refusal(instance: &Instance, choice: &Choice) {
     if let Choice::Refuse {
         reason: Refusal::RateLimited,
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -59,7 +59,7 @@
 pub(crate) async fn start(instance: &Rc<Instance>) -> io::Result<()> {
     let own = instance.address;
     let socket = Rc::new(UdpSocket::bind(own).await?);
-    instance.pending.bind(socket.clone());
+    instance.pending_placements.bind(socket.clone());
     actix_rt::spawn(listen(instance.clone(), socket.clone()));
     actix_rt::spawn(send_loop(instance.clone(), socket));
     actix_rt::spawn(warmup::run(instance.clone()));
@@ -107,7 +107,7 @@
     let mut state_due = Instant::now();
     let mut usage_due = Instant::now();
     loop {
-        let was_notified = timeout(IDLE_INTERVAL, instance.stirred.notified())
+        let was_notified = timeout(IDLE_INTERVAL, instance.frame_due.notified())
             .await
             .is_ok();
         if was_notified && instance.is_placing() {
@@ -116,11 +116,11 @@
         sleep_until(earliest).await;
         let now = instance.now();
         instance.fleet.borrow_mut().expire(now);
-        let is_greeting = instance.greeting_due.take() | instance.elect();
+        let is_greeting = instance.greeting_due.take() | instance.update_placers();
         send_news(&instance, &socket, now);
         send_suspects(&instance, &socket);
         send_limits(&instance, &socket, now);
-        let is_state_due = is_greeting || !instance.knows_all() || Instant::now() >= state_due;
+        let is_state_due = is_greeting || !instance.is_synced() || Instant::now() >= state_due;
         let mut reports = instance.reports.take_reports(now);
         if is_state_due {
             // Repairs the loss of a report.
@@ -143,7 +143,7 @@
             }
             bytes += send_frame(&instance, &socket, frame, is_greeting);
         }
-        earliest = Instant::now() + instance.sending(bytes).mul_f64(1.0 / LINK_SHARE);
+        earliest = Instant::now() + instance.transmission_time(bytes).mul_f64(1.0 / LINK_SHARE);
         seed_new_placers(&instance, &socket);
     }
 }
@@ -259,7 +259,7 @@
 }
 
 fn encode_state(instance: &Instance, fleet: &Fleet, knows: bool, now: Moment) -> State {
-    let engines = instance.knows(Topic::Engines);
+    let engines = instance.known(Topic::Engines);
     let placing = instance.is_placing();
     let (claimed, numbers) = instance.claim_log.snapshot();
     let works = if placing {
@@ -275,7 +275,7 @@
         configuration: instance.table().map_or(0, |table| table.version),
         engines_digest: engines.digest,
         engines_upto: engines.upto,
-        lacks_engines: !instance.has(Topic::Engines),
+        lacks_engines: !instance.has_topic(Topic::Engines),
         configuration_age_ms: encode_age(instance.configuration_read.get(), now),
         engines_age_ms: encode_age(instance.engines_read.get(), now),
         knows,
@@ -285,7 +285,7 @@
         placing,
         suspects_digest: instance.suspects.digest(),
         claimed,
-        reported: instance.reported(),
+        reported: instance.reported_windows(),
         numbers,
     }
 }
@@ -393,7 +393,7 @@
     let fleet = instance.fleet.borrow();
     let share = fleet
         .all()
-        .filter(|engine| instance.has_share(&engine.record.id));
+        .filter(|engine| instance.is_in_share(&engine.record.id));
     let parts = share.flat_map(|engine| {
         let id = &engine.record.id;
         let held = fleet.parts.cached_parts(id);
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,5 +1,5 @@
-//! Places a call at an engine: whether it may go to one at all, where, and when the engine's rate limit lets it go there. The decision is
-//! [`serving::place`]'s, of this instance or of one that it asks.
+//! Places a call: whether it may go to an engine at all, to which one, and when that engine's rate
+//! limit admits it. [`serving::place`] decides, at this instance or at a placer.
 
 use std::net::SocketAddr;
 
@@ -19,27 +19,27 @@
 /// Engines that a call must not go to again.
 pub(crate) type Avoid = SmallVec<[EngineId; 4]>;
 
-/// Finds a place for a call, and waits until the engine's rate limit lets it go there.
+/// Finds an engine for a call, and waits until its rate limit admits the call.
 pub(crate) async fn place(
     instance: &Instance,
-    asked: &Request,
+    request: &Request,
     avoid: &Avoid,
     may_split: bool,
 ) -> Choice {
     loop {
-        let choice = choose(instance, asked, avoid, may_split).await;
+        let choice = choose(instance, request, avoid, may_split).await;
         let Some(target) = choice.target() else {
             limits::note_refusal(instance, &choice);
             return choice;
         };
-        if limits::wait(instance, asked, target).await {
+        if limits::wait(instance, request, target).await {
             return choice;
         }
     }
 }
 
-async fn choose(instance: &Instance, asked: &Request, avoid: &Avoid, may_split: bool) -> Choice {
-    let admission = admission::admit(instance, asked).await;
+async fn choose(instance: &Instance, request: &Request, avoid: &Avoid, may_split: bool) -> Choice {
+    let admission = admission::admit(instance, request).await;
     if let Admission::Held(after) = admission {
         return Choice::Refuse {
             retry_after: after,
@@ -47,18 +47,18 @@
             best_target: None,
         };
     }
-    let avoid = avoided(avoid, &admission);
+    let avoid = with_excluded(avoid, &admission);
     let connected = instance.pool.connected(instance.now());
     let demand = Demand {
         may_split,
         isolated: matches!(admission, Admission::Alone),
-        ..demand(instance, asked, &avoid, &connected)
+        ..demand(instance, request, &avoid, &connected)
     };
     client::choose(instance, &demand).await
 }
 
-/// Engines that a call must not go to, with those that its admission excludes.
-fn avoided(avoid: &Avoid, admission: &Admission) -> Avoid {
+/// Adds the engines that a call's admission excludes.
+fn with_excluded(avoid: &Avoid, admission: &Admission) -> Avoid {
     let mut all = avoid.clone();
     if let Admission::Excluding(others) = admission {
         all.extend(others.iter().cloned());
@@ -66,27 +66,28 @@
     all
 }
 
-/// Finds the engine that takes over a prompt that was read in a data centre, as [`place`] does.
+/// Finds the engine that decodes a prompt that was prefilled in the given data centre, as [`place`]
+/// does.
 pub(crate) async fn place_decode(
     instance: &Instance,
-    asked: &Request,
+    request: &Request,
     avoid: &Avoid,
     reserved: Option<&EngineId>,
     source: &Zone,
 ) -> Option<Target> {
-    let admission = admission::admit_started(instance, asked);
+    let admission = admission::admit_started(instance, request);
     if matches!(admission, Admission::Held(_)) {
         return None;
     }
-    let avoid = avoided(avoid, &admission);
+    let avoid = with_excluded(avoid, &admission);
     let connected = instance.pool.connected(instance.now());
     loop {
         let demand = Demand {
             reserved,
-            ..demand(instance, asked, &avoid, &connected)
+            ..demand(instance, request, &avoid, &connected)
         };
         let target = client::decode(instance, &demand, source).await?;
-        if limits::wait(instance, asked, &target).await {
+        if limits::wait(instance, request, &target).await {
             return Some(target);
         }
     }
@@ -94,32 +95,32 @@
 
 fn demand<'a>(
     instance: &'a Instance,
-    asked: &'a Request,
+    request: &'a Request,
     avoid: &'a Avoid,
     connected: &'a [EngineId],
 ) -> Demand<'a> {
-    let generation = asked.call.generation.as_ref();
-    let model = asked.service.model.as_ref();
+    let generation = request.call.generation.as_ref();
+    let model = request.service.model.as_ref();
     let generation = generation.zip(model).map(|(sizes, model)| Generation {
         model,
         prompt: &sizes.prompt,
         tokens: sizes.prompt_tokens,
     });
     Demand {
-        service: &asked.service.name,
+        service: &request.service.name,
         generation,
-        connections: u32::try_from(asked.service.connections).unwrap_or(u32::MAX),
-        priority: asked.priority(),
-        latency_target: asked
+        connections: u32::try_from(request.service.connections).unwrap_or(u32::MAX),
+        priority: request.priority(),
+        latency_target: request
             .route
             .latency_target
-            .saturating_sub(asked.waited_before + asked.elapsed()),
+            .saturating_sub(request.waited_before + request.elapsed()),
         zone: &instance.zone,
         may_split: true,
-        send_time: instance.sending(asked.body.len()),
+        send_time: instance.transmission_time(request.body.len()),
         excluded: avoid,
         connected,
-        time_left: asked.first_answer_remaining(),
+        time_left: request.first_answer_remaining(),
         isolated: false,
         reserved: None,
     }
@@ -131,7 +132,7 @@
     fleet.get(id).map(|engine| engine.record.clone())
 }
 
-/// Where an engine listens, if it is known.
+/// An engine's address, if it is known.
 pub(crate) fn address(instance: &Instance, id: Option<&EngineId>) -> Option<SocketAddr> {
     Some(record(instance, id?)?.address)
 }
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -145,7 +145,7 @@
     demand: &Demand<'_>,
     read_in: Option<&Zone>,
 ) -> Option<Placed> {
-    let ticket = instance.pending.next_ticket();
+    let ticket = instance.pending_placements.next_ticket();
     let request = encode(instance, ticket, demand, read_in);
     let frame = Frame {
         ask: Some(request),
@@ -155,15 +155,15 @@
         .reports
         .placement_requested(address, instance.now());
     let (sender, receiver) = oneshot::channel();
-    let open = Open::new(&instance.pending, ticket, sender);
-    let socket = instance.pending.socket.get()?;
+    let open = PendingGuard::new(&instance.pending_placements, ticket, sender);
+    let socket = instance.pending_placements.socket.get()?;
     if let Err(error) = socket.try_send_to(&frame.encode_to_vec(), address) {
         log::debug!(to:% = address, error:% = error; "a question could not be sent");
         return None;
     }
     let answer = timeout(RESPONSE_TIMEOUT, receiver).await.ok()?.ok()?;
     drop(open);
-    Some(decode_response(
+    Some(decode_answer(
         &instance.fleet.borrow(),
         demand,
         address,
@@ -172,19 +172,19 @@
 }
 
 /// Removes a pending request when dropped: its caller may disconnect meanwhile.
-struct Open<'a> {
+struct PendingGuard<'a> {
     pending: &'a Pending,
     ticket: Ticket,
 }
 
-impl<'a> Open<'a> {
+impl<'a> PendingGuard<'a> {
     fn new(pending: &'a Pending, ticket: Ticket, sender: oneshot::Sender<Answer>) -> Self {
         pending.waiting.borrow_mut().insert(ticket, sender);
         Self { pending, ticket }
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
         self.pending.waiting.borrow_mut().remove(&self.ticket);
     }
@@ -222,11 +222,11 @@
     }
 }
 
-fn decode_response(fleet: &Fleet, demand: &Demand, placer: SocketAddr, answer: &Answer) -> Placed {
+fn decode_answer(fleet: &Fleet, demand: &Demand, placer: SocketAddr, answer: &Answer) -> Placed {
     let placed_by = (placer, answer.ticket);
-    let target = |told: &gateway::Target| decode_target(fleet, demand, told, placed_by);
+    let target = |encoded: &gateway::Target| decode_target(fleet, demand, encoded, placed_by);
     let choice = match &answer.choice {
-        Some(answer::Choice::Direct(told)) => target(told).map(Choice::Direct),
+        Some(answer::Choice::Direct(encoded)) => target(encoded).map(Choice::Direct),
         Some(answer::Choice::Split(split)) => {
             let prefill = split.prefill.as_ref().and_then(target);
             prefill.map(|prefill| Choice::Split {
@@ -253,10 +253,10 @@
 fn decode_target(
     fleet: &Fleet,
     demand: &Demand,
-    told: &gateway::Target,
+    encoded: &gateway::Target,
     placed_by: (SocketAddr, Ticket),
 ) -> Option<Target> {
-    let engine = fleet.by_hash(told.engine)?;
+    let engine = fleet.by_hash(encoded.engine)?;
     let takes_calls = fleet
         .get(&engine)
         .is_some_and(serving::engine::Engine::takes_calls);
@@ -265,19 +265,23 @@
     }
     Some(Target {
         engine,
-        prefill_tokens: told.unread,
-        work: told.work,
-        rank: Rank::try_from(told.rank).unwrap_or(Rank::MAX),
-        limit_wait: Duration::from_millis(told.wait_ms.into()),
-        expected_latency: Duration::from_micros(told.expected_us.into()),
-        fetch_from: fleet.by_hash(told.fetch),
+        prefill_tokens: encoded.unread,
+        work: encoded.work,
+        rank: Rank::try_from(encoded.rank).unwrap_or(Rank::MAX),
+        limit_wait: Duration::from_millis(encoded.wait_ms.into()),
+        expected_latency: Duration::from_micros(encoded.expected_us.into()),
+        fetch_from: fleet.by_hash(encoded.fetch),
         placed_by: Some(placed_by),
     })
 }
 
 /// Handles a placer's response.
 pub(crate) fn on_answer(instance: &Instance, from: SocketAddr, answer: &Answer) {
-    let waiting = instance.pending.waiting.borrow_mut().remove(&answer.ticket);
+    let waiting = instance
+        .pending_placements
+        .waiting
+        .borrow_mut()
+        .remove(&answer.ticket);
     if waiting.is_none_or(|waiting| waiting.send(*answer).is_err()) {
         log::debug!(from:% = from; "an answer comes too late");
     }
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -28,7 +28,7 @@
         fleet.retain_remote_calls(peer, &reports.open, now);
     }
     drop(fleet);
-    instance.stirred.notify_one();
+    instance.frame_due.notify_one();
 }
 
 /// Handles a peer's placement request.
@@ -109,8 +109,8 @@
         let sent = now + target.limit_wait;
         fleet.begin_remote_call(peer, ticket, &target.engine, target.work, target.rank, sent);
         drop(fleet);
-        instance.uses(&target.engine, &prompt);
-        instance.stirred.notify_one();
+        instance.announce_parts(&target.engine, &prompt);
+        instance.frame_due.notify_one();
     }
     Some(encode(&choice))
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Open connections to engines, kept for the next call.
+//! Pool of idle connections to engines.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,24 +11,24 @@
 
 use crate::instance::Instance;
 
-/// Connections to engines count as dead after about a second of silence of their machine. A
-/// machine that only rests within a garbage collection or the like is back sooner.
-const ENGINE: Patience = Patience {
+/// A connection to an engine counts as dead after about a second without an acknowledgement. A
+/// machine that only pauses, as for a garbage collection, is back sooner.
+const ENGINE_PATIENCE: Patience = Patience {
     connect: Duration::from_millis(350),
     acknowledge: Duration::from_millis(1_000),
     probe: Duration::from_millis(1_000),
     probes: 1,
 };
 
-/// Idle time after which a connection is not used again where the engine names no time.
-const IDLE: Duration = Duration::from_millis(2_500);
-/// A connection is not used again this long before the engine would close it: a request that
-/// crosses the close is lost.
-const MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections kept to one engine at the most. More were needed at once only in a burst.
-const KEPT: usize = 8;
-/// All instances together keep at most one in this many of the connections that an engine takes, so that
-/// those which are idle do not keep calls away.
+/// Idle time after which a connection is not reused if the engine states none.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(2_500);
+/// A connection is not reused this long before the engine would close it: a request that crosses
+/// the close is lost.
+const CLOSE_MARGIN: Duration = Duration::from_millis(700);
+/// Most idle connections to one engine; more are needed only in a burst.
+const MAX_IDLE: usize = 8;
+/// All instances together keep at most one in this many of the connections that an engine accepts,
+/// so that idle ones do not block calls.
 const KEPT_SHARE: usize = 2;
 
 struct Idle {
@@ -40,12 +40,12 @@
 #[derive(Default)]
 pub(crate) struct Pool {
     idle: RefCell<HashMap<EngineId, Vec<Idle>>>,
-    /// Connections that are not kept, of [`KEPT`].
-    forgone: Cell<usize>,
+    /// How many of [`MAX_IDLE`] are not used.
+    unused_slots: Cell<usize>,
 }
 
 impl Pool {
-    /// A connection to an engine, an idle one where there is one that can still be used.
+    /// An idle connection to an engine if one can be reused, or else a new one.
     pub(crate) async fn take(
         &self,
         instance: &Instance,
@@ -54,10 +54,10 @@
         if let Some(client) = self.reuse(&engine.id, instance.now()) {
             return Ok(client);
         }
-        Client::open(engine.address, &ENGINE, &instance.codec).await
+        Client::open(engine.address, &ENGINE_PATIENCE, &instance.codec).await
     }
 
-    /// Engines to which a connection is idle that can be used for a while.
+    /// Engines with an idle connection that stays usable for a while.
     pub(crate) fn connected(&self, now: Moment) -> Vec<EngineId> {
         let idle = self.idle.borrow();
         let usable = idle
@@ -66,7 +66,7 @@
         usable.map(|(engine, _)| engine.clone()).collect()
     }
 
-    /// The idle connection that was used last, which its engine will close last.
+    /// The most recently used idle connection, which its engine will close last.
     fn reuse(&self, engine: &EngineId, now: Moment) -> Option<Client> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(engine)?;
@@ -78,21 +78,23 @@
         None
     }
 
-    /// Keeps a connection whose answer is whole.
-    pub(crate) fn give(
+    /// Keeps a connection whose response was read completely.
+    pub(crate) fn put(
         &self,
         engine: &EngineId,
         mut client: Client,
         keep_alive: Option<Duration>,
         now: Moment,
     ) {
-        let time = keep_alive.unwrap_or(IDLE).saturating_sub(MARGIN);
+        let time = keep_alive
+            .unwrap_or(DEFAULT_IDLE_TIME)
+            .saturating_sub(CLOSE_MARGIN);
         if time.is_zero() || !client.is_reusable() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let kept = idle.entry(engine.clone()).or_default();
-        while kept.len() + self.forgone.get() >= KEPT {
+        while kept.len() + self.unused_slots.get() >= MAX_IDLE {
             kept.remove(0);
         }
         kept.push(Idle {
@@ -101,13 +103,14 @@
         });
     }
 
-    /// Takes in how many connections one engine takes of how many instances.
-    pub(crate) fn shared_by(&self, connections: usize, instances: usize) {
+    /// Sets this instance's share, from the connections that one engine accepts and the number of
+    /// instances.
+    pub(crate) fn set_share(&self, connections: usize, instances: usize) {
         let share = connections / KEPT_SHARE / instances.max(1);
-        self.forgone.set(KEPT - share.clamp(1, KEPT));
+        self.unused_slots.set(MAX_IDLE - share.clamp(1, MAX_IDLE));
     }
 
-    /// Closes connections whose time is over, and those to engines that have gone.
+    /// Closes expired connections, and those to engines that are gone.
     pub(crate) fn sweep(&self, now: Moment, lives: impl Fn(&EngineId) -> bool) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|engine, kept| {
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -52,10 +52,10 @@
             .suspects
             .merge(suspect, "instance", suspects::now(instance));
     }
-    limits::receive(instance, &frame.rate_limits, now);
+    limits::merge_from_peer(instance, &frame.rate_limits, now);
     check_synced(instance, frame.all_engines);
     if frame.read_configuration {
-        instance.must_read.set(true);
+        instance.must_read_configuration.set(true);
     }
 }
 
@@ -99,7 +99,7 @@
     if digest == 0 || instance.engines_known.get() {
         return;
     }
-    if instance.knows(Topic::Engines).digest == digest {
+    if instance.known(Topic::Engines).digest == digest {
         instance.engines_known.set(true);
         log::info!("all engines known, from another instance");
     }
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -104,7 +104,7 @@
             .get(&change.engine)
             .map_or(0, |engine| engine.running_calls())
     };
-    instance.stirred.notify_one();
+    instance.frame_due.notify_one();
     let answer = timeout(ANSWER, send(instance, engine, change, fence)).await;
     let answer = answer.ok().and_then(|sent| match sent {
         Ok(answer) => Some(answer),
@@ -143,10 +143,7 @@
     let mut client = Client::open(engine.address, &ENGINE, &instance.codec).await?;
     limits::charge(instance, &engine.id);
     let answer = client.send(head, &body).await?;
-    limits::note_announced(
-        instance,
-        &engine.id,
-        upstream::announced_limit(&answer.head),
+    limits::observe_announced(instance, &engine.id, upstream::announced_limit(&answer.head),
     );
     let status = answer.head.status.as_u16();
     client.body(MAX_BODY_BYTES).await?;
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -119,11 +119,11 @@
         } else {
             DISCOVERY_TIMEOUT
         };
-        while !self.instance.is_registered.get() && self.started.elapsed() < timeout {
+        while !self.instance.peers_discovered.get() && self.started.elapsed() < timeout {
             sleep(INITIAL_POLL_INTERVAL).await;
         }
         while !self.must_read() && !self.is_due() {
-            let has_state = self.instance.has(self.topic);
+            let has_state = self.instance.has_topic(self.topic);
             sleep(if has_state {
                 POLL_INTERVAL
             } else {
@@ -139,12 +139,12 @@
     }
 
     fn must_read(&self) -> bool {
-        self.topic == Topic::Configuration && self.instance.must_read.take()
+        self.topic == Topic::Configuration && self.instance.must_read_configuration.take()
     }
 
     fn is_due(&mut self) -> bool {
         let instance = &self.instance;
-        let own = instance.knows(self.topic);
+        let own = instance.known(self.topic);
         let peers = instance.peers.borrow();
         let others = peers.reader_states(self.topic);
         let order = instance.order();
@@ -171,7 +171,7 @@
         let before = self.instance.last_read(self.topic).replace(Some(now));
         if watch::is_resumption(before, now) {
             self.instance.greeting_due.set(true);
-            self.instance.stirred.notify_one();
+            self.instance.frame_due.notify_one();
         }
         if std::mem::take(&mut self.failures) > 0 {
             log::info!(topic = self.name(); "the store answers again");
@@ -262,7 +262,7 @@
     let news = to_news(topic, record);
     let now = instance.now();
     let upto = match topic {
-        Topic::Configuration => instance.knows(topic).upto,
+        Topic::Configuration => instance.known(topic).upto,
         Topic::Engines => record.offset,
     };
     let mut peers = instance.peers.borrow_mut();
@@ -272,7 +272,7 @@
         peers.queue_news(news);
     }
     drop(peers);
-    instance.stirred.notify_one();
+    instance.frame_due.notify_one();
 }
 
 fn apply_configuration(instance: &Instance, record: &KeyedRecord, source: &str) -> bool {
@@ -285,7 +285,7 @@
     };
     match records::parse_table(value) {
         Ok(table) => {
-            let is_new = instance.configure(table, source);
+            let is_new = instance.apply_configuration(table, source);
             if is_new {
                 let news = to_news(Topic::Configuration, record);
                 instance.snapshot.borrow_mut().apply(news);
@@ -411,7 +411,7 @@
         instance.pool.sweep(now, |id| fleet.get(id).is_some());
         let instances = instance.peers.borrow().count();
         if let Some(connections) = instance.table().and_then(|t| t.fewest_connections()) {
-            instance.pool.shared_by(connections, instances);
+            instance.pool.set_share(connections, instances);
         }
         let instances = u32::try_from(instances).unwrap_or(u32::MAX);
         instance.budgets.borrow_mut().set_instances(instances);
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -1,8 +1,8 @@
-//! Warms the prefix cache index up after a start.
+//! Warms up the prefix cache index after a start.
 //!
-//! An instance that has just started does not know which prompt parts engines hold, so engines would read prompts again
-//! that another one has cached. A peer that kept running announces what it knows; without one, each instance queries its share of
-//! the engines once.
+//! An instance that has just started does not know which prompt parts engines have cached, so
+//! prompts would be prefilled again at other engines. A live peer announces what it knows; without
+//! one, each instance queries its share of the engines once.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 /// Warms up each time this instance becomes a placer.
 pub(crate) async fn run(instance: Rc<Instance>) {
     loop {
-        while !(instance.is_placing() && instance.knows_all()) {
+        while !(instance.is_placing() && instance.is_synced()) {
             sleep(POLL_INTERVAL).await;
         }
         sleep(PEER_GRACE).await;
@@ -51,7 +51,7 @@
     let engines: Vec<Record> = {
         let fleet = instance.fleet.borrow();
         let with_model = fleet.all().filter(|engine| engine.record.stage.is_some());
-        let share = with_model.filter(|engine| instance.has_share(&engine.record.id));
+        let share = with_model.filter(|engine| instance.is_in_share(&engine.record.id));
         share.map(|engine| engine.record.clone()).collect()
     };
     let mut known = 0;
@@ -76,7 +76,7 @@
     let mut client = client.ok()?;
     let head = upstream::held_parts_request(engine.address);
     let response = client.send(head, &Bytes::new()).await.ok()?;
-    limits::note_announced(instance, &engine.id, upstream::announced_limit(&response.head),
+    limits::observe_announced(instance, &engine.id, upstream::announced_limit(&response.head),
     );
     let body = client.body(MAX_BODY_BYTES).await.ok()?;
     upstream::parse_held_parts(&body, engine.started_ms)
