--- a/crates/gateway/src/claim_log.rs
+++ b/crates/gateway/src/claim_log.rs
@@ -8,7 +8,7 @@
 use serving::claim::Fence;
 use wire::gateway;
 
-use crate::sizes::Sizes;
+use crate::pool_sizes::Sizes;
 
 /// Claims and the sizes ordered under them, as far as this instance knows.
 #[derive(Default)]
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -1,4 +1,5 @@
-//! Claims of the right to order engines and to perform duties, in the store. [`serving::claim`] decides who may claim.
+//! Claims in the store of the right to order engines and to perform duties. [`serving::turn`]
+//! decides who may claim.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,12 +12,12 @@
 use serving::claim::{self, Claimant, Fence};
 use serving::usage::Report;
 
-/// Why nothing may be ordered now.
+/// Why no orders may be given now.
 #[derive(Debug)]
 pub(crate) enum Denied {
-    /// Another instance did a moment ago.
+    /// Another instance gave orders a moment ago.
     NotOurTurn,
-    /// The store did not carry the claim out, or may have.
+    /// The store did not append the claim, or did not confirm it.
     Store(StoreError),
     /// Another claim came first.
     Overtaken,
@@ -41,38 +42,38 @@
     }
 }
 
-/// The right to order and to perform duties, for a moment.
+/// The right to give orders and to perform duties for a short time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Grant {
     pub(crate) fence: Fence,
-    /// On the clock that runs on while the machine is suspended.
+    /// On the clock that includes the machine's suspensions.
     until: Moment,
 }
 
 impl Grant {
-    /// Whether a call may still leave. A suspended machine would send one whose turn is long over.
-    pub(crate) fn holds(&self, clock: &System) -> bool {
+    /// Whether a call may still be sent. After a suspension, a grant may long be over.
+    pub(crate) fn is_valid(&self, clock: &System) -> bool {
         clock.now_boottime() < self.until
     }
 }
 
-/// The log of claims as it was read, where this instance may claim.
-pub(crate) struct Standing {
+/// The log of claims as read at a moment when this instance may claim.
+pub(crate) struct ClaimsView {
     end: Offset,
-    /// Reports that are fixed in the newest claim; missing where it cannot be read.
+    /// Reports fixed in the newest claim; missing if it cannot be read.
     pub(crate) reports: Option<Vec<Report>>,
-    /// Numbers of engines that others ordered last.
+    /// Numbers of engines that other instances ordered last.
     pub(crate) numbers: Vec<EngineCounts>,
-    /// What operators wish.
+    /// What operators requested.
     pub(crate) wishes: ScalingOverrides,
 }
 
-/// This instance's part in the log of claims.
+/// Reads and appends claims for this instance.
 pub(crate) struct Claims {
     store: Store,
     turns: Claimant,
     clock: System,
-    /// Under which other instances know this one.
+    /// Name under which other instances know this one.
     holder: String,
     incarnation: u64,
 }
@@ -95,27 +96,27 @@
         }
     }
 
-    /// Takes in a claim of another instance, of which that one told.
-    pub(crate) fn heard(&mut self, fence: Fence) {
+    /// Notes a claim that another instance announced.
+    pub(crate) fn note_peer_claim(&mut self, fence: Fence) {
         self.turns.observe_claim(fence, self.clock.now());
     }
 
-    /// Takes in the era of the store.
+    /// Notes the store's era.
     pub(crate) fn on_era(&mut self, era: Era) {
         self.turns.observe_era(era, self.clock.now());
     }
 
-    /// How long it is of no use to read.
-    pub(crate) fn rests(&self) -> Duration {
+    /// Time until another read can be of use.
+    pub(crate) fn wait_time(&self) -> Duration {
         self.turns.time_to_wait(self.clock.now())
     }
 
-    /// Reads the newest claim, and looks whether this instance may claim after it.
-    pub(crate) async fn read(&mut self) -> Result<Standing, Denied> {
+    /// Reads the newest claim, and checks whether this instance may claim after it.
+    pub(crate) async fn read(&mut self) -> Result<ClaimsView, Denied> {
         let newest = self.store.newest(CLAIMS_TOPIC).await?;
         let record = newest.records.iter().find(|record| record.key == CLAIM_KEY);
         let value = record.and_then(|record| record.value.as_ref());
-        let held = value.and_then(|value| match orders::Claim::from_bytes(value) {
+        let parsed = value.and_then(|value| match orders::Claim::from_bytes(value) {
             Ok(claim) => Some(claim),
             Err(error) => {
                 log::error!(error:% = error; "a claim cannot be read; it counts as another instance's");
@@ -124,22 +125,22 @@
         });
         let claim = record.map(|record| claim::Claim {
             fence: fence(record.offset),
-            holder: held.as_ref().map_or("", |claim| &claim.holder),
+            holder: parsed.as_ref().map_or("", |claim| &claim.holder),
         });
         let now = self.clock.now();
         self.turns.observe_era(store::era(newest.end), now);
         if !self.turns.may_claim(claim, &self.holder, now) {
             return Err(Denied::NotOurTurn);
         }
-        let is_unreadable = record.is_some() && held.is_none();
-        let (reports, numbers) = held.map_or_else(Default::default, |claim| {
-            // What this process ordered since its own claim stands there not yet.
+        let is_unreadable = record.is_some() && parsed.is_none();
+        let (reports, numbers) = parsed.map_or_else(Default::default, |claim| {
+            // A claim of this process lacks what it has ordered since.
             let is_own = claim.incarnation == self.incarnation;
             let numbers = if is_own { Vec::new() } else { claim.numbers };
             (claim.reports, numbers)
         });
         let reports = reports.into_iter().map(Report::from).collect();
-        Ok(Standing {
+        Ok(ClaimsView {
             end: newest.end,
             reports: (!is_unreadable).then_some(reports),
             numbers,
@@ -147,10 +148,11 @@
         })
     }
 
-    /// Claims, and fixes these reports with it: the store takes both or neither, and only if nobody has claimed since the log was read.
+    /// Claims, and fixes these reports in the claim: the store appends both or neither, and only if
+    /// nobody has claimed since the log was read.
     pub(crate) async fn claim(
         &mut self,
-        standing: &Standing,
+        standing: &ClaimsView,
         reports: &[Report],
         numbers: Vec<EngineCounts>,
     ) -> Result<Grant, Denied> {
@@ -173,7 +175,7 @@
     }
 }
 
-/// What operators wish, as the log of claims has it.
+/// Operators' requests from the records of the log of claims.
 pub(crate) fn wishes(records: &[KeyedRecord]) -> ScalingOverrides {
     let record = records.iter().find(|record| record.key == OVERRIDES_KEY);
     let Some(value) = record.and_then(|record| record.value.as_ref()) else {
@@ -188,7 +190,6 @@
     })
 }
 
-/// The fencing token of a claim. Tokens begin at 1.
 fn fence(offset: Offset) -> Fence {
     offset + 1
 }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -1,6 +1,6 @@
-//! What one instance at a time does for all: it orders engines to change what they do, reports what organisations use, and orders how
-//! many engines there are. Any instance may; a claim in the store sees to it that only one does at a time. See
-//! `docs/design/duties.md`.
+//! Performs the duties that one instance at a time has for all: changing engines' roles, reporting
+//! organisations' usage, and ordering engines. Any instance may; a claim in the store ensures that
+//! only one does at a time. See `docs/design/duties.md`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,20 +20,20 @@
 use crate::roles::Roles;
 use crate::usage::{Platform, REPORTERS};
 
-/// Pause between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(250);
-/// Pause after a claim that did not succeed, or a call that was not answered or refused.
-const RETRY: Duration = Duration::from_millis(1_000);
-/// Pause after an engine refused an order: it carries out another one, or has ended, which takes seconds
-/// to show.
-const REFUSED: Duration = Duration::from_secs(4);
-/// How much longer than the instance before it an instance waits with its claim. The first one
-/// needs a fraction of it, so that the others see what it did and need no call to the store.
+/// Interval between checks of what is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause after a failed claim, or a call that was refused or not answered.
+const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Pause after an engine refused an order: it is carrying out another one, or has ended, which
+/// takes seconds to show.
+const REFUSED_RETRY_INTERVAL: Duration = Duration::from_secs(4);
+/// Additional wait of each instance, in read order, before it claims. The first needs a fraction of
+/// it, so that the others see its result without a call to the store.
 const STAGGER: Duration = Duration::from_millis(2_500);
-/// Instances that wait for each other; all further ones wait as long as the last of these.
-const STAGGERED: u32 = 4;
+/// Instances that are staggered; all further ones wait as long as the last of these.
+const MAX_STAGGERED: u32 = 4;
 
-/// What is due now.
+/// Duties that are due now.
 struct Due {
     changes: RoleChanges,
     reports: bool,
@@ -50,11 +50,11 @@
     instance: Rc<Instance>,
     roles: Roles,
     claims: Claims,
-    /// Since when something has been due.
-    since: Option<Moment>,
+    /// Since when a duty has been due.
+    due_since: Option<Moment>,
 }
 
-/// Looks and does what is due, until the process is asked to end.
+/// Performs what is due until the process is asked to end.
 pub(crate) async fn run(instance: Rc<Instance>) {
     let (store, lease, is_first_start) = {
         let settings = instance.settings.borrow();
@@ -75,20 +75,20 @@
     let mut duties = Duties {
         roles: Roles::default(),
         claims,
-        since: None,
+        due_since: None,
         instance,
     };
     while !duties.instance.phase.is_leaving() {
-        let pause = duties.look().await;
+        let pause = duties.step().await;
         sleep(pause).await;
     }
 }
 
 impl Duties {
-    /// Looks once, and does what is due. Gives the pause until the next look.
-    async fn look(&mut self) -> Duration {
+    /// Performs once what is due. Returns the pause until the next step.
+    async fn step(&mut self) -> Duration {
         if let Some(fence) = self.instance.claim_log.announced() {
-            self.claims.heard(fence);
+            self.claims.note_peer_claim(fence);
         }
         if let Some(era) = self.instance.era.get() {
             self.claims.on_era(era);
@@ -96,28 +96,28 @@
         let now = self.instance.now();
         let due = self.due(now);
         if due.is_empty() {
-            self.since = None;
-            return LOOK;
+            self.due_since = None;
+            return POLL_INTERVAL;
         }
-        let since = *self.since.get_or_insert(now);
-        if now.saturating_sub(since) < self.patience(now) || !self.claims.rests().is_zero() {
-            return LOOK;
+        let since = *self.due_since.get_or_insert(now);
+        if now.saturating_sub(since) < self.stagger(now) || !self.claims.wait_time().is_zero() {
+            return POLL_INTERVAL;
         }
         match self.claim().await {
             Ok(grant) => {
-                self.since = None;
+                self.due_since = None;
                 self.perform(&due, grant).await
             }
             Err(denied) => {
                 log::info!(why:% = denied; "no orders may be given now");
-                RETRY
+                RETRY_INTERVAL
             }
         }
     }
 
     fn due(&mut self, now: Moment) -> Due {
         let instance = &self.instance;
-        // Others are not told of all work.
+        // Instances that are not placers are not told of all work.
         let is_synced = instance.engines_known.get() && instance.is_placing();
         if !is_synced {
             return Due {
@@ -142,21 +142,21 @@
         }
     }
 
-    /// How long this instance leaves what is due to those before it in the common order.
-    fn patience(&self, now: Moment) -> Duration {
+    /// How long this instance waits for those before it in the read order.
+    fn stagger(&self, now: Moment) -> Duration {
         let peers = self.instance.peers.borrow();
         let before = peers.live_before(self.instance.order(), now);
-        STAGGER * before.min(STAGGERED)
+        STAGGER * before.min(MAX_STAGGERED)
     }
 
-    /// Claims the right to do it, and fixes what is to be reported with the claim.
+    /// Claims the right to perform the duties, and fixes the reports in the claim.
     async fn claim(&mut self) -> Result<Grant, Denied> {
         let mut standing = self.claims.read().await?;
         let reports = self.propose(standing.reports.take());
         let numbers = {
             let mut sizes = self.instance.claim_log.target_sizes();
-            sizes.wish(std::mem::take(&mut standing.wishes));
-            // Later ones may have been told.
+            sizes.set_wishes(std::mem::take(&mut standing.wishes));
+            // Peers may have announced later numbers.
             if sizes.is_empty() {
                 sizes.adopt(&standing.numbers, self.instance.now());
             }
@@ -170,7 +170,7 @@
         Ok(grant)
     }
 
-    /// Reports for the claim, by those that the last one fixed.
+    /// Reports for the claim, following those that the last claim fixed.
     fn propose(&self, fixed: Option<Vec<Report>>) -> Vec<Report> {
         let unix = self.instance.unix();
         let mut ledger = self.instance.usage.borrow_mut();
@@ -185,19 +185,19 @@
     }
 
     async fn perform(&mut self, due: &Due, grant: Grant) -> Duration {
-        let are_taken = self.report(grant).await && self.resize(grant).await;
-        let are_ordered = self
+        let all_reported = self.report(grant).await && self.resize(grant).await;
+        let none_refused = self
             .roles
             .order_all(&self.instance, &due.changes, grant)
             .await;
-        match (are_ordered, are_taken) {
-            (false, _) => REFUSED,
-            (true, false) => RETRY,
-            (true, true) => LOOK,
+        match (none_refused, all_reported) {
+            (false, _) => REFUSED_RETRY_INTERVAL,
+            (true, false) => RETRY_INTERVAL,
+            (true, true) => POLL_INTERVAL,
         }
     }
 
-    /// Orders engines. Says whether all were to be had.
+    /// Orders engines. Returns whether the platform accepted all orders.
     async fn resize(&self, grant: Grant) -> bool {
         let instance = &self.instance;
         let Some(duties) = instance.settings.borrow().duties else {
@@ -205,20 +205,20 @@
         };
         let name = instance.settings.borrow().instance.clone();
         let platform = platform(instance, &duties, &name, grant);
-        let mut are_had = true;
-        // Planned anew, by what the claim before this one says that was ordered.
+        let mut all_accepted = true;
+        // Planned again, from what the previous claim says was ordered.
         let sizes = plan_sizes(instance);
         for (size, why) in &sizes {
             let answer = platform.order(size, *why).await;
-            instance.metrics.sized(counted(answer));
+            instance.metrics.sized(metric_answer(answer));
             let mut sizes = instance.claim_log.target_sizes();
-            sizes.answered(size, answer, instance.now());
-            are_had &= answer == Some(Answer::Taken);
+            sizes.on_answer(size, answer, instance.now());
+            all_accepted &= answer == Some(Answer::Taken);
         }
-        are_had
+        all_accepted
     }
 
-    /// Sends the reports that are fixed. Says whether all were taken.
+    /// Sends the fixed reports. Returns whether all were accepted.
     async fn report(&self, grant: Grant) -> bool {
         let instance = &self.instance;
         let Some(duties) = instance.settings.borrow().duties else {
@@ -234,7 +234,7 @@
         let platform = platform(instance, &duties, &name, grant);
         for report in reports {
             let answer = platform.report(&report).await;
-            instance.metrics.reported(counted(answer));
+            instance.metrics.reported(metric_answer(answer));
             if answer != Some(Answer::Taken) {
                 return false;
             }
@@ -260,7 +260,7 @@
     })
 }
 
-fn counted(answer: Option<Answer>) -> Ordered {
+fn metric_answer(answer: Option<Answer>) -> Ordered {
     match answer {
         None => Ordered::Unanswered,
         Some(Answer::Taken) => Ordered::Taken,
--- a/crates/gateway/src/sizes.rs
+++ b/crates/gateway/src/pool_sizes.rs
@@ -1,4 +1,5 @@
-//! How many engines each service has, as `serving::scaling` plans it. Who orders is decided in [`crate::duties`].
+//! Numbers of engines per service, as `serving::scaling` plans them. [`crate::duties`] decides
+//! which instance orders them.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +9,7 @@
 use serving::scaling::{Order, Planner, Reason, ZoneState};
 use serving::{Fleet, ServiceName, Table, Zone};
 
-/// Plans of all services.
+/// Planners by service.
 #[derive(Default)]
 pub(crate) struct Sizes {
     planners: BTreeMap<ServiceName, Planner>,
@@ -16,12 +17,8 @@
 }
 
 impl Sizes {
-    /// What should be ordered now.
-    pub(crate) fn plan(
-        &mut self,
-        table: &Table,
-        fleet: &Fleet,
-        now: Moment,
+    /// Orders that are due now.
+    pub(crate) fn plan(&mut self, table: &Table, fleet: &Fleet, now: Moment,
     ) -> Vec<(EngineTarget, Reason)> {
         if self.wishes.held {
             return Vec::new();
@@ -31,21 +28,24 @@
             let planner = self.planners.entry(service.clone()).or_default();
             let orders = planner.plan(fleet, service, range, now);
             let orders = orders.into_iter();
-            sizes.extend(orders.map(|order| (size(service, &order), order.reason)));
+            sizes.extend(orders.map(|order| (to_size(service, &order), order.reason)));
         }
         sizes
     }
 
-    /// Takes in what operators wish.
-    pub(crate) fn wish(&mut self, wishes: ScalingOverrides) {
+    /// Applies the operators' requests.
+    pub(crate) fn set_wishes(&mut self, wishes: ScalingOverrides) {
         if wishes == self.wishes {
             return;
         }
         log::info!(held = wishes.held, fixed = wishes.fixed.len(); "an operator's wishes for the numbers of engines");
         let mut fixed: BTreeMap<ServiceName, BTreeMap<(Zone, bool), u32>> = BTreeMap::new();
-        for one in &wishes.fixed {
-            let of_service = fixed.entry(one.service.as_str().into()).or_default();
-            of_service.insert((one.zone.as_str().into(), one.reclaimable), one.engines);
+        for entry in &wishes.fixed {
+            let by_kind = fixed.entry(entry.service.as_str().into()).or_default();
+            by_kind.insert(
+                (entry.zone.as_str().into(), entry.reclaimable),
+                entry.engines,
+            );
         }
         for (service, planner) in &mut self.planners {
             planner.set_fixed(fixed.remove(service).unwrap_or_default());
@@ -56,13 +56,13 @@
         self.wishes = wishes;
     }
 
-    /// Whether nothing was ordered here or heard of.
+    /// Whether no order is known, of this instance or others.
     pub(crate) fn is_empty(&self) -> bool {
         let is_none = |numbers: &EngineCounts| numbers.firm.or(numbers.reclaimable).is_none();
         self.numbers().iter().all(is_none)
     }
 
-    /// What was ordered last, and what the deployment started with.
+    /// Numbers that were ordered last, and those that the deployment started with.
     pub(crate) fn numbers(&self) -> Vec<EngineCounts> {
         let planners = self.planners.iter();
         let numbers = planners.flat_map(|(service, planner)| {
@@ -72,19 +72,19 @@
         numbers.collect()
     }
 
-    /// Takes in what was ordered by others.
+    /// Adopts the numbers that others ordered.
     pub(crate) fn adopt(&mut self, numbers: &[EngineCounts], now: Moment) {
-        for some in numbers.chunk_by(|one, next| one.service == next.service) {
-            let Some(first) = some.first() else { continue };
+        for group in numbers.chunk_by(|one, next| one.service == next.service) {
+            let Some(first) = group.first() else { continue };
             let service = ServiceName::from(first.service.as_str());
             let planner = self.planners.entry(service).or_default();
-            let booked: Vec<ZoneState> = some.iter().map(EngineCounts::to_booked).collect();
+            let booked: Vec<ZoneState> = group.iter().map(EngineCounts::to_booked).collect();
             planner.adopt(&booked, now);
         }
     }
 
-    /// Takes in what came of an order. One that was not answered may be carried out.
-    pub(crate) fn answered(&mut self, size: &EngineTarget, answer: Option<Answer>, now: Moment) {
+    /// Applies the answer to an order. One that was not answered may be carried out.
+    pub(crate) fn on_answer(&mut self, size: &EngineTarget, answer: Option<Answer>, now: Moment) {
         let Some(planner) = self.planners.get_mut(&size.service) else {
             return;
         };
@@ -101,7 +101,7 @@
     }
 }
 
-fn size(service: &ServiceName, order: &Order) -> EngineTarget {
+fn to_size(service: &ServiceName, order: &Order) -> EngineTarget {
     EngineTarget {
         service: service.clone(),
         data_centre: order.zone.clone(),
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -1,4 +1,5 @@
-//! Orders engines to read prompts or to generate, as `serving::roles` plans it. Who orders is decided in [`crate::duties`].
+//! Orders engines to prefill or to decode, as `serving::roles` plans. [`crate::duties`] decides
+//! which instance gives the orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,29 +21,30 @@
 use crate::metrics::Ordered;
 use crate::placement;
 
-/// Time for an engine's answer to an order.
-const ANSWER: Duration = Duration::from_millis(400);
-/// An order that is not acknowledged by then is given up by the kernel, so that it does not arrive
-/// after another instance's.
-const ENGINE: Patience = Patience {
+/// Time-out of an order.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// The kernel gives up an order that is not acknowledged in time, so that it does not arrive after
+/// another instance's.
+const ENGINE_PATIENCE: Patience = Patience {
     connect: Duration::from_millis(250),
     acknowledge: Duration::from_millis(400),
-    probe: ANSWER,
+    probe: ANSWER_TIMEOUT,
     probes: 1,
 };
 
-/// Plans of all services.
+/// Planners by service.
 #[derive(Default)]
 pub(crate) struct Roles {
     planners: BTreeMap<ServiceName, Planner>,
 }
 
 impl Roles {
-    /// Engines that should change now.
+    /// Engines that should change their role now.
     pub(crate) fn plan(&mut self, instance: &Instance, now: Moment) -> RoleChanges {
         let fleet = instance.fleet.borrow();
         let with_stage = fleet.all().filter(|engine| engine.record.stage.is_some());
-        // Entries may name services that no configuration knows; their engines are nobody's to order.
+        // Records may name services that the configuration lacks; nobody gives orders to their
+        // engines.
         let table = instance.table();
         let is_known = |name: &ServiceName| {
             let table = table.as_ref();
@@ -59,29 +61,29 @@
         changes
     }
 
-    /// Gives the orders. Says whether no engine refused.
+    /// Gives the orders. Returns whether no engine refused.
     pub(crate) async fn order_all(
         &self,
         instance: &Instance,
         changes: &RoleChanges,
         grant: Grant,
     ) -> bool {
-        let mut taken = true;
+        let mut none_refused = true;
         for change in changes {
-            if !grant.holds(&instance.clock) {
+            if !grant.is_valid(&instance.clock) {
                 log::info!(fence = grant.fence; "the time for orders is over");
-                return taken;
+                return none_refused;
             }
             let Some(engine) = placement::record(instance, &change.engine) else {
                 continue;
             };
             match order(instance, &engine, change, grant.fence).await {
                 Some(Answer::Superseded) => return false,
-                Some(Answer::Busy | Answer::Refused(_)) => taken = false,
+                Some(Answer::Busy | Answer::Refused(_)) => none_refused = false,
                 Some(Answer::Accepted | Answer::Holds) | None => {}
             }
         }
-        taken
+        none_refused
     }
 }
 
@@ -105,7 +107,7 @@
             .map_or(0, |engine| engine.running_calls())
     };
     instance.frame_due.notify_one();
-    let answer = timeout(ANSWER, send(instance, engine, change, fence)).await;
+    let answer = timeout(ANSWER_TIMEOUT, send(instance, engine, change, fence)).await;
     let answer = answer.ok().and_then(|sent| match sent {
         Ok(answer) => Some(answer),
         Err(failure) => {
@@ -140,7 +142,7 @@
 ) -> Result<Answer, Failure> {
     let holder = instance.address.to_string();
     let (head, body) = orders::stage_order(engine, change.stage, &holder, fence);
-    let mut client = Client::open(engine.address, &ENGINE, &instance.codec).await?;
+    let mut client = Client::open(engine.address, &ENGINE_PATIENCE, &instance.codec).await?;
     limits::charge(instance, &engine.id);
     let answer = client.send(head, &body).await?;
     limits::observe_announced(instance, &engine.id, upstream::announced_limit(&answer.head),
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -1,5 +1,5 @@
-//! Reports what organisations use. What is counted, told and fixed is decided in [`serving::usage`]; who reports, in
-//! [`crate::duties`].
+//! Reports organisations' usage to the platform. [`serving::usage`] counts and fixes it;
+//! [`crate::duties`] decides which instance reports.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,14 +15,16 @@
 
 use crate::claims::Grant;
 
-/// Instances that are told what organisations use: the one that reports it, and those that take over from it.
+/// Instances that receive the usage counts: the one that reports, and its successors.
 pub(crate) const REPORTERS: usize = 3;
-/// Largest answer of the platform that is read, in bytes. What it says is in its status.
-const MOST: usize = 64 * 1024;
-/// Time for the platform's answer to a call. It may be slow for seconds; a call that was not answered is made again, with the same content.
-const ANSWER: Duration = Duration::from_millis(1_000);
-/// A call that is not acknowledged by then is given up by the kernel, so that it does not arrive after another instance's.
-const PLATFORM: Patience = Patience {
+/// Largest response of the platform that is read; only the status matters.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
+/// Time-out of a call to the platform, which may be slow for seconds; an unanswered call is
+/// repeated with the same content.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The kernel gives up a call that is not acknowledged in time, so that it does not arrive after
+/// another instance's.
+const PLATFORM_PATIENCE: Patience = Patience {
     connect: Duration::from_millis(250),
     acknowledge: Duration::from_millis(400),
     probe: Duration::from_millis(400),
@@ -40,7 +42,8 @@
 }
 
 impl Platform<'_> {
-    /// Reports the use of a window. Gives nothing if the claim is over, or no answer came: the call may be carried out all the same.
+    /// Reports the usage of a window. Returns `None` if the claim is over or no answer came; the
+    /// call may be carried out nevertheless.
     pub(crate) async fn report(&self, report: &Report) -> Option<Answer> {
         let (head, body) = duties::usage_call(self.address, self.as_holder(), report);
         let answer = self.call(head, &body).await;
@@ -53,7 +56,7 @@
         answer
     }
 
-    /// Orders engines. Gives nothing as [`Platform::report`] does.
+    /// Orders engines. Returns `None` as [`Platform::report`] does.
     pub(crate) async fn order(&self, size: &duties::EngineTarget, why: Reason) -> Option<Answer> {
         let (head, body) = duties::scale_call(self.address, self.as_holder(), size);
         let answer = self.call(head, &body).await;
@@ -73,16 +76,16 @@
     }
 
     async fn call(&self, head: actix_http::RequestHead, body: &bytes::Bytes) -> Option<Answer> {
-        let sent = async {
-            let mut client = Client::open(self.address, &PLATFORM, self.codec).await?;
-            if !self.grant.holds(self.clock) {
+        let exchange = async {
+            let mut client = Client::open(self.address, &PLATFORM_PATIENCE, self.codec).await?;
+            if !self.grant.is_valid(self.clock) {
                 return Ok(None);
             }
             let status = client.send(head, body).await?.head.status.as_u16();
-            client.body(MOST).await?;
+            client.body(MAX_ANSWER_BYTES).await?;
             Ok::<_, Failure>(Some(duties::parse_answer(status)))
         };
-        match timeout(ANSWER, sent).await {
+        match timeout(ANSWER_TIMEOUT, exchange).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(failure)) => {
                 log::info!(failure:% = failure; "the platform could not be called");
