--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -79,7 +79,7 @@
 }
 
 fn log_held(instance: &Instance, request: &Request, after: Duration) {
-    instance.metrics.held();
+    instance.metrics.call_held();
     let entry = instance
         .suspects
         .get(request.fingerprint())
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -9,7 +9,7 @@
 use serving::fingerprint::Fingerprint;
 use signals::Early;
 
-use crate::{daemon, explain, journal, operator};
+use crate::{daemon, explain, logging, operator};
 
 /// Exit code for invalid settings.
 const BAD_SETTINGS: u8 = 2;
@@ -227,7 +227,7 @@
             return ExitCode::FAILURE;
         }
     };
-    journal::init();
+    logging::init();
     let (path, settings) = match load(path) {
         Ok(loaded) => loaded,
         Err(code) => return code,
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -16,7 +16,7 @@
 
 use crate::claims::{Claims, Denied, Grant};
 use crate::instance::Instance;
-use crate::metrics::Ordered;
+use crate::metrics::OrderAnswer;
 use crate::roles::Roles;
 use crate::usage::{Platform, REPORTERS};
 
@@ -210,7 +210,7 @@
         let sizes = plan_sizes(instance);
         for (size, why) in &sizes {
             let answer = platform.order(size, *why).await;
-            instance.metrics.sized(metric_answer(answer));
+            instance.metrics.engines_ordered(metric_answer(answer));
             let mut sizes = instance.claim_log.target_sizes();
             sizes.on_answer(size, answer, instance.now());
             all_accepted &= answer == Some(Answer::Taken);
@@ -234,7 +234,7 @@
         let platform = platform(instance, &duties, &name, grant);
         for report in reports {
             let answer = platform.report(&report).await;
-            instance.metrics.reported(metric_answer(answer));
+            instance.metrics.usage_reported(metric_answer(answer));
             if answer != Some(Answer::Taken) {
                 return false;
             }
@@ -260,11 +260,11 @@
     })
 }
 
-fn metric_answer(answer: Option<Answer>) -> Ordered {
+fn metric_answer(answer: Option<Answer>) -> OrderAnswer {
     match answer {
-        None => Ordered::Unanswered,
-        Some(Answer::Taken) => Ordered::Taken,
-        Some(_) => Ordered::Refused,
+        None => OrderAnswer::Unanswered,
+        Some(Answer::Taken) => OrderAnswer::Taken,
+        Some(_) => OrderAnswer::Refused,
     }
 }
 
--- a/crates/gateway/src/explain.rs
+++ b/crates/gateway/src/explain.rs
@@ -1,4 +1,4 @@
-//! One request's way through the logs of several instances.
+//! Collects the log lines of one request from several instances.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,61 +7,61 @@
 
 use serde::Serialize;
 
-/// A line of a log that concerns a request.
+/// A log line that concerns a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Line {
-    /// Time as it stands in the line.
+    /// Time as written in the line.
     pub time: String,
-    /// File that it is from.
+    /// File that contains it.
     pub file: PathBuf,
     /// Text after the time.
     pub text: String,
 }
 
-/// What the logs tell of a request.
+/// Log lines of a request and their context.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct Story {
+pub struct Trace {
     /// Lines with the request's id, in order of time.
     pub lines: Vec<Line>,
-    /// What was last believed of each engine that these lines name, before their end.
+    /// Last known state of each engine that these lines name, up to the last of them.
     pub beliefs: BTreeMap<String, Line>,
-    /// Lines that a log says it has dropped, by file.
+    /// Number of lines that each file reports as dropped.
     pub dropped: BTreeMap<PathBuf, u64>,
 }
 
-/// Reads what the files tell of the request with this id.
+/// Reads the lines of the request with this id.
 ///
 /// # Errors
 ///
 /// If a file cannot be read.
-pub fn read(id: &str, files: &[PathBuf]) -> io::Result<Story> {
-    let mut story = Story::default();
+pub fn read(id: &str, files: &[PathBuf]) -> io::Result<Trace> {
+    let mut trace = Trace::default();
     let mut beliefs = Vec::new();
     for file in files {
         for text in fs::read_to_string(file)?.lines() {
             if field(text, "id") == Some(id) {
-                story.lines.push(line(file, text));
+                trace.lines.push(parse_line(file, text));
             } else if text.contains("engine changed") || text.contains("engine's record is gone") {
-                beliefs.push(line(file, text));
+                beliefs.push(parse_line(file, text));
             } else if text.contains("log lines were dropped") {
                 let count = field(text, "count").and_then(|count| count.parse().ok());
-                *story.dropped.entry(file.clone()).or_default() += count.unwrap_or(0);
+                *trace.dropped.entry(file.clone()).or_default() += count.unwrap_or(0);
             }
         }
     }
-    story.lines.sort_by(|a, b| a.time.cmp(&b.time));
-    add_beliefs(&mut story, beliefs);
-    Ok(story)
+    trace.lines.sort_by(|a, b| a.time.cmp(&b.time));
+    add_engine_states(&mut trace, beliefs);
+    Ok(trace)
 }
 
-fn add_beliefs(story: &mut Story, mut beliefs: Vec<Line>) {
+fn add_engine_states(trace: &mut Trace, mut beliefs: Vec<Line>) {
     beliefs.sort_by(|a, b| a.time.cmp(&b.time));
-    let Some(last) = story.lines.last() else {
+    let Some(last) = trace.lines.last() else {
         return;
     };
-    let engines = story
+    let engines = trace
         .lines
         .iter()
         .filter_map(|line| field(&line.text, "engine"));
@@ -72,32 +72,32 @@
     {
         let engine = field(&belief.text, "engine").map(str::to_owned);
         if let Some(engine) = engine.filter(|engine| engines.contains(engine)) {
-            story.beliefs.insert(engine, belief);
+            trace.beliefs.insert(engine, belief);
         }
     }
 }
 
-impl Story {
-    /// The story for programs.
+impl Trace {
+    /// Formats the trace as JSON.
     ///
     /// # Errors
     ///
-    /// If the name of a file is no text.
+    /// If a file's name is not UTF-8.
     pub fn json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string_pretty(self)
     }
 
-    /// The story for people.
+    /// Formats the trace as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         if self.lines.is_empty() {
             text.push_str("no line names this request\n");
         }
         for line in &self.lines {
-            text.push_str(&told(line));
+            text.push_str(&format_line(line));
         }
         for (engine, belief) in &self.beliefs {
-            text.push_str(&format!("last known of {engine}: {}", told(belief)));
+            text.push_str(&format!("last known of {engine}: {}", format_line(belief)));
         }
         for (file, count) in &self.dropped {
             let file = file.display();
@@ -109,13 +109,13 @@
     }
 }
 
-fn told(line: &Line) -> String {
+fn format_line(line: &Line) -> String {
     let name = line.file.file_name().unwrap_or_default().to_string_lossy();
     format!("{} {} {}\n", line.time, name, line.text)
 }
 
-/// A line of a log as `env_logger` writes it: the time in brackets, with the level and the module.
-fn line(file: &Path, text: &str) -> Line {
+/// Parses a line as `env_logger` writes it: the time in brackets, with the level and the module.
+fn parse_line(file: &Path, text: &str) -> Line {
     let (head, rest) = text.split_once("] ").unwrap_or(("", text));
     let head = head.rsplit_once('[').map_or(head, |(_, head)| head);
     let time = head.split(' ').next().unwrap_or_default();
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -76,7 +76,7 @@
 }
 
 fn log_result(instance: &Instance, request: &Request, done: &Stream) {
-    instance.metrics.stream(match done {
+    instance.metrics.stream_ended(match done {
         Stream::Whole(_) => metrics::End::Served,
         Stream::Broken(_) => metrics::End::Cut,
         Stream::Unserved(end) => metric_end(end),
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -149,7 +149,7 @@
             .as_ref()
             .and_then(|table| table.organisations.as_ref());
         let known = directory.map_or(0, Directory::len);
-        self.metrics.begun(organisation, known);
+        self.metrics.request_started(organisation, known);
         if let Some(ledger) = self.usage.borrow_mut().as_mut() {
             ledger.count_request(organisation, at);
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon `tarragon-gateway`: callers' requests in, engines' answers out, on the users'
-//! platform. It stands at the end of the dependencies: the platform's adapter translates what comes
-//! and goes, `serving` decides, `http1` carries, and the modules here connect them on one thread.
-//! See [`docs/design/platform.md`](../../../docs/design/platform.md).
+//! The daemon `tarragon-gateway`: forwards callers' requests to engines on the users' platform.
+//! Nothing depends on this crate: the platform's adapter translates requests and records, `serving`
+//! decides, `http1` carries the traffic, and the modules here connect them on one thread. See
+//! [`docs/design/platform.md`](../../../docs/design/platform.md).
 
 mod admission;
 mod attempt;
@@ -20,9 +20,9 @@
 mod frame;
 mod generate;
 mod instance;
-pub mod journal;
 mod lifecycle;
 mod limits;
+pub mod logging;
 mod mesh;
 mod metrics;
 mod operator;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -123,7 +123,7 @@
     if target.limit_wait.is_zero() {
         return true;
     }
-    instance.metrics.throttled(Throttled::Waited);
+    instance.metrics.call_throttled(Throttled::Waited);
     log::info!(
         id = request.call.id.as_str(), engine = &*target.engine, wait_ms:% = target.limit_wait.as_millis();
         "waits for the engine's rate limit"
@@ -141,6 +141,6 @@
         ..
     } = choice
     {
-        instance.metrics.throttled(Throttled::Refused);
+        instance.metrics.call_throttled(Throttled::Refused);
     }
 }
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log of a process: lines to standard output, bounded, and never in the way of a call.
+//! Process log: lines to standard output, rate-limited, and never blocking a call.
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -12,23 +12,22 @@
 use clock::{Clock as _, Moment, System};
 use log::{Log, Metadata, Record};
 
-/// Lines that wait for a reader of standard output that is slow.
-const WAITING: usize = 2_048;
+/// Lines that may wait for a slow reader of standard output.
+const QUEUE_LINES: usize = 2_048;
 
-/// Takes lines and hands them to a thread that writes them.
+/// A writer that queues lines for a thread that writes them.
 ///
-/// A reader of the log that stops fills the pipe, and a write to a full pipe blocks; the process has one
-/// thread, so all its calls would stop with it. One notices it by instances that stand still together
-/// with the collector of their logs. So lines wait in a bounded queue, and those that find it full are
-/// counted and told of in a later line.
-pub struct Lines {
+/// A log reader that stops fills the pipe, and a write to a full pipe blocks. The process has one
+/// thread, so all its calls would stop together with the log collector. So lines wait in a bounded
+/// queue; those that find it full are dropped and counted in a later line.
+pub struct QueuedWriter {
     sender: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
     line: Vec<u8>,
 }
 
-impl Lines {
-    /// Lines that a thread writes to `sink`, of which at most `waiting` wait for it.
+impl QueuedWriter {
+    /// Starts a thread that writes lines to `sink`, with a queue of `waiting` lines.
     ///
     /// # Errors
     ///
@@ -47,7 +46,7 @@
         })
     }
 
-    fn hand_over(&mut self, line: Vec<u8>) {
+    fn enqueue(&mut self, line: Vec<u8>) {
         match self.sender.try_send(line) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
@@ -57,12 +56,12 @@
     }
 }
 
-impl Write for Lines {
+impl Write for QueuedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(bytes);
         if self.line.ends_with(b"\n") {
             let line = std::mem::take(&mut self.line);
-            self.hand_over(line);
+            self.enqueue(line);
         }
         Ok(bytes.len())
     }
@@ -75,9 +74,9 @@
 fn write_all(mut sink: impl Write, receiver: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     while let Ok(line) = receiver.recv() {
         let count = dropped.swap(0, Ordering::Relaxed);
-        let told = format!("log lines were dropped count={count}\n");
-        let note = if count > 0 { told.as_bytes() } else { b"" };
-        // Nobody reads the log any more; what is lost is what nobody would have read.
+        let text = format!("log lines were dropped count={count}\n");
+        let note = if count > 0 { text.as_bytes() } else { b"" };
+        // Nobody reads the log any more, so nothing of use is lost.
         if sink
             .write_all(note)
             .and_then(|()| sink.write_all(&line))
@@ -88,24 +87,24 @@
     }
 }
 
-/// Where a line is logged: lines of one place are of one kind.
-pub type Kind = (&'static str, u32);
+/// Source file and line of the call that logs. Budgets apply per call site.
+pub type CallSite = (&'static str, u32);
 
-/// Lines of one kind in a second. An instance of the largest deployment carries 40 calls a second; a kind
-/// that exceeds this by far repeats itself, and would crowd out the others.
-const LINES: u32 = 400;
-/// The time that a budget is for.
-const SECOND: Duration = Duration::from_secs(1);
+/// Lines of one call site per second. An instance of the largest deployment serves 40 calls a
+/// second; a call site that far exceeds this repeats itself, and would crowd out the others.
+const MAX_LINES_PER_SECOND: u32 = 400;
+/// Window of a budget.
+const BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
 /// What happens to a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is written, after a note of how many before it were not, if any.
+    /// It is written, preceded by a count of dropped lines if there are any.
     Written {
-        /// Lines of its kind that were dropped before it.
+        /// Lines of its call site that were dropped before it.
         dropped: u64,
     },
-    /// It is counted only.
+    /// It is only counted.
     Dropped,
 }
 
@@ -116,26 +115,26 @@
     dropped: u64,
 }
 
-/// How many lines of each kind are written in a second.
+/// Limits the lines that each call site writes per second.
 #[derive(Debug)]
-pub struct Budget {
+pub struct LineBudget {
     lines: u32,
-    kinds: HashMap<Kind, Window>,
+    windows: HashMap<CallSite, Window>,
 }
 
-impl Budget {
-    /// So many lines of each kind in a second.
+impl LineBudget {
+    /// A budget of `lines` per call site and second.
     pub fn new(lines: u32) -> Self {
         Self {
             lines,
-            kinds: HashMap::new(),
+            windows: HashMap::new(),
         }
     }
 
-    /// Takes a line in.
-    pub fn admit(&mut self, kind: Kind, now: Moment) -> Admission {
-        let window = self.kinds.entry(kind).or_default();
-        if now.saturating_sub(window.begun) >= SECOND {
+    /// Decides on a line.
+    pub fn admit(&mut self, kind: CallSite, now: Moment) -> Admission {
+        let window = self.windows.entry(kind).or_default();
+        if now.saturating_sub(window.begun) >= BUDGET_WINDOW {
             window.begun = now;
             window.lines = 0;
         }
@@ -150,14 +149,14 @@
     }
 }
 
-/// Passes lines on within their budgets.
-struct Bounded {
+/// A logger that enforces the budget.
+struct BoundedLogger {
     logger: env_logger::Logger,
     clock: System,
-    budget: Mutex<Budget>,
+    budget: Mutex<LineBudget>,
 }
 
-impl Log for Bounded {
+impl Log for BoundedLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         self.logger.enabled(metadata)
     }
@@ -171,14 +170,14 @@
             record.line().unwrap_or_default(),
         );
         let admission = {
-            // A panic while lines are counted leaves counts that are good enough.
+            // A panic while counting leaves counts that are good enough.
             let budget = self.budget.lock();
             let mut budget = budget.unwrap_or_else(PoisonError::into_inner);
             budget.admit(kind, self.clock.now())
         };
         if let Admission::Written { dropped } = admission {
             if dropped > 0 {
-                self.note(record, dropped);
+                self.log_dropped(record, dropped);
             }
             self.logger.log(record);
         }
@@ -189,9 +188,9 @@
     }
 }
 
-impl Bounded {
-    /// Tells how many lines of a kind were dropped, in the form that the reader of logs knows.
-    fn note(&self, record: &Record, dropped: u64) {
+impl BoundedLogger {
+    /// Logs how many lines of a call site were dropped, in the form that `explain` parses.
+    fn log_dropped(&self, record: &Record, dropped: u64) {
         let line = record.line().unwrap_or_default();
         let values = [("line", u64::from(line)), ("count", dropped)];
         let note = Record::builder()
@@ -204,12 +203,13 @@
     }
 }
 
-/// Logs key-values to standard output, from level `info` unless the environment says otherwise.
+/// Starts logging key-values to standard output, from level `info` unless the environment sets
+/// another.
 pub(crate) fn init() {
     let environment = env_logger::Env::default().default_filter_or("info,actix_http=off");
     let mut builder = env_logger::Builder::from_env(environment);
     builder.format_timestamp_millis();
-    match Lines::new(io::stdout(), WAITING) {
+    match QueuedWriter::new(io::stdout(), QUEUE_LINES) {
         Ok(lines) => builder.target(env_logger::Target::Pipe(Box::new(lines))),
         Err(error) => {
             eprintln!("the log is written without a thread of its own: {error}");
@@ -218,10 +218,10 @@
     };
     let logger = builder.build();
     let most = logger.filter();
-    let bounded = Bounded {
+    let bounded = BoundedLogger {
         logger,
         clock: System::new(),
-        budget: Mutex::new(Budget::new(LINES)),
+        budget: Mutex::new(LineBudget::new(MAX_LINES_PER_SECOND)),
     };
     match log::set_boxed_logger(Box::new(bounded)) {
         Ok(()) => log::set_max_level(most),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Counters and histograms of a process, and the page that serves them in the OpenMetrics text format.
-//! Labels take few values each, whatever callers and operators name things. `docs/OPERATIONS.md`,
-//! section "Metrics", lists them.
+//! Counters and histograms of a process, and the page that serves them in the OpenMetrics text
+//! format. Labels take few values each, whatever names callers and operators choose.
+//! `docs/OPERATIONS.md`, section "Metrics", lists them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,56 +23,56 @@
 
 /// Path of the page.
 const PATH: &str = "/metrics";
-/// Its type, as the format's specification gives it.
-const TEXT: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Upper bounds of the histograms' buckets, in seconds: denser around the targets of the users' routes,
-/// which lie between 0.1 and 0.8.
-const BUCKETS: [f64; 12] = [
+/// Content type, as the format's specification requires.
+const OPENMETRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Upper bounds of the latency histograms' buckets, in seconds: denser around the targets of the
+/// users' routes, which lie between 0.1 and 0.8.
+const LATENCY_BUCKETS_S: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0,
 ];
 
-/// Organisations up to which each has a count of its own; of more, all have one together.
-const ORGANISATIONS: usize = 1_000;
+/// Up to this many organisations, each has a label of its own; beyond, all share one.
+const MAX_LABELLED_ORGANISATIONS: usize = 1_000;
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum End {
-    /// With an engine's whole answer.
+    /// With a complete response of an engine.
     Served,
-    /// It has not run and will not.
+    /// Refused; it has not run and will not.
     Refused,
-    /// Without an answer; it may have run.
+    /// Without a response; it may have run.
     Failed,
-    /// Nobody waited any more.
+    /// The caller's time ended.
     Late,
-    /// Midway, or its caller left.
+    /// Incomplete, or its caller disconnected.
     Cut,
 }
 
-/// What an order to an engine came to.
+/// Answer to an order.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub(crate) enum Ordered {
+pub(crate) enum OrderAnswer {
     Taken,
     Refused,
     Unanswered,
 }
 
-/// What a question to an instance that places calls came to.
+/// Answer of a placer to a placement request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub(crate) enum Asked {
+pub(crate) enum PlacementAnswer {
     Placed,
     Declined,
     Silent,
 }
 
-/// What a rate limit of an engine does to a call.
+/// Effect of an engine's rate limit on a call.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Throttled {
     Waited,
     Refused,
 }
 
-/// What is done with a call under which engines ended.
+/// Treatment of a call that crashed engines.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Suspect {
     Held,
@@ -92,59 +92,59 @@
 }
 
 labels!(End: Served = "served", Refused = "refused", Failed = "failed", Late = "late", Cut = "cut");
-labels!(Asked: Placed = "placed", Declined = "declined", Silent = "silent");
+labels!(PlacementAnswer: Placed = "placed", Declined = "declined", Silent = "silent");
 labels!(Suspect: Held = "held", Alone = "alone");
 labels!(Throttled: Waited = "waited", Refused = "refused");
-labels!(Ordered: Taken = "taken", Refused = "refused", Unanswered = "unanswered");
+labels!(OrderAnswer: Taken = "taken", Refused = "refused", Unanswered = "unanswered");
 
-/// Label names with one value each.
+/// One label name with its value.
 type Labels<T> = [(&'static str, T); 1];
 
 /// All metrics of a process.
 pub(crate) struct Metrics {
     registry: Registry,
-    plain: Family<Labels<End>, Counter>,
+    plain_calls: Family<Labels<End>, Counter>,
     streams: Family<Labels<End>, Counter>,
-    plain_time: Histogram,
-    first_time: Histogram,
-    orders: Family<Labels<Ordered>, Counter>,
-    begun: Family<Labels<String>, Counter>,
-    reports: Family<Labels<Ordered>, Counter>,
-    sizes: Family<Labels<Ordered>, Counter>,
-    questions: Family<Labels<Asked>, Counter>,
+    plain_call_time: Histogram,
+    first_event_time: Histogram,
+    orders: Family<Labels<OrderAnswer>, Counter>,
+    organisation_requests: Family<Labels<String>, Counter>,
+    usage_reports: Family<Labels<OrderAnswer>, Counter>,
+    engine_orders: Family<Labels<OrderAnswer>, Counter>,
+    placement_requests: Family<Labels<PlacementAnswer>, Counter>,
     store_failures: Counter,
-    held: Counter,
-    throttled: Family<Labels<Throttled>, Counter>,
-    limited: Gauge,
+    held_calls: Counter,
+    throttled_calls: Family<Labels<Throttled>, Counter>,
+    limited_engines: Gauge,
     suspects: Family<Labels<Suspect>, Gauge>,
-    configuration: Gauge,
+    configuration_version: Gauge,
     engines: Gauge,
     instances: Gauge,
-    in_hand: Gauge,
+    open_calls: Gauge,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("tarragon"),
-            plain: Family::default(),
+            plain_calls: Family::default(),
             streams: Family::default(),
-            plain_time: Histogram::new(BUCKETS),
-            first_time: Histogram::new(BUCKETS),
+            plain_call_time: Histogram::new(LATENCY_BUCKETS_S),
+            first_event_time: Histogram::new(LATENCY_BUCKETS_S),
             orders: Family::default(),
-            begun: Family::default(),
-            reports: Family::default(),
-            sizes: Family::default(),
-            questions: Family::default(),
+            organisation_requests: Family::default(),
+            usage_reports: Family::default(),
+            engine_orders: Family::default(),
+            placement_requests: Family::default(),
             store_failures: Counter::default(),
-            held: Counter::default(),
-            throttled: Family::default(),
-            limited: Gauge::default(),
+            held_calls: Counter::default(),
+            throttled_calls: Family::default(),
+            limited_engines: Gauge::default(),
             suspects: Family::default(),
-            configuration: Gauge::default(),
+            configuration_version: Gauge::default(),
             engines: Gauge::default(),
             instances: Gauge::default(),
-            in_hand: Gauge::default(),
+            open_calls: Gauge::default(),
         };
         metrics.register();
         metrics
@@ -157,41 +157,41 @@
         registry.register(
             "plain_calls",
             "Plain calls by how they ended",
-            self.plain.clone(),
+            self.plain_calls.clone(),
         );
         registry.register("streams", "Streams by how they ended", self.streams.clone());
         registry.register_with_unit(
             "plain_call",
             "Time from a plain call's arrival to its whole answer",
             Unit::Seconds,
-            self.plain_time.clone(),
+            self.plain_call_time.clone(),
         );
         registry.register_with_unit(
             "first_event",
             "Time from a stream's request to its first event",
             Unit::Seconds,
-            self.first_time.clone(),
+            self.first_event_time.clone(),
         );
         registry.register("orders", "Orders to engines", self.orders.clone());
         registry.register(
             "organisation_requests",
             "Requests that engines began, by organisation",
-            self.begun.clone(),
+            self.organisation_requests.clone(),
         );
         registry.register(
             "engine_orders",
             "Orders for how many engines there are",
-            self.sizes.clone(),
+            self.engine_orders.clone(),
         );
         registry.register(
             "usage_reports",
             "Reports of the use by organisations",
-            self.reports.clone(),
+            self.usage_reports.clone(),
         );
         registry.register(
             "placement_questions",
             "Questions to instances that place calls",
-            self.questions.clone(),
+            self.placement_requests.clone(),
         );
         registry.register(
             "store_failures",
@@ -201,17 +201,17 @@
         registry.register(
             "held_calls",
             "Calls that were refused since engines had ended under them",
-            self.held.clone(),
+            self.held_calls.clone(),
         );
         registry.register(
             "throttled_calls",
             "Calls that waited for the rate limit of an engine, or were refused by such limits",
-            self.throttled.clone(),
+            self.throttled_calls.clone(),
         );
         registry.register(
             "limited_engines",
             "Engines that announce a rate limit",
-            self.limited.clone(),
+            self.limited_engines.clone(),
         );
         registry.register(
             "suspects",
@@ -221,107 +221,114 @@
         registry.register(
             "configuration_version",
             "Version of the configuration in force; 0 before the first",
-            self.configuration.clone(),
+            self.configuration_version.clone(),
         );
         registry.register("engines", "Engines that take calls", self.engines.clone());
         registry.register("instances", "Instances known", self.instances.clone());
         registry.register(
             "calls_in_hand",
             "Calls not answered yet",
-            self.in_hand.clone(),
+            self.open_calls.clone(),
         );
     }
 
-    /// A plain call has ended.
-    pub(crate) fn plain(&self, end: End, took: Duration) {
-        self.plain.get_or_create(&[("end", end)]).inc();
+    /// Counts a plain call that has ended.
+    pub(crate) fn plain_ended(&self, end: End, took: Duration) {
+        self.plain_calls.get_or_create(&[("end", end)]).inc();
         if end == End::Served {
-            self.plain_time.observe(took.as_secs_f64());
+            self.plain_call_time.observe(took.as_secs_f64());
         }
     }
 
-    /// A stream has ended.
-    pub(crate) fn stream(&self, end: End) {
+    /// Counts a stream that has ended.
+    pub(crate) fn stream_ended(&self, end: End) {
         self.streams.get_or_create(&[("end", end)]).inc();
     }
 
-    /// A stream's first event has left.
+    /// Records the time to a stream's first event.
     pub(crate) fn first_event(&self, took: Duration) {
-        self.first_time.observe(took.as_secs_f64());
+        self.first_event_time.observe(took.as_secs_f64());
     }
 
-    /// An order was given.
-    pub(crate) fn ordered(&self, what: Ordered) {
+    /// Counts an order to an engine.
+    pub(crate) fn order_given(&self, what: OrderAnswer) {
         self.orders.get_or_create(&[("answer", what)]).inc();
     }
 
-    /// A number of engines was ordered.
-    pub(crate) fn sized(&self, what: Ordered) {
-        self.sizes.get_or_create(&[("answer", what)]).inc();
+    /// Counts an order for a number of engines.
+    pub(crate) fn engines_ordered(&self, what: OrderAnswer) {
+        self.engine_orders.get_or_create(&[("answer", what)]).inc();
     }
 
-    /// An engine began a request of an organisation.
-    pub(crate) fn begun(&self, organisation: &str, known: usize) {
-        let is_named = known <= ORGANISATIONS;
+    /// Counts a request of an organisation that an engine began.
+    pub(crate) fn request_started(&self, organisation: &str, known: usize) {
+        let is_named = known <= MAX_LABELLED_ORGANISATIONS;
         let label = if is_named { organisation } else { "any" };
-        self.begun
+        self.organisation_requests
             .get_or_create(&[("organisation", label.to_owned())])
             .inc();
     }
 
-    /// The use of a window was reported.
-    pub(crate) fn reported(&self, what: Ordered) {
-        self.reports.get_or_create(&[("answer", what)]).inc();
+    /// Counts a report of a window's usage.
+    pub(crate) fn usage_reported(&self, what: OrderAnswer) {
+        self.usage_reports.get_or_create(&[("answer", what)]).inc();
     }
 
-    /// An instance that places calls was asked.
-    pub(crate) fn asked(&self, what: Asked) {
-        self.questions.get_or_create(&[("answer", what)]).inc();
+    /// Counts a placement request.
+    pub(crate) fn placement_requested(&self, what: PlacementAnswer) {
+        self.placement_requests
+            .get_or_create(&[("answer", what)])
+            .inc();
     }
 
-    /// A read of the store failed.
-    pub(crate) fn store_failed(&self) {
+    /// Counts a failed read of the store.
+    pub(crate) fn store_read_failed(&self) {
         self.store_failures.inc();
     }
 
-    /// A call was refused since engines had ended under it.
-    pub(crate) fn held(&self) {
-        self.held.inc();
+    /// Counts a call that was refused because engines crashed under it.
+    pub(crate) fn call_held(&self) {
+        self.held_calls.inc();
     }
 
-    /// A rate limit of an engine held a call up.
-    pub(crate) fn throttled(&self, what: Throttled) {
-        self.throttled.get_or_create(&[("outcome", what)]).inc();
+    /// Counts a call that a rate limit delayed or refused.
+    pub(crate) fn call_throttled(&self, what: Throttled) {
+        self.throttled_calls
+            .get_or_create(&[("outcome", what)])
+            .inc();
     }
 
-    /// The page, with the present values of what is not counted as it happens.
-    fn page(&self, instance: &Instance) -> Result<String, fmt::Error> {
+    /// Renders the page, after setting the gauges to the present values.
+    fn render(&self, instance: &Instance) -> Result<String, fmt::Error> {
         let version = instance.table().map_or(0, |table| table.version);
-        self.configuration
+        self.configuration_version
             .set(i64::try_from(version).unwrap_or(i64::MAX));
         let fleet = instance.fleet.borrow();
         let open = fleet.all().filter(|engine| engine.takes_calls()).count();
-        self.engines.set(count(open));
-        self.limited.set(count(fleet.throttles.count()));
+        self.engines.set(gauge_value(open));
+        self.limited_engines
+            .set(gauge_value(fleet.throttles.count()));
         let (held, alone) = instance.suspects.count();
         for (suspect, number) in [(Suspect::Held, held), (Suspect::Alone, alone)] {
             let gauge = self.suspects.get_or_create(&[("state", suspect)]);
-            gauge.set(count(number));
+            gauge.set(gauge_value(number));
         }
-        self.instances.set(count(instance.peers.borrow().count()));
-        self.in_hand.set(count(instance.phase.open_calls()));
+        self.instances
+            .set(gauge_value(instance.peers.borrow().count()));
+        self.open_calls
+            .set(gauge_value(instance.phase.open_calls()));
         let mut page = String::new();
         encode(&mut page, &self.registry)?;
         Ok(page)
     }
 }
 
-fn count(count: usize) -> i64 {
+fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Serves the page at a port of this instance until the process ends. A port that cannot be had costs
-/// the page and no calls.
+/// Serves the page at a port of this instance until the process ends. Without the port the process
+/// runs without metrics.
 pub(crate) fn start(instance: &Rc<Instance>, port: u16) {
     let address = SocketAddr::new(instance.address.ip(), port);
     match http1::listen(address) {
@@ -338,10 +345,10 @@
     if path != PATH {
         return (Response::with_body(StatusCode::NOT_FOUND, ()), Bytes::new());
     }
-    match instance.metrics.page(instance) {
+    match instance.metrics.render(instance) {
         Ok(page) => {
             let mut head = Response::with_body(StatusCode::OK, ());
-            let text = HeaderValue::from_static(TEXT);
+            let text = HeaderValue::from_static(OPENMETRICS_TYPE);
             head.headers_mut().insert(CONTENT_TYPE, text);
             (head, Bytes::from(page))
         }
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -18,7 +18,7 @@
 
 use crate::frame::{encode_part, micros, millis};
 use crate::instance::Instance;
-use crate::metrics::Asked;
+use crate::metrics::PlacementAnswer;
 
 /// Time for one placer's response. It is taken from the caller's time.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(25);
@@ -113,21 +113,29 @@
     for address in candidates {
         match request_one(instance, address, demand, read_in).await {
             Some(Placed::Choice(choice)) => {
-                instance.metrics.asked(Asked::Placed);
+                instance
+                    .metrics
+                    .placement_requested(PlacementAnswer::Placed);
                 return Some(choice);
             }
             Some(Placed::Declined) => {
-                instance.metrics.asked(Asked::Declined);
+                instance
+                    .metrics
+                    .placement_requested(PlacementAnswer::Declined);
                 log::debug!(placer:% = address; "a placer knows too little");
             }
             Some(Placed::Unusable) => {
-                instance.metrics.asked(Asked::Declined);
+                instance
+                    .metrics
+                    .placement_requested(PlacementAnswer::Declined);
                 log::debug!(placer:% = address; "a placer names an engine that may not be used");
                 // Another placer may have newer state.
                 continue;
             }
             None => {
-                instance.metrics.asked(Asked::Silent);
+                instance
+                    .metrics
+                    .placement_requested(PlacementAnswer::Silent);
                 log::info!(placer:% = address; "a placer does not answer");
             }
         }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -114,7 +114,9 @@
 }
 
 fn log_end(instance: &Instance, request: &Request, end: &End) {
-    instance.metrics.plain(metric_end(end), request.elapsed());
+    instance
+        .metrics
+        .plain_ended(metric_end(end), request.elapsed());
     let id = request.call.id.as_str();
     let route = request.route.name.as_str();
     let ms = request.elapsed().as_millis();
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -18,7 +18,7 @@
 use crate::claims::Grant;
 use crate::instance::Instance;
 use crate::limits;
-use crate::metrics::Ordered;
+use crate::metrics::OrderAnswer;
 use crate::placement;
 
 /// Time-out of an order.
@@ -120,10 +120,10 @@
         answer:? = answer;
         "ordered"
     );
-    instance.metrics.ordered(match answer {
-        None => Ordered::Unanswered,
-        Some(Answer::Accepted | Answer::Holds) => Ordered::Taken,
-        Some(_) => Ordered::Refused,
+    instance.metrics.order_given(match answer {
+        None => OrderAnswer::Unanswered,
+        Some(Answer::Accepted | Answer::Holds) => OrderAnswer::Taken,
+        Some(_) => OrderAnswer::Refused,
     });
     if answer.is_some_and(|answer| !matches!(answer, Answer::Accepted | Answer::Holds)) {
         instance
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -179,7 +179,7 @@
     }
 
     fn failed(&mut self, trouble: &StoreError) {
-        self.instance.metrics.store_failed();
+        self.instance.metrics.store_read_failed();
         // Other instances must not rely on this one while it cannot read.
         self.instance.last_read(self.topic).set(None);
         if self.failures == 0 {
--- a/crates/gateway/tests/journal.rs
+++ b/crates/gateway/tests/journal.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use gateway::journal::{Admission, Budget, Lines};
+use gateway::logging::{Admission, LineBudget, QueuedWriter};
 
 /// A sink that takes a line only when it is let.
 struct Gate {
@@ -35,7 +35,7 @@
         lets: gate_lets,
         written: gate_written,
     };
-    let mut lines = Lines::new(gate, 4).unwrap();
+    let mut lines = QueuedWriter::new(gate, 4).unwrap();
     for n in 0..100 {
         writeln!(lines, "line {n}").unwrap();
     }
@@ -60,7 +60,7 @@
 /// thousands of times a second and fills the queue. Cause: all kinds shared one bound.
 #[test]
 fn a_kind_of_line_that_repeats_itself_leaves_room_for_the_others() {
-    let mut budget = Budget::new(2);
+    let mut budget = LineBudget::new(2);
     let (often, seldom) = (("a.rs", 1), ("a.rs", 2));
     let written = |dropped| Admission::Written { dropped };
     let at = Duration::from_millis;
