--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -29,13 +29,13 @@
 /// Decides on a call that is about to be placed. Claims the trial of a held call for this instance
 /// when it is due.
 pub(crate) async fn admit(instance: &Instance, request: &Request) -> Admission {
-    if request.on_trial.get() {
+    if request.is_trial.get() {
         return Admission::Alone;
     }
     let admission = match instance.suspects.verdict(request, suspects::now(instance)) {
         Verdict::TrialDue if quarantine_store::claim_trial(instance, request).await => {
             log::info!(id = request.call.id.as_str(), fingerprint = request.fingerprint_text(); "a held call is tried");
-            request.on_trial.set(true);
+            request.is_trial.set(true);
             Admission::Alone
         }
         Verdict::TrialDue => Admission::Held(TRIAL_RETRY_AFTER),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -39,7 +39,7 @@
     is_counted: Cell<bool>,
     /// Whether this instance may send it although it is held; cleared once an engine has received
     /// it.
-    pub on_trial: Cell<bool>,
+    pub is_trial: Cell<bool>,
     pub route: Rc<Route>,
     pub principal: Principal,
     pub service: Service,
@@ -101,7 +101,7 @@
 pub(crate) struct Rejection {
     status: StatusCode,
     id: Option<String>,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
     detail: &'static str,
     /// Version of the configuration in force at the decision; 0 before the first.
     configuration: Version,
@@ -111,7 +111,7 @@
     pub(crate) fn log(&self) {
         log::info!(
             id = self.id.as_deref().unwrap_or_default(), status = self.status.as_u16(),
-            after_ms:% = self.after.unwrap_or_default().as_millis(), why = self.detail,
+            after_ms:% = self.retry_after.unwrap_or_default().as_millis(), why = self.detail,
             configuration = self.configuration;
             "answered at once"
         );
@@ -121,7 +121,7 @@
         Refusal {
             status: self.status,
             id: self.id.as_deref(),
-            retry_after: self.after,
+            retry_after: self.retry_after,
             detail: self.detail,
             may_have_run: false,
         }
@@ -142,14 +142,14 @@
         let call = ingress::parse_call(&arrival.head).map_err(|finding| Rejection {
             status: StatusCode::BAD_REQUEST,
             id: None,
-            after: None,
+            retry_after: None,
             detail: finding.message(),
             configuration,
         })?;
-        let reject = |status, after, detail| Rejection {
+        let reject = |status, retry_after, detail| Rejection {
             status,
             id: Some(call.id.clone()),
-            after,
+            retry_after,
             detail,
             configuration,
         };
@@ -210,7 +210,7 @@
             caller,
             fingerprint: OnceCell::new(),
             is_counted: Cell::new(false),
-            on_trial: Cell::new(false),
+            is_trial: Cell::new(false),
         })
     }
 
@@ -403,7 +403,7 @@
             if is_plain {
                 request.note_started(instance, sent);
             }
-            request.on_trial.set(false);
+            request.is_trial.set(false);
             AttemptResult::Answer(Box::new(response))
         }
         Err(failure) if failure.not_sent() => AttemptResult::NotRun(NotRun::Unreachable),
@@ -412,7 +412,7 @@
             if is_plain {
                 request.note_started(instance, sent);
             }
-            request.on_trial.set(false);
+            request.is_trial.set(false);
             AttemptResult::Lost(failure)
         }
     }
--- a/crates/gateway/src/claim_log.rs
+++ b/crates/gateway/src/claim_log.rs
@@ -8,7 +8,7 @@
 use serving::claim::Fence;
 use wire::gateway;
 
-use crate::pool_sizes::Sizes;
+use crate::pool_sizes::PoolSizes;
 
 /// Claims and the sizes ordered under them, as far as this instance knows.
 #[derive(Default)]
@@ -17,7 +17,7 @@
     own: Cell<Option<Fence>>,
     /// The latest claim announced by a peer.
     announced: Cell<Option<Fence>>,
-    sizes: RefCell<Sizes>,
+    sizes: RefCell<PoolSizes>,
 }
 
 impl ClaimLog {
@@ -59,7 +59,7 @@
     }
 
     /// Target sizes of the services.
-    pub(crate) fn target_sizes(&self) -> RefMut<'_, Sizes> {
+    pub(crate) fn target_sizes(&self) -> RefMut<'_, PoolSizes> {
         self.sizes.borrow_mut()
     }
 }
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -112,7 +112,7 @@
     }
 
     /// Reads the newest claim, and checks whether this instance may claim after it.
-    pub(crate) async fn read(&mut self) -> Result<ClaimsView, Denied> {
+    pub(crate) async fn read_newest(&mut self) -> Result<ClaimsView, Denied> {
         let newest = self.store.newest(CLAIMS_TOPIC).await?;
         let record = newest.records.iter().find(|record| record.key == CLAIM_KEY);
         let value = record.and_then(|record| record.value.as_ref());
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -107,7 +107,7 @@
             Action::Serve { settings, metrics } => serve(settings, metrics),
             Action::Explain { id, logs, json } => explain(&id, &logs, json),
             Action::Held { settings } => operate(settings, async |settings| {
-                for line in operator::held(&settings).await? {
+                for line in operator::list_held(&settings).await? {
                     println!("{line}");
                 }
                 Ok(())
@@ -119,16 +119,16 @@
                 operator::release(&settings, fingerprint).await
             }),
             Action::Engines { settings } => operate(settings, async |settings| {
-                for line in operator::engines(&settings).await? {
+                for line in operator::list_engines(&settings).await? {
                     println!("{line}");
                 }
                 Ok(())
             }),
             Action::Hold { settings } => operate(settings, async |settings| {
-                operator::hold(&settings, true).await
+                operator::set_hold(&settings, true).await
             }),
             Action::Resume { settings } => operate(settings, async |settings| {
-                operator::hold(&settings, false).await
+                operator::set_hold(&settings, false).await
             }),
             Action::Fix {
                 service,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -50,7 +50,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = instance.phase.wait_for_closing() => return,
+            () = instance.lifecycle.wait_for_closing() => return,
         };
         match accepted {
             Ok((stream, peer)) => drop(actix_rt::spawn(serve(instance.clone(), stream, peer.ip()))),
@@ -68,7 +68,7 @@
         tokio::select! {
             biased;
             received = server.wait(&limits) => if received.is_err() { return },
-            () = instance.phase.wait_for_closing(), if !server.has_more() => return,
+            () = instance.lifecycle.wait_for_closing(), if !server.has_more() => return,
         }
         if !serve_request(&instance, &mut server, &limits, caller).await {
             return;
@@ -94,7 +94,7 @@
     limits: &Limits,
     caller: IpAddr,
 ) -> bool {
-    let _in_hand = instance.phase.enter();
+    let _in_hand = instance.lifecycle.enter();
     let arrival = match server.request(limits).await {
         Ok(arrival) => arrival,
         Err(bad) => {
@@ -132,8 +132,8 @@
     caller: IpAddr,
     writer: &mut http1::Writer,
 ) -> bool {
-    let leaving = instance.phase.is_leaving();
-    if instance.phase.is_closing() {
+    let leaving = instance.lifecycle.is_leaving();
+    if instance.lifecycle.is_closing() {
         // A call that begins now may not complete in the time that is left.
         let refusal = Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -168,8 +168,8 @@
 /// many retry only once; all instances would refuse calls in the second after such a restart.
 async fn wait_until_synced(instance: &Instance) {
     let until = Instant::now() + SYNC_TIMEOUT;
-    let lacks = || !instance.is_synced() || !knows_held(instance);
-    while lacks() && Instant::now() < until {
+    let is_unsynced = || !instance.is_synced() || !knows_held(instance);
+    while is_unsynced() && Instant::now() < until {
         sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/crash_detection.rs
+++ b/crates/gateway/src/crash_detection.rs
@@ -56,18 +56,18 @@
 
 /// Ongoing crash detection.
 #[derive(Debug, Default)]
-pub(crate) struct Crashes {
+pub(crate) struct CrashDetection {
     /// Engines being probed; each channel turns true once its engine is known to have ended.
     probes: RefCell<BTreeMap<EngineId, watch::Receiver<bool>>>,
     /// Calls that broke off at engines whose verdict is pending, one entry per break.
     pending: RefCell<Vec<Fingerprint>>,
 }
 
-impl Crashes {
+impl CrashDetection {
     fn remove_pending(&self, call: Fingerprint) {
-        let mut open = self.pending.borrow_mut();
-        if let Some(found) = open.iter().position(|other| *other == call) {
-            open.swap_remove(found);
+        let mut pending = self.pending.borrow_mut();
+        if let Some(found) = pending.iter().position(|other| *other == call) {
+            pending.swap_remove(found);
         }
     }
 }
@@ -84,16 +84,16 @@
     }
     let at = suspects::now(instance);
     let call = request.fingerprint();
-    let must_wait =
-        instance.suspects.is_noted(request) || instance.crashes.pending.borrow().contains(&call);
-    instance.crashes.pending.borrow_mut().push(call);
+    let must_wait = instance.suspects.has_crashes(request)
+        || instance.crash_detection.pending.borrow().contains(&call);
+    instance.crash_detection.pending.borrow_mut().push(call);
     let mut verdict = probe(instance, engine);
     let recording = {
         let (instance, engine, subject) = (instance.clone(), engine.clone(), request.subject());
         let verdict = verdict.clone();
         async move {
             record_crash(&instance, &subject, &engine, at, verdict).await;
-            instance.crashes.remove_pending(call);
+            instance.crash_detection.remove_pending(call);
         }
     };
     let recording = actix_rt::spawn(recording);
@@ -111,7 +111,7 @@
 /// Handles a suspect that was abandoned while an engine had it. Its caller no longer sees the
 /// engine end; without this, a call whose caller never waits could crash engines undetected.
 pub(crate) fn on_abandoned(instance: &Rc<Instance>, request: &Request, engine: &EngineId) {
-    if !instance.suspects.is_noted(request) || is_leaving(instance, engine) {
+    if !instance.suspects.has_crashes(request) || is_leaving(instance, engine) {
         return;
     }
     let Some(engine) = placement::record(instance, engine) else {
@@ -152,7 +152,7 @@
 
 /// Returns the verdict on an engine once it is known. Calls that break at once share one probe.
 fn probe(instance: &Rc<Instance>, engine: &Record) -> watch::Receiver<bool> {
-    let mut probes = instance.crashes.probes.borrow_mut();
+    let mut probes = instance.crash_detection.probes.borrow_mut();
     if let Some(verdict) = probes.get(&engine.id) {
         return verdict.clone();
     }
@@ -163,7 +163,11 @@
         if has_ended(&instance, &engine).await {
             sender.send_replace(true);
         }
-        instance.crashes.probes.borrow_mut().remove(&engine.id);
+        instance
+            .crash_detection
+            .probes
+            .borrow_mut()
+            .remove(&engine.id);
     });
     verdict
 }
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -87,7 +87,7 @@
     }
     log::info!("asked to end");
     let grace = instance.settings.borrow().bounds.grace;
-    instance.phase.shut_down(grace).await;
+    instance.lifecycle.shut_down(grace).await;
     Ok(())
 }
 
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -73,7 +73,7 @@
             continue;
         };
         if address != instance.address {
-            peers.add(address, hash::hash32(zone), order, now);
+            peers.register(address, hash::hash32(zone), order, now);
         }
     }
     drop(peers);
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -78,7 +78,7 @@
         due_since: None,
         instance,
     };
-    while !duties.instance.phase.is_leaving() {
+    while !duties.instance.lifecycle.is_leaving() {
         let pause = duties.step().await;
         sleep(pause).await;
     }
@@ -94,7 +94,7 @@
             self.claims.on_era(era);
         }
         let now = self.instance.now();
-        let due = self.due(now);
+        let due = self.find_due(now);
         if due.is_empty() {
             self.due_since = None;
             return POLL_INTERVAL;
@@ -115,7 +115,7 @@
         }
     }
 
-    fn due(&mut self, now: Moment) -> Due {
+    fn find_due(&mut self, now: Moment) -> Due {
         let instance = &self.instance;
         // Instances that are not placers are not told of all work.
         let is_synced = instance.engines_known.get() && instance.is_placing();
@@ -151,7 +151,7 @@
 
     /// Claims the right to perform the duties, and fixes the reports in the claim.
     async fn claim(&mut self) -> Result<Grant, Denied> {
-        let mut standing = self.claims.read().await?;
+        let mut standing = self.claims.read_newest().await?;
         let reports = self.propose(standing.reports.take());
         let numbers = {
             let mut sizes = self.instance.claim_log.target_sizes();
--- a/crates/gateway/src/engine_call.rs
+++ b/crates/gateway/src/engine_call.rs
@@ -22,7 +22,7 @@
     /// Run it and respond as a whole.
     Run,
     /// Prefill the prompt for another engine.
-    Read,
+    Prefill,
     /// Prefill the prompt and decode.
     Generate,
     /// Decode with the KV cache of another engine.
@@ -36,7 +36,7 @@
     fn name(self) -> &'static str {
         match self {
             Self::Run => "run",
-            Self::Read => "read",
+            Self::Prefill => "read",
             Self::Generate => "generate",
             Self::TakeOver => "take over",
             Self::Resume => "resume",
--- a/crates/gateway/src/frame.rs
+++ b/crates/gateway/src/frame.rs
@@ -15,18 +15,18 @@
 use wire::gateway::{Frame, Piece, Started, Suspect};
 
 /// A duration in milliseconds, saturated.
-pub(crate) fn millis(time: Duration) -> u32 {
+pub(crate) fn to_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
 /// A short duration in microseconds, saturated.
-pub(crate) fn micros(time: Duration) -> u32 {
+pub(crate) fn to_micros(time: Duration) -> u32 {
     u32::try_from(time.as_micros()).unwrap_or(u32::MAX)
 }
 
 /// Milliseconds since a moment.
 pub(crate) fn elapsed_ms(moment: Moment, now: Moment) -> u32 {
-    millis(now.saturating_sub(moment))
+    to_millis(now.saturating_sub(moment))
 }
 
 /// Encodes an age in milliseconds plus one; 0 stands for none.
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -46,15 +46,15 @@
     request: &Request,
     writer: &mut Writer,
 ) -> bool {
-    let close = instance.phase.is_leaving();
+    let close = instance.lifecycle.is_leaving();
     let sent = Cell::new(false);
     let run = async {
         let relay = Relay::new(writer, request.call.resume_after, close);
         Run::new(instance, request, relay, &sent).run().await
     };
-    let done = timeout_at(request.deadline, run).await;
-    let done = match done {
-        Ok(done) => done,
+    let result = timeout_at(request.deadline, run).await;
+    let result = match result {
+        Ok(stream) => stream,
         Err(_) if writer.has_begun() => Stream::Broken("out of time"),
         Err(_) if sent.get() => Stream::Unserved(End::Late),
         Err(_) => Stream::Unserved(End::NotRun {
@@ -63,20 +63,20 @@
             best: None,
         }),
     };
-    log_result(instance, request, &done);
-    match done {
+    log_result(instance, request, &result);
+    match result {
         Stream::Whole(_) => true,
         Stream::Broken(_) => false,
-        Stream::Unserved(End::Answer(finished, body)) => {
-            let head = adapter::ingress::relayed_head(&finished.head, close);
+        Stream::Unserved(End::Answer(response, body)) => {
+            let head = adapter::ingress::relayed_head(&response.head, close);
             writer.whole(head, body).await.is_ok()
         }
         Stream::Unserved(end) => refuse_end(request, &end, writer, close).await,
     }
 }
 
-fn log_result(instance: &Instance, request: &Request, done: &Stream) {
-    instance.metrics.stream_ended(match done {
+fn log_result(instance: &Instance, request: &Request, stream: &Stream) {
+    instance.metrics.stream_ended(match stream {
         Stream::Whole(_) => metrics::End::Served,
         Stream::Broken(_) => metrics::End::Cut,
         Stream::Unserved(end) => metric_end(end),
@@ -84,7 +84,7 @@
     let id = request.call.id.as_str();
     let route = request.route.name.as_str();
     let ms = request.elapsed().as_millis();
-    match done {
+    match stream {
         Stream::Whole(times) => {
             let first = times.first.map(|first| first - request.started);
             instance.metrics.first_event(first.unwrap_or_default());
@@ -108,8 +108,8 @@
             log::info!(id = id, route = route, ms:% = ms, why = *why; "failed, may have run");
         }
         Stream::Unserved(End::Late) => log::info!(id = id, route = route, ms:% = ms; "out of time"),
-        Stream::Unserved(End::Answer(finished, _)) => {
-            log::info!(id = id, route = route, ms:% = ms, status = finished.reply.status; "answered");
+        Stream::Unserved(End::Answer(response, _)) => {
+            log::info!(id = id, route = route, ms:% = ms, status = response.reply.status; "answered");
         }
     }
 }
@@ -122,7 +122,7 @@
     may_have_run: &'a Cell<bool>,
     avoid: Avoid,
     runs: u32,
-    rejections: FailedSends,
+    failed_sends: FailedSends,
     weights: Option<u64>,
     /// Whether prefill and decode may still run on different engines.
     may_split: bool,
@@ -155,7 +155,7 @@
             may_have_run,
             avoid: Avoid::new(),
             runs: 0,
-            rejections: FailedSends::default(),
+            failed_sends: FailedSends::default(),
             weights: None,
             may_split: true,
         }
@@ -176,8 +176,8 @@
                 } => {
                     NextStep::Done(self.refusal(after, why, best))}
             };
-            if let NextStep::Done(done) = next {
-                return done;
+            if let NextStep::Done(stream) = next {
+                return stream;
             }
         }
     }
@@ -198,7 +198,7 @@
     async fn split(&mut self, prefill: &Target, reserved: Option<EngineId>) -> NextStep {
         self.may_split = false;
         match self.prefill(prefill).await {
-            PrefillResult::Read(memory, zone) => {
+            PrefillResult::Prefilled(memory, zone) => {
                 let memory = MemoryGuard::new(self.instance, prefill.engine.clone(), memory);
                 self.take_over(memory, reserved, &zone).await
             }
@@ -255,7 +255,7 @@
             return PrefillResult::Lost;
         };
         self.note_parts(target);
-        let mut engine_call = EngineCall::new(self.instance, self.request, target, Step::Read);
+        let mut engine_call = EngineCall::new(self.instance, self.request, target, Step::Prefill);
         let sending = RequestOptions {
             instance: &engine.name,
             remaining: self.request.remaining(),
@@ -304,7 +304,7 @@
             address: engine.address,
             handle: read.handle,
         };
-        PrefillResult::Read(memory, engine.zone)
+        PrefillResult::Prefilled(memory, engine.zone)
     }
 
     /// Notes that an engine uses the prompt's parts, unless the placer of the call has done so.
@@ -339,8 +339,8 @@
             ..RequestOptions::default()
         };
         self.may_have_run.set(true);
-        let tried = attempt::send(self.instance, self.request, &engine, &sending).await;
-        match tried {
+        let result = attempt::send(self.instance, self.request, &engine, &sending).await;
+        match result {
             AttemptResult::Answer(response) => {
                 if let Some(memory) = memory {
                     memory.mark_taken();
@@ -446,7 +446,8 @@
     }
 
     fn after_rejection(&mut self, arrived: bool) -> NextStep {
-        if self.rejections.count(arrived) && (!arrived || take_retry(self.instance, self.request)) {
+        if self.failed_sends.count(arrived) && (!arrived || take_retry(self.instance, self.request))
+        {
             return NextStep::Retry;
         }
         NextStep::Done(self.refusal(REFUSED_RETRY_AFTER, Refusal::TooMuchWork, None))
@@ -472,7 +473,7 @@
 }
 
 enum PrefillResult {
-    Read(KvLocation, Zone),
+    Prefilled(KvLocation, Zone),
     Rejected,
     Lost,
 }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -22,7 +22,7 @@
 
 use crate::bootstrap::Snapshot;
 use crate::claim_log::ClaimLog;
-use crate::crash_detection::Crashes;
+use crate::crash_detection::CrashDetection;
 use crate::lifecycle::Lifecycle;
 use crate::metrics::Metrics;
 use crate::peers::{self, Peers, Topic};
@@ -74,9 +74,9 @@
     /// Calls that crash engines.
     pub suspects: Suspects,
     /// Ongoing crash detection.
-    pub crashes: Crashes,
+    pub crash_detection: CrashDetection,
     pub peers: RefCell<Peers>,
-    pub phase: Lifecycle,
+    pub lifecycle: Lifecycle,
     pub metrics: Metrics,
     /// Notified when a change should be sent to the other instances at once.
     pub frame_due: Notify,
@@ -121,9 +121,9 @@
             usual: RefCell::default(),
             pool: Pool::default(),
             suspects: Suspects::default(),
-            crashes: Crashes::default(),
+            crash_detection: CrashDetection::default(),
             peers: RefCell::default(),
-            phase: Lifecycle::default(),
+            lifecycle: Lifecycle::default(),
             metrics: Metrics::default(),
             frame_due: Notify::new(),
             era: Cell::new(None),
@@ -191,7 +191,7 @@
         let now = self.now();
         let mut placers = self.peers.borrow_mut().elect(&own, now);
         // An instance that does not know the others yet would take itself for the first.
-        placers.includes_self &= !self.phase.is_leaving() && self.peers_discovered.get();
+        placers.includes_self &= !self.lifecycle.is_leaving() && self.peers_discovered.get();
         let before = self.placers.replace(placers);
         let after = self.placers.borrow();
         let throttles = &mut self.fleet.borrow_mut().throttles;
@@ -284,7 +284,7 @@
         own.is_some_and(is_recent)
             || peers
                 .reader_states(Topic::Configuration)
-                .any(|said| said.is_fresh(now))
+                .any(|reader| reader.is_fresh(now))
     }
 
     /// Notes that an engine uses these parts.
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -217,14 +217,14 @@
         }
     };
     let logger = builder.build();
-    let most = logger.filter();
+    let max_level = logger.filter();
     let bounded = BoundedLogger {
         logger,
         clock: System::new(),
         budget: Mutex::new(LineBudget::new(MAX_LINES_PER_SECOND)),
     };
     match log::set_boxed_logger(Box::new(bounded)) {
-        Ok(()) => log::set_max_level(most),
+        Ok(()) => log::set_max_level(max_level),
         Err(error) => eprintln!("nothing is logged: {error}"),
     }
 }
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -90,7 +90,7 @@
                     if let Some(missing) = missing_suspects {
                         broadcast(&socket, &missing, &[from]);
                     }
-                    receive::on_frame(&instance, from, frame);
+                    receive::handle_frame(&instance, from, frame);
                 }
                 Err(error) => log::debug!(error:% = error; "a datagram is no frame"),
             },
@@ -103,7 +103,7 @@
 }
 
 async fn send_loop(instance: Rc<Instance>, socket: Rc<UdpSocket>) {
-    let mut earliest = Instant::now();
+    let mut next_send = Instant::now();
     let mut state_due = Instant::now();
     let mut usage_due = Instant::now();
     loop {
@@ -113,7 +113,7 @@
         if was_notified && instance.is_placing() {
             sleep(BATCH_TIME).await;
         }
-        sleep_until(earliest).await;
+        sleep_until(next_send).await;
         let now = instance.now();
         instance.fleet.borrow_mut().expire(now);
         let is_greeting = instance.greeting_due.take() | instance.update_placers();
@@ -143,7 +143,7 @@
             }
             bytes += send_frame(&instance, &socket, frame, is_greeting);
         }
-        earliest = Instant::now() + instance.transmission_time(bytes).mul_f64(1.0 / LINK_SHARE);
+        next_send = Instant::now() + instance.transmission_time(bytes).mul_f64(1.0 / LINK_SHARE);
         seed_new_placers(&instance, &socket);
     }
 }
@@ -240,7 +240,7 @@
         frame.started = recent.collect();
         completed = add_changes(&mut frame, changes, now);
     }
-    frame.read = peers.take_read(completed, now);
+    frame.read = peers.take_completed_prefills(completed, now);
     frame.parts = peers.take_parts();
     frame.changing = fleet.own_stage_changes().map(encode_changing).collect();
     let is_empty = frame.state.is_none()
@@ -258,7 +258,7 @@
     matches!(change, WorkChange::EngineEnded(_) | WorkChange::Ended(_, _, Some(_)))
 }
 
-fn encode_state(instance: &Instance, fleet: &Fleet, knows: bool, now: Moment) -> State {
+fn encode_state(instance: &Instance, fleet: &Fleet, is_warm: bool, now: Moment) -> State {
     let engines = instance.known(Topic::Engines);
     let placing = instance.is_placing();
     let (claimed, numbers) = instance.claim_log.snapshot();
@@ -278,10 +278,10 @@
         lacks_engines: !instance.has_topic(Topic::Engines),
         configuration_age_ms: encode_age(instance.configuration_read.get(), now),
         engines_age_ms: encode_age(instance.engines_read.get(), now),
-        knows,
+        knows: is_warm,
         zone: hash::hash32(&instance.zone),
         order: instance.order(),
-        leaving: instance.phase.is_leaving(),
+        leaving: instance.lifecycle.is_leaving(),
         placing,
         suspects_digest: instance.suspects.digest(),
         claimed,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -316,7 +316,7 @@
         self.instances
             .set(gauge_value(instance.peers.borrow().count()));
         self.open_calls
-            .set(gauge_value(instance.phase.open_calls()));
+            .set(gauge_value(instance.lifecycle.open_calls()));
         let mut page = String::new();
         encode(&mut page, &self.registry)?;
         Ok(page)
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -59,7 +59,7 @@
 }
 
 /// A line for each call in the store, held ones first.
-pub(crate) async fn held(settings: &Settings) -> Result<Vec<String>, Failure> {
+pub(crate) async fn list_held(settings: &Settings) -> Result<Vec<String>, Failure> {
     let mut calls: Vec<StoredCall> = read_calls(&mut store(settings)).await?;
     calls.sort_by_key(|known| (!known.entry.is_held(), known.call));
     let lines = calls.iter().map(|StoredCall { call, entry, .. }| {
@@ -94,7 +94,7 @@
 }
 
 /// A line for each number of engines that was ordered last, and for each that an operator fixed.
-pub(crate) async fn engines(settings: &Settings) -> Result<Vec<String>, Failure> {
+pub(crate) async fn list_engines(settings: &Settings) -> Result<Vec<String>, Failure> {
     let newest = store(settings).newest(CLAIMS_TOPIC).await?;
     let record = newest.records.iter().find(|record| record.key == CLAIM_KEY);
     let claim = record.and_then(|record| Claim::from_bytes(record.value.as_ref()?).ok());
@@ -131,7 +131,7 @@
 }
 
 /// Suspends or resumes orders for engines.
-pub(crate) async fn hold(settings: &Settings, held: bool) -> Result<(), Failure> {
+pub(crate) async fn set_hold(settings: &Settings, held: bool) -> Result<(), Failure> {
     change_wishes(settings, |wishes| wishes.held = held).await
 }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -129,7 +129,7 @@
     by_address: BTreeMap<SocketAddr, Registered>,
     election: Election,
     parts: Vec<(EngineId, Part)>,
-    read_before: Vec<(Ticket, Moment)>,
+    last_completed_prefills: Vec<(Ticket, Moment)>,
     news: Vec<(News, u8)>,
     news_sent: Option<Moment>,
     /// Updates that another reader is to send.
@@ -158,13 +158,13 @@
     /// Drops the queued parts, when this instance does not place calls.
     pub(crate) fn clear_parts(&mut self) {
         self.parts.clear();
-        self.read_before.clear();
+        self.last_completed_prefills.clear();
     }
 
     /// Parts for the next frame.
     pub(crate) fn take_parts(&mut self) -> Vec<wire::gateway::Part> {
-        let most = self.parts.len().min(MAX_PARTS_PER_FRAME);
-        let parts = self.parts.drain(..most);
+        let count = self.parts.len().min(MAX_PARTS_PER_FRAME);
+        let parts = self.parts.drain(..count);
         parts
             .map(|(engine, part)| encode_engine_part(&engine, part))
             .collect()
@@ -172,8 +172,12 @@
 
     /// Completed prefills for the next frame: the new ones, and once more those of the previous
     /// frame.
-    pub(crate) fn take_read(&mut self, new: Vec<(Ticket, Moment)>, now: Moment) -> Vec<Ticket> {
-        let before = std::mem::replace(&mut self.read_before, new.clone());
+    pub(crate) fn take_completed_prefills(
+        &mut self,
+        new: Vec<(Ticket, Moment)>,
+        now: Moment,
+    ) -> Vec<Ticket> {
+        let before = std::mem::replace(&mut self.last_completed_prefills, new.clone());
         let read = before.into_iter().chain(new);
         let read = read.map(|(ticket, at)| Ticket {
             age_ms: elapsed_ms(at, now),
@@ -184,15 +188,15 @@
 
     /// Adds a registered instance, with the hash of its data centre and its place in the read
     /// order.
-    pub(crate) fn add(
+    pub(crate) fn register(
         &mut self,
         address: SocketAddr,
         place: ZoneHash,
         order: Option<u64>,
         now: Moment,
     ) {
-        let known = self.by_address.entry(address);
-        known.or_insert_with(|| Registered::new(place, order, now));
+        let entry = self.by_address.entry(address);
+        entry.or_insert_with(|| Registered::new(place, order, now));
     }
 
     /// The current placers, as this instance sees them.
@@ -235,12 +239,12 @@
         registered.place = state.zone;
         registered.order = Some(state.order);
         let peer = decode_peer(incarnation, state, now);
-        let learns = peer.needs_seeding();
+        let needs_seeding = peer.needs_seeding();
         let before = registered.peer.replace(peer);
-        let was_learning = before
+        let needed_seeding = before
             .as_ref()
             .is_some_and(|before| before.incarnation == incarnation && before.needs_seeding());
-        if self.is_warm && learns && !was_learning {
+        if self.is_warm && needs_seeding && !needed_seeding {
             self.new_placers.push(from);
         }
         let before = before.filter(|before| before.incarnation != incarnation)?;
@@ -256,8 +260,8 @@
             )})
     }
 
-    /// Placers that were heard of lately, the first `most` in the read order.
-    pub(crate) fn first_placers(&self, most: usize, now: Moment) -> Vec<SocketAddr> {
+    /// Placers that were heard of lately, the first `count` in the read order.
+    pub(crate) fn first_placers(&self, count: usize, now: Moment) -> Vec<SocketAddr> {
         let is_placing =
             |registered: &Registered| registered.peer.as_ref().is_some_and(|peer| peer.placing);
         let registered = self.by_address.iter();
@@ -267,7 +271,7 @@
             .map(|(address, registered)| (registered.order, *address))
             .collect();
         placing.sort_unstable();
-        placing.truncate(most);
+        placing.truncate(count);
         placing.into_iter().map(|(_, address)| address).collect()
     }
 
@@ -298,8 +302,8 @@
 
     /// Whether a fresh reader of a topic comes before `order`.
     pub(crate) fn has_reader_before(&self, order: u64, topic: Topic, now: Moment) -> bool {
-        let mut said = self.reader_states(topic);
-        said.any(|said| said.order < order && said.is_fresh(now))
+        let mut readers = self.reader_states(topic);
+        readers.any(|reader| reader.order < order && reader.is_fresh(now))
     }
 
     /// Number of instances that were heard of lately and come before `order`.
@@ -308,7 +312,10 @@
     }
 
     fn count_before(&self, order: u64, counts: impl Fn(&Registered) -> bool) -> u32 {
-        let registered = self.by_address.values().filter(|known| counts(known));
+        let registered = self
+            .by_address
+            .values()
+            .filter(|registered| counts(registered));
         let before =
             registered.filter(|registered| registered.order.is_some_and(|other| other < order));
         u32::try_from(before.count()).unwrap_or(u32::MAX)
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -42,8 +42,8 @@
         }
         // A lost configuration shows in the versions that all announce, and is too large to send
         // twice.
-        let tellings = if news.configuration { 1 } else { TRANSMISSIONS };
-        self.news.push((news, tellings));
+        let transmissions = if news.configuration { 1 } else { TRANSMISSIONS };
+        self.news.push((news, transmissions));
     }
 
     /// Leaves a record to another reader, with the position that the topic reaches with it.
@@ -58,9 +58,9 @@
         let known = |news: &News| {
             let before = self
                 .reader_states(Topic::of(news))
-                .filter(|said| said.order < order);
-            let fresh = before.filter(|said| said.is_fresh(now));
-            fresh.map(|said| said.state.upto).max()
+                .filter(|reader| reader.order < order);
+            let fresh = before.filter(|reader| reader.is_fresh(now));
+            fresh.map(|reader| reader.state.upto).max()
         };
         let due = deferred.take_due(known, now);
         self.deferred = deferred;
@@ -71,26 +71,27 @@
 
     /// Updates for the next frame.
     pub(crate) fn take_news(&mut self, now: Moment) -> Vec<News> {
-        let told = self.news_sent;
-        if told.is_some_and(|told| now.saturating_sub(told) < NEWS_INTERVAL) || self.news.is_empty()
+        let last_sent = self.news_sent;
+        if last_sent.is_some_and(|last_sent| now.saturating_sub(last_sent) < NEWS_INTERVAL)
+            || self.news.is_empty()
         {
             return Vec::new();
         }
         self.news_sent = Some(now);
         let mut bytes = 0;
-        let mut most = 0;
+        let mut count = 0;
         for (news, _) in &self.news {
             bytes += news.value.as_ref().map_or(0, Vec::len);
-            if most > 0 && bytes > MAX_NEWS_BYTES {
+            if count > 0 && bytes > MAX_NEWS_BYTES {
                 break;
             }
-            most += 1;
+            count += 1;
         }
-        let mut batch = Vec::with_capacity(most);
-        for (news, tellings) in self.news.drain(..most).collect::<Vec<_>>() {
+        let mut batch = Vec::with_capacity(count);
+        for (news, transmissions) in self.news.drain(..count).collect::<Vec<_>>() {
             batch.push(news.clone());
-            if tellings > 1 {
-                self.news.push((news, tellings - 1));
+            if transmissions > 1 {
+                self.news.push((news, transmissions - 1));
             }
         }
         batch
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -16,7 +16,7 @@
 use wire::Message as _;
 use wire::gateway::{self, Answer, Ask, Frame, answer};
 
-use crate::frame::{encode_part, micros, millis};
+use crate::frame::{encode_part, to_micros, to_millis};
 use crate::instance::Instance;
 use crate::metrics::PlacementAnswer;
 
@@ -50,7 +50,7 @@
 }
 
 /// A placer's response.
-enum Placed {
+enum PlacementResult {
     /// A usable placement.
     Choice(Choice),
     /// The placer is not ready to place.
@@ -112,19 +112,19 @@
     let candidates: SmallVec<[SocketAddr; MAX_ATTEMPTS]> = candidates.take(MAX_ATTEMPTS).collect();
     for address in candidates {
         match request_one(instance, address, demand, read_in).await {
-            Some(Placed::Choice(choice)) => {
+            Some(PlacementResult::Choice(choice)) => {
                 instance
                     .metrics
                     .placement_requested(PlacementAnswer::Placed);
                 return Some(choice);
             }
-            Some(Placed::Declined) => {
+            Some(PlacementResult::Declined) => {
                 instance
                     .metrics
                     .placement_requested(PlacementAnswer::Declined);
                 log::debug!(placer:% = address; "a placer knows too little");
             }
-            Some(Placed::Unusable) => {
+            Some(PlacementResult::Unusable) => {
                 instance
                     .metrics
                     .placement_requested(PlacementAnswer::Declined);
@@ -152,7 +152,7 @@
     address: SocketAddr,
     demand: &Demand<'_>,
     read_in: Option<&Zone>,
-) -> Option<Placed> {
+) -> Option<PlacementResult> {
     let ticket = instance.pending_placements.next_ticket();
     let request = encode(instance, ticket, demand, read_in);
     let frame = Frame {
@@ -217,11 +217,11 @@
                 tokens: generation.tokens,
             }),
         priority: u32::from(demand.priority),
-        target_ms: millis(demand.latency_target),
-        left_ms: millis(demand.time_left),
+        target_ms: to_millis(demand.latency_target),
+        left_ms: to_millis(demand.time_left),
         zone: demand.zone.to_string(),
         may_split: demand.may_split,
-        sending_us: micros(demand.send_time),
+        sending_us: to_micros(demand.send_time),
         avoid: avoid.map(|id| hash::hash32(id)).collect(),
         read_in: read_in.map(ToString::to_string).unwrap_or_default(),
         connected: demand.connected.iter().map(|id| hash::hash32(id)).collect(),
@@ -230,7 +230,12 @@
     }
 }
 
-fn decode_answer(fleet: &Fleet, demand: &Demand, placer: SocketAddr, answer: &Answer) -> Placed {
+fn decode_answer(
+    fleet: &Fleet,
+    demand: &Demand,
+    placer: SocketAddr,
+    answer: &Answer,
+) -> PlacementResult {
     let placed_by = (placer, answer.ticket);
     let target = |encoded: &gateway::Target| decode_target(fleet, demand, encoded, placed_by);
     let choice = match &answer.choice {
@@ -252,9 +257,9 @@
             },
             best_target: refusal.best.as_ref().and_then(target).map(Box::new),
         }),
-        None => return Placed::Declined,
+        None => return PlacementResult::Declined,
     };
-    choice.map_or(Placed::Unusable, Placed::Choice)
+    choice.map_or(PlacementResult::Unusable, PlacementResult::Choice)
 }
 
 /// The placer's target, unless this instance already knows that the engine leaves or must be avoided.
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -10,7 +10,7 @@
 use smallvec::SmallVec;
 use wire::gateway::{self, Answer, Ask, Frame, Split, answer};
 
-use crate::frame::{self, micros, millis};
+use crate::frame::{self, to_micros, to_millis};
 use crate::instance::Instance;
 
 /// Applies the outcomes of calls that this instance placed for a peer.
@@ -132,14 +132,11 @@
         } => answer::Choice::Split(Split {
             reserved: reserved.as_deref().map_or(0, hash::hash32),
             prefill: Some(encode_target(prefill)),
-            expected_us: micros(*expected),
+            expected_us: to_micros(*expected),
         }),
-        Choice::Refuse {
-            retry_after: after,
-            reason: why,
-            best_target: best,
+        Choice::Refuse { retry_after: after, reason: why, best_target: best ,
         } => answer::Choice::Refusal(gateway::Refusal {
-            after_ms: millis(*after),
+            after_ms: to_millis(*after),
             no_engine: *why == Refusal::NoEngine,
             limited: *why == Refusal::RateLimited,
             best: best.as_deref().map(encode_target),
@@ -153,8 +150,8 @@
         unread: target.prefill_tokens,
         work: target.work,
         rank: u32::from(target.rank),
-        wait_ms: millis(target.limit_wait),
-        expected_us: micros(target.expected_latency),
+        wait_ms: to_millis(target.limit_wait),
+        expected_us: to_micros(target.expected_latency),
         fetch: target.fetch_from.as_deref().map_or(0, hash::hash32),
     }
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -64,7 +64,7 @@
     let end = timeout_at(request.deadline, run_attempts(instance, request)).await;
     let end = end.unwrap_or(End::Late);
     log_end(instance, request, &end);
-    let close = instance.phase.is_leaving();
+    let close = instance.lifecycle.is_leaving();
     match end {
         End::Answer(response, body) => {
             let head = ingress::relayed_head(&response.head, close);
@@ -149,7 +149,7 @@
 async fn run_attempts(instance: &Rc<Instance>, request: &Request) -> End {
     let mut avoid = Avoid::new();
     let mut runs = 0;
-    let mut rejections = FailedSends::default();
+    let mut failed_sends = FailedSends::default();
     instance.budgets.borrow_mut().record_first_attempt(&request.service.name);
     loop {
         let target = match placement::place(instance, request, &avoid, false).await {
@@ -184,14 +184,15 @@
             AttemptEnd::Whole(response, body) => return checked_end(request, response, body),
             AttemptEnd::NotRun(reason) => {
                 let arrived = reason.reached_engine();
-                let may = rejections.count(arrived) && (!arrived || take_retry(instance, request));
-                if !may && runs == 0 {
+                let may_continue =
+                    failed_sends.count(arrived) && (!arrived || take_retry(instance, request));
+                if !may_continue && runs == 0 {
                     return End::NotRun {
                         after: FULL_RETRY_AFTER,
                         why: "The engines are full.",
                         best: None,
                     };
-                } else if !may {
+                } else if !may_continue {
                     return End::Unknown("The engines are full.");
                 }
             }
@@ -252,7 +253,7 @@
     } else {
         request.deadline
     };
-    let whole = async {
+    let exchange = async {
         match attempt::send(instance, request, &engine, &sending).await {
             AttemptResult::Answer(response) => {
                 read_whole(instance, request, &engine, response).await
@@ -267,7 +268,7 @@
             }
         }
     };
-    let result = timeout_at(until, whole).await;
+    let result = timeout_at(until, exchange).await;
     let result = result.unwrap_or(if until < request.deadline {
         AttemptEnd::Lost
     } else {
@@ -277,8 +278,8 @@
     result
 }
 
-fn outcome(one: &AttemptEnd) -> Outcome {
-    match one {
+fn outcome(end: &AttemptEnd) -> Outcome {
+    match end {
         AttemptEnd::Whole(response, _) if response.reply.status >= 500 => Outcome::Failed,
         AttemptEnd::Whole(..) => Outcome::Success,
         AttemptEnd::NotRun(why) => why.outcome(),
--- a/crates/gateway/src/pool_sizes.rs
+++ b/crates/gateway/src/pool_sizes.rs
@@ -11,12 +11,12 @@
 
 /// Planners by service.
 #[derive(Default)]
-pub(crate) struct Sizes {
+pub(crate) struct PoolSizes {
     planners: BTreeMap<ServiceName, Planner>,
     wishes: ScalingOverrides,
 }
 
-impl Sizes {
+impl PoolSizes {
     /// Orders that are due now.
     pub(crate) fn plan(&mut self, table: &Table, fleet: &Fleet, now: Moment,
     ) -> Vec<(EngineTarget, Reason)> {
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -17,6 +17,6 @@
 
 /// An instance is ready once it knows a configuration and the engines, until it is asked to end.
 fn is_ready(instance: &Instance) -> bool {
-    let knows = instance.is_synced();
-    knows && !instance.phase.is_leaving()
+    let is_synced = instance.is_synced();
+    is_synced && !instance.lifecycle.is_leaving()
 }
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -17,7 +17,7 @@
 use crate::{limits, mesh, store_reader, suspects, usage};
 
 /// Dispatches a frame to the handlers of its parts.
-pub(crate) fn on_frame(instance: &Instance, from: SocketAddr, frame: Frame) {
+pub(crate) fn handle_frame(instance: &Instance, from: SocketAddr, frame: Frame) {
     let now = instance.now();
     let peer = frame.incarnation;
     if let Some(reports) = &frame.reports {
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -77,9 +77,9 @@
     /// The open calls for each placer that has some or got a request recently.
     pub fn take_open(&self, now: Moment) -> Vec<(SocketAddr, gateway::Reports)> {
         let mut all = self.0.borrow_mut();
-        let open = all.iter().map(|(placer, books)| {
+        let open = all.iter().map(|(placer, reports)| {
             let open = gateway::Reports {
-                open: books.open.iter().copied().collect(),
+                open: reports.open.iter().copied().collect(),
                 says_open: true,
                 ..gateway::Reports::default()
             };
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -99,14 +99,14 @@
             self.due = Instant::now() + self.interval;
             match self.read_once().await {
                 Ok(read) => {
-                    self.succeeded();
+                    self.on_success();
                     return read;
                 }
                 Err(StoreError::OffsetOutOfRange(first)) => {
                     log::info!(topic = self.name(), first = first; "records were dropped, reading all");
                     self.next = None;
                 }
-                Err(trouble) => self.failed(&trouble),
+                Err(trouble) => self.on_failure(&trouble),
             }
         }
     }
@@ -166,7 +166,7 @@
         Ok(Read::Batch(batch.records))
     }
 
-    fn succeeded(&mut self) {
+    fn on_success(&mut self) {
         let now = self.instance.now();
         let before = self.instance.last_read(self.topic).replace(Some(now));
         if watch::is_resumption(before, now) {
@@ -178,7 +178,7 @@
         }
     }
 
-    fn failed(&mut self, trouble: &StoreError) {
+    fn on_failure(&mut self, trouble: &StoreError) {
         self.instance.metrics.store_read_failed();
         // Other instances must not rely on this one while it cannot read.
         self.instance.last_read(self.topic).set(None);
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -90,7 +90,7 @@
     }
 
     /// Whether engines crashed while running a call, so that another crash would matter.
-    pub(crate) fn is_noted(&self, request: &Request) -> bool {
+    pub(crate) fn has_crashes(&self, request: &Request) -> bool {
         let quarantine = self.quarantine.borrow();
         !quarantine.is_empty() && quarantine.get(request.fingerprint()).is_some()
     }
