--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -440,11 +440,11 @@
                 client,
             });
         }
-        log::info!(id = request.call.id.as_str(); "an answer to another request is read past");
+        log::info!(id = request.call.id.as_str(); "skipped a response to another request");
         client.body(MAX_BODY_BYTES).await?;
         answer = client.next_answer().await?;
     }
-    Err(Failure::Broken("answers of other requests only"))
+    Err(Failure::Broken("every response belongs to another request"))
 }
 
 /// Reads a response that is not passed on, so that its connection can be reused.
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -182,7 +182,7 @@
         return ScalingOverrides::default();
     };
     ScalingOverrides::from_bytes(value).unwrap_or_else(|error| {
-        log::error!(error:% = error; "what operators wish cannot be read; no engines are ordered");
+        log::error!(error:% = error; "operators' requests cannot be parsed; no engines are ordered");
         ScalingOverrides {
             held: true,
             ..ScalingOverrides::default()
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -194,7 +194,7 @@
 fn check(path: PathBuf) -> ExitCode {
     if let Ok(text) = std::fs::read_to_string(&path) {
         for name in settings::unknown_names(&text) {
-            println!("{name}: is not known, and passed over");
+            println!("{name}: unknown setting, ignored");
         }
     }
     match load(Some(path)) {
@@ -205,7 +205,7 @@
 
 fn load(path: Option<PathBuf>) -> Result<(PathBuf, Settings), ExitCode> {
     let Some(path) = path.or_else(settings::path) else {
-        eprintln!("no settings file is named");
+        eprintln!("no settings file given");
         return Err(ExitCode::from(BAD_SETTINGS));
     };
     match settings::load(&path) {
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -22,7 +22,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::Signals => "signals cannot be received",
-            Self::Listen => "an address cannot be listened on",
+            Self::Listen => "cannot listen on an address",
         })
     }
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -69,7 +69,7 @@
     let now = instance.now();
     for text in texts {
         let Some((address, zone, order)) = parse_entry(text) else {
-            log::debug!(entry = text; "a registered instance has no address");
+            log::debug!(entry = text; "the record of a registered instance cannot be parsed");
             continue;
         };
         if address != instance.address {
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -404,7 +404,7 @@
                 NextStep::Done(Stream::Whole(self.relay.times()))
             }
             relay::End::Gone(error) => {
-                log::debug!(id = self.request.call.id.as_str(), error:% = error; "the caller has gone");
+                log::debug!(id = self.request.call.id.as_str(), error:% = error; "the caller disconnected");
                 NextStep::Done(Stream::Broken("the caller has gone"))
             }
             relay::End::Broken(failure) => {
--- a/crates/gateway/src/generate/memory.rs
+++ b/crates/gateway/src/generate/memory.rs
@@ -58,6 +58,6 @@
     if let Ok(Ok(answer)) = timeout(FREE_TIMEOUT, freeing).await {
         limits::observe_announced(&instance, &holder, upstream::announced_limit(&answer.head));
     } else {
-        log::debug!(handle = memory.handle.as_str(); "memory that nobody takes could not be freed, it lapses");
+        log::debug!(handle = memory.handle.as_str(); "an unused KV cache could not be freed; it expires at its engine");
     }
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -53,7 +53,7 @@
             continue;
         };
         let Ok(rate) = limit.limit.map(Rate::try_from).transpose() else {
-            log::warn!(engine = &*engine; "another instance tells a limit that is no rate");
+            log::warn!(engine = &*engine; "another instance announces an invalid rate limit");
             continue;
         };
         let announcement = Announcement {
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -212,7 +212,7 @@
     match QueuedWriter::new(io::stdout(), QUEUE_LINES) {
         Ok(lines) => builder.target(env_logger::Target::Pipe(Box::new(lines))),
         Err(error) => {
-            eprintln!("the log is written without a thread of its own: {error}");
+            eprintln!("the log is written synchronously, since its thread cannot start: {error}");
             builder.target(env_logger::Target::Stdout)
         }
     };
@@ -225,6 +225,6 @@
     };
     match log::set_boxed_logger(Box::new(bounded)) {
         Ok(()) => log::set_max_level(max_level),
-        Err(error) => eprintln!("nothing is logged: {error}"),
+        Err(error) => eprintln!("the logger cannot be set, so nothing is logged: {error}"),
     }
 }
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -92,7 +92,7 @@
                     }
                     receive::handle_frame(&instance, from, frame);
                 }
-                Err(error) => log::debug!(error:% = error; "a datagram is no frame"),
+                Err(error) => log::debug!(error:% = error; "a datagram cannot be decoded"),
             },
             Err(error) => {
                 log::debug!(error:% = error; "a datagram could not be received");
@@ -386,7 +386,7 @@
         };
         broadcast(socket, &frame, &placers);
     }
-    log::info!(placers = placers.len(), parts = parts.len(); "told new placers what engines hold");
+    log::info!(placers = placers.len(), parts = parts.len(); "sent new placers the cached parts of engines");
 }
 
 fn parts_of_share(instance: &Instance) -> Vec<wire::gateway::Part> {
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -191,7 +191,7 @@
             })
         }
         Err(error) => {
-            eprintln!("{}: cannot be read: {error}", record.key);
+            eprintln!("{}: cannot be parsed: {error}", record.key);
             None
         }
     }
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -44,7 +44,7 @@
     /// Sets the socket that requests are sent by.
     pub(crate) fn bind(&self, socket: Rc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
-            log::error!("frames have two sockets, the first one is used");
+            log::error!("a second socket for placement requests is ignored");
         }
     }
 }
@@ -122,7 +122,7 @@
                 instance
                     .metrics
                     .placement_requested(PlacementAnswer::Declined);
-                log::debug!(placer:% = address; "a placer knows too little");
+                log::debug!(placer:% = address; "a placer is not ready to place calls");
             }
             Some(PlacementResult::Unusable) => {
                 instance
@@ -296,6 +296,6 @@
         .borrow_mut()
         .remove(&answer.ticket);
     if waiting.is_none_or(|waiting| waiting.send(*answer).is_err()) {
-        log::debug!(from:% = from; "an answer comes too late");
+        log::debug!(from:% = from; "a placer's answer came too late");
     }
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -295,7 +295,7 @@
 ) -> AttemptEnd {
     let reply = &response.reply;
     if reply.is_success() && !reply.is_own_success() {
-        log::info!(id = request.call.id.as_str(), engine = &*engine.id; "a success that the engine did not sign");
+        log::info!(id = request.call.id.as_str(), engine = &*engine.id; "a success response without the engine's signature");
         return AttemptEnd::Lost;
     }
     let EngineResponse {
--- a/crates/gateway/src/quarantine_store.rs
+++ b/crates/gateway/src/quarantine_store.rs
@@ -128,10 +128,10 @@
         }
         match store.append(INSTANCES_TOPIC, &key(call), &[], None).await {
             Ok(_) => {
-                log::info!(fingerprint = fingerprint_text(call); "an old record of a held call is deleted");
+                log::info!(fingerprint = fingerprint_text(call); "deleted the expired record of a held call");
             }
             Err(trouble) => {
-                log::info!(fingerprint = fingerprint_text(call), trouble:% = trouble; "an old record could not be deleted yet");
+                log::info!(fingerprint = fingerprint_text(call), trouble:% = trouble; "the expired record of a held call could not be deleted yet");
                 instance.suspects.mark_expired(call);
                 return;
             }
@@ -153,11 +153,11 @@
     {
         Ok(Ok(is_claimed)) => is_claimed,
         Ok(Err(trouble)) => {
-            log::info!(id = request.call.id.as_str(), trouble:% = trouble; "no trial of a held call without the store");
+            log::info!(id = request.call.id.as_str(), trouble:% = trouble; "a held call is not tried, since the store is unavailable");
             false
         }
         Err(_) => {
-            log::info!(id = request.call.id.as_str(); "no trial of a held call, the store takes too long");
+            log::info!(id = request.call.id.as_str(); "a held call is not tried, since the store did not answer in time");
             false
         }
     }
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -103,7 +103,7 @@
                     return read;
                 }
                 Err(StoreError::OffsetOutOfRange(first)) => {
-                    log::info!(topic = self.name(), first = first; "records were dropped, reading all");
+                    log::info!(topic = self.name(), first = first; "records since the last read were dropped; reading the newest ones");
                     self.next = None;
                 }
                 Err(trouble) => self.on_failure(&trouble),
@@ -280,7 +280,7 @@
         return false;
     }
     let Some(value) = &record.value else {
-        log::error!(offset = record.offset; "the configuration was dropped, the one in force stays");
+        log::error!(offset = record.offset; "the configuration's record was removed; the one in force stays");
         return false;
     };
     match records::parse_table(value) {
