--- a/crates/gateway/tests/beliefs.rs
+++ b/crates/gateway/tests/configuration_and_engines.rs
@@ -1,7 +1,7 @@
 //! What a real gateway process believes of configuration and engines, while the store misbehaves, and
 //! how it ends.
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 use platform_standin::Engine;
 use platform_standin::engine::Behaviour;
 use platform_standin::store::Fault;
+use harness::{Gateway, generation, send_call, wait_until};
 use serde_json::json;
-use world::{World, ask, generation, until};
 
 /// The status of a plain call with an id of its own.
-async fn status(world: &World, path: &str) -> u16 {
-    world.call(path, "w", &[]).await.status
+async fn status(gateway: &Gateway, path: &str) -> u16 {
+    gateway.call(path, "w", &[]).await.status
 }
 
 #[actix_rt::test]
 async fn a_newer_configuration_is_in_force_and_an_older_one_never_comes_back() {
-    let (world, app, _pool) = World::start().await;
+    let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("new-1").await;
-    other.register(&world.store, "new", "ready", None);
-    world.configure(5, "new");
-    until(async || {
-        world.call("/safe/a", "w", &[]).await;
+    other.register(&gateway.store, "new", "ready", None);
+    gateway.configure(5, "new");
+    wait_until(async || {
+        gateway.call("/safe/a", "w", &[]).await;
         other.run_count("w") > 0
     })
     .await;
-    world.configure(4, "app");
-    world.store.compact("keyed.op");
-    world.configure(3, "app");
+    gateway.configure(4, "app");
+    gateway.store.compact("keyed.op");
+    gateway.configure(3, "app");
     let before = app.received().len();
     for _ in 0..20 {
-        assert_eq!(status(&world, "/safe/a").await, 200);
+        assert_eq!(status(&gateway, "/safe/a").await, 200);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(app.received().len(), before);
@@ -41,28 +41,28 @@
 
 #[actix_rt::test]
 async fn a_leaving_engine_gets_nothing_new_and_finishes_what_it_has() {
-    let (world, _app, pool) = World::start().await;
+    let (gateway, _app, pool) = Gateway::start().await;
     let other = Engine::start("pool-2").await;
     pool.set_stream(30, Duration::from_millis(50));
     other.set_stream(30, Duration::from_millis(50));
-    let mut caller = world.caller().await;
+    let mut caller = gateway.connect().await;
     let headers = generation();
-    let streaming = ask(&mut caller, "/stream/a", "long", &headers);
+    let streaming = send_call(&mut caller, "/stream/a", "long", &headers);
     let leaving = async {
-        until(async || pool.run_count("long") == 1).await;
-        other.register(&world.store, "pool", "ready", Some("decode"));
-        pool.register(&world.store, "pool", "draining", Some("decode"));
+        wait_until(async || pool.run_count("long") == 1).await;
+        other.register(&gateway.store, "pool", "ready", Some("decode"));
+        pool.register(&gateway.store, "pool", "draining", Some("decode"));
         other.set_stream(1, Duration::ZERO);
         // The last engine that is asked is the new one, from some call on.
-        until(async || {
-            let id = world.fresh_id();
-            world.generate("/stream/a", &id).await;
+        wait_until(async || {
+            let id = gateway.fresh_id();
+            gateway.generate("/stream/a", &id).await;
             other.run_count(&id) == 1
         })
         .await;
         let before = pool.received().len();
         for n in 0..10 {
-            world.generate("/stream/a", &format!("n{n}")).await;
+            gateway.generate("/stream/a", &format!("n{n}")).await;
         }
         assert_eq!(pool.received().len(), before);
     };
@@ -72,11 +72,11 @@
 
 #[actix_rt::test]
 async fn an_engine_whose_record_is_gone_gets_nothing() {
-    let (world, app, _pool) = World::start().await;
-    world.store.put("keyed.servers", &app.id, None);
-    until(async || status(&world, "/safe/a").await == 503).await;
-    app.register(&world.store, "app", "ready", None);
-    until(async || status(&world, "/safe/a").await == 200).await;
+    let (gateway, app, _pool) = Gateway::start().await;
+    gateway.store.put("keyed.servers", &app.id, None);
+    wait_until(async || status(&gateway, "/safe/a").await == 503).await;
+    app.register(&gateway.store, "app", "ready", None);
+    wait_until(async || status(&gateway, "/safe/a").await == 200).await;
 }
 
 /// Symptom: a service refuses calls, or charges one twice, after one of its engines was started again.
@@ -84,14 +84,14 @@
 /// seconds. Cause: the address was trusted, or its refusal counted as want of room.
 #[actix_rt::test]
 async fn an_address_that_another_engine_has_is_not_used_for_the_old_one() {
-    let (world, app, _pool) = World::start().await;
+    let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("app-2").await;
     app.set_behaviour(Behaviour::WrongInstance);
-    other.register(&world.store, "app", "ready", None);
-    until(async || status(&world, "/once/a").await == 200).await;
+    other.register(&gateway.store, "app", "ready", None);
+    wait_until(async || status(&gateway, "/once/a").await == 200).await;
     let before = app.received().len();
     for _ in 0..5 {
-        assert_eq!(status(&world, "/once/a").await, 200);
+        assert_eq!(status(&gateway, "/once/a").await, 200);
     }
     assert!(app.received().len() <= before + 1);
     assert_eq!(app.run_count("w"), 0);
@@ -99,20 +99,20 @@
 
 #[actix_rt::test]
 async fn calls_are_served_while_the_store_is_away() {
-    let (world, _app, _pool) = World::start().await;
+    let (gateway, _app, _pool) = Gateway::start().await;
     for fault in [Fault::Busy, Fault::Reset, Fault::Silent] {
-        world.store.fault(fault);
+        gateway.store.fault(fault);
         for _ in 0..10 {
-            assert_eq!(status(&world, "/once/a").await, 200);
+            assert_eq!(status(&gateway, "/once/a").await, 200);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        world.store.fault(Fault::None);
+        gateway.store.fault(Fault::None);
     }
     let other = Engine::start("new-1").await;
-    other.register(&world.store, "new", "ready", None);
-    world.configure(9, "new");
-    until(async || {
-        world.call("/safe/a", "w", &[]).await;
+    other.register(&gateway.store, "new", "ready", None);
+    gateway.configure(9, "new");
+    wait_until(async || {
+        gateway.call("/safe/a", "w", &[]).await;
         other.run_count("w") > 0
     })
     .await;
@@ -120,17 +120,17 @@
 
 #[actix_rt::test]
 async fn dropped_history_is_made_good_from_the_newest_records() {
-    let (world, app, _pool) = World::start().await;
-    world.store.fault(Fault::Busy);
+    let (gateway, app, _pool) = Gateway::start().await;
+    gateway.store.fault(Fault::Busy);
     let other = Engine::start("new-1").await;
-    other.register(&world.store, "new", "ready", None);
-    world.configure(6, "new");
-    world.store.put("keyed.servers", &app.id, None);
-    world.store.compact("keyed.op");
-    world.store.compact("keyed.servers");
-    world.store.fault(Fault::None);
-    until(async || {
-        world.call("/safe/a", "w", &[]).await;
+    other.register(&gateway.store, "new", "ready", None);
+    gateway.configure(6, "new");
+    gateway.store.put("keyed.servers", &app.id, None);
+    gateway.store.compact("keyed.op");
+    gateway.store.compact("keyed.servers");
+    gateway.store.fault(Fault::None);
+    wait_until(async || {
+        gateway.call("/safe/a", "w", &[]).await;
         other.run_count("w") > 0
     })
     .await;
@@ -140,45 +140,45 @@
 /// it streams. Cause: it ended at once, or closed its connections first.
 #[actix_rt::test]
 async fn an_instance_that_is_asked_to_end_finishes_what_it_has() {
-    let (world, _app, pool) = World::start().await;
+    let (gateway, _app, pool) = Gateway::start().await;
     pool.set_stream(40, Duration::from_millis(50));
-    let mut caller = world.caller().await;
+    let mut caller = gateway.connect().await;
     let headers = generation();
-    let streaming = ask(&mut caller, "/stream/a", "long", &headers);
+    let streaming = send_call(&mut caller, "/stream/a", "long", &headers);
     let ending = async {
-        until(async || pool.run_count("long") == 1).await;
-        world.signal("-TERM");
-        world.until_ready(false).await;
+        wait_until(async || pool.run_count("long") == 1).await;
+        gateway.signal("-TERM");
+        gateway.wait_until_ready(false).await;
     };
     let (answer, ()) = tokio::join!(streaming, ending);
     assert_eq!(answer.text().matches("data: ").count(), 40);
-    assert!(world.until_ended().await);
+    assert!(gateway.wait_until_ended().await);
 }
 
 #[actix_rt::test]
 async fn settings_that_are_not_good_leave_the_old_ones_in_force() {
-    let (world, _app, _pool) = World::start().await;
-    std::fs::write(world.settings.path(), "node = 1").unwrap();
-    world.signal("-HUP");
+    let (gateway, _app, _pool) = Gateway::start().await;
+    std::fs::write(gateway.settings.path(), "node = 1").unwrap();
+    gateway.signal("-HUP");
     for _ in 0..5 {
-        assert_eq!(status(&world, "/safe/a").await, 200);
+        assert_eq!(status(&gateway, "/safe/a").await, 200);
     }
-    world.until_ready(true).await;
+    gateway.wait_until_ready(true).await;
 }
 
 #[actix_rt::test]
 async fn bytes_that_are_no_request_disturb_nobody_else() {
     use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
-    let (world, app, _pool) = World::start().await;
+    let (gateway, app, _pool) = Gateway::start().await;
     let smuggled = b"POST /safe/a HTTP/1.1\r\nhost: h\r\nrequest-id: a\r\ncontent-length: 3\r\n\
         transfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /safe/a HTTP/1.1\r\nhost: h\r\nrequest-id: b\r\n\r\n";
-    let mut stream = tokio::net::TcpStream::connect(world.front).await.unwrap();
+    let mut stream = tokio::net::TcpStream::connect(gateway.front).await.unwrap();
     stream.write_all(smuggled).await.unwrap();
     let mut answer = Vec::new();
     assert_matches!(stream.read_to_end(&mut answer).await, Ok(_));
     assert!(answer.starts_with(b"HTTP/1.1 400"));
     assert_eq!(app.received().len(), 0);
-    assert_eq!(status(&world, "/safe/a").await, 200);
+    assert_eq!(status(&gateway, "/safe/a").await, 200);
 }
 
 /// Symptom: calls hang or are lost after another program wrote among the engines' records. Sequence: its entry takes the
@@ -186,63 +186,63 @@
 /// passed over, so that what they overwrote stood, or a value was made up.
 #[actix_rt::test]
 async fn entries_of_another_writer_name_no_engine_and_the_others_serve() {
-    let (world, app, _pool) = World::start().await;
+    let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("app-2").await;
-    other.register(&world.store, "app", "ready", None);
-    until(async || world.log_lines("engine changed engine=app-2") > 0).await;
+    other.register(&gateway.store, "app", "ready", None);
+    wait_until(async || gateway.count_log_lines("engine changed engine=app-2") > 0).await;
     let address = app.address.to_string();
     let broken = json!({"service": "app", "address": address, "zone": "a", "slots": "many", "state": "ready"});
-    world.store.put("keyed.servers", &app.id, Some(&broken));
+    gateway.store.put("keyed.servers", &app.id, Some(&broken));
     for (key, entry) in [
         ("x-1", json!([1, 2])),
         ("x-2", json!("text")),
         ("x-3", json!({"state": "ready"})),
     ] {
-        world.store.put("keyed.servers", key, Some(&entry));
+        gateway.store.put("keyed.servers", key, Some(&entry));
     }
-    until(async || world.log_lines("an entry names no engine") == 4).await;
+    wait_until(async || gateway.count_log_lines("an entry names no engine") == 4).await;
     let before = app.received().len();
     for _ in 0..10 {
-        assert_eq!(status(&world, "/once/a").await, 200);
+        assert_eq!(status(&gateway, "/once/a").await, 200);
     }
     assert_eq!(app.received().len(), before);
     // Read again, with all others, it is not told of again.
-    world.store.compact("keyed.servers");
-    world.store.put("keyed.servers", &app.id, Some(&broken));
-    app.register(&world.store, "app", "ready", None);
-    until(async || {
-        status(&world, "/safe/a").await;
+    gateway.store.compact("keyed.servers");
+    gateway.store.put("keyed.servers", &app.id, Some(&broken));
+    app.register(&gateway.store, "app", "ready", None);
+    wait_until(async || {
+        status(&gateway, "/safe/a").await;
         app.received().len() > before
     })
     .await;
-    assert_eq!(world.log_lines("an entry names no engine"), 4);
+    assert_eq!(gateway.count_log_lines("an entry names no engine"), 4);
 }
 
 /// Symptom: the first calls after an engine's restart are lost. Sequence: an engine ends and starts again under its name, at
 /// another address; the gateway has connections to the one before. Cause: connections and beliefs were kept by name.
 #[actix_rt::test]
 async fn an_engine_that_starts_again_under_its_name_is_another_one() {
-    let (world, plain, _pool) = World::start().await;
-    world.store.put("keyed.servers", &plain.id, None);
+    let (gateway, plain, _pool) = Gateway::start().await;
+    gateway.store.put("keyed.servers", &plain.id, None);
     let app = Engine::start_with_timestamp("app-9", 1_000).await;
-    app.register(&world.store, "app", "ready", None);
-    until(async || world.log_lines("born=1000") > 0).await;
-    assert_eq!(status(&world, "/once/a").await, 200);
+    app.register(&gateway.store, "app", "ready", None);
+    wait_until(async || gateway.count_log_lines("born=1000") > 0).await;
+    assert_eq!(status(&gateway, "/once/a").await, 200);
     let again = Engine::start_with_timestamp(&app.id, 2_000).await;
-    again.register(&world.store, "app", "ready", None);
-    until(async || world.log_lines("born=2000") > 0).await;
+    again.register(&gateway.store, "app", "ready", None);
+    wait_until(async || gateway.count_log_lines("born=2000") > 0).await;
     let before = app.received().len();
     for _ in 0..5 {
-        assert_eq!(status(&world, "/once/a").await, 200);
+        assert_eq!(status(&gateway, "/once/a").await, 200);
     }
     assert_eq!(app.received().len(), before);
     // A heartbeat of the start before that comes late.
-    app.register(&world.store, "app", "ready", None);
+    app.register(&gateway.store, "app", "ready", None);
     let other = Engine::start("app-3").await;
-    other.register(&world.store, "app", "ready", None);
-    until(async || world.log_lines("engine changed engine=app-3") > 0).await;
+    other.register(&gateway.store, "app", "ready", None);
+    wait_until(async || gateway.count_log_lines("engine changed engine=app-3") > 0).await;
     for _ in 0..5 {
-        assert_eq!(status(&world, "/once/a").await, 200);
+        assert_eq!(status(&gateway, "/once/a").await, 200);
     }
     assert_eq!(app.received().len(), before);
 }
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -1,14 +1,14 @@
 //! What one instance at a time does for all, by real gateway processes.
 
-mod world;
+mod harness;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use platform_standin::cloud::{Call, Fault};
 use platform_standin::configuration::Duties;
 use platform_standin::{Cloud, Engine};
+use harness::{Gateway, configuration, generation, wait_until};
 use serde_json::{Value, json};
-use world::{World, configuration, generation, until};
 
 /// Short windows, so that tests see several; a report is late after four of them.
 const WINDOW_MS: u32 = 1_500;
@@ -16,7 +16,7 @@
 
 const KEYS: [(&str, &str); 2] = [("a", "key-of-a"), ("b", "key-of-b")];
 
-fn configure(world: &World, version: u64, range: bool) {
+fn configure(gateway: &Gateway, version: u64, range: bool) {
     let mut configuration = configuration(version, "app");
     let organisations = KEYS.map(|(name, key)| json!({ "name": name, "api_keys": [key] }));
     configuration["tenants"] = json!(organisations);
@@ -29,24 +29,26 @@
             }
         }
     }
-    world.store.put("keyed.op", "config", Some(&configuration));
+    gateway
+        .store
+        .put("keyed.op", "config", Some(&configuration));
 }
 
-async fn start() -> (Cloud, World, Engine, Engine) {
+async fn start() -> (Cloud, Gateway, Engine, Engine) {
     let cloud = Cloud::start().await;
     let duties = Duties {
         address: cloud.address,
         window_ms: WINDOW_MS,
         late_ms: LATE_MS,
     };
-    let world = World::with_duties(duties).await;
-    configure(&world, 1, false);
+    let gateway = Gateway::with_duties(duties).await;
+    configure(&gateway, 1, false);
     let app = Engine::start("app-1").await;
     let pool = Engine::start("pool-1").await;
-    app.register(&world.store, "app", "ready", None);
-    pool.register(&world.store, "pool", "ready", Some("decode"));
-    world.until_ready(true).await;
-    (cloud, world, app, pool)
+    app.register(&gateway.store, "app", "ready", None);
+    pool.register(&gateway.store, "pool", "ready", Some("decode"));
+    gateway.wait_until_ready(true).await;
+    (cloud, gateway, app, pool)
 }
 
 /// What was reported in all, by organisation.
@@ -70,16 +72,16 @@
     call.body["window_seq"].as_u64().unwrap_or_default()
 }
 
-async fn calls(world: &World, organisation: usize, count: usize) {
+async fn calls(gateway: &Gateway, organisation: usize, count: usize) {
     let key = ("key", KEYS[organisation].1);
     for _ in 0..count {
-        let id = world.fresh_id();
-        let id = format!("{organisation}{}{id}", world.front.port());
+        let id = gateway.fresh_id();
+        let id = format!("{organisation}{}{id}", gateway.front.port());
         let sizes = generation();
         let stream: Vec<_> = sizes.into_iter().chain([key]).collect();
-        assert_eq!(world.call("/once/a", &id, &[key]).await.status, 200);
+        assert_eq!(gateway.call("/once/a", &id, &[key]).await.status, 200);
         let id = format!("{id}s");
-        assert_eq!(world.call("/stream/a", &id, &stream).await.status, 200);
+        assert_eq!(gateway.call("/stream/a", &id, &stream).await.status, 200);
     }
 }
 
@@ -104,25 +106,25 @@
 
 #[actix_rt::test]
 async fn what_organisations_use_is_reported_from_all_instances() {
-    let (cloud, world, _app, _pool) = start().await;
-    let other = world.slow_beside();
-    other.until_ready(true).await;
-    until(async || other.log_lines("instances that place calls") > 0).await;
-    calls(&world, 0, 3).await;
+    let (cloud, gateway, _app, _pool) = start().await;
+    let other = gateway.start_another_on_slow_link();
+    other.wait_until_ready(true).await;
+    wait_until(async || other.count_log_lines("instances that place calls") > 0).await;
+    calls(&gateway, 0, 3).await;
     calls(&other, 0, 2).await;
     calls(&other, 1, 1).await;
     let expected = [("a".to_owned(), 10), ("b".to_owned(), 2)].into();
-    until(async || reported(&cloud) == expected).await;
+    wait_until(async || reported(&cloud) == expected).await;
     assert_one_report_a_window(&cloud);
     assert_tokens_rise(&cloud, "/usage");
-    let page = world.page().await;
+    let page = gateway.metrics_page().await;
     assert!(
         page.contains("tarragon_organisation_requests_total{organisation=\"a\"} 6"),
         "{page}"
     );
     // A key is a secret.
     for (_, key) in KEYS {
-        assert_eq!(world.log_lines(key) + other.log_lines(key), 0);
+        assert_eq!(gateway.count_log_lines(key) + other.count_log_lines(key), 0);
     }
 }
 
@@ -130,13 +132,13 @@
 /// again after more has been counted. Cause: it was made anew.
 #[actix_rt::test]
 async fn a_report_that_was_not_answered_is_repeated_as_it_was() {
-    let (cloud, world, _app, _pool) = start().await;
+    let (cloud, gateway, _app, _pool) = start().await;
     cloud.fault(Fault::Silent);
-    calls(&world, 0, 2).await;
-    until(async || cloud.calls("/usage").len() >= 3).await;
-    calls(&world, 0, 2).await;
+    calls(&gateway, 0, 2).await;
+    wait_until(async || cloud.calls("/usage").len() >= 3).await;
+    calls(&gateway, 0, 2).await;
     cloud.fault(Fault::None);
-    until(async || world.log_lines_with("use reported", "Taken") > 2).await;
+    wait_until(async || gateway.count_log_lines_with("use reported", "Taken") > 2).await;
     assert_one_report_a_window(&cloud);
     assert_tokens_rise(&cloud, "/usage");
 }
@@ -145,25 +147,25 @@
 /// takes over. Cause: it did not know what had been fixed.
 #[actix_rt::test]
 async fn a_successor_repeats_the_reports_that_were_fixed() {
-    let (cloud, world, _app, _pool) = start().await;
-    let other = world.slow_beside();
-    other.until_ready(true).await;
+    let (cloud, gateway, _app, _pool) = start().await;
+    let other = gateway.start_another_on_slow_link();
+    other.wait_until_ready(true).await;
     cloud.fault(Fault::Silent);
-    calls(&world, 0, 2).await;
+    calls(&gateway, 0, 2).await;
     calls(&other, 1, 2).await;
-    until(async || !cloud.calls("/usage").is_empty()).await;
-    world.signal("-KILL");
+    wait_until(async || !cloud.calls("/usage").is_empty()).await;
+    gateway.signal("-KILL");
     cloud.fault(Fault::None);
-    until(async || {
+    wait_until(async || {
         let calls = cloud.calls("/usage");
         let last = calls.last().expect("there was one").holder.clone();
-        other.log_lines_with("use reported", "Taken") > 0 && calls[0].holder == last
+        other.count_log_lines_with("use reported", "Taken") > 0 && calls[0].holder == last
             || calls
                 .iter()
                 .any(|call| call.fence > calls[0].fence && call.taken)
     })
     .await;
-    until(async || other.log_lines_with("use reported", "Taken") > 0).await;
+    wait_until(async || other.count_log_lines_with("use reported", "Taken") > 0).await;
     assert_one_report_a_window(&cloud);
     assert_tokens_rise(&cloud, "/usage");
 }
@@ -172,51 +174,52 @@
 /// copy of before, and gives its offsets out again. Cause: tokens were offsets, and what it had forgotten was not done.
 #[actix_rt::test]
 async fn tokens_rise_and_reports_stay_when_the_store_comes_back_from_a_copy() {
-    let (cloud, world, _app, _pool) = start().await;
-    until(async || !cloud.calls("/usage").is_empty()).await;
-    let copy = world.store.backup();
-    calls(&world, 0, 2).await;
+    let (cloud, gateway, _app, _pool) = start().await;
+    wait_until(async || !cloud.calls("/usage").is_empty()).await;
+    let copy = gateway.store.backup();
+    calls(&gateway, 0, 2).await;
     let before = cloud.calls("/usage").len();
-    until(async || cloud.calls("/usage").len() > before + 1).await;
-    world.store.restore(copy);
-    until(async || world.log_lines("the store has come back from an older copy") == 1).await;
+    wait_until(async || cloud.calls("/usage").len() > before + 1).await;
+    gateway.store.restore(copy);
+    wait_until(async || gateway.count_log_lines("the store has come back from an older copy") == 1)
+        .await;
     let before = cloud.calls("/usage").len();
-    until(async || cloud.calls("/usage").len() > before + 2).await;
+    wait_until(async || cloud.calls("/usage").len() > before + 2).await;
     assert_one_report_a_window(&cloud);
     assert_tokens_rise(&cloud, "/usage");
     let expected = [("a".to_owned(), 4)].into();
-    until(async || reported(&cloud) == expected).await;
-    calls(&world, 0, 1).await;
+    wait_until(async || reported(&cloud) == expected).await;
+    calls(&gateway, 0, 1).await;
 }
 
 /// A platform that is busy is not called all the time.
 #[actix_rt::test]
 async fn a_busy_platform_is_given_time() {
-    let (cloud, world, _app, _pool) = start().await;
+    let (cloud, gateway, _app, _pool) = start().await;
     cloud.fault(Fault::Busy);
-    until(async || world.log_lines_with("use reported", "TooMany") >= 3).await;
+    wait_until(async || gateway.count_log_lines_with("use reported", "TooMany") >= 3).await;
     cloud.fault(Fault::None);
-    until(async || world.log_lines_with("use reported", "Taken") >= 1).await;
+    wait_until(async || gateway.count_log_lines_with("use reported", "Taken") >= 1).await;
     assert_one_report_a_window(&cloud);
 }
 
 /// Symptom: all engines are paid for in full all day. Sequence: a deployment may have reclaimable ones. Cause: nobody ordered any.
 #[actix_rt::test]
 async fn reclaimable_engines_are_ordered_and_the_others_let_go_once_they_are_there() {
-    let (cloud, world, _app, _pool) = start().await;
+    let (cloud, gateway, _app, _pool) = start().await;
     let mut engines = Vec::new();
     for n in 0..9 {
         let engine = Engine::start(&format!("e{n}")).await;
-        engine.register(&world.store, "pool", "ready", Some("decode"));
+        engine.register(&gateway.store, "pool", "ready", Some("decode"));
         engines.push(engine);
     }
-    configure(&world, 2, true);
-    until(async || !cloud.calls("/scale").is_empty()).await;
+    configure(&gateway, 2, true);
+    wait_until(async || !cloud.calls("/scale").is_empty()).await;
     let first = cloud.calls("/scale").pop().expect("there is one");
     assert_eq!(first.body["spot"], json!(true), "{first:?}");
     assert_eq!(first.body["zone"], json!("a"));
     // Ten were there; three tenths of their price buy fifteen.
-    until(async || {
+    wait_until(async || {
         let calls = cloud.calls("/scale");
         calls
             .last()
@@ -225,10 +228,10 @@
     .await;
     for n in 0..15 {
         let engine = Engine::start(&format!("r{n}")).await;
-        engine.register_reclaimable(&world.store, "pool", "decode");
+        engine.register_reclaimable(&gateway.store, "pool", "decode");
         engines.push(engine);
     }
-    until(async || {
+    wait_until(async || {
         let calls = cloud.calls("/scale");
         let last = calls.last().expect("there are some");
         last.body.get("spot").is_none() && last.body["desired"] == json!(1)
@@ -240,38 +243,41 @@
 /// An operator holds orders, fixes a number, and sees what was ordered.
 #[actix_rt::test]
 async fn an_operator_holds_and_fixes_numbers_of_engines() {
-    let (cloud, world, _app, _pool) = start().await;
+    let (cloud, gateway, _app, _pool) = start().await;
     let mut engines = Vec::new();
     for n in 0..9 {
         let engine = Engine::start(&format!("e{n}")).await;
-        engine.register(&world.store, "pool", "ready", Some("decode"));
+        engine.register(&gateway.store, "pool", "ready", Some("decode"));
         engines.push(engine);
     }
-    world.operate(&["hold"]).await;
-    configure(&world, 2, true);
-    until(async || world.log_lines_with("an operator's wishes", "held=true") == 1).await;
-    until(async || world.log_lines("may give orders") > 2).await;
+    gateway.run_command(&["hold"]).await;
+    configure(&gateway, 2, true);
+    wait_until(async || gateway.count_log_lines_with("an operator's wishes", "held=true") == 1)
+        .await;
+    wait_until(async || gateway.count_log_lines("may give orders") > 2).await;
     assert!(cloud.calls("/scale").is_empty());
     let zone = "a";
-    world
-        .operate(&["fix", "pool", zone, "7", "--reclaimable"])
+    gateway
+        .run_command(&["fix", "pool", zone, "7", "--reclaimable"])
         .await;
-    world.operate(&["resume"]).await;
-    until(async || {
+    gateway.run_command(&["resume"]).await;
+    wait_until(async || {
         let calls = cloud.calls("/scale");
         calls
             .last()
             .is_some_and(|call| call.body["desired"] == json!(7))
     })
     .await;
-    assert!(world.log_lines_with("engines ordered", "Fixed") > 0);
-    until(async || {
-        let seen = world.operate(&["engines"]).await;
+    assert!(gateway.count_log_lines_with("engines ordered", "Fixed") > 0);
+    wait_until(async || {
+        let seen = gateway.run_command(&["engines"]).await;
         seen.contains("pool a began_with=10") && seen.contains("fixed reclaimable=7")
     })
     .await;
-    world.operate(&["fix", "pool", zone, "--reclaimable"]).await;
-    until(async || {
+    gateway
+        .run_command(&["fix", "pool", zone, "--reclaimable"])
+        .await;
+    wait_until(async || {
         let calls = cloud.calls("/scale");
         calls
             .last()
--- a/crates/gateway/tests/ports.rs
+++ b/crates/gateway/tests/free_ports.rs
@@ -1,6 +1,6 @@
 //! Ports of the tests themselves.
 
-mod world;
+mod harness;
 
 use std::net::UdpSocket;
 use std::process::Command;
@@ -22,13 +22,13 @@
         for _ in 0..STARTERS {
             scope.spawn(|| {
                 while !is_over.load(Ordering::Relaxed) {
-                    let child = world::spawn(&mut Command::new("true"));
+                    let child = harness::spawn(&mut Command::new("true"));
                     let status = child.and_then(|mut child| child.wait());
                     assert!(status.is_ok_and(|status| status.success()));
                 }
             });
         }
-        let bound = (0..PORTS).map(|_| UdpSocket::bind(("127.0.0.1", world::free_port())));
+        let bound = (0..PORTS).map(|_| UdpSocket::bind(("127.0.0.1", harness::free_port())));
         let failed = bound.filter(Result::is_err).count();
         is_over.store(true, Ordering::Relaxed);
         assert_eq!(failed, 0);
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! One gateway process between stand-ins of the platform.
+//! A gateway process with simulated platform services and engines.
 #![allow(dead_code)]
 
 use std::cell::{Cell, RefCell};
@@ -20,7 +20,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpSocket;
 
-/// Long, since these tests judge states and counts and no times.
+/// Long, since these tests check states and counts rather than times.
 const PATIENCE: Patience = Patience {
     connect: Duration::from_secs(20),
     acknowledge: Duration::from_secs(20),
@@ -28,12 +28,12 @@
     probes: 3,
 };
 
-/// Looks at a state before a test gives up on it, a pause apart.
-const LOOKS: usize = 600;
-const PAUSE: Duration = Duration::from_millis(50);
+/// Checks of a state, one per interval, before a test gives up.
+const MAX_POLLS: usize = 600;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A gateway, its store and its engines.
-pub(crate) struct World {
+/// A gateway process, and its store.
+pub(crate) struct Gateway {
     pub(crate) store: Rc<Store>,
     pub(crate) duties: Option<Duties>,
     pub(crate) front: SocketAddr,
@@ -45,52 +45,53 @@
     ids: Cell<usize>,
 }
 
-/// An answer as a caller sees it.
+/// A response as a caller sees it.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) body: Result<Bytes, Failure>,
     pub(crate) retry_after: Option<String>,
     pub(crate) signed: bool,
 }
 
-impl Answer {
+impl Response {
     pub(crate) fn text(&self) -> &str {
         let body = self.body.as_ref().expect("the body is whole");
         std::str::from_utf8(body).expect("bodies are text")
     }
 }
 
-/// Rates of links, in megabits a second.
-const FAST: u32 = 1_000;
-const SLOW: u32 = 100;
+/// Rates of links, in megabits per second.
+const FAST_LINK_MBPS: u32 = 1_000;
+const SLOW_LINK_MBPS: u32 = 100;
 
-/// Milliseconds that callers wait.
-const DEADLINE: u32 = 20_000;
+/// Deadline of a call.
+const DEADLINE_MS: u32 = 20_000;
 
-/// Held while a port is looked at and while a child starts.
+/// Held while a port is checked and while a child starts.
 ///
-/// Between its fork and its exec a child has copies of all sockets of this process, also of those by which another test
-/// has just seen that a port is free. Its gateway then finds the port in use and ends, and the test says so; of ports that
-/// were looked at while other threads started children one to three in a hundred could not be bound at once.
-static STARTING: Mutex<()> = Mutex::new(());
+/// Between its fork and its exec a child has copies of all sockets of this process, including one
+/// by which another test has just checked that a port is free. That test's gateway then finds the
+/// port in use and ends; without the lock, one to three in a hundred ports that were checked while
+/// other threads started children could not be bound at once.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// Starts a child while no port is looked at.
+/// Starts a child while no port is checked.
 pub(crate) fn spawn(command: &mut Command) -> io::Result<Child> {
-    let _no_port_is_held = STARTING.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     command.spawn()
 }
 
-/// First port that tests use; the kernel gives connections none below 32,768.
+/// First port that tests use; the kernel assigns connections none below 32,768.
 const FIRST_PORT: u16 = 21_000;
 
 /// A port that nothing listens on and that no other test of this process gets.
 ///
-/// A port that the kernel chooses and gives back may be given to another test or connection before the
+/// A port that the kernel assigns and gets back may go to another test or connection before the
 /// gateway binds it; the gateway then ends, and the test waits for its readiness in vain.
 pub(crate) fn free_port() -> u16 {
     static NEXT: AtomicU16 = AtomicU16::new(FIRST_PORT);
-    let _no_child_starts = STARTING.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     loop {
         let port = NEXT.fetch_add(1, Ordering::Relaxed);
         let tcp = TcpListener::bind(("127.0.0.1", port));
@@ -101,10 +102,10 @@
     }
 }
 
-/// Repeats beyond the ratio: more than any test needs.
-const SLACK: u32 = 60_000;
+/// Retries allowed beyond the ratio: more than any test needs.
+const RETRY_SLACK: u32 = 60_000;
 
-/// A configuration with a route of each kind; `app` is the service of plain calls.
+/// A configuration with a route of each kind; `app` is the service for plain calls.
 pub(crate) fn configuration(version: u64, app: &str) -> Value {
     let route = |prefix, kind, service, attempts, resumable| Route {
         prefix,
@@ -122,28 +123,28 @@
     platform_standin::configuration::configuration(version, &routes, &[app])
 }
 
-impl World {
-    /// Starts a store and a gateway that knows nothing yet.
-    pub(crate) async fn bare() -> Self {
-        Self::with(Rc::new(Store::start().await), FAST, None)
+impl Gateway {
+    /// Starts a store and a gateway that has no configuration yet.
+    pub(crate) async fn start_unconfigured() -> Self {
+        Self::start_with(Rc::new(Store::start().await), FAST_LINK_MBPS, None)
     }
 
-    /// Starts a store and a gateway that has duties.
+    /// Starts a store and a gateway that performs duties.
     pub(crate) async fn with_duties(duties: Duties) -> Self {
-        Self::with(Rc::new(Store::start().await), FAST, Some(duties))
+        Self::start_with(Rc::new(Store::start().await), FAST_LINK_MBPS, Some(duties))
     }
 
     /// Starts another gateway on the same store.
-    pub(crate) fn beside(&self) -> Self {
-        Self::with(self.store.clone(), FAST, self.duties)
+    pub(crate) fn start_another(&self) -> Self {
+        Self::start_with(self.store.clone(), FAST_LINK_MBPS, self.duties)
     }
 
-    /// Starts another gateway on the same store, whose slow link puts it last in the common order.
-    pub(crate) fn slow_beside(&self) -> Self {
-        Self::with(self.store.clone(), SLOW, self.duties)
+    /// Starts another gateway on the same store, whose slow link puts it last in the read order.
+    pub(crate) fn start_another_on_slow_link(&self) -> Self {
+        Self::start_with(self.store.clone(), SLOW_LINK_MBPS, self.duties)
     }
 
-    fn with(store: Rc<Store>, link_mbps: u32, duties: Option<Duties>) -> Self {
+    fn start_with(store: Rc<Store>, link_mbps: u32, duties: Option<Duties>) -> Self {
         let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
         let ready = SocketAddr::from(([127, 0, 0, 1], free_port()));
         let metrics = SocketAddr::from(([127, 0, 0, 1], free_port()));
@@ -154,18 +155,18 @@
             ready,
             port: free_port(),
             grace_s: 8,
-            retry_slack: SLACK,
+            retry_slack: RETRY_SLACK,
             lease_ms: 0,
             duties,
         };
-        let mut file = NamedTempFile::new().expect("a scratch file can be made");
+        let mut file = NamedTempFile::new().expect("a scratch file can be created");
         write!(
             file,
             "{}\n[limits]\nlink_mbps = {link_mbps}\n",
             settings.text()
         )
         .expect("a scratch file can be written");
-        let log = NamedTempFile::new().expect("a scratch file can be made");
+        let log = NamedTempFile::new().expect("a scratch file can be created");
         let mut command = Command::new(env!("CARGO_BIN_EXE_tarragon-gateway"));
         command
             .args([
@@ -192,22 +193,22 @@
         }
     }
 
-    /// Starts a store, a gateway, an engine of plain calls and one that generates, and waits until the
-    /// gateway is ready.
+    /// Starts a store, a gateway, an engine for plain calls and a decode engine, and waits until
+    /// the gateway is ready.
     pub(crate) async fn start() -> (Self, Engine, Engine) {
-        Self::bare().await.begin().await
+        Self::start_unconfigured().await.add_engines().await
     }
 
-    /// As [`World::start`], with what is in the store already.
-    pub(crate) async fn begin(self) -> (Self, Engine, Engine) {
-        let world = self;
+    /// As [`Gateway::start`], with records that are already in the store.
+    pub(crate) async fn add_engines(self) -> (Self, Engine, Engine) {
+        let gateway = self;
         let app = Engine::start("app-1").await;
         let pool = Engine::start("pool-1").await;
-        app.register(&world.store, "app", "ready", None);
-        pool.register(&world.store, "pool", "ready", Some("decode"));
-        world.configure(1, "app");
-        world.until_ready(true).await;
-        (world, app, pool)
+        app.register(&gateway.store, "app", "ready", None);
+        pool.register(&gateway.store, "pool", "ready", Some("decode"));
+        gateway.configure(1, "app");
+        gateway.wait_until_ready(true).await;
+        (gateway, app, pool)
     }
 
     pub(crate) fn configure(&self, version: u64, app: &str) {
@@ -215,14 +216,14 @@
         self.store.put("keyed.op", "config", Some(&configuration));
     }
 
-    /// Registers an engine that has ended and whose record stands.
-    pub(crate) fn lost_engine(&self, id: &str, service: &str) {
+    /// Registers an engine that has already ended.
+    pub(crate) fn register_ended_engine(&self, id: &str, service: &str) {
         let address = SocketAddr::from(([127, 0, 0, 1], free_port()));
         platform_standin::engine::register(&self.store, id, address, service, "ready", None);
     }
 
-    pub(crate) async fn until_ready(&self, ready: bool) {
-        until(async || {
+    pub(crate) async fn wait_until_ready(&self, ready: bool) {
+        wait_until(async || {
             let ended = self.child.borrow_mut().try_wait();
             assert!(
                 matches!(ended, Ok(None)),
@@ -233,28 +234,35 @@
         .await;
     }
 
-    /// Lines of the process's log that say this.
-    pub(crate) fn log_lines(&self, what: &str) -> usize {
+    /// Number of log lines that contain `text`.
+    pub(crate) fn count_log_lines(&self, text: &str) -> usize {
         let log = std::fs::read_to_string(self.log.path());
         let log = log.expect("the log can be read");
-        log.lines().filter(|line| line.contains(what)).count()
+        log.lines().filter(|line| line.contains(text)).count()
     }
 
-    /// Lines of the process's log that say both.
-    pub(crate) fn log_lines_with(&self, what: &str, field: &str) -> usize {
+    /// Number of log lines that contain both texts.
+    pub(crate) fn count_log_lines_with(&self, text: &str, field: &str) -> usize {
         let log = std::fs::read_to_string(self.log.path());
         let log = log.expect("the log can be read");
-        let lines = log.lines().filter(|line| line.contains(what));
+        let lines = log.lines().filter(|line| line.contains(text));
         lines.filter(|line| line.contains(field)).count()
     }
 
-    /// The page of metrics.
-    pub(crate) async fn page(&self) -> String {
+    /// The metrics page.
+    pub(crate) async fn metrics_page(&self) -> String {
         let client = Client::open(self.metrics, &PATIENCE, &http1::config()).await;
         let mut client = client.expect("metrics are served");
         let head = request::head("/metrics", &[]);
         let answer = client.send(head, &Bytes::new()).await;
-        assert_eq!(answer.expect("the page comes").head.status.as_u16(), 200);
+        assert_eq!(
+            answer
+                .expect("the metrics page is served")
+                .head
+                .status
+                .as_u16(),
+            200
+        );
         let page = client.body(1 << 20).await.expect("the page is whole");
         String::from_utf8(page.to_vec()).expect("the page is text")
     }
@@ -269,46 +277,46 @@
         answer.is_ok_and(|answer| answer.head.status.as_u16() == 200)
     }
 
-    /// A connection of a caller.
-    pub(crate) async fn caller(&self) -> Client {
+    /// Opens a connection as a caller.
+    pub(crate) async fn connect(&self) -> Client {
         let mut caller = Client::open(self.front, &PATIENCE, &http1::config()).await;
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_POLLS {
             if caller.is_ok() {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             caller = Client::open(self.front, &PATIENCE, &http1::config()).await;
         }
         caller.expect("the gateway listens")
     }
 
-    /// Sends a call and reads its answer.
-    pub(crate) async fn call(&self, path: &str, id: &str, headers: &[Header<'_>]) -> Answer {
-        let mut caller = self.caller().await;
-        ask(&mut caller, path, id, headers).await
+    /// Sends a call and reads its response.
+    pub(crate) async fn call(&self, path: &str, id: &str, headers: &[Header<'_>]) -> Response {
+        let mut caller = self.connect().await;
+        send_call(&mut caller, path, id, headers).await
     }
 
-    /// Sends a generation of 100 tokens, whose parts no engine has read.
-    pub(crate) async fn generate(&self, path: &str, id: &str) -> Answer {
+    /// Sends a generation of 100 tokens, whose parts no engine has cached.
+    pub(crate) async fn generate(&self, path: &str, id: &str) -> Response {
         let prefix = format!("a{id}:80,b{id}:20");
         let headers = request::generation_headers("100,20", &prefix);
         self.call(path, id, &headers).await
     }
 
-    /// Sends a generation that has the same prompt each time.
-    pub(crate) async fn generate_same(&self, path: &str, id: &str) -> Answer {
+    /// Sends a generation whose prompt is always the same.
+    pub(crate) async fn generate_same_prompt(&self, path: &str, id: &str) -> Response {
         self.call(path, id, &generation()).await
     }
 
-    /// As [`World::generate_same`], on a connection from another address of this machine. Gives the status and whether it says when
-    /// to come back.
-    pub(crate) async fn generate_same_from(
+    /// As [`Gateway::generate_same_prompt`], on a connection from another address of this machine.
+    /// Returns the status and whether there was a retry-after.
+    pub(crate) async fn generate_same_prompt_from(
         &self,
         from: [u8; 4],
         path: &str,
         id: &str,
     ) -> (u16, bool) {
-        let socket = TcpSocket::new_v4().expect("a socket can be had");
+        let socket = TcpSocket::new_v4().expect("a socket can be created");
         let address = SocketAddr::from((from, 0));
         socket
             .bind(address)
@@ -328,7 +336,7 @@
             .await
             .expect("a request can be sent");
         let mut answer = Vec::new();
-        // A stream that its engine broke off ends without its end.
+        // The stream may be truncated.
         drop(caller.read_to_end(&mut answer).await);
         let answer = String::from_utf8_lossy(&answer).to_ascii_lowercase();
         let status = answer
@@ -354,8 +362,8 @@
         assert!(status.expect("signals can be sent").success());
     }
 
-    /// Runs the program as an operator does, with this instance's settings. Gives what it prints.
-    pub(crate) async fn operate(&self, command: &[&str]) -> String {
+    /// Runs an operator's command with this instance's settings. Returns what it prints.
+    pub(crate) async fn run_command(&self, command: &[&str]) -> String {
         let mut program = Command::new(env!("CARGO_BIN_EXE_tarragon-gateway"));
         program
             .args(command)
@@ -363,29 +371,32 @@
             .arg(self.settings.path());
         program.stdout(Stdio::piped());
         let child = spawn(&mut program).expect("the program starts");
-        // The store that it asks runs on this thread.
+        // The store that it reads runs on this thread.
         let ended = actix_rt::task::spawn_blocking(|| child.wait_with_output());
-        let output = ended.await.expect("it can be waited for").expect("it ends");
+        let output = ended
+            .await
+            .expect("the task completes")
+            .expect("the program ends");
         assert!(output.status.success(), "{output:?}");
-        String::from_utf8(output.stdout).expect("it prints text")
+        String::from_utf8(output.stdout).expect("the output is UTF-8")
     }
 
-    /// Waits for the process to end. Says whether it ended well.
-    pub(crate) async fn until_ended(&self) -> bool {
-        for _ in 0..LOOKS {
+    /// Waits for the process to end. Returns whether it succeeded.
+    pub(crate) async fn wait_until_ended(&self) -> bool {
+        for _ in 0..MAX_POLLS {
             let ended = self.child.borrow_mut().try_wait();
             if let Some(status) = ended.expect("the process can be waited for") {
                 return status.success();
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("the gateway does not end");
     }
 }
 
-impl Drop for World {
+impl Drop for Gateway {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended already.
         let mut child = self.child.borrow_mut();
         drop(child.kill());
         drop(child.wait());
@@ -397,43 +408,43 @@
     request::generation_headers("100,20", "aa:80,bb:20")
 }
 
-/// Sends a call on an open connection and reads its answer.
-pub(crate) async fn ask(
+/// Sends a call on an open connection and reads its response.
+pub(crate) async fn send_call(
     caller: &mut Client,
     path: &str,
     id: &str,
     headers: &[Header<'_>],
-) -> Answer {
-    ask_within(caller, path, id, DEADLINE, headers).await
+) -> Response {
+    send_call_within(caller, path, id, DEADLINE_MS, headers).await
 }
 
-/// As [`ask`], for a caller that waits for so many milliseconds.
-pub(crate) async fn ask_within(
+/// As [`send_call`], with a deadline in milliseconds.
+pub(crate) async fn send_call_within(
     caller: &mut Client,
     path: &str,
     id: &str,
     deadline: u32,
     headers: &[Header<'_>],
-) -> Answer {
+) -> Response {
     let head = request::call(path, id, deadline, headers);
     let answer = caller.send(head, &Bytes::new()).await;
     let answer = answer.expect("every call gets an answer");
-    let seen = ResponseSummary::from(&answer.head);
-    Answer {
-        status: seen.status,
-        retry_after: seen.retry_after,
-        signed: seen.signed,
+    let observed = ResponseSummary::from(&answer.head);
+    Response {
+        status: observed.status,
+        retry_after: observed.retry_after,
+        signed: observed.signed,
         body: caller.body(1 << 20).await,
     }
 }
 
-/// Waits for a state.
-pub(crate) async fn until(mut state: impl AsyncFnMut() -> bool) {
-    for _ in 0..LOOKS {
+/// Polls until the state is reached; panics if it is not.
+pub(crate) async fn wait_until(mut state: impl AsyncFnMut() -> bool) {
+    for _ in 0..MAX_POLLS {
         if state().await {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("the state does not come");
+    panic!("the state was not reached in time");
 }
--- a/crates/gateway/tests/metrics.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -1,20 +1,20 @@
 //! What a process tells of itself.
 
-mod world;
+mod harness;
 
 use platform_standin::engine::Behaviour;
-use world::{World, until};
+use harness::{Gateway, wait_until};
 
 #[actix_rt::test]
 async fn calls_are_counted_by_how_they_ended() {
-    let (world, app, pool) = World::start().await;
-    world.call("/once/a", "a", &[]).await;
-    world.generate("/stream/a", "b").await;
+    let (gateway, app, pool) = Gateway::start().await;
+    gateway.call("/once/a", "a", &[]).await;
+    gateway.generate("/stream/a", "b").await;
     app.set_behaviour(Behaviour::Full);
     pool.set_behaviour(Behaviour::CutAfter(2));
-    world.call("/once/a", "c", &[]).await;
-    world.generate("/stream/a", "d").await;
-    let page = world.page().await;
+    gateway.call("/once/a", "c", &[]).await;
+    gateway.generate("/stream/a", "d").await;
+    let page = gateway.metrics_page().await;
     for line in [
         r#"tarragon_plain_calls_total{end="served"} 1"#,
         r#"tarragon_plain_calls_total{end="refused"} 1"#,
@@ -34,10 +34,10 @@
 /// signal comes. Cause: only the signal was waited for.
 #[actix_rt::test]
 async fn a_settings_file_that_changes_without_a_signal_is_read() {
-    let (world, _app, _pool) = World::start().await;
-    let path = world.settings.path();
+    let (gateway, _app, _pool) = Gateway::start().await;
+    let path = gateway.settings.path();
     let text = std::fs::read_to_string(path).unwrap();
-    let before = world.log_lines("settings reloaded");
+    let before = gateway.count_log_lines("settings reloaded");
     std::fs::write(path, text.replace("grace_s = 8", "grace_s = 12.5")).unwrap();
-    until(async || world.log_lines("settings reloaded") > before).await;
+    wait_until(async || gateway.count_log_lines("settings reloaded") > before).await;
 }
--- a/crates/gateway/tests/organisations.rs
+++ b/crates/gateway/tests/organisations.rs
@@ -1,13 +1,13 @@
 //! Keys of organisations at real gateway processes.
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 
 use platform_standin::Engine;
 use platform_standin::engine::ReceivedRequest;
+use harness::{Gateway, configuration, generation, wait_until};
 use serde_json::{Value, json};
-use world::{World, configuration, generation, until};
 
 const KEY: &str = "key-of-a-7f3c";
 
@@ -18,20 +18,22 @@
     configuration
 }
 
-fn put(world: &World, version: u64, organisations: &Value) {
+fn put(gateway: &Gateway, version: u64, organisations: &Value) {
     let configuration = configured(version, organisations);
-    world.store.put("keyed.op", "config", Some(&configuration));
+    gateway
+        .store
+        .put("keyed.op", "config", Some(&configuration));
 }
 
-async fn start() -> (World, Engine, Engine) {
-    let world = World::bare().await;
-    put(&world, 1, &json!([{ "name": "a", "api_keys": [KEY] }]));
+async fn start() -> (Gateway, Engine, Engine) {
+    let gateway = Gateway::start_unconfigured().await;
+    put(&gateway, 1, &json!([{ "name": "a", "api_keys": [KEY] }]));
     let app = Engine::start("app-1").await;
     let pool = Engine::start("pool-1").await;
-    app.register(&world.store, "app", "ready", None);
-    pool.register(&world.store, "pool", "ready", Some("decode"));
-    world.until_ready(true).await;
-    (world, app, pool)
+    app.register(&gateway.store, "app", "ready", None);
+    pool.register(&gateway.store, "pool", "ready", Some("decode"));
+    gateway.wait_until_ready(true).await;
+    (gateway, app, pool)
 }
 
 fn of_id(engine: &Engine, id: &str) -> Vec<ReceivedRequest> {
@@ -40,24 +42,24 @@
     got
 }
 
-async fn status(world: &World, path: &str, key: Option<&str>) -> u16 {
-    let id = world.fresh_id();
+async fn status(gateway: &Gateway, path: &str, key: Option<&str>) -> u16 {
+    let id = gateway.fresh_id();
     let key = key.map(|key| ("key", key));
     let headers: Vec<_> = key.into_iter().collect();
-    world.call(path, &id, &headers).await.status
+    gateway.call(path, &id, &headers).await.status
 }
 
 /// Symptom: an engine learns a caller's secret, and does not know on whose behalf it works. Sequence: a caller sends its key, and the
 /// name of another organisation. Cause: headers were forwarded as they came.
 #[actix_rt::test]
 async fn engines_are_told_whose_call_it_is_and_no_key() {
-    let (world, app, pool) = start().await;
+    let (gateway, app, pool) = start().await;
     let forged = [("key", KEY), ("tenant-id", "b")];
-    assert_eq!(world.call("/once/a", "plain", &forged).await.status, 200);
+    assert_eq!(gateway.call("/once/a", "plain", &forged).await.status, 200);
     let sizes = generation();
     let headers = [&forged[..], &sizes[..]].concat();
     assert_eq!(
-        world.call("/resume/a", "stream", &headers).await.status,
+        gateway.call("/resume/a", "stream", &headers).await.status,
         200
     );
     let all = [of_id(&app, "plain"), of_id(&pool, "stream")].concat();
@@ -67,17 +69,17 @@
         assert_eq!(got.header("key"), None);
     }
     // The secret stands in no line of the log.
-    assert_eq!(world.log_lines(KEY), 0);
+    assert_eq!(gateway.count_log_lines(KEY), 0);
 }
 
 #[actix_rt::test]
 async fn a_call_without_a_known_key_runs_nowhere_but_on_public_routes() {
-    let (world, app, _pool) = start().await;
-    assert_eq!(status(&world, "/once/a", None).await, 401);
-    assert_eq!(status(&world, "/once/a", Some("key-of-a-7f3")).await, 401);
+    let (gateway, app, _pool) = start().await;
+    assert_eq!(status(&gateway, "/once/a", None).await, 401);
+    assert_eq!(status(&gateway, "/once/a", Some("key-of-a-7f3")).await, 401);
     assert_eq!(app.received().len(), 0);
     assert_eq!(
-        world
+        gateway
             .call("/safe/a", "open", &[("key", "unknown")])
             .await
             .status,
@@ -92,62 +94,62 @@
 /// older version comes late. Cause: whichever came last was in force.
 #[actix_rt::test]
 async fn keys_come_and_go_by_versions_and_do_not_come_back() {
-    let (world, _app, _pool) = start().await;
+    let (gateway, _app, _pool) = start().await;
     put(
-        &world,
+        &gateway,
         2,
         &json!([{ "name": "a", "api_keys": [KEY, "second"] }]),
     );
-    until(async || status(&world, "/once/a", Some("second")).await == 200).await;
+    wait_until(async || status(&gateway, "/once/a", Some("second")).await == 200).await;
     for version in 3..8 {
         put(
-            &world,
+            &gateway,
             version,
             &json!([{ "name": "a", "api_keys": ["second"] }]),
         );
     }
-    until(async || status(&world, "/once/a", Some(KEY)).await == 401).await;
-    put(&world, 2, &json!([{ "name": "a", "api_keys": [KEY] }]));
-    until(async || world.log_lines("configuration in force") > 0).await;
+    wait_until(async || status(&gateway, "/once/a", Some(KEY)).await == 401).await;
+    put(&gateway, 2, &json!([{ "name": "a", "api_keys": [KEY] }]));
+    wait_until(async || gateway.count_log_lines("configuration in force") > 0).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(status(&world, "/once/a", Some(KEY)).await, 401);
-    assert_eq!(status(&world, "/once/a", Some("second")).await, 200);
+    assert_eq!(status(&gateway, "/once/a", Some(KEY)).await, 401);
+    assert_eq!(status(&gateway, "/once/a", Some("second")).await, 200);
 }
 
 /// Symptom: all callers of two organisations are mixed up, or all are shut out. Sequence: an operator gives one key to two
 /// organisations. Cause: the configuration went into force as far as it could be read.
 #[actix_rt::test]
 async fn a_configuration_with_a_shared_key_changes_nothing() {
-    let (world, _app, _pool) = start().await;
+    let (gateway, _app, _pool) = start().await;
     put(
-        &world,
+        &gateway,
         2,
         &json!([{ "name": "a", "api_keys": [KEY] }, { "name": "b", "api_keys": [KEY] }]),
     );
-    until(async || world.log_lines("hold the same key") == 1).await;
-    assert_eq!(status(&world, "/once/a", Some(KEY)).await, 200);
+    wait_until(async || gateway.count_log_lines("hold the same key") == 1).await;
+    assert_eq!(status(&gateway, "/once/a", Some(KEY)).await, 200);
 }
 
 /// Symptom: a caller with a new key is refused for ever by an instance that is behind, and served by all others. Sequence: the store
 /// turns the instance away; meanwhile a key is given out. Cause: what it did not know was taken for unknown to all.
 #[actix_rt::test]
 async fn an_instance_that_is_behind_sends_unknown_keys_elsewhere() {
-    let (world, app, _pool) = start().await;
-    world.store.fault(platform_standin::store::Fault::Busy);
-    until(async || status(&world, "/once/a", Some("new")).await == 503).await;
-    assert_eq!(status(&world, "/once/a", Some(KEY)).await, 200);
+    let (gateway, app, _pool) = start().await;
+    gateway.store.fault(platform_standin::store::Fault::Busy);
+    wait_until(async || status(&gateway, "/once/a", Some("new")).await == 503).await;
+    assert_eq!(status(&gateway, "/once/a", Some(KEY)).await, 200);
     assert_eq!(app.received().len(), 1);
-    world.store.fault(platform_standin::store::Fault::None);
-    until(async || status(&world, "/once/a", Some("new")).await == 401).await;
+    gateway.store.fault(platform_standin::store::Fault::None);
+    wait_until(async || status(&gateway, "/once/a", Some("new")).await == 401).await;
 }
 
 /// Symptom: a second instance, which is told the configuration by the first, serves nobody. Sequence: one instance reads the store and tells the
 /// other. Cause: digests of keys could not be used where they were not made.
 #[actix_rt::test]
 async fn an_instance_that_is_told_the_configuration_knows_the_keys() {
-    let (world, _app, _pool) = start().await;
-    let other = world.slow_beside();
-    other.until_ready(true).await;
+    let (gateway, _app, _pool) = start().await;
+    let other = gateway.start_another_on_slow_link();
+    other.wait_until_ready(true).await;
     assert_eq!(status(&other, "/once/a", Some(KEY)).await, 200);
     assert_eq!(status(&other, "/once/a", Some("unknown")).await, 401);
 }
--- a/crates/gateway/tests/placers.rs
+++ b/crates/gateway/tests/placement.rs
@@ -1,31 +1,31 @@
 //! Several gateways of one data centre: two place calls, the others ask them.
 
-mod world;
+mod harness;
 
 use platform_standin::Engine;
-use world::{World, until};
+use harness::{Gateway, wait_until};
 
 /// Three gateways on one store, of which the third is the last in the common order, with an engine of plain calls and one
 /// that generates.
-async fn three() -> ([World; 3], [Engine; 2]) {
-    let (first, app, pool) = World::start().await;
-    let (second, third) = (first.beside(), first.slow_beside());
-    second.until_ready(true).await;
-    third.until_ready(true).await;
+async fn three() -> ([Gateway; 3], [Engine; 2]) {
+    let (first, app, pool) = Gateway::start().await;
+    let (second, third) = (first.start_another(), first.start_another_on_slow_link());
+    second.wait_until_ready(true).await;
+    third.wait_until_ready(true).await;
     ([first, second, third], [app, pool])
 }
 
 /// What a gateway's page says of a counter of questions.
-async fn questions(world: &World, answer: &str) -> u64 {
-    let page = world.page().await;
+async fn questions(gateway: &Gateway, answer: &str) -> u64 {
+    let page = gateway.metrics_page().await;
     let name = format!("tarragon_placement_questions_total{{answer=\"{answer}\"}}");
     let line = page.lines().find_map(|line| line.strip_prefix(&name));
     line.map_or(0, |count| count.trim().parse().expect("a count"))
 }
 
 /// Sends calls to the last one until it asks for their places.
-async fn until_it_asks(asking: &World) {
-    until(async || {
+async fn until_it_asks(asking: &Gateway) {
+    wait_until(async || {
         let id = asking.fresh_id();
         assert_eq!(asking.generate("/stream/", &id).await.status, 200);
         questions(asking, "placed").await > 0
@@ -67,11 +67,12 @@
 async fn instances_that_start_are_told_what_the_store_holds() {
     let ([first, _second, _third], _engines) = three().await;
     // One that is told late, on a busy machine, reads by itself, and rightly so.
-    until(async || {
-        let last = first.slow_beside();
-        last.until_ready(true).await;
-        let told = last.log_lines("all engines known, from another instance") == 1;
-        told && last.log_lines("source=instance") == 1 && last.log_lines("all engines read") == 0
+    wait_until(async || {
+        let last = first.start_another_on_slow_link();
+        last.wait_until_ready(true).await;
+        let told = last.count_log_lines("all engines known, from another instance") == 1;
+        told && last.count_log_lines("source=instance") == 1
+            && last.count_log_lines("all engines read") == 0
     })
     .await;
 }
--- a/crates/gateway/tests/ending.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -1,15 +1,15 @@
 //! Calls that end the engines that run them, and the calls beside them.
 
-mod world;
+mod harness;
 
 use std::time::{Duration, SystemTime};
 
 use platform_standin::engine::Behaviour;
 use platform_standin::store::Fault;
 use platform_standin::{Engine, Store};
+use harness::{Gateway, wait_until};
 use wire::Message as _;
 use wire::gateway::Suspect;
-use world::{World, until};
 
 /// Time within which all instances know what one of them does: what callers are promised.
 const KNOWN_EVERYWHERE: Duration = Duration::from_secs(3);
@@ -85,9 +85,9 @@
 
 /// Sends the call to one instance after the other, by `send`, and replaces the engines that end.
 async fn send_again(
-    worlds: &[&World],
+    gateways: &[&Gateway],
     pool: &mut Pool,
-    send: impl AsyncFn(&World, usize) -> (u16, bool),
+    send: impl AsyncFn(&Gateway, usize) -> (u16, bool),
 ) -> Sent {
     let mut answers = Vec::new();
     let mut before = None;
@@ -96,8 +96,8 @@
             tokio::time::sleep(KNOWN_EVERYWHERE).await;
             before = Some(pool.reached(FATAL));
         }
-        answers.push(send(worlds[number % worlds.len()], number).await);
-        pool.replace(&worlds[0].store).await;
+        answers.push(send(gateways[number % gateways.len()], number).await);
+        pool.replace(&gateways[0].store).await;
     }
     let before = before.expect("the call ends engines");
     let later = pool.reached(FATAL) - before;
@@ -105,20 +105,20 @@
 }
 
 /// Three instances, of which the last asks the others for places, before engines that a call ends.
-async fn three_instances() -> ([World; 3], Pool) {
-    let (first, _app, other) = World::start().await;
+async fn three_instances() -> ([Gateway; 3], Pool) {
+    let (first, _app, other) = Gateway::start().await;
     other.end_on_path(FATAL);
     let mut pool = Pool::start(&first.store).await;
     pool.engines.push(other);
-    let (second, third) = (first.beside(), first.slow_beside());
-    let worlds = [first, second, third];
-    for world in &worlds {
-        world.until_ready(true).await;
+    let (second, third) = (first.start_another(), first.start_another_on_slow_link());
+    let gateways = [first, second, third];
+    for gateway in &gateways {
+        gateway.wait_until_ready(true).await;
         // One that knows a few engines only is ready, too.
         let all = format!("tarragon_engines {}\n", pool.engines.len() + 1);
-        until(async || world.page().await.contains(&all)).await;
+        wait_until(async || gateway.metrics_page().await.contains(&all)).await;
     }
-    (worlds, pool)
+    (gateways, pool)
 }
 
 fn assert_held(sent: &Sent) {
@@ -137,17 +137,19 @@
 /// remembered a call beyond its own attempts, so that each repeat began anew.
 #[actix_rt::test]
 async fn a_call_that_ends_engines_is_kept_from_them_at_every_instance() {
-    let (worlds, mut pool) = three_instances().await;
-    let sent = send_again(&worlds.each_ref(), &mut pool, async |world, number| {
-        let answer = world.generate_same(FATAL, &format!("fatal-{number}")).await;
+    let (gateways, mut pool) = three_instances().await;
+    let sent = send_again(&gateways.each_ref(), &mut pool, async |gateway, number| {
+        let answer = gateway
+            .generate_same_prompt(FATAL, &format!("fatal-{number}"))
+            .await;
         (answer.status, answer.retry_after.is_some())
     })
     .await;
     assert_held(&sent);
-    for world in worlds {
-        until(async || {
-            let id = world.fresh_id();
-            world.generate("/stream/other", &id).await.status == 200
+    for gateway in gateways {
+        wait_until(async || {
+            let id = gateway.fresh_id();
+            gateway.generate("/stream/other", &id).await.status == 200
         })
         .await;
     }
@@ -158,11 +160,11 @@
 /// caller. With the address in its fingerprint each repeat was another call.
 #[actix_rt::test]
 async fn a_call_that_ends_engines_is_the_same_from_every_address() {
-    let (worlds, mut pool) = three_instances().await;
-    let sent = send_again(&worlds.each_ref(), &mut pool, async |world, number| {
+    let (gateways, mut pool) = three_instances().await;
+    let sent = send_again(&gateways.each_ref(), &mut pool, async |gateway, number| {
         let from = [127, 0, 0, u8::try_from(number + 2).unwrap()];
-        world
-            .generate_same_from(from, FATAL, &format!("fatal-{number}"))
+        gateway
+            .generate_same_prompt_from(from, FATAL, &format!("fatal-{number}"))
             .await
     })
     .await;
@@ -170,19 +172,21 @@
 }
 
 /// Whether one of the instances has written to the store that the call is held.
-fn is_kept(worlds: &[World]) -> bool {
+fn is_kept(gateways: &[Gateway]) -> bool {
     let line = "the store knows of a call that ends engines";
     let ended = format!("ended={ENDED}");
-    worlds
+    gateways
         .iter()
-        .any(|world| world.log_lines_with(line, &ended) > 0)
+        .any(|gateway| gateway.count_log_lines_with(line, &ended) > 0)
 }
 
 /// Sends the call to an instance until it is refused for what it does.
-async fn until_held(world: &World, pool: &mut Pool, path: &str) {
-    until(async || {
-        let answer = world.generate_same(path, &world.fresh_id()).await;
-        pool.replace(&world.store).await;
+async fn until_held(gateway: &Gateway, pool: &mut Pool, path: &str) {
+    wait_until(async || {
+        let answer = gateway
+            .generate_same_prompt(path, &gateway.fresh_id())
+            .await;
+        pool.replace(&gateway.store).await;
         answer.status == 503 && answer.text().contains("ended")
     })
     .await;
@@ -192,17 +196,22 @@
 /// again. The store has what ended two or more, and an instance reads it before it is ready.
 #[actix_rt::test]
 async fn a_held_call_stays_held_when_all_instances_are_killed() {
-    let (worlds, mut pool) = three_instances().await;
-    until_held(&worlds[0], &mut pool, FATAL).await;
-    until(async || is_kept(&worlds)).await;
+    let (gateways, mut pool) = three_instances().await;
+    until_held(&gateways[0], &mut pool, FATAL).await;
+    wait_until(async || is_kept(&gateways)).await;
     let reached = pool.reached(FATAL);
-    for world in &worlds {
-        world.signal("-KILL");
+    for gateway in &gateways {
+        gateway.signal("-KILL");
     }
-    let (next, last) = (worlds[0].beside(), worlds[0].slow_beside());
-    for world in [&next, &last] {
-        world.until_ready(true).await;
-        let answer = world.generate_same(FATAL, &world.fresh_id()).await;
+    let (next, last) = (
+        gateways[0].start_another(),
+        gateways[0].start_another_on_slow_link(),
+    );
+    for gateway in [&next, &last] {
+        gateway.wait_until_ready(true).await;
+        let answer = gateway
+            .generate_same_prompt(FATAL, &gateway.fresh_id())
+            .await;
         assert_eq!(answer.status, 503, "{answer:?}");
     }
     assert_eq!(pool.reached(FATAL), reached);
@@ -212,10 +221,10 @@
 /// one moment, that of its start, and the call for cleared; what it told cleared the call for all.
 #[actix_rt::test]
 async fn what_was_before_the_start_of_an_instance_keeps_its_order() {
-    let (worlds, mut pool) = three_instances().await;
-    let first = &worlds[0];
-    until(async || {
-        first.generate_same(FATAL, &first.fresh_id()).await;
+    let (gateways, mut pool) = three_instances().await;
+    let first = &gateways[0];
+    wait_until(async || {
+        first.generate_same_prompt(FATAL, &first.fresh_id()).await;
         pool.ended() == 1
     })
     .await;
@@ -223,21 +232,23 @@
     for engine in &pool.engines {
         engine.end_on_path("/stream/none");
     }
-    until(async || {
-        first.generate_same(FATAL, &first.fresh_id()).await;
-        first.log_lines("a call that had engines end ran well") == 1
+    wait_until(async || {
+        first.generate_same_prompt(FATAL, &first.fresh_id()).await;
+        first.count_log_lines("a call that had engines end ran well") == 1
     })
     .await;
     for engine in &pool.engines {
         engine.end_on_path(FATAL);
     }
     until_held(first, &mut pool, FATAL).await;
-    until(async || is_kept(&worlds)).await;
-    let newcomer = first.beside();
-    newcomer.until_ready(true).await;
+    wait_until(async || is_kept(&gateways)).await;
+    let newcomer = first.start_another();
+    newcomer.wait_until_ready(true).await;
     let reached = pool.reached(FATAL);
-    for world in [&newcomer, first, &worlds[1]] {
-        let answer = world.generate_same(FATAL, &world.fresh_id()).await;
+    for gateway in [&newcomer, first, &gateways[1]] {
+        let answer = gateway
+            .generate_same_prompt(FATAL, &gateway.fresh_id())
+            .await;
         assert_eq!(answer.status, 503, "{answer:?}");
     }
     assert_eq!(pool.reached(FATAL), reached);
@@ -247,67 +258,73 @@
 /// store, and a store that is away lets nobody try.
 #[actix_rt::test]
 async fn a_held_call_is_tried_once_by_one_instance() {
-    let (worlds, mut pool) = three_instances().await;
-    until_held(&worlds[0], &mut pool, FATAL).await;
+    let (gateways, mut pool) = three_instances().await;
+    until_held(&gateways[0], &mut pool, FATAL).await;
     let reached = pool.reached(FATAL);
-    worlds[0].store.fault(Fault::Busy);
+    gateways[0].store.fault(Fault::Busy);
     tokio::time::sleep(FIRST_HOLD).await;
-    for world in &worlds {
-        let answer = world.generate_same(FATAL, &world.fresh_id()).await;
+    for gateway in &gateways {
+        let answer = gateway
+            .generate_same_prompt(FATAL, &gateway.fresh_id())
+            .await;
         assert_eq!(answer.status, 503, "{answer:?}");
     }
     assert_eq!(pool.reached(FATAL), reached);
-    worlds[0].store.fault(Fault::None);
-    until(async || {
-        let sends = worlds
-            .each_ref()
-            .map(|world| async { world.generate_same(FATAL, &world.fresh_id()).await });
+    gateways[0].store.fault(Fault::None);
+    wait_until(async || {
+        let sends = gateways.each_ref().map(|gateway| async {
+            gateway
+                .generate_same_prompt(FATAL, &gateway.fresh_id())
+                .await
+        });
         futures_util::future::join_all(sends).await;
         pool.reached(FATAL) > reached
     })
     .await;
     for _ in 0..SENDS {
-        for world in &worlds {
-            world.generate_same(FATAL, &world.fresh_id()).await;
+        for gateway in &gateways {
+            gateway
+                .generate_same_prompt(FATAL, &gateway.fresh_id())
+                .await;
         }
     }
     assert_eq!(pool.reached(FATAL), reached + 1);
 }
 
 /// Sends the call to an instance, leaves it once an engine has it, and ends that engine.
-async fn leave_and_end(world: &World, pool: &Pool, path: &str) {
-    let id = world.fresh_id();
+async fn leave_and_end(gateway: &Gateway, pool: &Pool, path: &str) {
+    let id = gateway.fresh_id();
     let reached = || pool.engines.iter().find(|engine| engine.run_count(&id) > 0);
     tokio::select! {
-        answer = world.generate_same(path, &id) => panic!("engines do not answer: {answer:?}"),
-        () = until(async || reached().is_some()) => {}
+        answer = gateway.generate_same_prompt(path, &id) => panic!("engines do not answer: {answer:?}"),
+        () = wait_until(async || reached().is_some()) => {}
     }
-    until(async || world.log_lines(&format!("the caller left id={id}")) > 0).await;
+    wait_until(async || gateway.count_log_lines(&format!("the caller left id={id}")) > 0).await;
     reached().expect("an engine has it").stop();
 }
 
 /// Guards against a call that ends engines unseen because its caller leaves first.
 #[actix_rt::test]
 async fn a_call_that_ends_engines_is_held_although_its_caller_leaves() {
-    let (worlds, pool) = three_instances().await;
-    let first = &worlds[0];
-    until(async || {
-        first.generate_same(FATAL, &first.fresh_id()).await;
+    let (gateways, pool) = three_instances().await;
+    let first = &gateways[0];
+    wait_until(async || {
+        first.generate_same_prompt(FATAL, &first.fresh_id()).await;
         pool.ended() == ENDED - 1
     })
     .await;
     let noted = "an engine ended with the call in hand";
-    until(async || first.log_lines_with(noted, "ended=2") > 0).await;
+    wait_until(async || first.count_log_lines_with(noted, "ended=2") > 0).await;
     for engine in &pool.engines {
         engine.set_behaviour(Behaviour::Hang);
     }
     leave_and_end(first, &pool, FATAL).await;
     // Nothing is sent meanwhile: a call that met the ended engine would tell its end.
-    until(async || first.log_lines_with(noted, "ended=3") > 0).await;
-    for world in &worlds {
-        until(async || {
-            let id = world.fresh_id();
-            let asked = world.generate_same(FATAL, &id);
+    wait_until(async || first.count_log_lines_with(noted, "ended=3") > 0).await;
+    for gateway in &gateways {
+        wait_until(async || {
+            let id = gateway.fresh_id();
+            let asked = gateway.generate_same_prompt(FATAL, &id);
             let answer = tokio::time::timeout(KNOWN_EVERYWHERE, asked).await;
             answer.is_ok_and(|answer| answer.status == 503 && answer.text().contains("ended"))
         })
@@ -320,36 +337,36 @@
 #[actix_rt::test]
 async fn a_repeat_in_hand_is_held_as_well() {
     const RESUMED: &str = "/resume/fatal";
-    let (worlds, mut pool) = three_instances().await;
+    let (gateways, mut pool) = three_instances().await;
     for engine in &pool.engines {
         engine.end_on_path(RESUMED);
     }
-    let first = worlds[0].generate_same(RESUMED, "resumed-1").await;
+    let first = gateways[0].generate_same_prompt(RESUMED, "resumed-1").await;
     assert_eq!(pool.reached(RESUMED), 2, "{first:?}");
-    let second = worlds[0].generate_same(RESUMED, "resumed-2").await;
+    let second = gateways[0].generate_same_prompt(RESUMED, "resumed-2").await;
     assert_eq!(pool.reached(RESUMED), ENDED, "{second:?}");
-    until_held(&worlds[0], &mut pool, RESUMED).await;
+    until_held(&gateways[0], &mut pool, RESUMED).await;
     assert_eq!(pool.reached(RESUMED), ENDED);
 }
 
 /// The prompt of a held call was read at one engine for another one, which is a way to engines, too.
 #[actix_rt::test]
 async fn a_held_call_is_not_read_either() {
-    let (worlds, mut pool) = three_instances().await;
+    let (gateways, mut pool) = three_instances().await;
     let prefill = Engine::start("prefill-1").await;
-    prefill.register(&worlds[0].store, "pool", "ready", Some("prefill"));
+    prefill.register(&gateways[0].store, "pool", "ready", Some("prefill"));
     let long = platform_standin::request::generation_headers("50000,20", "aa:40000,bb:10000");
-    let world = &worlds[0];
-    until(async || {
-        let answer = world.call(FATAL, &world.fresh_id(), &long).await;
-        pool.replace(&world.store).await;
+    let gateway = &gateways[0];
+    wait_until(async || {
+        let answer = gateway.call(FATAL, &gateway.fresh_id(), &long).await;
+        pool.replace(&gateway.store).await;
         answer.status == 503 && answer.text().contains("ended")
     })
     .await;
     let read = prefill.request_count(FATAL);
-    for world in &worlds {
-        until(async || {
-            let answer = world.call(FATAL, &world.fresh_id(), &long).await;
+    for gateway in &gateways {
+        wait_until(async || {
+            let answer = gateway.call(FATAL, &gateway.fresh_id(), &long).await;
             answer.status == 503
         })
         .await;
@@ -361,22 +378,24 @@
 /// have missed it.
 #[actix_rt::test]
 async fn operators_see_held_calls_and_let_them_go() {
-    let (worlds, mut pool) = three_instances().await;
-    until_held(&worlds[0], &mut pool, FATAL).await;
-    until(async || is_kept(&worlds)).await;
-    let held = worlds[0].operate(&["held"]).await;
+    let (gateways, mut pool) = three_instances().await;
+    until_held(&gateways[0], &mut pool, FATAL).await;
+    wait_until(async || is_kept(&gateways)).await;
+    let held = gateways[0].run_command(&["held"]).await;
     let line = held.lines().find(|line| line.contains(" held "));
     let line = line.expect("a call is held");
     assert!(line.contains("ended=3"), "{held}");
     let fingerprint = line.split(' ').next().expect("a fingerprint comes first");
-    worlds[0].operate(&["release", fingerprint]).await;
-    assert!(worlds[0].operate(&["held"]).await.contains("let go"));
+    gateways[0].run_command(&["release", fingerprint]).await;
+    assert!(gateways[0].run_command(&["held"]).await.contains("let go"));
     let reached = pool.reached(FATAL);
-    let newcomer = worlds[0].beside();
-    newcomer.until_ready(true).await;
-    for world in &worlds {
-        until(async || {
-            let answer = world.generate_same(FATAL, &world.fresh_id()).await;
+    let newcomer = gateways[0].start_another();
+    newcomer.wait_until_ready(true).await;
+    for gateway in &gateways {
+        wait_until(async || {
+            let answer = gateway
+                .generate_same_prompt(FATAL, &gateway.fresh_id())
+                .await;
             answer.status != 503
         })
         .await;
@@ -388,39 +407,38 @@
 #[actix_rt::test]
 async fn a_plain_call_that_ends_engines_is_held() {
     const PLAIN: &str = "/safe/fatal";
-    let (world, app, _pool) = World::start().await;
+    let (gateway, app, _pool) = Gateway::start().await;
     let mut engines = vec![app];
     for number in 2..=6 {
         let engine = Engine::start(&format!("app-{number}")).await;
-        engine.register(&world.store, "app", "ready", None);
+        engine.register(&gateway.store, "app", "ready", None);
         engines.push(engine);
     }
     for engine in &engines {
         engine.end_on_path(PLAIN);
     }
     let ended = || engines.iter().filter(|engine| engine.has_stopped()).count();
-    until(async || {
-        let answer = world.call(PLAIN, &world.fresh_id(), &[]).await;
+    wait_until(async || {
+        let answer = gateway.call(PLAIN, &gateway.fresh_id(), &[]).await;
         answer.status == 503 && answer.text().contains("ended")
     })
     .await;
     assert_eq!(ended(), ENDED);
-    assert_eq!(world.call("/safe/other", "other", &[]).await.status, 200);
+    assert_eq!(gateway.call("/safe/other", "other", &[]).await.status, 200);
 }
 
 /// Answers that are lost, broken off or reset leave their engine alive, and one that had said that it leaves takes its last calls
 /// along. Taken for ends of engines, they would hold calls that do no harm.
 #[actix_rt::test]
 async fn what_breaks_without_an_end_holds_no_call() {
-    let (world, _app, pool) = World::start().await;
-    for act in [
-        Behaviour::CloseUnanswered,
-        Behaviour::CutAfter(1),
-        Behaviour::Fail(500),
+    let (gateway, _app, pool) = Gateway::start().await;
+    for act in [Behaviour::CloseUnanswered, Behaviour::CutAfter(1), Behaviour::Fail(500),
     ] {
         pool.set_behaviour(act);
         for _ in 0..2 * ENDED {
-            let answer = world.generate_same(FATAL, &world.fresh_id()).await;
+            let answer = gateway
+                .generate_same_prompt(FATAL, &gateway.fresh_id())
+                .await;
             assert!(!answer.status.to_string().starts_with('4'), "{answer:?}");
         }
     }
@@ -428,18 +446,18 @@
     for number in 0..2 * ENDED {
         let leaving = Engine::start(&format!("leaving-{number}")).await;
         leaving.set_stream(1_000, Duration::from_millis(20));
-        leaving.register(&world.store, "pool", "ready", Some("decode"));
-        pool.register(&world.store, "pool", "draining", Some("decode"));
-        let id = world.fresh_id();
-        until(async || leaving.request_count("/stream/none") > 0 || {
-            let asked = async { world.generate_same(FATAL, &id).await };
-            let until_sent = until(async || leaving.run_count(&id) > 0);
+        leaving.register(&gateway.store, "pool", "ready", Some("decode"));
+        pool.register(&gateway.store, "pool", "draining", Some("decode"));
+        let id = gateway.fresh_id();
+        wait_until(async || leaving.request_count("/stream/none") > 0 || {
+            let asked = async { gateway.generate_same_prompt(FATAL, &id).await };
+            let until_sent = wait_until(async || leaving.run_count(&id) > 0);
             tokio::select! {
                 _ = asked => {}
                 () = async {
                     until_sent.await;
-                    leaving.register(&world.store, "pool", "draining", Some("decode"));
-                    until(async || world.log_lines(&format!("engine=leaving-{number} state=Draining")) > 0).await;
+                    leaving.register(&gateway.store, "pool", "draining", Some("decode"));
+                    wait_until(async || gateway.count_log_lines(&format!("engine=leaving-{number} state=Draining")) > 0).await;
                     leaving.stop();
                     std::future::pending::<()>().await;
                 } => {}
@@ -447,11 +465,21 @@
             true
         })
         .await;
-        world.store.put("keyed.servers", &leaving.id, None);
-        pool.register(&world.store, "pool", "ready", Some("decode"));
+        gateway.store.put("keyed.servers", &leaving.id, None);
+        pool.register(&gateway.store, "pool", "ready", Some("decode"));
     }
-    assert_eq!(world.log_lines("an engine ended with the call in hand"), 0);
-    until(async || world.generate_same(FATAL, &world.fresh_id()).await.status == 200).await;
+    assert_eq!(
+        gateway.count_log_lines("an engine ended with the call in hand"),
+        0
+    );
+    wait_until(async || {
+        gateway
+            .generate_same_prompt(FATAL, &gateway.fresh_id())
+            .await
+            .status
+            == 200
+    })
+    .await;
 }
 
 /// Symptom: the store grows by a record for each call that was ever held, and each instance that starts reads all of them. Sequence: a call is held and comes
@@ -460,7 +488,7 @@
 async fn records_of_calls_that_nobody_holds_any_more_are_deleted() {
     const OLD: &str = "held/0123456789abcdef0123456789abcdef";
     const RECENT: &str = "held/00000000000000000000000000000007";
-    let world = World::bare().await;
+    let gateway = Gateway::start_unconfigured().await;
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let now = now.expect("the epoch is over").as_millis();
     let recent = Suspect {
@@ -473,12 +501,12 @@
         ..recent.clone()
     };
     for (key, suspect) in [(OLD, old), (RECENT, recent)] {
-        world
+        gateway
             .store
             .put_bytes("keyed.instances", key, suspect.encode_to_vec());
     }
-    world.configure(1, "app");
-    let keys = || world.store.newest("keyed.instances");
-    until(async || !keys().iter().any(|key| key == OLD)).await;
+    gateway.configure(1, "app");
+    let keys = || gateway.store.newest("keyed.instances");
+    wait_until(async || !keys().iter().any(|key| key == OLD)).await;
     assert!(keys().iter().any(|key| key == RECENT));
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/rate_limits.rs
@@ -1,13 +1,13 @@
 //! Rate limits that engines announce, kept by several gateways together.
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 
 use platform_standin::engine::Behaviour;
 use platform_standin::{Engine, request};
+use harness::{Gateway, wait_until};
 use tokio::time::{Instant, sleep};
-use world::{World, until};
 
 /// Time after an engine's first announcement from which its limit binds all instances.
 const KNOWN_EVERYWHERE: Duration = Duration::from_secs(3);
@@ -47,29 +47,29 @@
         }
     }
 
-    async fn call(self, world: &World) -> u16 {
-        let id = world.fresh_id();
+    async fn call(self, gateway: &Gateway) -> u16 {
+        let id = gateway.fresh_id();
         // A prompt that no engine has read, and long enough to be read apart.
         let prefix = format!("aa{id}:40000,bb{id}:10000");
         let headers = match self {
             Self::Run => Vec::new(),
             _ => request::generation_headers("50000,20", &prefix).to_vec(),
         };
-        world.call(self.path(), &id, &headers).await.status
+        gateway.call(self.path(), &id, &headers).await.status
     }
 }
 
 /// Three gateways, of which the last asks the others for places, that know the limit of an engine, and engines beside it that can
 /// do all without it.
 struct Setting {
-    worlds: [World; 3],
+    gateways: [Gateway; 3],
     limited: Engine,
     _others: Vec<Engine>,
 }
 
 impl Setting {
     async fn start(way: Way) -> Self {
-        let first = World::bare().await;
+        let first = Gateway::start_unconfigured().await;
         let (service, stage) = match way {
             Way::Run => ("app", None),
             Way::Read => ("pool", Some("prefill")),
@@ -83,19 +83,19 @@
             generating.set_prefill_time(READING);
         }
         first.configure(1, "app");
-        first.until_ready(true).await;
-        let (second, third) = (first.beside(), first.slow_beside());
-        let worlds = [first, second, third];
-        engines.until_known(&worlds).await;
+        first.wait_until_ready(true).await;
+        let (second, third) = (first.start_another(), first.start_another_on_slow_link());
+        let gateways = [first, second, third];
+        engines.until_known(&gateways).await;
         limited.announce_limit(Some(&LIMIT.to_string()));
-        announce(way, &worlds).await;
-        engines.add_rest(way, &worlds[0]).await;
+        announce(way, &gateways).await;
+        engines.add_rest(way, &gateways[0]).await;
         if way == Way::TakeOver {
             limited.set_prefill_time(READING);
         }
-        engines.until_known(&worlds).await;
+        engines.until_known(&gateways).await;
         Self {
-            worlds,
+            gateways,
             limited,
             _others: engines.started,
         }
@@ -103,13 +103,13 @@
 }
 
 /// Sends calls to all gateways until one has been told of the limit.
-async fn announce(way: Way, worlds: &[World; 3]) {
-    until(async || {
-        for world in worlds {
-            way.call(world).await;
+async fn announce(way: Way, gateways: &[Gateway; 3]) {
+    wait_until(async || {
+        for gateway in gateways {
+            way.call(gateway).await;
         }
-        let known = worlds.iter();
-        let known = known.map(|world| world.log_lines("announces a rate limit"));
+        let known = gateways.iter();
+        let known = known.map(|gateway| gateway.count_log_lines("announces a rate limit"));
         known.sum::<usize>() > 0
     })
     .await;
@@ -121,34 +121,40 @@
 }
 
 impl Engines {
-    async fn add(&mut self, world: &World, id: &str, service: &str, stage: Option<&str>) -> Engine {
+    async fn add(
+        &mut self,
+        gateway: &Gateway,
+        id: &str,
+        service: &str,
+        stage: Option<&str>,
+    ) -> Engine {
         let engine = Engine::start(id).await;
-        engine.register(&world.store, service, "ready", stage);
+        engine.register(&gateway.store, service, "ready", stage);
         self.started.push(engine.clone());
         engine
     }
 
     /// Adds those that can do all without the limited one.
-    async fn add_rest(&mut self, way: Way, world: &World) {
-        self.add(world, "other-1", "app", None).await;
+    async fn add_rest(&mut self, way: Way, gateway: &Gateway) {
+        self.add(gateway, "other-1", "app", None).await;
         if way != Way::Read {
-            let generating = self.add(world, "other-2", "pool", Some("decode")).await;
+            let generating = self.add(gateway, "other-2", "pool", Some("decode")).await;
             generating.set_prefill_time(READING);
         }
         if way == Way::TakeOver {
-            self.add(world, "other-3", "pool", Some("prefill")).await;
+            self.add(gateway, "other-3", "pool", Some("prefill")).await;
         }
         if way == Way::Resume {
-            let broken = self.add(world, "broken", "pool", Some("decode")).await;
+            let broken = self.add(gateway, "broken", "pool", Some("decode")).await;
             broken.set_behaviour(Behaviour::CutAfter(1));
         }
     }
 
-    async fn until_known(&self, worlds: &[World; 3]) {
+    async fn until_known(&self, gateways: &[Gateway; 3]) {
         let all = format!("tarragon_engines {}\n", self.started.len());
-        for world in worlds {
-            world.until_ready(true).await;
-            until(async || world.page().await.contains(&all)).await;
+        for gateway in gateways {
+            gateway.wait_until_ready(true).await;
+            wait_until(async || gateway.metrics_page().await.contains(&all)).await;
         }
     }
 }
@@ -180,8 +186,8 @@
         sleep(KNOWN_EVERYWHERE).await;
         let before = setting.limited.arrivals().len();
         for _ in 0..CALLS {
-            for world in &setting.worlds {
-                let status = way.call(world).await;
+            for gateway in &setting.gateways {
+                let status = way.call(gateway).await;
                 assert!(
                     status == 200 || matches!(way, Way::Resume),
                     "{way:?}: {status}"
@@ -199,30 +205,36 @@
 }
 
 /// Three gateways that know the limit of the only engine of plain calls.
-async fn with_one_engine(limit: &str) -> ([World; 3], Engine) {
-    let (first, app, _pool) = World::start().await;
-    let (second, third) = (first.beside(), first.slow_beside());
-    let worlds = [first, second, third];
-    for world in &worlds {
-        world.until_ready(true).await;
-        until(async || world.page().await.contains("tarragon_engines 2\n")).await;
+async fn with_one_engine(limit: &str) -> ([Gateway; 3], Engine) {
+    let (first, app, _pool) = Gateway::start().await;
+    let (second, third) = (first.start_another(), first.start_another_on_slow_link());
+    let gateways = [first, second, third];
+    for gateway in &gateways {
+        gateway.wait_until_ready(true).await;
+        wait_until(async || {
+            gateway
+                .metrics_page()
+                .await
+                .contains("tarragon_engines 2\n")
+        })
+        .await;
     }
     app.announce_limit(Some(limit));
-    until(async || {
-        for world in &worlds {
-            Way::Run.call(world).await;
+    wait_until(async || {
+        for gateway in &gateways {
+            Way::Run.call(gateway).await;
         }
-        limited(&worlds, 1).await
+        limited(&gateways, 1).await
     })
     .await;
-    (worlds, app)
+    (gateways, app)
 }
 
 /// Whether each gateway knows of so many engines with a limit.
-async fn limited(worlds: &[World], count: usize) -> bool {
+async fn limited(gateways: &[Gateway], count: usize) -> bool {
     let line = format!("tarragon_limited_engines {count}\n");
-    for world in worlds {
-        if !world.page().await.contains(&line) {
+    for gateway in gateways {
+        if !gateway.metrics_page().await.contains(&line) {
             return false;
         }
     }
@@ -232,13 +244,13 @@
 /// Guards against calls that wait for an engine until their callers leave, and against refusals of calls that run.
 #[actix_rt::test]
 async fn calls_beyond_the_limits_of_all_engines_are_refused_truly_with_a_time() {
-    let (worlds, app) = with_one_engine("0.1").await;
+    let (gateways, app) = with_one_engine("0.1").await;
     let mut refused = 0;
     for _ in 0..CALLS {
-        for world in &worlds {
-            let id = world.fresh_id();
-            let id = format!("{id}-{}", world.front.port());
-            let answer = world.call("/once/", &id, &[]).await;
+        for gateway in &gateways {
+            let id = gateway.fresh_id();
+            let id = format!("{id}-{}", gateway.front.port());
+            let answer = gateway.call("/once/", &id, &[]).await;
             if answer.status == 503 {
                 assert!(answer.retry_after.is_some());
                 assert!(answer.text().contains("rate limits are used up"));
@@ -256,18 +268,18 @@
 /// Guards against an engine that recovered and is still left aside.
 #[actix_rt::test]
 async fn an_engine_that_lifts_its_limit_gets_calls_again_from_all() {
-    let (worlds, app) = with_one_engine("2").await;
+    let (gateways, app) = with_one_engine("2").await;
     app.announce_limit(None);
-    until(async || {
-        for world in &worlds {
-            Way::Run.call(world).await;
+    wait_until(async || {
+        for gateway in &gateways {
+            Way::Run.call(gateway).await;
         }
-        limited(&worlds, 0).await
+        limited(&gateways, 0).await
     })
     .await;
-    for world in &worlds {
+    for gateway in &gateways {
         for _ in 0..CALLS {
-            assert_eq!(Way::Run.call(world).await, 200);
+            assert_eq!(Way::Run.call(gateway).await, 200);
         }
     }
 }
@@ -275,13 +287,13 @@
 /// Guards against an instance that starts and learns of a limit only by its own answers.
 #[actix_rt::test]
 async fn an_instance_that_starts_is_told_of_limits() {
-    let (worlds, _app) = with_one_engine("0.1").await;
+    let (gateways, _app) = with_one_engine("0.1").await;
     let mut newcomers = Vec::new();
     // Some of them place calls in the stead of those that know.
     for _ in 0..4 {
-        let newcomer = worlds[0].beside();
-        newcomer.until_ready(true).await;
+        let newcomer = gateways[0].start_another();
+        newcomer.wait_until_ready(true).await;
         newcomers.push(newcomer);
-        until(async || limited(&newcomers, 1).await).await;
+        wait_until(async || limited(&newcomers, 1).await).await;
     }
 }
--- a/crates/gateway/tests/roles.rs
+++ b/crates/gateway/tests/roles.rs
@@ -1,20 +1,20 @@
 //! Orders to engines by a real gateway process.
 
-mod world;
+mod harness;
 
 use platform_standin::Engine;
 use platform_standin::engine::Order;
-use world::{World, until};
+use harness::{Gateway, wait_until};
 
 const PREFILL: usize = 4;
 const DECODE: usize = 10;
 
-async fn engines(world: &World) -> Vec<Engine> {
+async fn engines(gateway: &Gateway) -> Vec<Engine> {
     let mut engines = Vec::new();
     for n in 0..PREFILL + DECODE {
         let engine = Engine::start(&format!("e{n}")).await;
         let stage = if n < PREFILL { "prefill" } else { "decode" };
-        engine.register(&world.store, "pool", "ready", Some(stage));
+        engine.register(&gateway.store, "pool", "ready", Some(stage));
         engines.push(engine);
     }
     engines
@@ -29,11 +29,11 @@
 /// engines reading. Cause: no instance told any engine otherwise.
 #[actix_rt::test]
 async fn idle_engines_are_ordered_to_read_under_a_claim() {
-    let world = World::bare().await;
-    let engines = engines(&world).await;
-    world.configure(1, "app");
-    world.until_ready(true).await;
-    until(async || orders(&engines).len() == 3).await;
+    let gateway = Gateway::start_unconfigured().await;
+    let engines = engines(&gateway).await;
+    gateway.configure(1, "app");
+    gateway.wait_until_ready(true).await;
+    wait_until(async || orders(&engines).len() == 3).await;
     let orders = orders(&engines);
     for order in &orders {
         assert_eq!(order.stage, "prefill");
@@ -58,14 +58,14 @@
 /// what it did before.
 #[actix_rt::test]
 async fn no_call_goes_to_an_engine_that_changes() {
-    let world = World::bare().await;
-    let engines = engines(&world).await;
-    world.configure(1, "app");
-    world.until_ready(true).await;
-    until(async || orders(&engines).len() == 3).await;
+    let gateway = Gateway::start_unconfigured().await;
+    let engines = engines(&gateway).await;
+    gateway.configure(1, "app");
+    gateway.wait_until_ready(true).await;
+    wait_until(async || orders(&engines).len() == 3).await;
     for _ in 0..60 {
-        let id = world.fresh_id();
-        assert_eq!(world.generate("/stream/a", &id).await.status, 200);
+        let id = gateway.fresh_id();
+        assert_eq!(gateway.generate("/stream/a", &id).await.status, 200);
     }
     let changing = engines.iter().filter(|engine| !engine.orders().is_empty());
     for engine in changing {
@@ -82,14 +82,14 @@
 /// counted like engines that refused.
 #[actix_rt::test]
 async fn a_call_passes_by_several_engines_that_have_just_ended() {
-    let (world, app, _pool) = World::start().await;
+    let (gateway, app, _pool) = Gateway::start().await;
     for n in 0..5 {
         // Of engines alike the one with the first id is chosen.
-        world.lost_engine(&format!("a-lost-{n}"), "app");
+        gateway.register_ended_engine(&format!("a-lost-{n}"), "app");
     }
-    until(async || world.page().await.contains("tarragon_engines 7")).await;
-    let id = world.fresh_id();
-    let answer = world.call("/once/a", &id, &[]).await;
+    wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 7")).await;
+    let id = gateway.fresh_id();
+    let answer = gateway.call("/once/a", &id, &[]).await;
     assert_eq!(answer.status, 200);
     assert_eq!(app.run_count(&id), 1);
 }
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -1,6 +1,6 @@
 //! Signals that come while a process starts.
 
-mod world;
+mod harness;
 
 use std::fs::File;
 use std::io::Write as _;
@@ -32,7 +32,7 @@
             .args(["serve", "--settings"])
             .arg(&path)
             .stdout(Stdio::null());
-        let child = world::spawn(&mut command).expect("the gateway starts");
+        let child = harness::spawn(&mut command).expect("the gateway starts");
         // Opens only once the process reads the other end.
         let pipe = File::options().write(true).open(&path);
         Self {
@@ -65,14 +65,14 @@
 
 /// Settings of a process, and where it serves callers by them.
 fn settings() -> (String, SocketAddr) {
-    let address = || SocketAddr::from(([127, 0, 0, 1], world::free_port()));
+    let address = || SocketAddr::from(([127, 0, 0, 1], harness::free_port()));
     let front = address();
     let settings = Settings {
         name: "front-a-1",
         store: address(),
         front,
         ready: address(),
-        port: world::free_port(),
+        port: harness::free_port(),
         grace_s: 8,
         retry_slack: 0,
         lease_ms: 0,
@@ -90,7 +90,7 @@
     let mut starting = Starting::new();
     starting.signal(Signal::HUP);
     starting.go_on(&text);
-    world::until(async || {
+    harness::wait_until(async || {
         let ended = starting.child.try_wait();
         assert!(matches!(ended, Ok(None)), "the process ended: {ended:?}");
         TcpStream::connect(front).is_ok()
