--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls through a real gateway process, with engines that fail in their ways.
+//! Calls through a real gateway process to engines that fail in various ways.
 
 mod harness;
 
@@ -10,7 +10,7 @@
 use harness::{Gateway, generation, send_call, send_call_within, wait_until};
 
 #[actix_rt::test]
-async fn calls_of_every_kind_are_served() {
+async fn calls_on_routes_of_every_kind_are_served() {
     let (gateway, app, pool) = Gateway::start().await;
     assert_eq!(
         gateway.call("/safe/a", "s1", &[]).await.text(),
@@ -28,7 +28,7 @@
 }
 
 #[actix_rt::test]
-async fn a_connection_serves_one_call_after_the_other() {
+async fn a_connection_serves_several_calls_in_sequence() {
     let (gateway, _app, _pool) = Gateway::start().await;
     let mut caller = gateway.connect().await;
     for id in ["a", "b", "c"] {
@@ -46,16 +46,16 @@
 }
 
 #[actix_rt::test]
-async fn what_no_route_allows_is_not_found() {
+async fn a_path_that_no_route_matches_is_not_found() {
     let (gateway, _app, _pool) = Gateway::start().await;
     assert_eq!(gateway.call("/other/a", "a", &[]).await.status, 404);
     assert_eq!(gateway.call("/safe", "a", &[]).await.status, 404);
 }
 
-/// Symptom: proper calls get 404 in the first moments of an instance. Sequence: an instance starts
-/// while the store is away; a call comes. Cause: no configuration looked like an empty one.
+/// An instance starts while the store is down. When a missing configuration counted as an empty
+/// one, valid calls got 404 in the instance's first moments.
 #[actix_rt::test]
-async fn without_a_configuration_a_call_is_told_to_come_back() {
+async fn a_call_before_the_first_configuration_gets_503_with_retry_after() {
     let gateway = Gateway::start_unconfigured().await;
     let answer = gateway.call("/safe/a", "a", &[]).await;
     assert_eq!(answer.status, 503);
@@ -63,10 +63,10 @@
     gateway.wait_until_ready(false).await;
 }
 
-/// Symptom: a card is charged twice. Sequence: an engine charges it and its answer is lost. Cause: a
-/// call without an answer was taken for one that had not run.
+/// An engine charges a card and its response is lost. When a call without a response counted as one
+/// that had not run, the card was charged twice.
 #[actix_rt::test]
-async fn a_call_that_may_run_once_is_not_sent_again_after_a_lost_answer() {
+async fn a_call_on_an_unsafe_route_is_not_retried_after_a_lost_response() {
     let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("app-2").await;
     other.register(&gateway.store, "app", "ready", None);
@@ -80,7 +80,7 @@
 }
 
 #[actix_rt::test]
-async fn a_call_that_was_not_run_goes_to_another_engine() {
+async fn a_call_that_an_engine_refused_goes_to_another_one() {
     let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("app-2").await;
     other.register(&gateway.store, "app", "ready", None);
@@ -96,7 +96,7 @@
 }
 
 #[actix_rt::test]
-async fn a_call_that_may_be_repeated_survives_a_lost_answer() {
+async fn a_call_on_a_safe_route_is_retried_after_a_lost_response() {
     let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("app-2").await;
     other.register(&gateway.store, "app", "ready", None);
@@ -116,10 +116,11 @@
     .await;
 }
 
-/// Symptom: a caller repeats a call that has run. Sequence: an engine runs it and answers 503 without
-/// saying that it did not. Cause: the status, which promises that it has not run, was passed on.
+/// An engine runs a call and answers 503 without saying that it did not run it. When that status,
+/// which promises that the call has not run, was passed on, the caller repeated a call that had
+/// run.
 #[actix_rt::test]
-async fn an_engines_failure_never_promises_that_a_call_has_not_run() {
+async fn an_engine_error_is_not_passed_on_as_a_promise_that_the_call_has_not_run() {
     let (gateway, app, pool) = Gateway::start().await;
     for status in [429, 503, 408] {
         app.set_behaviour(Behaviour::Fail(status));
@@ -134,7 +135,7 @@
 }
 
 #[actix_rt::test]
-async fn when_all_engines_are_full_the_refusal_is_true_and_says_when() {
+async fn calls_refused_by_all_engines_get_retry_after_and_do_not_run() {
     let (gateway, app, pool) = Gateway::start().await;
     app.set_behaviour(Behaviour::Full);
     pool.set_behaviour(Behaviour::Full);
@@ -148,25 +149,25 @@
     assert_eq!(app.run_count("u1") + pool.run_count("g1"), 0);
 }
 
-/// Symptom: a caller gets the answer to another call. Sequence: an engine sends an answer that
-/// belongs to an earlier request. Cause: the first bytes that came were taken for the answer.
+/// An engine sends a response that belongs to an earlier request. When the first bytes that came
+/// counted as the response, a caller got the answer to another call.
 #[actix_rt::test]
-async fn an_answer_to_another_call_never_reaches_a_caller() {
+async fn a_response_to_another_call_never_reaches_a_caller() {
     let (gateway, app, pool) = Gateway::start().await;
     app.set_behaviour(Behaviour::AnswerOther);
     pool.set_behaviour(Behaviour::AnswerOther);
-    // The engine sends nothing else, so the callers run out of time or get a failure.
+    // The engine sends nothing else, so callers run out of time or get an error.
     let mut caller = gateway.connect().await;
     let answer = send_call_within(&mut caller, "/once/a", "u1", 300, &[]).await;
     assert_ne!(answer.status, 200);
     assert!(!answer.text().contains("of another"));
 }
 
-/// Symptom: a stream has an event twice, lacks one, or joins halves of two. Sequence: an engine ends
-/// in the middle of an event; another one goes on. Cause: the half was passed on, or the place to go
-/// on was not the last whole event.
+/// An engine ends in the middle of an event and another one resumes the stream. When the partial
+/// event was passed on, or the stream resumed at a place other than after the last whole event, an
+/// event was repeated, lost or joined with half of another.
 #[actix_rt::test]
-async fn a_stream_goes_on_at_another_engine_without_a_seam() {
+async fn a_resumed_stream_has_every_event_exactly_once() {
     let (gateway, _app, pool) = Gateway::start().await;
     let other = Engine::start("pool-2").await;
     other.register(&gateway.store, "pool", "ready", Some("decode"));
@@ -184,12 +185,12 @@
         pool.run_count(&id) == 1 && other.run_count(&id) == 1
     })
     .await;
-    let resumed = other.received();
-    assert!(resumed.iter().any(|got| got.last_event_id() == Some("2")));
+    let requests = other.received();
+    assert!(requests.iter().any(|got| got.last_event_id() == Some("2")));
 }
 
 #[actix_rt::test]
-async fn a_stream_that_may_not_go_on_ends_without_looking_complete() {
+async fn a_stream_that_is_not_resumable_ends_incomplete() {
     let (gateway, _app, pool) = Gateway::start().await;
     let other = Engine::start("pool-2").await;
     other.register(&gateway.store, "pool", "ready", Some("decode"));
@@ -201,31 +202,31 @@
     assert_eq!(pool.run_count("g1") + other.run_count("g1"), 1);
 }
 
-/// Symptom: engines work for callers that have left. Sequence: a caller closes while its call is at
-/// an engine. Cause: nobody looked at the caller's connection until the answer came.
+/// A caller disconnects while its call is at an engine. When the caller's connection was not
+/// watched until the response came, engines worked for callers that had left.
 #[actix_rt::test]
-async fn a_callers_leaving_ends_its_call_at_the_engine() {
+async fn a_callers_disconnect_cancels_its_call_at_the_engine() {
     let (gateway, app, _pool) = Gateway::start().await;
     app.set_behaviour(Behaviour::Hang);
     let caller = gateway.connect().await;
-    let asking = async {
+    let request = async {
         let mut caller = caller;
         send_call(&mut caller, "/once/a", "u1", &[]).await;
     };
-    drop(tokio::time::timeout(Duration::from_millis(300), asking).await);
+    drop(tokio::time::timeout(Duration::from_millis(300), request).await);
     app.set_behaviour(Behaviour::Run);
     wait_until(async || gateway.call("/once/a", "u2", &[]).await.status == 200).await;
     assert_eq!(app.run_count("u1"), 1);
 }
 
 #[actix_rt::test]
-async fn a_prompt_is_read_at_one_engine_and_generated_at_another() {
+async fn a_prompt_is_prefilled_at_one_engine_and_decoded_at_another() {
     let gateway = Gateway::start_unconfigured().await;
     let prefill = Engine::start("prefill-1").await;
     prefill.register(&gateway.store, "pool", "ready", Some("prefill"));
     let (gateway, _app, pool) = gateway.add_engines().await;
     wait_until(async || {
-        // Parts that no engine has read, so that there is something to read.
+        // Parts that no engine has cached, so that there is something to prefill.
         let id = gateway.fresh_id();
         let prefix = format!("aa{id}:40000,bb{id}:10000");
         let mut headers = request::generation_headers("50000,20", &prefix).to_vec();
@@ -249,19 +250,19 @@
     );
 }
 
-/// Symptom: a request ends nowhere in the logs. Sequence: its caller closes the connection while an engine works. Cause: what
-/// was done for it was dropped without a word.
+/// A caller disconnects while an engine works. When its call was dropped without a log line, the
+/// request's end appeared nowhere in the logs.
 #[actix_rt::test]
-async fn a_caller_that_leaves_is_told_of() {
+async fn a_callers_disconnect_is_logged() {
     let (gateway, app, _pool) = Gateway::start().await;
     app.set_behaviour(Behaviour::Hang);
     let mut caller = gateway.connect().await;
     let head = platform_standin::request::call("/once/a", "gone-1", 20_000, &[]);
     let body = bytes::Bytes::new();
     {
-        let asking = caller.send(head, &body);
+        let request = caller.send(head, &body);
         tokio::select! {
-            _ = asking => panic!("the engine does not answer"),
+            _ = request => panic!("the engine does not answer"),
             () = wait_until(async || app.run_count("gone-1") == 1) => {}
         }
     }
@@ -269,18 +270,18 @@
     wait_until(async || gateway.count_log_lines("the caller left id=gone-1") == 1).await;
 }
 
-/// Symptom: a call whose caller's time ended cannot be told from one whose answer an engine lost, in the log and by its
-/// status. Sequence: an engine works longer than the caller waits. Cause: the attempt's limit and the call's were the same
-/// moment, and the attempt's came first.
+/// An engine works longer than the caller waits. When the attempt's time-out and the call's
+/// deadline were the same moment, the attempt's fired first, and the log and the status showed a
+/// lost response instead.
 #[actix_rt::test]
-async fn the_end_of_a_callers_time_is_no_lost_answer() {
+async fn a_callers_deadline_is_not_logged_as_a_lost_response() {
     let (gateway, app, _pool) = Gateway::start().await;
     app.set_behaviour(Behaviour::Hang);
     for (path, id) in [("/once/a", "late-1"), ("/safe/a", "late-2")] {
         let mut caller = gateway.connect().await;
         let answer = send_call_within(&mut caller, path, id, 400, &[]).await;
         assert_eq!(answer.status, 504);
-        // The line is written by a thread of its own, maybe after the answer.
+        // A thread writes the line, possibly after the response.
         wait_until(async || gateway.count_log_lines(&format!("out of time id={id}")) == 1).await;
     }
     assert_eq!(gateway.count_log_lines("answer lost"), 0);
--- a/crates/gateway/tests/configuration_and_engines.rs
+++ b/crates/gateway/tests/configuration_and_engines.rs
@@ -1,5 +1,5 @@
-//! What a real gateway process believes of configuration and engines, while the store misbehaves, and
-//! how it ends.
+//! Which configuration and engines a real gateway process uses while the store fails, and how the
+//! process shuts down.
 
 mod harness;
 
@@ -12,13 +12,13 @@
 use harness::{Gateway, generation, send_call, wait_until};
 use serde_json::json;
 
-/// The status of a plain call with an id of its own.
+/// Sends a plain call and returns its status.
 async fn status(gateway: &Gateway, path: &str) -> u16 {
     gateway.call(path, "w", &[]).await.status
 }
 
 #[actix_rt::test]
-async fn a_newer_configuration_is_in_force_and_an_older_one_never_comes_back() {
+async fn a_newer_configuration_is_applied_and_an_older_one_ignored() {
     let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("new-1").await;
     other.register(&gateway.store, "new", "ready", None);
@@ -40,7 +40,7 @@
 }
 
 #[actix_rt::test]
-async fn a_leaving_engine_gets_nothing_new_and_finishes_what_it_has() {
+async fn a_draining_engine_gets_no_new_calls_and_finishes_open_ones() {
     let (gateway, _app, pool) = Gateway::start().await;
     let other = Engine::start("pool-2").await;
     pool.set_stream(30, Duration::from_millis(50));
@@ -53,7 +53,7 @@
         other.register(&gateway.store, "pool", "ready", Some("decode"));
         pool.register(&gateway.store, "pool", "draining", Some("decode"));
         other.set_stream(1, Duration::ZERO);
-        // The last engine that is asked is the new one, from some call on.
+        // From some call on, calls go to the new engine.
         wait_until(async || {
             let id = gateway.fresh_id();
             gateway.generate("/stream/a", &id).await;
@@ -71,7 +71,7 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_whose_record_is_gone_gets_nothing() {
+async fn an_engine_without_a_record_gets_no_calls() {
     let (gateway, app, _pool) = Gateway::start().await;
     gateway.store.put("keyed.servers", &app.id, None);
     wait_until(async || status(&gateway, "/safe/a").await == 503).await;
@@ -79,11 +79,11 @@
     wait_until(async || status(&gateway, "/safe/a").await == 200).await;
 }
 
-/// Symptom: a service refuses calls, or charges one twice, after one of its engines was started again.
-/// Sequence: an engine ends and another incarnation listens at its address; its record stands for
-/// seconds. Cause: the address was trusted, or its refusal counted as want of room.
+/// A restarted engine listens at its old address under a new incarnation, while the old record
+/// stands for seconds. Trusting the address, or counting its refusal as a lack of capacity, made
+/// the service refuse calls or charge one twice.
 #[actix_rt::test]
-async fn an_address_that_another_engine_has_is_not_used_for_the_old_one() {
+async fn an_address_taken_by_another_engine_is_not_used_for_the_old_one() {
     let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("app-2").await;
     app.set_behaviour(Behaviour::WrongInstance);
@@ -98,7 +98,7 @@
 }
 
 #[actix_rt::test]
-async fn calls_are_served_while_the_store_is_away() {
+async fn calls_are_served_while_the_store_is_down() {
     let (gateway, _app, _pool) = Gateway::start().await;
     for fault in [Fault::Busy, Fault::Reset, Fault::Silent] {
         gateway.store.fault(fault);
@@ -119,7 +119,7 @@
 }
 
 #[actix_rt::test]
-async fn dropped_history_is_made_good_from_the_newest_records() {
+async fn compacted_history_is_recovered_from_the_newest_records() {
     let (gateway, app, _pool) = Gateway::start().await;
     gateway.store.fault(Fault::Busy);
     let other = Engine::start("new-1").await;
@@ -136,10 +136,10 @@
     .await;
 }
 
-/// Symptom: callers' streams are cut by a planned restart. Sequence: an instance is asked to end while
-/// it streams. Cause: it ended at once, or closed its connections first.
+/// A planned restart must not cut streams: an instance that ended at once when asked to end, or
+/// closed its connections first, did.
 #[actix_rt::test]
-async fn an_instance_that_is_asked_to_end_finishes_what_it_has() {
+async fn an_instance_that_is_asked_to_end_finishes_open_streams() {
     let (gateway, _app, pool) = Gateway::start().await;
     pool.set_stream(40, Duration::from_millis(50));
     let mut caller = gateway.connect().await;
@@ -156,7 +156,7 @@
 }
 
 #[actix_rt::test]
-async fn settings_that_are_not_good_leave_the_old_ones_in_force() {
+async fn invalid_settings_leave_the_old_ones_in_force() {
     let (gateway, _app, _pool) = Gateway::start().await;
     std::fs::write(gateway.settings.path(), "node = 1").unwrap();
     gateway.signal("-HUP");
@@ -167,7 +167,7 @@
 }
 
 #[actix_rt::test]
-async fn bytes_that_are_no_request_disturb_nobody_else() {
+async fn a_smuggled_request_is_rejected_and_later_calls_are_served() {
     use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
     let (gateway, app, _pool) = Gateway::start().await;
     let smuggled = b"POST /safe/a HTTP/1.1\r\nhost: h\r\nrequest-id: a\r\ncontent-length: 3\r\n\
@@ -181,11 +181,11 @@
     assert_eq!(status(&gateway, "/safe/a").await, 200);
 }
 
-/// Symptom: calls hang or are lost after another program wrote among the engines' records. Sequence: its entry takes the
-/// place of an engine's record, with a field of another type; other entries are no records at all. Cause: entries were
-/// passed over, so that what they overwrote stood, or a value was made up.
+/// A foreign writer replaces an engine's record with one that has a field of the wrong type, and
+/// adds entries that are no records. When invalid entries were skipped, the record that they
+/// replaced stayed in use, or a value was made up; calls then hung or were lost.
 #[actix_rt::test]
-async fn entries_of_another_writer_name_no_engine_and_the_others_serve() {
+async fn invalid_records_remove_only_their_own_engine() {
     let (gateway, app, _pool) = Gateway::start().await;
     let other = Engine::start("app-2").await;
     other.register(&gateway.store, "app", "ready", None);
@@ -206,7 +206,7 @@
         assert_eq!(status(&gateway, "/once/a").await, 200);
     }
     assert_eq!(app.received().len(), before);
-    // Read again, with all others, it is not told of again.
+    // Read again with all others, it is not logged again.
     gateway.store.compact("keyed.servers");
     gateway.store.put("keyed.servers", &app.id, Some(&broken));
     app.register(&gateway.store, "app", "ready", None);
@@ -218,10 +218,11 @@
     assert_eq!(gateway.count_log_lines("an entry names no engine"), 4);
 }
 
-/// Symptom: the first calls after an engine's restart are lost. Sequence: an engine ends and starts again under its name, at
-/// another address; the gateway has connections to the one before. Cause: connections and beliefs were kept by name.
+/// An engine restarts under its name at another address while the gateway has connections to the
+/// old one. When connections and state were kept by name, the first calls after the restart were
+/// lost.
 #[actix_rt::test]
-async fn an_engine_that_starts_again_under_its_name_is_another_one() {
+async fn an_engine_that_restarts_under_its_name_is_a_new_engine() {
     let (gateway, plain, _pool) = Gateway::start().await;
     gateway.store.put("keyed.servers", &plain.id, None);
     let app = Engine::start_with_timestamp("app-9", 1_000).await;
@@ -236,7 +237,7 @@
         assert_eq!(status(&gateway, "/once/a").await, 200);
     }
     assert_eq!(app.received().len(), before);
-    // A heartbeat of the start before that comes late.
+    // A late heartbeat of the previous incarnation.
     app.register(&gateway.store, "app", "ready", None);
     let other = Engine::start("app-3").await;
     other.register(&gateway.store, "app", "ready", None);
--- a/crates/gateway/tests/metrics.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a process tells of itself.
+//! Metrics of a process, and the reload of its settings.
 
 mod harness;
 
@@ -30,10 +30,10 @@
     assert!(page.ends_with("# EOF\n"));
 }
 
-/// Symptom: instances go on with limits that operators took back. Sequence: the settings file changes and no
-/// signal comes. Cause: only the signal was waited for.
+/// The settings file changes and no signal is sent. When only the signal was waited for, instances
+/// kept limits that operators had revoked.
 #[actix_rt::test]
-async fn a_settings_file_that_changes_without_a_signal_is_read() {
+async fn a_changed_settings_file_is_reloaded_without_a_signal() {
     let (gateway, _app, _pool) = Gateway::start().await;
     let path = gateway.settings.path();
     let text = std::fs::read_to_string(path).unwrap();
--- a/crates/gateway/tests/organisations.rs
+++ b/crates/gateway/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Keys of organisations at real gateway processes.
+//! Organisations' keys at real gateway processes.
 
 mod harness;
 
@@ -11,15 +11,15 @@
 
 const KEY: &str = "key-of-a-7f3c";
 
-fn configured(version: u64, organisations: &Value) -> Value {
+fn configuration_with(version: u64, organisations: &Value) -> Value {
     let mut configuration = configuration(version, "app");
     configuration["tenants"] = organisations.clone();
     configuration["routes"][0]["public"] = json!(true);
     configuration
 }
 
-fn put(gateway: &Gateway, version: u64, organisations: &Value) {
-    let configuration = configured(version, organisations);
+fn configure(gateway: &Gateway, version: u64, organisations: &Value) {
+    let configuration = configuration_with(version, organisations);
     gateway
         .store
         .put("keyed.op", "config", Some(&configuration));
@@ -27,7 +27,7 @@
 
 async fn start() -> (Gateway, Engine, Engine) {
     let gateway = Gateway::start_unconfigured().await;
-    put(&gateway, 1, &json!([{ "name": "a", "api_keys": [KEY] }]));
+    configure(&gateway, 1, &json!([{ "name": "a", "api_keys": [KEY] }]));
     let app = Engine::start("app-1").await;
     let pool = Engine::start("pool-1").await;
     app.register(&gateway.store, "app", "ready", None);
@@ -36,7 +36,7 @@
     (gateway, app, pool)
 }
 
-fn of_id(engine: &Engine, id: &str) -> Vec<ReceivedRequest> {
+fn requests_with_id(engine: &Engine, id: &str) -> Vec<ReceivedRequest> {
     let mut got = engine.received();
     got.retain(|got| got.id == id);
     got
@@ -49,10 +49,10 @@
     gateway.call(path, &id, &headers).await.status
 }
 
-/// Symptom: an engine learns a caller's secret, and does not know on whose behalf it works. Sequence: a caller sends its key, and the
-/// name of another organisation. Cause: headers were forwarded as they came.
+/// A caller sends its key and the name of another organisation. When headers were forwarded as
+/// received, an engine learned the caller's secret, and not for whom it works.
 #[actix_rt::test]
-async fn engines_are_told_whose_call_it_is_and_no_key() {
+async fn engines_receive_the_organisation_and_no_key() {
     let (gateway, app, pool) = start().await;
     let forged = [("key", KEY), ("tenant-id", "b")];
     assert_eq!(gateway.call("/once/a", "plain", &forged).await.status, 200);
@@ -62,18 +62,22 @@
         gateway.call("/resume/a", "stream", &headers).await.status,
         200
     );
-    let all = [of_id(&app, "plain"), of_id(&pool, "stream")].concat();
+    let all = [
+        requests_with_id(&app, "plain"),
+        requests_with_id(&pool, "stream"),
+    ]
+    .concat();
     assert_eq!(all.len(), 2);
     for got in all {
         assert_eq!(got.header("tenant-id"), Some("a"));
         assert_eq!(got.header("key"), None);
     }
-    // The secret stands in no line of the log.
+    // The log must not contain the secret.
     assert_eq!(gateway.count_log_lines(KEY), 0);
 }
 
 #[actix_rt::test]
-async fn a_call_without_a_known_key_runs_nowhere_but_on_public_routes() {
+async fn a_call_without_a_known_key_runs_only_on_public_routes() {
     let (gateway, app, _pool) = start().await;
     assert_eq!(status(&gateway, "/once/a", None).await, 401);
     assert_eq!(status(&gateway, "/once/a", Some("key-of-a-7f3")).await, 401);
@@ -85,43 +89,43 @@
             .status,
         200
     );
-    let got = of_id(&app, "open");
+    let got = requests_with_id(&app, "open");
     assert_eq!(got[0].header("tenant-id"), None);
     assert_eq!(got[0].header("key"), None);
 }
 
-/// Symptom: a key that was taken away works on. Sequence: versions follow each other, the last one without the key; an
-/// older version comes late. Cause: whichever came last was in force.
+/// Versions follow each other, the last one without the key, and an older version arrives late.
+/// When the last to arrive was in force, a revoked key worked again.
 #[actix_rt::test]
-async fn keys_come_and_go_by_versions_and_do_not_come_back() {
+async fn a_revoked_key_stays_revoked_when_an_older_version_arrives() {
     let (gateway, _app, _pool) = start().await;
-    put(
+    configure(
         &gateway,
         2,
         &json!([{ "name": "a", "api_keys": [KEY, "second"] }]),
     );
     wait_until(async || status(&gateway, "/once/a", Some("second")).await == 200).await;
     for version in 3..8 {
-        put(
+        configure(
             &gateway,
             version,
             &json!([{ "name": "a", "api_keys": ["second"] }]),
         );
     }
     wait_until(async || status(&gateway, "/once/a", Some(KEY)).await == 401).await;
-    put(&gateway, 2, &json!([{ "name": "a", "api_keys": [KEY] }]));
+    configure(&gateway, 2, &json!([{ "name": "a", "api_keys": [KEY] }]));
     wait_until(async || gateway.count_log_lines("configuration in force") > 0).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(status(&gateway, "/once/a", Some(KEY)).await, 401);
     assert_eq!(status(&gateway, "/once/a", Some("second")).await, 200);
 }
 
-/// Symptom: all callers of two organisations are mixed up, or all are shut out. Sequence: an operator gives one key to two
-/// organisations. Cause: the configuration went into force as far as it could be read.
+/// An operator gives one key to two organisations. When the configuration went into force as far as
+/// it could be parsed, callers of both were mixed up, or all rejected.
 #[actix_rt::test]
-async fn a_configuration_with_a_shared_key_changes_nothing() {
+async fn a_configuration_with_a_shared_key_is_rejected() {
     let (gateway, _app, _pool) = start().await;
-    put(
+    configure(
         &gateway,
         2,
         &json!([{ "name": "a", "api_keys": [KEY] }, { "name": "b", "api_keys": [KEY] }]),
@@ -130,10 +134,10 @@
     assert_eq!(status(&gateway, "/once/a", Some(KEY)).await, 200);
 }
 
-/// Symptom: a caller with a new key is refused for ever by an instance that is behind, and served by all others. Sequence: the store
-/// turns the instance away; meanwhile a key is given out. Cause: what it did not know was taken for unknown to all.
+/// The store rejects an instance's reads while a key is issued. When a key that it did not know
+/// counted as unknown to all, it rejected for good a caller that all others served.
 #[actix_rt::test]
-async fn an_instance_that_is_behind_sends_unknown_keys_elsewhere() {
+async fn a_stale_instance_answers_unknown_keys_with_503() {
     let (gateway, app, _pool) = start().await;
     gateway.store.fault(platform_standin::store::Fault::Busy);
     wait_until(async || status(&gateway, "/once/a", Some("new")).await == 503).await;
@@ -143,10 +147,10 @@
     wait_until(async || status(&gateway, "/once/a", Some("new")).await == 401).await;
 }
 
-/// Symptom: a second instance, which is told the configuration by the first, serves nobody. Sequence: one instance reads the store and tells the
-/// other. Cause: digests of keys could not be used where they were not made.
+/// One instance reads the store and sends the configuration to another. When key digests were
+/// usable only where they were computed, the second instance served nobody.
 #[actix_rt::test]
-async fn an_instance_that_is_told_the_configuration_knows_the_keys() {
+async fn an_instance_that_gets_the_configuration_from_a_peer_knows_the_keys() {
     let (gateway, _app, _pool) = start().await;
     let other = gateway.start_another_on_slow_link();
     other.wait_until_ready(true).await;
