--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -1,4 +1,4 @@
-//! What one instance at a time does for all, by real gateway processes.
+//! Duties that one instance at a time performs for all, at real gateway processes.
 
 mod harness;
 
@@ -16,11 +16,11 @@
 
 const KEYS: [(&str, &str); 2] = [("a", "key-of-a"), ("b", "key-of-b")];
 
-fn configure(gateway: &Gateway, version: u64, range: bool) {
+fn configure(gateway: &Gateway, version: u64, autoscale: bool) {
     let mut configuration = configuration(version, "app");
     let organisations = KEYS.map(|(name, key)| json!({ "name": name, "api_keys": [key] }));
     configuration["tenants"] = json!(organisations);
-    if range {
+    if autoscale {
         let services = configuration["services"].as_array_mut().expect("a list");
         for service in services {
             if service["name"] == "pool" {
@@ -51,12 +51,12 @@
     (cloud, gateway, app, pool)
 }
 
-/// What was reported in all, by organisation.
-fn reported(cloud: &Cloud) -> BTreeMap<String, u64> {
+/// Total reported usage by organisation.
+fn reported_usage(cloud: &Cloud) -> BTreeMap<String, u64> {
     let mut sums: BTreeMap<String, u64> = BTreeMap::new();
     let mut windows = BTreeSet::new();
     for call in cloud.calls("/usage") {
-        // A repeat says the same, see the tests below.
+        // Repeats have the same content; `assert_one_report_a_window` checks that.
         if !call.taken || !windows.insert(window(&call)) {
             continue;
         }
@@ -72,7 +72,7 @@
     call.body["window_seq"].as_u64().unwrap_or_default()
 }
 
-async fn calls(gateway: &Gateway, organisation: usize, count: usize) {
+async fn send_calls(gateway: &Gateway, organisation: usize, count: usize) {
     let key = ("key", KEYS[organisation].1);
     for _ in 0..count {
         let id = gateway.fresh_id();
@@ -85,16 +85,18 @@
     }
 }
 
-fn assert_one_report_a_window(cloud: &Cloud) {
+fn assert_one_report_per_window(cloud: &Cloud) {
     let mut counts: BTreeMap<u64, Value> = BTreeMap::new();
     for call in cloud.calls("/usage") {
-        let said = call.body["counts"].clone();
-        let before = counts.entry(window(&call)).or_insert_with(|| said.clone());
-        assert_eq!(*before, said, "window {}", window(&call));
+        let reported = call.body["counts"].clone();
+        let before = counts
+            .entry(window(&call))
+            .or_insert_with(|| reported.clone());
+        assert_eq!(*before, reported, "window {}", window(&call));
     }
 }
 
-/// Tokens rise with each change of the holder.
+/// Asserts that fencing tokens never fall, and rise with each change of the holder.
 fn assert_tokens_rise(cloud: &Cloud, path: &str) {
     let mut last = (0, String::new());
     for call in cloud.calls(path) {
@@ -105,54 +107,54 @@
 }
 
 #[actix_rt::test]
-async fn what_organisations_use_is_reported_from_all_instances() {
+async fn usage_of_all_instances_is_reported() {
     let (cloud, gateway, _app, _pool) = start().await;
     let other = gateway.start_another_on_slow_link();
     other.wait_until_ready(true).await;
     wait_until(async || other.count_log_lines("instances that place calls") > 0).await;
-    calls(&gateway, 0, 3).await;
-    calls(&other, 0, 2).await;
-    calls(&other, 1, 1).await;
+    send_calls(&gateway, 0, 3).await;
+    send_calls(&other, 0, 2).await;
+    send_calls(&other, 1, 1).await;
     let expected = [("a".to_owned(), 10), ("b".to_owned(), 2)].into();
-    wait_until(async || reported(&cloud) == expected).await;
-    assert_one_report_a_window(&cloud);
+    wait_until(async || reported_usage(&cloud) == expected).await;
+    assert_one_report_per_window(&cloud);
     assert_tokens_rise(&cloud, "/usage");
     let page = gateway.metrics_page().await;
     assert!(
         page.contains("tarragon_organisation_requests_total{organisation=\"a\"} 6"),
         "{page}"
     );
-    // A key is a secret.
+    // Keys are secret.
     for (_, key) in KEYS {
         assert_eq!(gateway.count_log_lines(key) + other.count_log_lines(key), 0);
     }
 }
 
-/// Symptom: the platform gets two reports of one window. Sequence: it carries a report out and its answer is lost; the report is sent
-/// again after more has been counted. Cause: it was made anew.
+/// The platform carries out a report but its answer is lost. When the report was made anew for the
+/// retry, after more had been counted, the platform got two different reports of one window.
 #[actix_rt::test]
-async fn a_report_that_was_not_answered_is_repeated_as_it_was() {
+async fn an_unanswered_report_is_repeated_unchanged() {
     let (cloud, gateway, _app, _pool) = start().await;
     cloud.fault(Fault::Silent);
-    calls(&gateway, 0, 2).await;
+    send_calls(&gateway, 0, 2).await;
     wait_until(async || cloud.calls("/usage").len() >= 3).await;
-    calls(&gateway, 0, 2).await;
+    send_calls(&gateway, 0, 2).await;
     cloud.fault(Fault::None);
     wait_until(async || gateway.count_log_lines_with("use reported", "Taken") > 2).await;
-    assert_one_report_a_window(&cloud);
+    assert_one_report_per_window(&cloud);
     assert_tokens_rise(&cloud, "/usage");
 }
 
-/// Symptom: a window is reported twice or not at all. Sequence: the instance that reports is killed with a report fixed and not yet taken; another one
-/// takes over. Cause: it did not know what had been fixed.
+/// The reporting instance is killed with a report fixed but not yet accepted, and another one takes
+/// over. When it did not know what had been fixed, a window was reported twice or not at all.
 #[actix_rt::test]
-async fn a_successor_repeats_the_reports_that_were_fixed() {
+async fn a_successor_sends_the_fixed_reports() {
     let (cloud, gateway, _app, _pool) = start().await;
     let other = gateway.start_another_on_slow_link();
     other.wait_until_ready(true).await;
     cloud.fault(Fault::Silent);
-    calls(&gateway, 0, 2).await;
-    calls(&other, 1, 2).await;
+    send_calls(&gateway, 0, 2).await;
+    send_calls(&other, 1, 2).await;
     wait_until(async || !cloud.calls("/usage").is_empty()).await;
     gateway.signal("-KILL");
     cloud.fault(Fault::None);
@@ -166,18 +168,19 @@
     })
     .await;
     wait_until(async || other.count_log_lines_with("use reported", "Taken") > 0).await;
-    assert_one_report_a_window(&cloud);
+    assert_one_report_per_window(&cloud);
     assert_tokens_rise(&cloud, "/usage");
 }
 
-/// Symptom: orders by two holders bear one token, and a window is reported twice. Sequence: reports are fixed and sent; the store comes back from a
-/// copy of before, and gives its offsets out again. Cause: tokens were offsets, and what it had forgotten was not done.
+/// Reports are fixed and sent; then the store is restored from an earlier copy and assigns its
+/// offsets again. When tokens were plain offsets, and what the store had lost counted as not done,
+/// orders of two holders carried the same token and a window was reported twice.
 #[actix_rt::test]
-async fn tokens_rise_and_reports_stay_when_the_store_comes_back_from_a_copy() {
+async fn fencing_tokens_rise_and_reports_stay_after_a_store_restore() {
     let (cloud, gateway, _app, _pool) = start().await;
     wait_until(async || !cloud.calls("/usage").is_empty()).await;
     let copy = gateway.store.backup();
-    calls(&gateway, 0, 2).await;
+    send_calls(&gateway, 0, 2).await;
     let before = cloud.calls("/usage").len();
     wait_until(async || cloud.calls("/usage").len() > before + 1).await;
     gateway.store.restore(copy);
@@ -185,27 +188,28 @@
         .await;
     let before = cloud.calls("/usage").len();
     wait_until(async || cloud.calls("/usage").len() > before + 2).await;
-    assert_one_report_a_window(&cloud);
+    assert_one_report_per_window(&cloud);
     assert_tokens_rise(&cloud, "/usage");
     let expected = [("a".to_owned(), 4)].into();
-    wait_until(async || reported(&cloud) == expected).await;
-    calls(&gateway, 0, 1).await;
+    wait_until(async || reported_usage(&cloud) == expected).await;
+    send_calls(&gateway, 0, 1).await;
 }
 
-/// A platform that is busy is not called all the time.
+/// A busy platform is not called continuously.
 #[actix_rt::test]
-async fn a_busy_platform_is_given_time() {
+async fn a_busy_platform_is_called_with_pauses() {
     let (cloud, gateway, _app, _pool) = start().await;
     cloud.fault(Fault::Busy);
     wait_until(async || gateway.count_log_lines_with("use reported", "TooMany") >= 3).await;
     cloud.fault(Fault::None);
     wait_until(async || gateway.count_log_lines_with("use reported", "Taken") >= 1).await;
-    assert_one_report_a_window(&cloud);
+    assert_one_report_per_window(&cloud);
 }
 
-/// Symptom: all engines are paid for in full all day. Sequence: a deployment may have reclaimable ones. Cause: nobody ordered any.
+/// A deployment may use reclaimable engines. Nothing ordered any, so all engines were paid for in
+/// full all day.
 #[actix_rt::test]
-async fn reclaimable_engines_are_ordered_and_the_others_let_go_once_they_are_there() {
+async fn reclaimable_engines_replace_the_others() {
     let (cloud, gateway, _app, _pool) = start().await;
     let mut engines = Vec::new();
     for n in 0..9 {
@@ -218,7 +222,7 @@
     let first = cloud.calls("/scale").pop().expect("there is one");
     assert_eq!(first.body["spot"], json!(true), "{first:?}");
     assert_eq!(first.body["zone"], json!("a"));
-    // Ten were there; three tenths of their price buy fifteen.
+    // There are ten; three tenths of their price buy fifteen reclaimable ones.
     wait_until(async || {
         let calls = cloud.calls("/scale");
         calls
@@ -240,9 +244,9 @@
     assert_tokens_rise(&cloud, "/scale");
 }
 
-/// An operator holds orders, fixes a number, and sees what was ordered.
+/// An operator suspends orders, fixes a number, and sees what was ordered.
 #[actix_rt::test]
-async fn an_operator_holds_and_fixes_numbers_of_engines() {
+async fn an_operator_suspends_orders_and_fixes_numbers_of_engines() {
     let (cloud, gateway, _app, _pool) = start().await;
     let mut engines = Vec::new();
     for n in 0..9 {
--- a/crates/gateway/tests/roles.rs
+++ b/crates/gateway/tests/roles.rs
@@ -1,4 +1,4 @@
-//! Orders to engines by a real gateway process.
+//! Role changes ordered by a real gateway process.
 
 mod harness;
 
@@ -9,7 +9,7 @@
 const PREFILL: usize = 4;
 const DECODE: usize = 10;
 
-async fn engines(gateway: &Gateway) -> Vec<Engine> {
+async fn start_engines(gateway: &Gateway) -> Vec<Engine> {
     let mut engines = Vec::new();
     for n in 0..PREFILL + DECODE {
         let engine = Engine::start(&format!("e{n}")).await;
@@ -20,21 +20,21 @@
     engines
 }
 
-fn orders(engines: &[Engine]) -> Vec<Order> {
+fn all_orders(engines: &[Engine]) -> Vec<Order> {
     let orders = engines.iter().map(Engine::orders);
     orders.flatten().collect()
 }
 
-/// Symptom: prompts wait while engines that generate are idle. Sequence: a fleet starts with a third of its
-/// engines reading. Cause: no instance told any engine otherwise.
+/// A fleet starts with a third of its engines in prefill. No instance ordered a change, so prompts
+/// waited while decode engines were idle.
 #[actix_rt::test]
-async fn idle_engines_are_ordered_to_read_under_a_claim() {
+async fn idle_engines_are_ordered_to_prefill_under_a_claim() {
     let gateway = Gateway::start_unconfigured().await;
-    let engines = engines(&gateway).await;
+    let engines = start_engines(&gateway).await;
     gateway.configure(1, "app");
     gateway.wait_until_ready(true).await;
-    wait_until(async || orders(&engines).len() == 3).await;
-    let orders = orders(&engines);
+    wait_until(async || all_orders(&engines).len() == 3).await;
+    let orders = all_orders(&engines);
     for order in &orders {
         assert_eq!(order.stage, "prefill");
         assert_eq!(
@@ -53,16 +53,15 @@
     }
 }
 
-/// Symptom: engines that change refuse the calls of the instance that ordered it. Sequence: it orders, and
-/// places calls there before their records say that they change. Cause: an engine's record tells only
-/// what it did before.
+/// An instance orders an engine to change and places calls there before its record shows the
+/// change. An engine's record tells only its previous role, so the engine refused these calls.
 #[actix_rt::test]
-async fn no_call_goes_to_an_engine_that_changes() {
+async fn no_call_goes_to_an_engine_that_changes_its_role() {
     let gateway = Gateway::start_unconfigured().await;
-    let engines = engines(&gateway).await;
+    let engines = start_engines(&gateway).await;
     gateway.configure(1, "app");
     gateway.wait_until_ready(true).await;
-    wait_until(async || orders(&engines).len() == 3).await;
+    wait_until(async || all_orders(&engines).len() == 3).await;
     for _ in 0..60 {
         let id = gateway.fresh_id();
         assert_eq!(gateway.generate("/stream/a", &id).await.status, 200);
@@ -77,14 +76,13 @@
     }
 }
 
-/// Symptom: calls are refused although most engines are well. Sequence: a part of the fleet ends at once;
-/// each call meets several of them before its place is tried. Cause: engines that were not reached
-/// counted like engines that refused.
+/// A part of the fleet ends at once, and each call meets several of these engines. When unreachable
+/// engines counted like refusals, calls were refused although most engines were healthy.
 #[actix_rt::test]
-async fn a_call_passes_by_several_engines_that_have_just_ended() {
+async fn a_call_skips_several_engines_that_have_just_ended() {
     let (gateway, app, _pool) = Gateway::start().await;
     for n in 0..5 {
-        // Of engines alike the one with the first id is chosen.
+        // Of equal engines, the one with the first id is chosen.
         gateway.register_ended_engine(&format!("a-lost-{n}"), "app");
     }
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 7")).await;
--- a/crates/gateway/tests/store_restore.rs
+++ b/crates/gateway/tests/store_restore.rs
@@ -1,17 +1,19 @@
-//! A store that comes back from a copy some seconds old: what was written since is gone, and its offsets are given out again.
+//! A store that is restored from a copy some seconds old: later writes are lost, and their offsets
+//! are assigned again.
 
 mod harness;
 
 use harness::{Gateway, wait_until};
 use serde_json::json;
 
-const WENT_BACK: &str = "the store has come back from an older copy";
+const RESTORED: &str = "the store has come back from an older copy";
 
-/// Symptom: requests are handled by a version that was replaced seconds ago. Sequence: a version is accepted and in force; the store comes back
-/// from a copy of before; the operator writes another version, at an offset that was given out before. Cause: the copy's version was
-/// newer by its place, or the next one was passed over for it.
+/// A version is accepted and in force when the store is restored from an earlier copy; the operator
+/// then writes another version, at an offset that was used before. When the copy's version counted
+/// as newer by its offset, or the next one was skipped because of it, requests were handled by a
+/// version that had been replaced.
 #[actix_rt::test]
-async fn a_configuration_in_force_does_not_go_back_and_the_next_one_is_read() {
+async fn a_configuration_survives_a_store_restore_and_the_next_one_is_applied() {
     let (gateway, _app, _pool) = Gateway::start().await;
     let copy = gateway.store.copy();
     let second = floor::Engine::start("second-1").await;
@@ -23,14 +25,14 @@
     })
     .await;
     gateway.store.restore(copy);
-    wait_until(async || gateway.count_log_lines(WENT_BACK) == 1).await;
+    wait_until(async || gateway.count_log_lines(RESTORED) == 1).await;
     second.register(&gateway.store, "second", "ready", None);
     for _ in 0..20 {
         let id = gateway.fresh_id();
         assert_eq!(gateway.call("/safe/a", &id, &[]).await.status, 200);
         assert_eq!(second.runs(&id), 1);
     }
-    // What the operator wrote is written again, and so is what comes after it.
+    // The operator writes the lost version again, and then the next one.
     gateway.configure(2, "second");
     gateway.configure(3, "app");
     wait_until(async || {
@@ -40,10 +42,10 @@
     .await;
 }
 
-/// Symptom: an engine that starts after the store came back gets no calls. Sequence: its record stands at an offset that another record of its name had
-/// before. Cause: it was taken for old news.
+/// A record is written at an offset that another record of its key had before the restore. When it
+/// counted as old, an engine that started after the restore got no calls.
 #[actix_rt::test]
-async fn records_at_offsets_that_are_given_out_again_are_news() {
+async fn records_at_reused_offsets_are_applied() {
     let (gateway, app, _pool) = Gateway::start().await;
     let copy = gateway.store.copy();
     for _ in 0..5 {
@@ -53,17 +55,17 @@
     leaving.register(&gateway.store, "app", "ready", None);
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 3")).await;
     gateway.store.restore(copy);
-    wait_until(async || gateway.count_log_lines(WENT_BACK) == 1).await;
+    wait_until(async || gateway.count_log_lines(RESTORED) == 1).await;
     let third = floor::Engine::start("app-3").await;
     third.register(&gateway.store, "app", "ready", None);
     leaving.register(&gateway.store, "app", "ready", None);
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 4")).await;
 }
 
-/// Symptom: calls go to an engine seconds after it said that it leaves. Sequence: it says so; the store comes back from a copy in which it is
-/// ready. Cause: the copy was believed.
+/// An engine announces that it leaves, and the store is restored from a copy in which it is ready.
+/// When the copy was trusted, calls went to the engine seconds after its announcement.
 #[actix_rt::test]
-async fn an_engine_that_said_it_leaves_gets_no_calls_when_the_store_forgets_it() {
+async fn a_draining_engine_gets_no_calls_after_a_store_restore() {
     let (gateway, app, _pool) = Gateway::start().await;
     let other = floor::Engine::start("app-2").await;
     other.register(&gateway.store, "app", "ready", None);
@@ -72,7 +74,7 @@
     app.register(&gateway.store, "app", "draining", None);
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 2")).await;
     gateway.store.restore(copy);
-    wait_until(async || gateway.count_log_lines(WENT_BACK) == 1).await;
+    wait_until(async || gateway.count_log_lines(RESTORED) == 1).await;
     let before = app.got().len();
     for _ in 0..40 {
         let id = gateway.fresh_id();
@@ -81,10 +83,10 @@
     assert_eq!(app.got().len(), before);
 }
 
-/// Symptom: an instance that starts later knows some of the others only. Sequence: instances register; the store comes back from a copy of before.
-/// Cause: nobody registered twice.
+/// Instances register, and the store is restored from an earlier copy. When nobody registered
+/// again, an instance that started later knew only some of the others.
 #[actix_rt::test]
-async fn instances_register_again() {
+async fn instances_register_again_after_a_store_restore() {
     let gateway = Gateway::start_unconfigured().await;
     let empty = gateway.store.copy();
     gateway.configure(1, "app");
@@ -98,13 +100,13 @@
     app.register(&gateway.store, "app", "ready", None);
     gateway.configure(2, "app");
     wait_until(registered).await;
-    assert_eq!(gateway.count_log_lines(WENT_BACK), 1);
+    assert_eq!(gateway.count_log_lines(RESTORED), 1);
 }
 
-/// Symptom: a call that ends engines runs again after all instances were replaced. Sequence: it is held; the store comes back from a copy of before;
-/// all instances start anew. Cause: the store had forgotten it, and those that knew wrote it only once.
+/// A call is held, the store is restored from an earlier copy, and all instances are replaced. When
+/// the record was written only once, a call that crashes engines ran again.
 #[actix_rt::test]
-async fn held_calls_are_written_again() {
+async fn held_calls_are_written_again_after_a_store_restore() {
     let (gateway, _app, pool) = Gateway::start().await;
     let copy = gateway.store.copy();
     let held = async || {
