--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,14 +1,15 @@
-//! Whole events out of pieces.
+//! Reassembly of whole events from chunks.
 
 use bytes::Bytes;
 use gateway::events::Splitter;
 
-/// All that leaves a splitter for a stream cut into pieces of `size` bytes.
-fn pieces(stream: &str, size: usize) -> (String, Splitter) {
+/// Everything that a splitter returns for a stream cut into chunks of `size` bytes, and the
+/// splitter.
+fn split(stream: &str, size: usize) -> (String, Splitter) {
     let mut splitter = Splitter::after(None);
     let mut out = String::new();
-    for piece in stream.as_bytes().chunks(size) {
-        if let Some(events) = splitter.push(&Bytes::copy_from_slice(piece)) {
+    for chunk in stream.as_bytes().chunks(size) {
+        if let Some(events) = splitter.push(&Bytes::copy_from_slice(chunk)) {
             assert!(events.ends_with(b"\n\n"));
             out.push_str(std::str::from_utf8(&events).expect("events are text"));
         }
@@ -16,22 +17,22 @@
     (out, splitter)
 }
 
-/// Symptom: a stream lacks pieces. Sequence: an event arrives in two pieces, the first of them with
-/// nothing kept before it. Cause: a piece without the end of an event was dropped instead of kept.
+/// An event arrives in two chunks, with nothing buffered before the first. When a chunk without the
+/// end of an event was dropped instead of buffered, the stream lacked data.
 #[test]
-fn no_byte_is_lost_however_a_stream_is_cut() {
+fn no_byte_is_lost_for_any_chunk_size() {
     let stream = "id: 1\ndata: a\n\nid: 2\ndata: bb\n\nid: 3\ndata: ccc\n\n";
     for size in 1..=stream.len() {
-        let (out, splitter) = pieces(stream, size);
+        let (out, splitter) = split(stream, size);
         assert_eq!(out, stream, "in pieces of {size}");
         assert_eq!(splitter.last(), Some(3));
     }
 }
 
 #[test]
-fn half_an_event_stays() {
+fn a_partial_event_stays_buffered() {
     for size in 1..20 {
-        let (out, mut splitter) = pieces("id: 1\ndata: a\n\nid: 2\nda", size);
+        let (out, mut splitter) = split("id: 1\ndata: a\n\nid: 2\nda", size);
         assert_eq!(out, "id: 1\ndata: a\n\n");
         assert_eq!(splitter.last(), Some(1));
         assert_eq!(splitter.rest(), "id: 2\nda");
--- a/crates/gateway/tests/explain.rs
+++ b/crates/gateway/tests/explain.rs
@@ -1,11 +1,11 @@
-//! A request's way, from logs.
+//! Collecting the lines of a request from logs.
 
 use std::fs;
 
 use gateway::explain;
 
 #[test]
-fn lines_of_several_logs_are_told_in_order_with_what_was_known() {
+fn lines_of_several_logs_are_merged_in_order_with_engine_states() {
     let folder = tempfile::tempdir().unwrap();
     let one = folder.path().join("one.log");
     let two = folder.path().join("two.log");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_unknown_request_is_said_to_be_unknown() {
+fn a_request_without_lines_is_reported_as_such() {
     let story = explain::read("a", &[]).unwrap();
     assert_eq!(story.text(), "no line names this request\n");
 }
--- a/crates/gateway/tests/free_ports.rs
+++ b/crates/gateway/tests/free_ports.rs
@@ -1,4 +1,4 @@
-//! Ports of the tests themselves.
+//! Ports for these tests.
 
 mod harness;
 
@@ -7,21 +7,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// Threads that start children.
-const STARTERS: usize = 4;
-/// Ports that are looked at.
+/// Threads that spawn children.
+const SPAWNERS: usize = 4;
+/// Ports that are tried.
 const PORTS: usize = 1_000;
 
-/// Symptom: a gateway of a test ends at its start, one run in many, because an address cannot be listened on. Sequence: a
-/// test looks whether a port is free; another thread forks a child at that moment; the test's gateway binds the port before
-/// the child has begun its program. Cause: the child has a copy of the socket by which the port was looked at.
+/// A test checks that a port is free while another thread forks a child, which inherits the socket
+/// used for the check until its exec. The test's gateway could not bind the port then and ended at
+/// its start, in one run of many.
 #[test]
-fn a_port_that_is_free_can_be_bound_while_children_start() {
-    let is_over = AtomicBool::new(false);
+fn a_free_port_can_be_bound_while_children_are_spawned() {
+    let is_done = AtomicBool::new(false);
     thread::scope(|scope| {
-        for _ in 0..STARTERS {
+        for _ in 0..SPAWNERS {
             scope.spawn(|| {
-                while !is_over.load(Ordering::Relaxed) {
+                while !is_done.load(Ordering::Relaxed) {
                     let child = harness::spawn(&mut Command::new("true"));
                     let status = child.and_then(|mut child| child.wait());
                     assert!(status.is_ok_and(|status| status.success()));
@@ -30,7 +30,7 @@
         }
         let bound = (0..PORTS).map(|_| UdpSocket::bind(("127.0.0.1", harness::free_port())));
         let failed = bound.filter(Result::is_err).count();
-        is_over.store(true, Ordering::Relaxed);
+        is_done.store(true, Ordering::Relaxed);
         assert_eq!(failed, 0);
     });
 }
--- a/crates/gateway/tests/logging.rs
+++ b/crates/gateway/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log never blocks, and what it leaves out it counts.
+//! The log never blocks, and counts the lines that it drops.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -6,15 +6,15 @@
 
 use gateway::logging::{Admission, LineBudget, QueuedWriter};
 
-/// A sink that takes a line only when it is let.
+/// A sink that accepts a line only when the test permits it.
 struct Gate {
-    lets: Receiver<()>,
+    permits: Receiver<()>,
     written: Sender<String>,
 }
 
 impl Write for Gate {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.lets.recv().map_err(io::Error::other)?;
+        self.permits.recv().map_err(io::Error::other)?;
         let text = String::from_utf8_lossy(bytes).into_owned();
         self.written.send(text).map_err(io::Error::other)?;
         Ok(bytes.len())
@@ -25,14 +25,14 @@
     }
 }
 
-/// Symptom: an instance stands still while the collector of its log does. Sequence: the collector
-/// stops reading, the pipe fills, the process logs a line. Cause: the write waited for the collector.
+/// The log collector stops reading and the pipe fills. When the write of a line waited for the
+/// collector, the instance stood still.
 #[test]
-fn a_reader_that_stops_costs_lines_and_no_time() {
-    let (lets, gate_lets) = channel();
+fn a_log_reader_that_stops_does_not_block_the_writer() {
+    let (permits, gate_permits) = channel();
     let (gate_written, written) = channel();
     let gate = Gate {
-        lets: gate_lets,
+        permits: gate_permits,
         written: gate_written,
     };
     let mut lines = QueuedWriter::new(gate, 4).unwrap();
@@ -40,7 +40,7 @@
         writeln!(lines, "line {n}").unwrap();
     }
     for _ in 0..20 {
-        lets.send(()).unwrap();
+        permits.send(()).unwrap();
     }
     let mut seen = vec![written.recv().unwrap(), written.recv().unwrap()];
     writeln!(lines, "last").unwrap();
@@ -56,20 +56,20 @@
     assert!(seen.len() < 12, "{seen:?}");
 }
 
-/// Symptom: the line that explains a failed request is not in the log. Sequence: one kind of line repeats itself
-/// thousands of times a second and fills the queue. Cause: all kinds shared one bound.
+/// A line that repeats thousands of times a second fills the queue. When all call sites shared one
+/// bound, the line that explains a failed request was dropped.
 #[test]
-fn a_kind_of_line_that_repeats_itself_leaves_room_for_the_others() {
+fn a_call_site_over_its_budget_does_not_crowd_out_others() {
     let mut budget = LineBudget::new(2);
-    let (often, seldom) = (("a.rs", 1), ("a.rs", 2));
+    let (frequent, rare) = (("a.rs", 1), ("a.rs", 2));
     let written = |dropped| Admission::Written { dropped };
     let at = Duration::from_millis;
-    assert_eq!(budget.admit(often, at(0)), written(0));
-    assert_eq!(budget.admit(often, at(1)), written(0));
+    assert_eq!(budget.admit(frequent, at(0)), written(0));
+    assert_eq!(budget.admit(frequent, at(1)), written(0));
     for ms in 2..50 {
-        assert_eq!(budget.admit(often, at(ms)), Admission::Dropped);
+        assert_eq!(budget.admit(frequent, at(ms)), Admission::Dropped);
     }
-    assert_eq!(budget.admit(seldom, at(50)), written(0));
-    assert_eq!(budget.admit(often, at(1_000)), written(48));
-    assert_eq!(budget.admit(often, at(1_001)), written(0));
+    assert_eq!(budget.admit(rare, at(50)), written(0));
+    assert_eq!(budget.admit(frequent, at(1_000)), written(48));
+    assert_eq!(budget.admit(frequent, at(1_001)), written(0));
 }
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -5,9 +5,9 @@
 use platform_standin::Engine;
 use harness::{Gateway, wait_until};
 
-/// Three gateways on one store, of which the third is the last in the common order, with an engine of plain calls and one
-/// that generates.
-async fn three() -> ([Gateway; 3], [Engine; 2]) {
+/// Three gateways on one store, the third last in the read order, with an engine for plain calls
+/// and a decode engine.
+async fn three_gateways() -> ([Gateway; 3], [Engine; 2]) {
     let (first, app, pool) = Gateway::start().await;
     let (second, third) = (first.start_another(), first.start_another_on_slow_link());
     second.wait_until_ready(true).await;
@@ -15,58 +15,58 @@
     ([first, second, third], [app, pool])
 }
 
-/// What a gateway's page says of a counter of questions.
-async fn questions(gateway: &Gateway, answer: &str) -> u64 {
+/// Value of a gateway's counter of placement requests.
+async fn placement_requests(gateway: &Gateway, answer: &str) -> u64 {
     let page = gateway.metrics_page().await;
     let name = format!("tarragon_placement_questions_total{{answer=\"{answer}\"}}");
     let line = page.lines().find_map(|line| line.strip_prefix(&name));
     line.map_or(0, |count| count.trim().parse().expect("a count"))
 }
 
-/// Sends calls to the last one until it asks for their places.
-async fn until_it_asks(asking: &Gateway) {
+/// Sends calls to the last gateway until it requests placements.
+async fn send_until_it_requests(requester: &Gateway) {
     wait_until(async || {
-        let id = asking.fresh_id();
-        assert_eq!(asking.generate("/stream/", &id).await.status, 200);
-        questions(asking, "placed").await > 0
+        let id = requester.fresh_id();
+        assert_eq!(requester.generate("/stream/", &id).await.status, 200);
+        placement_requests(requester, "placed").await > 0
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn one_of_three_asks_and_is_served() {
-    let ([_first, _second, asking], _engines) = three().await;
-    until_it_asks(&asking).await;
+async fn a_gateway_that_requests_placements_serves_calls() {
+    let ([_first, _second, requester], _engines) = three_gateways().await;
+    send_until_it_requests(&requester).await;
     for _ in 0..20 {
-        let id = asking.fresh_id();
-        assert_eq!(asking.generate("/resume/", &id).await.status, 200);
-        let id = asking.fresh_id();
-        assert_eq!(asking.call("/once/", &id, &[]).await.status, 200);
+        let id = requester.fresh_id();
+        assert_eq!(requester.generate("/resume/", &id).await.status, 200);
+        let id = requester.fresh_id();
+        assert_eq!(requester.call("/once/", &id, &[]).await.status, 200);
     }
 }
 
-/// Symptom: calls of one data centre fail while its engines are idle. Sequence: the instances that place its calls are paused
-/// at once. Cause: whoever asked them waited for their answer.
+/// The placers of a data centre are paused at once. When requesters waited for their answers, the
+/// data centre's calls failed while its engines were idle.
 #[actix_rt::test]
-async fn calls_are_served_while_those_that_place_them_are_silent() {
-    let ([first, second, asking], _engines) = three().await;
-    until_it_asks(&asking).await;
+async fn calls_are_served_while_all_placers_are_paused() {
+    let ([first, second, requester], _engines) = three_gateways().await;
+    send_until_it_requests(&requester).await;
     first.signal("-STOP");
     second.signal("-STOP");
     for _ in 0..10 {
-        let id = asking.fresh_id();
-        assert_eq!(asking.generate("/stream/", &id).await.status, 200);
+        let id = requester.fresh_id();
+        assert_eq!(requester.generate("/stream/", &id).await.status, 200);
     }
     first.signal("-CONT");
     second.signal("-CONT");
 }
 
-/// Symptom: a restart of hundreds of instances takes the store's whole rate, and each waits for its turn. Sequence: instances
-/// start beside others that know all. Cause: each read the configuration and all engines for itself.
+/// Instances start beside others that know everything. When each read the configuration and all
+/// engines itself, a restart of hundreds used up the store's rate, and each waited for its turn.
 #[actix_rt::test]
-async fn instances_that_start_are_told_what_the_store_holds() {
-    let ([first, _second, _third], _engines) = three().await;
-    // One that is told late, on a busy machine, reads by itself, and rightly so.
+async fn starting_instances_receive_state_from_peers() {
+    let ([first, _second, _third], _engines) = three_gateways().await;
+    // On a busy machine an instance may get the state late and read it itself, which is correct.
     wait_until(async || {
         let last = first.start_another_on_slow_link();
         last.wait_until_ready(true).await;
--- a/crates/gateway/tests/rate_limits.rs
+++ b/crates/gateway/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that engines announce, kept by several gateways together.
+//! Rate limits that engines announce, enforced by several gateways together.
 
 mod harness;
 
@@ -11,37 +11,37 @@
 
 /// Time after an engine's first announcement from which its limit binds all instances.
 const KNOWN_EVERYWHERE: Duration = Duration::from_secs(3);
-/// Span of time in which requests are counted.
+/// Window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests beyond one and a half times the limit that are allowed in a window.
-const ALLOWED_MORE: f64 = 5.0;
-/// Requests a second that a limited engine takes.
-const LIMIT: f64 = 0.1;
+/// Requests in a window that are allowed beyond one and a half times the limit.
+const TOLERATED_REQUESTS: f64 = 5.0;
+/// Rate limit of an engine, in requests per second.
+const LIMIT_PER_S: f64 = 0.1;
 /// Calls of each instance once all know the limit.
-const CALLS: usize = 20;
+const CALLS_PER_INSTANCE: usize = 20;
 
-/// Time that engines which generate take to read a prompt.
-const READING: Duration = Duration::from_millis(60);
+/// Time that decode engines take to prefill a prompt.
+const PREFILL_TIME: Duration = Duration::from_millis(60);
 
-/// A way by which calls reach an engine.
+/// Kind of request by which calls reach an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum RequestKind {
     /// Plain calls.
-    Run,
-    /// Prompts that are read for another engine.
+    Plain,
+    /// Prefill for another engine.
     Read,
-    /// Prompts that are read where their answers are generated.
+    /// Prefill and decode at one engine.
     Generate,
-    /// Memory of prompts that is taken over.
+    /// Decode with the KV cache of another engine.
     TakeOver,
-    /// Streams that go on after another engine broke them off.
+    /// Streams that resume after another engine broke them off.
     Resume,
 }
 
-impl Way {
+impl RequestKind {
     fn path(self) -> &'static str {
         match self {
-            Self::Run => "/safe/",
+            Self::Plain => "/safe/",
             Self::Resume => "/resume/",
             Self::Read | Self::Generate | Self::TakeOver => "/stream/",
         }
@@ -49,49 +49,51 @@
 
     async fn call(self, gateway: &Gateway) -> u16 {
         let id = gateway.fresh_id();
-        // A prompt that no engine has read, and long enough to be read apart.
+        // A prompt that no engine has cached, and long enough to be prefilled elsewhere.
         let prefix = format!("aa{id}:40000,bb{id}:10000");
         let headers = match self {
-            Self::Run => Vec::new(),
+            Self::Plain => Vec::new(),
             _ => request::generation_headers("50000,20", &prefix).to_vec(),
         };
         gateway.call(self.path(), &id, &headers).await.status
     }
 }
 
-/// Three gateways, of which the last asks the others for places, that know the limit of an engine, and engines beside it that can
-/// do all without it.
-struct Setting {
+/// Three gateways, the last of which asks the others for placements, an engine with a limit that
+/// all know, and engines that can serve everything without it.
+struct Setup {
     gateways: [Gateway; 3],
     limited: Engine,
     _others: Vec<Engine>,
 }
 
-impl Setting {
-    async fn start(way: Way) -> Self {
+impl Setup {
+    async fn start(kind: RequestKind) -> Self {
         let first = Gateway::start_unconfigured().await;
-        let (service, stage) = match way {
-            Way::Run => ("app", None),
-            Way::Read => ("pool", Some("prefill")),
-            Way::Generate | Way::TakeOver | Way::Resume => ("pool", Some("decode")),
+        let (service, stage) = match kind {
+            RequestKind::Plain => ("app", None),
+            RequestKind::Read => ("pool", Some("prefill")),
+            RequestKind::Generate | RequestKind::TakeOver | RequestKind::Resume => {
+                ("pool", Some("decode"))
+            }
         };
         let mut engines = Engines::default();
-        // Of engines alike, the one with the first id is chosen.
+        // Of equal engines, the one with the first id is chosen.
         let limited = engines.add(&first, "limited", service, stage).await;
-        if way == Way::Read {
-            let generating = engines.add(&first, "other-2", "pool", Some("decode")).await;
-            generating.set_prefill_time(READING);
+        if kind == RequestKind::Read {
+            let decode = engines.add(&first, "other-2", "pool", Some("decode")).await;
+            decode.set_prefill_time(PREFILL_TIME);
         }
         first.configure(1, "app");
         first.wait_until_ready(true).await;
         let (second, third) = (first.start_another(), first.start_another_on_slow_link());
         let gateways = [first, second, third];
         engines.until_known(&gateways).await;
-        limited.announce_limit(Some(&LIMIT.to_string()));
-        announce(way, &gateways).await;
-        engines.add_rest(way, &gateways[0]).await;
-        if way == Way::TakeOver {
-            limited.set_prefill_time(READING);
+        limited.announce_limit(Some(&LIMIT_PER_S.to_string()));
+        send_until_limit_known(kind, &gateways).await;
+        engines.add_unlimited(kind, &gateways[0]).await;
+        if kind == RequestKind::TakeOver {
+            limited.set_prefill_time(PREFILL_TIME);
         }
         engines.until_known(&gateways).await;
         Self {
@@ -102,11 +104,11 @@
     }
 }
 
-/// Sends calls to all gateways until one has been told of the limit.
-async fn announce(way: Way, gateways: &[Gateway; 3]) {
+/// Sends calls to all gateways until one has seen the limit.
+async fn send_until_limit_known(kind: RequestKind, gateways: &[Gateway; 3]) {
     wait_until(async || {
         for gateway in gateways {
-            way.call(gateway).await;
+            kind.call(gateway).await;
         }
         let known = gateways.iter();
         let known = known.map(|gateway| gateway.count_log_lines("announces a rate limit"));
@@ -134,17 +136,17 @@
         engine
     }
 
-    /// Adds those that can do all without the limited one.
-    async fn add_rest(&mut self, way: Way, gateway: &Gateway) {
+    /// Adds engines that can serve everything without the limited one.
+    async fn add_unlimited(&mut self, kind: RequestKind, gateway: &Gateway) {
         self.add(gateway, "other-1", "app", None).await;
-        if way != Way::Read {
-            let generating = self.add(gateway, "other-2", "pool", Some("decode")).await;
-            generating.set_prefill_time(READING);
+        if kind != RequestKind::Read {
+            let decode = self.add(gateway, "other-2", "pool", Some("decode")).await;
+            decode.set_prefill_time(PREFILL_TIME);
         }
-        if way == Way::TakeOver {
+        if kind == RequestKind::TakeOver {
             self.add(gateway, "other-3", "pool", Some("prefill")).await;
         }
-        if way == Way::Resume {
+        if kind == RequestKind::Resume {
             let broken = self.add(gateway, "broken", "pool", Some("decode")).await;
             broken.set_behaviour(Behaviour::CutAfter(1));
         }
@@ -159,8 +161,8 @@
     }
 }
 
-/// The most requests that an engine got within one window.
-fn most_in_a_window(arrivals: &[Instant]) -> usize {
+/// The most requests that arrived within one window.
+fn max_requests_in_window(arrivals: &[Instant]) -> usize {
     let windows = arrivals.iter().enumerate().map(|(first, from)| {
         let within = arrivals[first..]
             .iter()
@@ -170,42 +172,42 @@
     windows.max().unwrap_or(0)
 }
 
-/// Guards against an engine in need that gets more requests than it announced to take, from several instances or on one
-/// of the ways to an engine that do not look at its limit.
+/// An engine must not get more requests than it announced, neither from several instances together
+/// nor by a kind of request that skips the limit.
 #[actix_rt::test]
-async fn engines_get_no_more_requests_than_the_limit_that_they_announce() {
+async fn engines_get_no_more_requests_than_their_announced_limit() {
     let mut broken = Vec::new();
-    for way in [
-        Way::Run,
-        Way::Read,
-        Way::Generate,
-        Way::TakeOver,
-        Way::Resume,
+    for kind in [
+        RequestKind::Plain,
+        RequestKind::Read,
+        RequestKind::Generate,
+        RequestKind::TakeOver,
+        RequestKind::Resume,
     ] {
-        let setting = Setting::start(way).await;
+        let setup = Setup::start(kind).await;
         sleep(KNOWN_EVERYWHERE).await;
-        let before = setting.limited.arrivals().len();
-        for _ in 0..CALLS {
-            for gateway in &setting.gateways {
-                let status = way.call(gateway).await;
+        let before = setup.limited.arrivals().len();
+        for _ in 0..CALLS_PER_INSTANCE {
+            for gateway in &setup.gateways {
+                let status = kind.call(gateway).await;
                 assert!(
-                    status == 200 || matches!(way, Way::Resume),
-                    "{way:?}: {status}"
+                    status == 200 || matches!(kind, RequestKind::Resume),
+                    "{kind:?}: {status}"
                 );
             }
         }
-        let most = most_in_a_window(&setting.limited.arrivals()[before..]);
+        let most = max_requests_in_window(&setup.limited.arrivals()[before..]);
         #[allow(clippy::cast_precision_loss)]
-        let is_kept = most as f64 <= 1.5 * LIMIT * WINDOW.as_secs_f64() + ALLOWED_MORE;
+        let is_kept = most as f64 <= 1.5 * LIMIT_PER_S * WINDOW.as_secs_f64() + TOLERATED_REQUESTS;
         if !is_kept {
-            broken.push((way, most));
+            broken.push((kind, most));
         }
     }
     assert!(broken.is_empty(), "requests in a window: {broken:?}");
 }
 
-/// Three gateways that know the limit of the only engine of plain calls.
-async fn with_one_engine(limit: &str) -> ([Gateway; 3], Engine) {
+/// Three gateways that know the limit of the only engine for plain calls.
+async fn start_with_one_limited_engine(limit: &str) -> ([Gateway; 3], Engine) {
     let (first, app, _pool) = Gateway::start().await;
     let (second, third) = (first.start_another(), first.start_another_on_slow_link());
     let gateways = [first, second, third];
@@ -222,16 +224,16 @@
     app.announce_limit(Some(limit));
     wait_until(async || {
         for gateway in &gateways {
-            Way::Run.call(gateway).await;
+            RequestKind::Plain.call(gateway).await;
         }
-        limited(&gateways, 1).await
+        all_know_limited(&gateways, 1).await
     })
     .await;
     (gateways, app)
 }
 
-/// Whether each gateway knows of so many engines with a limit.
-async fn limited(gateways: &[Gateway], count: usize) -> bool {
+/// Whether each gateway knows `count` engines with a limit.
+async fn all_know_limited(gateways: &[Gateway], count: usize) -> bool {
     let line = format!("tarragon_limited_engines {count}\n");
     for gateway in gateways {
         if !gateway.metrics_page().await.contains(&line) {
@@ -241,12 +243,13 @@
     true
 }
 
-/// Guards against calls that wait for an engine until their callers leave, and against refusals of calls that run.
+/// Calls must neither wait for an engine until their callers leave, nor be refused although they
+/// run.
 #[actix_rt::test]
-async fn calls_beyond_the_limits_of_all_engines_are_refused_truly_with_a_time() {
-    let (gateways, app) = with_one_engine("0.1").await;
+async fn calls_beyond_all_limits_get_retry_after_and_do_not_run() {
+    let (gateways, app) = start_with_one_limited_engine("0.1").await;
     let mut refused = 0;
-    for _ in 0..CALLS {
+    for _ in 0..CALLS_PER_INSTANCE {
         for gateway in &gateways {
             let id = gateway.fresh_id();
             let id = format!("{id}-{}", gateway.front.port());
@@ -261,39 +264,39 @@
             }
         }
     }
-    // What takes ten seconds a call takes a few of them at the most.
-    assert!(refused > 2 * CALLS, "{refused}");
+    // At ten seconds per call, the engine takes only a few.
+    assert!(refused > 2 * CALLS_PER_INSTANCE, "{refused}");
 }
 
-/// Guards against an engine that recovered and is still left aside.
+/// An engine that has recovered must not stay excluded.
 #[actix_rt::test]
-async fn an_engine_that_lifts_its_limit_gets_calls_again_from_all() {
-    let (gateways, app) = with_one_engine("2").await;
+async fn an_engine_that_lifts_its_limit_gets_calls_from_all_instances() {
+    let (gateways, app) = start_with_one_limited_engine("2").await;
     app.announce_limit(None);
     wait_until(async || {
         for gateway in &gateways {
-            Way::Run.call(gateway).await;
+            RequestKind::Plain.call(gateway).await;
         }
-        limited(&gateways, 0).await
+        all_know_limited(&gateways, 0).await
     })
     .await;
     for gateway in &gateways {
-        for _ in 0..CALLS {
-            assert_eq!(Way::Run.call(gateway).await, 200);
+        for _ in 0..CALLS_PER_INSTANCE {
+            assert_eq!(RequestKind::Plain.call(gateway).await, 200);
         }
     }
 }
 
-/// Guards against an instance that starts and learns of a limit only by its own answers.
+/// An instance that starts must not have to learn of a limit by its own responses.
 #[actix_rt::test]
-async fn an_instance_that_starts_is_told_of_limits() {
-    let (gateways, _app) = with_one_engine("0.1").await;
+async fn a_starting_instance_learns_limits_from_peers() {
+    let (gateways, _app) = start_with_one_limited_engine("0.1").await;
     let mut newcomers = Vec::new();
-    // Some of them place calls in the stead of those that know.
+    // Some of them become placers instead of those that know the limit.
     for _ in 0..4 {
         let newcomer = gateways[0].start_another();
         newcomer.wait_until_ready(true).await;
         newcomers.push(newcomer);
-        wait_until(async || limited(&newcomers, 1).await).await;
+        wait_until(async || all_know_limited(&newcomers, 1).await).await;
     }
 }
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that come while a process starts.
+//! Signals that arrive while a process starts.
 
 mod harness;
 
@@ -13,15 +13,16 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tempfile::TempDir;
 
-/// A process that reads its settings: they lie in a pipe to which nothing is written until the test says so.
-struct Starting {
+/// A process that is reading its settings, from a pipe to which nothing is written until the test
+/// does.
+struct StartingProcess {
     child: Child,
     pipe: File,
     path: PathBuf,
     _directory: TempDir,
 }
 
-impl Starting {
+impl StartingProcess {
     fn new() -> Self {
         let directory = TempDir::new().expect("a scratch directory can be made");
         let path = directory.path().join("node.toml");
@@ -33,7 +34,7 @@
             .arg(&path)
             .stdout(Stdio::null());
         let child = harness::spawn(&mut command).expect("the gateway starts");
-        // Opens only once the process reads the other end.
+        // Returns only once the process opens the other end.
         let pipe = File::options().write(true).open(&path);
         Self {
             child,
@@ -49,11 +50,11 @@
         kill_process(pid, signal).expect("the process runs");
     }
 
-    /// Gives the process its settings, and leaves them where it finds them again.
-    fn go_on(&mut self, settings: &str) {
+    /// Provides the settings through the pipe, and as a file for later reads.
+    fn provide_settings(&mut self, settings: &str) {
         std::fs::remove_file(&self.path).expect("the pipe can be removed");
         std::fs::write(&self.path, settings).expect("a scratch file can be written");
-        // A process that has ended does not read.
+        // The write fails if the process has ended.
         let _ = self.pipe.write_all(settings.as_bytes());
         self.pipe = File::open("/dev/null").expect("there is a null device");
     }
@@ -63,7 +64,7 @@
     }
 }
 
-/// Settings of a process, and where it serves callers by them.
+/// Settings of a process, and its address for callers.
 fn settings() -> (String, SocketAddr) {
     let address = || SocketAddr::from(([127, 0, 0, 1], harness::free_port()));
     let front = address();
@@ -81,32 +82,33 @@
     (settings.text(), front)
 }
 
-/// Symptom: a process dies right after its start, without a line of log. Sequence: its machine starts; an
-/// operator changes the settings and sends SIGHUP; the process reads its settings at that moment. Cause: signals
-/// were received only once it had read them, and SIGHUP ends a process that does not receive it.
+/// An operator changes the settings and sends SIGHUP while the process reads them at its start.
+/// When signals were handled only after that, the default action of SIGHUP ended the process
+/// without a log line.
 #[actix_rt::test]
-async fn changed_settings_do_not_end_a_process_that_starts() {
+async fn sighup_during_the_start_does_not_end_the_process() {
     let (text, front) = settings();
-    let mut starting = Starting::new();
-    starting.signal(Signal::HUP);
-    starting.go_on(&text);
+    let mut process = StartingProcess::new();
+    process.signal(Signal::HUP);
+    process.provide_settings(&text);
     harness::wait_until(async || {
-        let ended = starting.child.try_wait();
+        let ended = process.child.try_wait();
         assert!(matches!(ended, Ok(None)), "the process ended: {ended:?}");
         TcpStream::connect(front).is_ok()
     })
     .await;
-    starting.signal(Signal::TERM);
-    assert!(starting.wait().success());
+    process.signal(Signal::TERM);
+    assert!(process.wait().success());
 }
 
-/// Symptom: a stop of a machine that has just started counts as a crash. Sequence: SIGTERM comes while the
-/// process reads its settings. Cause: as above, so that the process ends by the signal.
+/// SIGTERM arrives while the process reads its settings. When signals were handled only after that,
+/// the process died by the signal, and a stop of a machine that had just started counted as a
+/// crash.
 #[actix_rt::test]
-async fn a_process_that_is_asked_to_end_while_it_starts_ends_in_order() {
+async fn sigterm_during_the_start_ends_the_process_with_success() {
     let (text, _) = settings();
-    let mut starting = Starting::new();
-    starting.signal(Signal::TERM);
-    starting.go_on(&text);
-    assert!(starting.wait().success());
+    let mut process = StartingProcess::new();
+    process.signal(Signal::TERM);
+    process.provide_settings(&text);
+    assert!(process.wait().success());
 }
