--- a/crates/gateway/src/bootstrap.rs
+++ b/crates/gateway/src/bootstrap.rs
@@ -1,8 +1,9 @@
 //! Transfers the store's state to instances that have just started.
 //!
-//! Store reads are limited and paid for, so after a restart of the whole fleet only a few instances read. Placers send
-//! the configuration and the engines to instances of their data centre that lack them. An instance that receives nothing reads the
-//! store itself, so a lost datagram only costs time.
+//! Store reads are limited and paid for, so after a restart of the whole fleet only a few instances
+//! read. Placers send the configuration and the engines to instances of their data centre that lack
+//! them. An instance that receives nothing reads the store itself, so a lost datagram only costs
+//! time.
 
 use std::collections::BTreeMap;
 
--- a/crates/gateway/src/claim_log.rs
+++ b/crates/gateway/src/claim_log.rs
@@ -1,5 +1,5 @@
-//! Claims that this instance made or learned of, and the target sizes ordered under the latest one. The next claimant starts
-//! from them.
+//! Claims that this instance made or learned of, and the target sizes ordered under the latest one.
+//! The next claimant starts from them.
 
 use std::cell::{Cell, RefCell, RefMut};
 
@@ -42,7 +42,8 @@
         self.announced.get()
     }
 
-    /// The latest claim of this instance, 0 if it made none, and the sizes that it ordered unless a later claim is known.
+    /// The latest claim of this instance, 0 if it made none, and the sizes that it ordered unless a
+    /// later claim is known.
     pub(crate) fn snapshot(&self) -> (Fence, Vec<gateway::Numbers>) {
         let Some(own) = self.own.get() else {
             return (0, Vec::new());
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -117,7 +117,7 @@
 
     fn find_due(&mut self, now: Moment) -> Due {
         let instance = &self.instance;
-        // Instances that are not placers are not told of all work.
+        // Instances that do not place calls do not know the work of all others.
         let is_synced = instance.engines_known.get() && instance.is_placing();
         if !is_synced {
             return Due {
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -1,4 +1,5 @@
-//! Requests placements from placers; see [`serving::placer`]. The serving side is [`crate::placement::server`].
+//! Requests placements from placers; see [`serving::placer`]. The serving side is
+//! [`crate::placement::server`].
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -59,7 +60,8 @@
     Unusable,
 }
 
-/// Places a call: at a placer, or by the state of this instance if it is one itself or none responds.
+/// Places a call: at a placer, or by the state of this instance if it is one itself or none
+/// responds.
 pub(crate) async fn choose(instance: &Instance, demand: &Demand<'_>) -> Choice {
     if let Some(choice) = request(instance, demand, None).await {
         return choice;
@@ -201,7 +203,8 @@
 fn encode(instance: &Instance, ticket: Ticket, demand: &Demand, read_in: Option<&Zone>) -> Ask {
     let now = instance.now();
     let fleet = instance.fleet.borrow();
-    // Health as seen from here counts too: the path to an engine may be broken from this instance only.
+    // Health as seen from here counts too: the path to an engine may be broken from this instance
+    // only.
     let resting = fleet.ready(demand.service);
     let resting = resting.filter(|engine| !engine.is_available(now));
     let resting = resting.map(|engine| &engine.record.id);
@@ -262,7 +265,8 @@
     choice.map_or(PlacementResult::Unusable, PlacementResult::Choice)
 }
 
-/// The placer's target, unless this instance already knows that the engine leaves or must be avoided.
+/// The placer's target, unless this instance already knows that the engine leaves or must be
+/// avoided.
 fn decode_target(
     fleet: &Fleet,
     demand: &Demand,
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -1,4 +1,5 @@
-//! Places calls for other instances and tracks their outcomes. The requesting side is [`crate::placement::client`].
+//! Places calls for other instances and tracks their outcomes. The requesting side is
+//! [`crate::placement::client`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -134,7 +134,8 @@
     }
 }
 
-/// Logs a refusal with the best placement's forecast, which tells a long prompt from a full fleet.
+/// Logs a refusal with the best placement's forecast, which distinguishes a long prompt from a full
+/// fleet.
 pub(crate) fn log_refused(request: &Request, after: Duration, why: &str, best: Option<&Target>) {
     let expected = best.map_or(Duration::ZERO, |best| best.expected_latency);
     log::info!(
--- a/crates/gateway/src/reports.rs
+++ b/crates/gateway/src/reports.rs
@@ -22,11 +22,11 @@
     last_requested: Moment,
 }
 
-/// Time after a placement request for which the placer is told which calls are open.
+/// Time after a placement request for which the placer gets the list of open calls.
 ///
-/// It may have placed a call whose answer came too late or was not followed, and would count it as
-/// work that nobody sends: engines would look busy while idle. Must exceed the time after which the
-/// placer assumes that a call which is not listed is over.
+/// It may have placed a call whose answer came too late or was not followed, and would keep
+/// counting it: engines would look busy while idle. Must exceed the time after which the placer
+/// assumes that a call which is not listed is over.
 const OPEN_REPORT_TIME: Duration = Duration::from_secs(3);
 
 impl PlacerReports {
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -43,8 +43,7 @@
     pub(crate) fn plan(&mut self, instance: &Instance, now: Moment) -> RoleChanges {
         let fleet = instance.fleet.borrow();
         let with_stage = fleet.all().filter(|engine| engine.record.stage.is_some());
-        // Records may name services that the configuration lacks; nobody gives orders to their
-        // engines.
+        // Records may name services that the configuration lacks; their engines get no orders.
         let table = instance.table();
         let is_known = |name: &ServiceName| {
             let table = table.as_ref();
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,4 +1,5 @@
-//! Serves status requests (readiness, metrics) on listeners of their own, apart from callers' traffic.
+//! Serves status requests (readiness, metrics) on listeners of their own, apart from callers'
+//! traffic.
 
 use std::rc::Rc;
 
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -31,8 +31,8 @@
 const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval between checks whether a read is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait after the start for the discovery of the other instances; shorter suffices while
-/// the store is healthy.
+/// Wait after the start for the discovery of the other instances, which completes within this time
+/// while the store is healthy.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(400);
 /// The same on a first start, where all instances register one after the other.
 const FIRST_START_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(3_000);
