--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -190,6 +190,7 @@
     })
 }
 
+/// The fencing token of a claim; tokens start at 1.
 fn fence(offset: Offset) -> Fence {
     offset + 1
 }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -66,7 +66,7 @@
     all
 }
 
-/// Finds the engine that decodes a prompt that was prefilled in the given data centre, as [`place`]
+/// Finds the engine that decodes a prompt that was prefilled in the given data centre, as [`place()`]
 /// does.
 pub(crate) async fn place_decode(
     instance: &Instance,
