--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -58,10 +58,14 @@
         Verdict::Clear => Admission::Unrestricted,
         Verdict::Suspected => Admission::Alone,
         Verdict::TrialDue => Admission::Held(TRIAL_RETRY_AFTER),
-        Verdict::Held { after, good_builds: well_on ,
+        Verdict::Held {
+            after,
+            good_builds: well_on,
         } if well_on.is_empty() => Admission::Held(after),
-        Verdict::Held { good_builds: well_on, .. } => {
-            Admission::Excluding(engines_with_other_builds(instance, request, &well_on))}
+        Verdict::Held {
+            good_builds: well_on,
+            ..
+        } => Admission::Excluding(engines_with_other_builds(instance, request, &well_on)),
     }
 }
 
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -82,8 +82,8 @@
     limits.map_or(DEFAULT_LIMITS, |limits| Limits {
         head: limits.head_bytes,
         body: limits.body_bytes,
-        head_time: limits.head_time,
-        idle: limits.idle,
+        head_time: limits.head_timeout,
+        idle: limits.idle_timeout,
     })
 }
 
@@ -137,7 +137,7 @@
         // A call that begins now may not complete in the time that is left.
         let refusal = Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
-            id: adapter::ingress::id(&arrival.head),
+            id: adapter::ingress::request_id(&arrival.head),
             retry_after: Some(CLOSING_RETRY_AFTER),
             detail: "The instance is about to end.",
             may_have_run: false,
--- a/crates/gateway/src/crash_detection.rs
+++ b/crates/gateway/src/crash_detection.rs
@@ -147,7 +147,7 @@
 fn is_leaving(instance: &Instance, engine: &EngineId) -> bool {
     let fleet = instance.fleet.borrow();
     let known = fleet.get(engine);
-    known.is_none_or(|known| known.gone || known.record.state == State::Draining)
+    known.is_none_or(|known| known.record_gone || known.record.state == State::Draining)
 }
 
 /// Returns the verdict on an engine once it is known. Calls that break at once share one probe.
--- a/crates/gateway/src/engine_call.rs
+++ b/crates/gateway/src/engine_call.rs
@@ -100,8 +100,10 @@
     pub(crate) fn on_event(&self) -> Duration {
         let now = self.instance.now();
         let mut fleet = self.instance.fleet.borrow_mut();
-        let (Some(mut last), Some(longest)) = (self.last_event.get(), self.request.route.max_gap) else {
-            self.last_event.set(fleet.stream_mark(&self.sent.engine, now));
+        let (Some(mut last), Some(longest)) = (self.last_event.get(), self.request.route.max_gap)
+        else {
+            self.last_event
+                .set(fleet.stream_mark(&self.sent.engine, now));
             return Duration::ZERO;
         };
         let read = fleet.record_stream_event(&self.sent.engine, &mut last, longest, now);
--- a/crates/gateway/src/frame.rs
+++ b/crates/gateway/src/frame.rs
@@ -145,8 +145,12 @@
         match change {
             // Each frame repeats recent prompts; see `crate::mesh`.
             WorkChange::Started(_, job) if job.work > 0 => {}
-            WorkChange::Started(engine, job) => frame.started.push(encode_started(&engine, &job, now)),
-            WorkChange::Read(engine, number, at) => reads.push((encode_ticket(&engine, number), at)),
+            WorkChange::Started(engine, job) => {
+                frame.started.push(encode_started(&engine, &job, now))
+            }
+            WorkChange::Read(engine, number, at) => {
+                reads.push((encode_ticket(&engine, number), at))
+            }
             WorkChange::Ended(engine, number, outcome) => {
                 frame.ended.push(wire::gateway::Ticket {
                     outcome: encode_outcome(outcome).into(),
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -163,7 +163,10 @@
 
     async fn run(mut self) -> Stream {
         let service = &self.request.service.name;
-        self.instance.budgets.borrow_mut().record_first_attempt(service);
+        self.instance
+            .budgets
+            .borrow_mut()
+            .record_first_attempt(service);
         loop {
             let choice =
                 placement::place(self.instance, self.request, &self.avoid, self.may_split).await;
@@ -172,9 +175,11 @@
                 Choice::Split {
                     prefill, reserved, ..
                 } => self.split(&prefill, reserved).await,
-                Choice::Refuse { retry_after: after, reason: why, best_target: best ,
-                } => {
-                    NextStep::Done(self.refusal(after, why, best))}
+                Choice::Refuse {
+                    retry_after: after,
+                    reason: why,
+                    best_target: best,
+                } => NextStep::Done(self.refusal(after, why, best)),
             };
             if let NextStep::Done(stream) = next {
                 return stream;
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -117,7 +117,10 @@
             snapshot: RefCell::default(),
             peers_discovered: Cell::new(false),
             must_read_configuration: Cell::new(false),
-            budgets: RefCell::new(RepeatBudgets::new(settings.bounds.retry_budget, ASSUMED_INSTANCES)),
+            budgets: RefCell::new(RepeatBudgets::new(
+                settings.bounds.retry_budget,
+                ASSUMED_INSTANCES,
+            )),
             usual: RefCell::default(),
             pool: Pool::default(),
             suspects: Suspects::default(),
@@ -235,7 +238,8 @@
     pub(crate) fn known(&self, topic: Topic) -> TopicState {
         match topic {
             Topic::Configuration => {
-                peers::known_version(self.table().map_or(0, |table| table.version))}
+                peers::known_version(self.table().map_or(0, |table| table.version))
+            }
             Topic::Engines => self.registry.borrow().topic_state(),
         }
     }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -90,11 +90,12 @@
 /// Encodes limits for a frame.
 pub(crate) fn to_wire(announcements: Vec<(EngineId, Announcement)>, now: Moment) -> Vec<RateLimit> {
     let limits = announcements
-        .into_iter().map(|(engine, announcement)| RateLimit {
-        engine: hash::hash32(&engine),
-        limit: announcement.limit.map(Rate::per_second),
-        age_ms: frame::elapsed_ms(announcement.at, now),
-    });
+        .into_iter()
+        .map(|(engine, announcement)| RateLimit {
+            engine: hash::hash32(&engine),
+            limit: announcement.limit.map(Rate::per_second),
+            age_ms: frame::elapsed_ms(announcement.at, now),
+        });
     limits.collect()
 }
 
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -236,7 +236,9 @@
         frame.rate_limits = limits::to_wire(fleet.throttles.to_repeat(), now);
     } else {
         let recent = fleet.recent_jobs(RESEND_WINDOW, now);
-        let recent = recent.iter().map(|(engine, job)| encode_started(engine, job, now));
+        let recent = recent
+            .iter()
+            .map(|(engine, job)| encode_started(engine, job, now));
         frame.started = recent.collect();
         completed = add_changes(&mut frame, changes, now);
     }
@@ -255,7 +257,10 @@
 
 /// Whether a state does not contain this change.
 fn is_missing_from_state(change: &WorkChange) -> bool {
-    matches!(change, WorkChange::EngineEnded(_) | WorkChange::Ended(_, _, Some(_)))
+    matches!(
+        change,
+        WorkChange::EngineEnded(_) | WorkChange::Ended(_, _, Some(_))
+    )
 }
 
 fn encode_state(instance: &Instance, fleet: &Fleet, is_warm: bool, now: Moment) -> State {
@@ -397,7 +402,8 @@
     let parts = share.flat_map(|engine| {
         let id = &engine.record.id;
         let held = fleet.parts.cached_parts(id);
-        held.into_iter().map(move |part| peers::encode_engine_part(id, part))
+        held.into_iter()
+            .map(move |part| peers::encode_engine_part(id, part))
     });
     parts.collect()
 }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -136,7 +136,10 @@
 }
 
 /// Fixes a number of engines, or returns it to the plan.
-pub(crate) async fn fix(settings: &Settings, fixed: &FixedCount, is_fixed: bool,
+pub(crate) async fn fix(
+    settings: &Settings,
+    fixed: &FixedCount,
+    is_fixed: bool,
 ) -> Result<(), Failure> {
     let is_same = |other: &FixedCount| {
         (&other.service, &other.zone, other.reclaimable)
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -255,9 +255,13 @@
     pub(crate) fn reader_states(&self, topic: Topic) -> impl Iterator<Item = ReaderReport> {
         let registered = self.by_address.values();
         registered.filter_map(move |registered| {
-            Some(registered
-                    .peer.as_ref()?.reader_state(registered.order?, topic),
-            )})
+            Some(
+                registered
+                    .peer
+                    .as_ref()?
+                    .reader_state(registered.order?, topic),
+            )
+        })
     }
 
     /// Placers that were heard of lately, the first `count` in the read order.
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -22,7 +22,11 @@
         fleet.remote_prompt_read(peer, read.ticket, frame::moment_before(now, read.age_ms));
     }
     for ended in &reports.ended {
-        fleet.end_remote_call(peer, ended.ticket, frame::decode_outcome(ended.outcome()), now,
+        fleet.end_remote_call(
+            peer,
+            ended.ticket,
+            frame::decode_outcome(ended.outcome()),
+            now,
         );
     }
     if reports.says_open {
@@ -135,7 +139,10 @@
             prefill: Some(encode_target(prefill)),
             expected_us: to_micros(*expected),
         }),
-        Choice::Refuse { retry_after: after, reason: why, best_target: best ,
+        Choice::Refuse {
+            retry_after: after,
+            reason: why,
+            best_target: best,
         } => answer::Choice::Refusal(gateway::Refusal {
             after_ms: to_millis(*after),
             no_engine: *why == Refusal::NoEngine,
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -151,7 +151,10 @@
     let mut avoid = Avoid::new();
     let mut runs = 0;
     let mut failed_sends = FailedSends::default();
-    instance.budgets.borrow_mut().record_first_attempt(&request.service.name);
+    instance
+        .budgets
+        .borrow_mut()
+        .record_first_attempt(&request.service.name);
     loop {
         let target = match placement::place(instance, request, &avoid, false).await {
             Choice::Direct(target) => target,
@@ -209,7 +212,10 @@
 }
 
 pub(crate) fn take_retry(instance: &Instance, request: &Request) -> bool {
-    instance.budgets.borrow_mut().take_repeat(&request.service.name)
+    instance
+        .budgets
+        .borrow_mut()
+        .take_repeat(&request.service.name)
 }
 
 fn is_failure(response: &WholeAnswer) -> bool {
--- a/crates/gateway/src/pool_sizes.rs
+++ b/crates/gateway/src/pool_sizes.rs
@@ -18,7 +18,11 @@
 
 impl PoolSizes {
     /// Orders that are due now.
-    pub(crate) fn plan(&mut self, table: &Table, fleet: &Fleet, now: Moment,
+    pub(crate) fn plan(
+        &mut self,
+        table: &Table,
+        fleet: &Fleet,
+        now: Moment,
     ) -> Vec<(EngineTarget, Reason)> {
         if self.wishes.held {
             return Vec::new();
--- a/crates/gateway/src/receive.rs
+++ b/crates/gateway/src/receive.rs
@@ -110,12 +110,17 @@
     let mut fleet = instance.fleet.borrow_mut();
     let started = frame.started.iter().filter_map(|started| {
         let engine = fleet.by_hash(started.engine)?;
-        Some(WorkChange::Started(engine, decode_job(started.job.as_ref()?, now),
+        Some(WorkChange::Started(
+            engine,
+            decode_job(started.job.as_ref()?, now),
         ))
     });
     let read = frame.read.iter().filter_map(|read| {
         let engine = fleet.by_hash(read.engine)?;
-        Some(WorkChange::Read(engine, read.ticket, moment_before(now, read.age_ms),
+        Some(WorkChange::Read(
+            engine,
+            read.ticket,
+            moment_before(now, read.age_ms),
         ))
     });
     let ended = frame.ended.iter().filter_map(|ended| {
@@ -131,9 +136,9 @@
     let changes: Vec<WorkChange> = started.chain(read).chain(ended).chain(gone).collect();
     let works = frame.state.as_ref().map(|state| {
         let works = state.works.iter();
-        let works =
-            works.filter_map(|work_at| {
-            Some((fleet.by_hash(work_at.engine)?, decode_work(work_at, now)))});
+        let works = works.filter_map(|work_at| {
+            Some((fleet.by_hash(work_at.engine)?, decode_work(work_at, now)))
+        });
         works.collect()
     });
     fleet.apply_frame(frame.incarnation, &changes, works, now);
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -144,7 +144,10 @@
     let mut client = Client::open(engine.address, &ENGINE_PATIENCE, &instance.codec).await?;
     limits::charge(instance, &engine.id);
     let answer = client.send(head, &body).await?;
-    limits::observe_announced(instance, &engine.id, upstream::announced_limit(&answer.head),
+    limits::observe_announced(
+        instance,
+        &engine.id,
+        upstream::announced_limit(&answer.head),
     );
     let status = answer.head.status.as_u16();
     client.body(MAX_BODY_BYTES).await?;
--- a/crates/gateway/src/store_reader.rs
+++ b/crates/gateway/src/store_reader.rs
@@ -383,7 +383,11 @@
 }
 
 /// Parses an engine's record. An invalid one is logged once, however often it is read.
-fn decode_engine(fleet: &mut Fleet, registry: &mut Registry, record: &KeyedRecord) -> Option<Record> {
+fn decode_engine(
+    fleet: &mut Fleet,
+    registry: &mut Registry,
+    record: &KeyedRecord,
+) -> Option<Record> {
     let value = record.value.as_ref()?;
     match records::parse_engine(&record.key, value) {
         Ok(engine) => Some(engine),
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -180,7 +180,9 @@
         if standing < entry.uncleared_crashes() {
             let telling = PendingSend::new(now);
             self.pending_sends
-                .borrow_mut().entry(call).or_insert(telling);
+                .borrow_mut()
+                .entry(call)
+                .or_insert(telling);
         }
     }
 
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -76,7 +76,10 @@
     let mut client = client.ok()?;
     let head = upstream::held_parts_request(engine.address);
     let response = client.send(head, &Bytes::new()).await.ok()?;
-    limits::observe_announced(instance, &engine.id, upstream::announced_limit(&response.head),
+    limits::observe_announced(
+        instance,
+        &engine.id,
+        upstream::announced_limit(&response.head),
     );
     let body = client.body(MAX_BODY_BYTES).await.ok()?;
     upstream::parse_held_parts(&body, engine.started_ms)
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
+use harness::{Gateway, generation, send_call, send_call_within, wait_until};
 use platform_standin::Engine;
 use platform_standin::engine::{Behaviour, ReceivedRequest};
 use platform_standin::request::{self, FORGED_HEADERS, PREFILL_ONLY};
-use harness::{Gateway, generation, send_call, send_call_within, wait_until};
 
 #[actix_rt::test]
 async fn calls_on_routes_of_every_kind_are_served() {
--- a/crates/gateway/tests/configuration_and_engines.rs
+++ b/crates/gateway/tests/configuration_and_engines.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
+use harness::{Gateway, generation, send_call, wait_until};
 use platform_standin::Engine;
 use platform_standin::engine::Behaviour;
 use platform_standin::store::Fault;
-use harness::{Gateway, generation, send_call, wait_until};
 use serde_json::json;
 
 /// Sends a plain call and returns its status.
--- a/crates/gateway/tests/duties.rs
+++ b/crates/gateway/tests/duties.rs
@@ -4,10 +4,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use harness::{Gateway, configuration, generation, wait_until};
 use platform_standin::cloud::{Call, Fault};
 use platform_standin::configuration::Duties;
 use platform_standin::{Cloud, Engine};
-use harness::{Gateway, configuration, generation, wait_until};
 use serde_json::{Value, json};
 
 /// Short windows, so that tests see several; a report is late after four of them.
--- a/crates/gateway/tests/metrics.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -2,8 +2,8 @@
 
 mod harness;
 
-use platform_standin::engine::Behaviour;
 use harness::{Gateway, wait_until};
+use platform_standin::engine::Behaviour;
 
 #[actix_rt::test]
 async fn calls_are_counted_by_how_they_ended() {
--- a/crates/gateway/tests/organisations.rs
+++ b/crates/gateway/tests/organisations.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
+use harness::{Gateway, configuration, generation, wait_until};
 use platform_standin::Engine;
 use platform_standin::engine::ReceivedRequest;
-use harness::{Gateway, configuration, generation, wait_until};
 use serde_json::{Value, json};
 
 const KEY: &str = "key-of-a-7f3c";
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -2,8 +2,8 @@
 
 mod harness;
 
-use platform_standin::Engine;
 use harness::{Gateway, wait_until};
+use platform_standin::Engine;
 
 /// Three gateways on one store, the third last in the read order, with an engine for plain calls
 /// and a decode engine.
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -4,10 +4,10 @@
 
 use std::time::{Duration, SystemTime};
 
+use harness::{Gateway, wait_until};
 use platform_standin::engine::Behaviour;
 use platform_standin::store::Fault;
 use platform_standin::{Engine, Store};
-use harness::{Gateway, wait_until};
 use wire::Message as _;
 use wire::gateway::Suspect;
 
@@ -390,7 +390,10 @@
         })
         .await;
     }
-    assert_eq!((prefill.request_count(FATAL_PATH), pool.crashed()), (read, CRASHES_UNTIL_HELD));
+    assert_eq!(
+        (prefill.request_count(FATAL_PATH), pool.crashed()),
+        (read, CRASHES_UNTIL_HELD)
+    );
 }
 
 /// Operators list the held calls and release one whose cause is fixed. An instance that starts
@@ -451,7 +454,10 @@
 #[actix_rt::test]
 async fn broken_responses_without_a_crash_hold_no_call() {
     let (gateway, _app, pool) = Gateway::start().await;
-    for act in [Behaviour::CloseUnanswered, Behaviour::CutAfter(1), Behaviour::Fail(500),
+    for act in [
+        Behaviour::CloseUnanswered,
+        Behaviour::CutAfter(1),
+        Behaviour::Fail(500),
     ] {
         pool.set_behaviour(act);
         for _ in 0..2 * CRASHES_UNTIL_HELD {
--- a/crates/gateway/tests/rate_limits.rs
+++ b/crates/gateway/tests/rate_limits.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
+use harness::{Gateway, wait_until};
 use platform_standin::engine::Behaviour;
 use platform_standin::{Engine, request};
-use harness::{Gateway, wait_until};
 use tokio::time::{Instant, sleep};
 
 /// Time after an engine's first announcement from which its limit binds all instances.
--- a/crates/gateway/tests/roles.rs
+++ b/crates/gateway/tests/roles.rs
@@ -2,9 +2,9 @@
 
 mod harness;
 
+use harness::{Gateway, wait_until};
 use platform_standin::Engine;
 use platform_standin::engine::Order;
-use harness::{Gateway, wait_until};
 
 const PREFILL: usize = 4;
 const DECODE: usize = 10;
--- a/crates/gateway/tests/store_restore.rs
+++ b/crates/gateway/tests/store_restore.rs
@@ -15,13 +15,13 @@
 #[actix_rt::test]
 async fn a_configuration_survives_a_store_restore_and_the_next_one_is_applied() {
     let (gateway, _app, _pool) = Gateway::start().await;
-    let copy = gateway.store.copy();
-    let second = floor::Engine::start("second-1").await;
+    let copy = gateway.store.backup();
+    let second = platform_standin::Engine::start("second-1").await;
     second.register(&gateway.store, "second", "ready", None);
     gateway.configure(2, "second");
     wait_until(async || {
         let id = gateway.fresh_id();
-        gateway.call("/safe/a", &id, &[]).await.status == 200 && second.runs(&id) == 1
+        gateway.call("/safe/a", &id, &[]).await.status == 200 && second.run_count(&id) == 1
     })
     .await;
     gateway.store.restore(copy);
@@ -30,14 +30,14 @@
     for _ in 0..20 {
         let id = gateway.fresh_id();
         assert_eq!(gateway.call("/safe/a", &id, &[]).await.status, 200);
-        assert_eq!(second.runs(&id), 1);
+        assert_eq!(second.run_count(&id), 1);
     }
     // The operator writes the lost version again, and then the next one.
     gateway.configure(2, "second");
     gateway.configure(3, "app");
     wait_until(async || {
         let id = gateway.fresh_id();
-        gateway.call("/safe/a", &id, &[]).await.status == 200 && second.runs(&id) == 0
+        gateway.call("/safe/a", &id, &[]).await.status == 200 && second.run_count(&id) == 0
     })
     .await;
 }
@@ -47,16 +47,16 @@
 #[actix_rt::test]
 async fn records_at_reused_offsets_are_applied() {
     let (gateway, app, _pool) = Gateway::start().await;
-    let copy = gateway.store.copy();
+    let copy = gateway.store.backup();
     for _ in 0..5 {
         app.register(&gateway.store, "app", "ready", None);
     }
-    let leaving = floor::Engine::start("app-2").await;
+    let leaving = platform_standin::Engine::start("app-2").await;
     leaving.register(&gateway.store, "app", "ready", None);
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 3")).await;
     gateway.store.restore(copy);
     wait_until(async || gateway.count_log_lines(RESTORED) == 1).await;
-    let third = floor::Engine::start("app-3").await;
+    let third = platform_standin::Engine::start("app-3").await;
     third.register(&gateway.store, "app", "ready", None);
     leaving.register(&gateway.store, "app", "ready", None);
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 4")).await;
@@ -67,20 +67,20 @@
 #[actix_rt::test]
 async fn a_draining_engine_gets_no_calls_after_a_store_restore() {
     let (gateway, app, _pool) = Gateway::start().await;
-    let other = floor::Engine::start("app-2").await;
+    let other = platform_standin::Engine::start("app-2").await;
     other.register(&gateway.store, "app", "ready", None);
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 3")).await;
-    let copy = gateway.store.copy();
+    let copy = gateway.store.backup();
     app.register(&gateway.store, "app", "draining", None);
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 2")).await;
     gateway.store.restore(copy);
     wait_until(async || gateway.count_log_lines(RESTORED) == 1).await;
-    let before = app.got().len();
+    let before = app.received().len();
     for _ in 0..40 {
         let id = gateway.fresh_id();
         assert_eq!(gateway.call("/safe/a", &id, &[]).await.status, 200);
     }
-    assert_eq!(app.got().len(), before);
+    assert_eq!(app.received().len(), before);
 }
 
 /// Instances register, and the store is restored from an earlier copy. When nobody registered
@@ -88,9 +88,9 @@
 #[actix_rt::test]
 async fn instances_register_again_after_a_store_restore() {
     let gateway = Gateway::start_unconfigured().await;
-    let empty = gateway.store.copy();
+    let empty = gateway.store.backup();
     gateway.configure(1, "app");
-    let app = floor::Engine::start("app-1").await;
+    let app = platform_standin::Engine::start("app-1").await;
     app.register(&gateway.store, "app", "ready", None);
     gateway.wait_until_ready(true).await;
     let registered = async || !gateway.store.newest("keyed.instances").is_empty();
@@ -108,17 +108,17 @@
 #[actix_rt::test]
 async fn held_calls_are_written_again_after_a_store_restore() {
     let (gateway, _app, pool) = Gateway::start().await;
-    let copy = gateway.store.copy();
+    let copy = gateway.store.backup();
     let held = async || {
         let keys = gateway.store.newest("keyed.instances");
         keys.iter().any(|key| key.starts_with("held/"))
     };
-    pool.ends_on("/resume/fatal");
+    pool.end_on_path("/resume/fatal");
     let mut engines = Vec::new();
     for n in 0..4 {
-        let engine = floor::Engine::start(&format!("more-{n}")).await;
+        let engine = platform_standin::Engine::start(&format!("more-{n}")).await;
         engine.register(&gateway.store, "pool", "ready", Some("decode"));
-        engine.ends_on("/resume/fatal");
+        engine.end_on_path("/resume/fatal");
         engines.push(engine);
     }
     wait_until(async || gateway.metrics_page().await.contains("tarragon_engines 6")).await;
