--- a/crates/authority/examples/fold.rs
+++ b/crates/authority/examples/fold.rs
@@ -1,5 +1,5 @@
-//! Measures the fold: time for each record, bytes of the state at the target size, bytes of its
-//! part of a snapshot. `cargo run --release -p authority --example fold`. Figures of runs stand in
+//! Measures the fold: time per record, and the sizes of the state and of its part of a snapshot at
+//! the target size. Run with `cargo run --release -p authority --example fold`; results are in
 //! `docs/design/authority.md`.
 
 use authority::author::Author;
@@ -65,7 +65,7 @@
     log
 }
 
-/// An intent and its outcome for one engine after the other, each valid.
+/// Valid pairs of intent and outcome, for the engines in turn.
 fn orders(engines: u64, pairs: u64) -> Vec<Record> {
     let mut log = claims();
     let mut newest: Vec<OrderId> = vec![0; usize::try_from(engines).unwrap_or(0)];
@@ -73,15 +73,15 @@
         let engine = number % engines;
         let fence = engine % SCOPES + 1;
         let order = log.len() as Offset + 1;
-        let known = usize::try_from(engine).ok();
-        let Some(newest) = known.and_then(|known| newest.get_mut(known)) else {
+        let index = usize::try_from(engine).ok();
+        let Some(newest) = index.and_then(|index| newest.get_mut(index)) else {
             continue;
         };
         log.push(record(Body::Intent(record::Intent {
             scope: scope(engine),
             fence,
             upstream: format!("engine-callao-{engine}"),
-            order: Some((&what(number / engines)).into()),
+            order: Some((&action(number / engines)).into()),
             previous: *newest,
         })));
         log.push(record(Body::Outcome(record::Outcome {
@@ -96,7 +96,7 @@
     log
 }
 
-fn what(round: u64) -> Order {
+fn action(round: u64) -> Order {
     match round % 2 {
         0 => Order::SetRole(Role::Decode),
         _ => Order::LoadModel(Model {
@@ -151,7 +151,7 @@
     );
 }
 
-/// Resident bytes of this process.
+/// Resident memory of this process in bytes.
 fn resident() -> u64 {
     const PAGE: u64 = 4096;
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/authority/src/author.rs
+++ b/crates/authority/src/author.rs
@@ -1,16 +1,16 @@
 //! The process that wrote a record.
 
 use crate::InstanceId;
-use crate::statement::Malformed;
+use crate::authority_record::Malformed;
 use wire::record;
 
-/// One run of one instance. A restarted instance is another author: it does not know what its
-/// predecessor sent, so it may not go on in its name.
+/// One run of one instance. A restarted instance is a different author: it does not know what the
+/// earlier run sent and must not continue under its claims.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Author {
     /// Instance id from the settings.
     pub instance: InstanceId,
-    /// Milliseconds since the Unix epoch at which the process started.
+    /// Start time of the process in milliseconds since the Unix epoch.
     pub incarnation: u64,
 }
 
--- a/crates/authority/src/statement.rs
+++ b/crates/authority/src/authority_record.rs
@@ -1,78 +1,79 @@
-//! The records that concern authority, checked: everything that can be judged without the state.
+//! Decodes the records that concern authority and checks what does not depend on the state.
 
 use crate::author::Author;
 use crate::order::{Order, Verdict};
 use crate::{Fence, Offset, OrderId, ScopeId, UpstreamId};
 use wire::record::{self, Record, record::Body};
 
-/// A record that does not say what it must; it has no effect anywhere.
+/// A record with a missing or unknown field. It has no effect on any process.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Malformed {
-    /// Path of the field that is missing or has no known value.
+    /// Path of the field that is missing or has an unknown value.
     pub field: &'static str,
 }
 
-/// What an author says of one scope.
+/// A decoded record about one scope.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct AuthorityRecord {
     /// The author.
     pub author: Author,
-    /// The scope that it is about.
+    /// The scope.
     pub scope: ScopeId,
-    /// What it says.
+    /// Kind and content.
     pub kind: RecordKind,
 }
 
-/// The kinds of statement.
+/// The kinds of authority record.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum RecordKind {
-    /// The author takes the scope.
+    /// The author claims the scope.
     Claim {
-        /// The claim that it takes it from; 0 for none.
+        /// The claim that it replaces; 0 for none.
         replaces: Fence,
-        /// The newest renewal of that claim that it has read, or the claim itself; 0 for none.
+        /// The newest renewal of that claim that the author has read, or the claim itself; 0 for
+        /// none.
         seen: Offset,
     },
-    /// The holder is alive.
+    /// The holder renews its claim.
     Renewal {
-        /// Its claim.
+        /// The holder's claim.
         fence: Fence,
     },
-    /// The holder gives the scope up and sends nothing any more.
+    /// The holder releases the scope and sends no more orders.
     Release {
-        /// Its claim.
+        /// The holder's claim.
         fence: Fence,
     },
-    /// The holder is about to tell an engine something.
+    /// The holder is about to send an order to an engine.
     Intent {
-        /// Its claim.
+        /// The holder's claim.
         fence: Fence,
         /// The engine.
         upstream: UpstreamId,
-        /// What it will be told.
+        /// The order.
         order: Order,
-        /// The engine's newest concluded order; 0 for none.
+        /// Id of the engine's newest concluded order; 0 for none.
         previous: OrderId,
     },
-    /// The holder has found out how an order ended.
+    /// The holder has determined how an order ended.
     Outcome {
-        /// Its claim, which may be a later one than that of the intent.
+        /// The holder's claim, which may be newer than that of the intent.
         fence: Fence,
-        /// The order.
+        /// Id of the order.
         order: OrderId,
         /// How it ended.
         verdict: Verdict,
-        /// Said to operators.
+        /// Explanation for operators.
         detail: String,
     },
 }
 
 impl AuthorityRecord {
-    /// The statement in a record; `None` if the record is of another matter.
+    /// Decodes a record. Returns `None` if it does not concern authority.
     ///
     /// # Errors
     ///
-    /// [`Malformed`] names the first field that cannot be used.
+    /// [`Malformed`] names the first invalid field.
     pub fn read(raw: &Record) -> Result<Option<Self>, Malformed> {
         let Some((scope, kind)) = read_body(raw)? else {
             return Ok(None);
--- a/crates/authority/src/effect.rs
+++ b/crates/authority/src/effect.rs
@@ -1,109 +1,109 @@
-//! What a record changed, or why it changed nothing.
+//! The effect of a record on the folded state.
 
 use crate::author::Author;
+use crate::authority_record::Malformed;
 use crate::order::{Order, Verdict};
-use crate::statement::Malformed;
 use crate::{Fence, Offset, OrderId, ScopeId, UpstreamId};
 
-/// The effect of one record on the folded state; the same on every process.
+/// The effect of one record on the folded state. Every process computes the same effect.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Effect {
-    /// The record is of another matter.
+    /// The record does not concern authority.
     Unrelated,
     /// The offset was folded before.
     Repeated,
-    /// Records before it were left out, so that it can't be judged; nothing changed. A snapshot
-    /// must be adopted that covers them.
+    /// Earlier records are missing, so the record cannot be validated and nothing changed. The
+    /// caller must load a snapshot that covers the missing records.
     Gap {
-        /// The first offset that is missing.
+        /// The first missing offset.
         missing: Offset,
     },
     /// The scope has a new holder.
     Claimed {
         /// The scope.
         scope: ScopeId,
-        /// The claim, which is now in force.
+        /// Fencing token of the new claim.
         fence: Fence,
         /// The new holder.
         holder: Author,
-        /// The former holder, if it had not released.
+        /// The previous holder, unless it had released the scope.
         previous_holder: Option<Author>,
     },
-    /// The holder is alive.
+    /// The holder renewed its claim.
     Renewed {
         /// The scope.
         scope: ScopeId,
-        /// The claim in force.
+        /// Fencing token of the claim.
         fence: Fence,
     },
-    /// The holder gave the scope up.
+    /// The holder released the scope.
     Released {
         /// The scope.
         scope: ScopeId,
-        /// The claim that was in force.
+        /// Fencing token of the released claim.
         fence: Fence,
     },
-    /// An upstream is closed for new work from here on.
+    /// An order is pending; the upstream is closed to new work.
     Intended {
         /// The scope.
         scope: ScopeId,
-        /// The order, which is the offset of the record.
+        /// Id of the order, which is the offset of the record.
         order: OrderId,
         /// The upstream.
         upstream: UpstreamId,
-        /// What it will be told.
+        /// The order to the engine.
         action: Order,
     },
-    /// The upstream may get new work again.
+    /// An order ended; the upstream may receive new work again.
     Concluded {
         /// The scope.
         scope: ScopeId,
-        /// The order.
+        /// Id of the order.
         order: OrderId,
         /// The upstream.
         upstream: UpstreamId,
         /// How the order ended.
         verdict: Verdict,
     },
-    /// The record is invalid and changes nothing.
+    /// The record is invalid and changed nothing.
     Refused(Refusal),
 }
 
 /// Why a record is invalid.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Refusal {
-    /// It does not say what it must.
+    /// A field is missing or has an unknown value.
     Malformed(Malformed),
-    /// It claims the scope from a claim that is not the one in force.
+    /// The claim replaces a claim that is no longer in force.
     Superseded {
-        /// The claim in force; 0 for none.
+        /// Fencing token of the claim in force; 0 for none.
         in_force: Fence,
     },
-    /// The holder renewed after what the challenger had read.
+    /// The holder renewed its claim after the state that the challenger had read.
     Renewed {
-        /// The newest renewal.
+        /// Offset of the newest renewal.
         renewed: Offset,
     },
-    /// Its fence is not in force, or its author is not the holder.
+    /// The record's fencing token is not in force, or its author is not the holder.
     Unauthorised {
-        /// The claim in force; 0 for none.
+        /// Fencing token of the claim in force; 0 for none.
         in_force: Fence,
     },
-    /// The upstream has an unresolved order.
+    /// The upstream already has a pending order.
     Busy {
-        /// That order.
+        /// Id of the pending order.
         order: OrderId,
     },
-    /// The upstream's newest concluded order is another one than the intent names.
+    /// The intent names a previous order that is not the upstream's newest concluded order.
     Outdated {
-        /// The newest concluded order; 0 for none.
+        /// Id of the newest concluded order; 0 for none.
         newest: OrderId,
     },
-    /// The order is not unresolved.
+    /// The order is not pending.
     Resolved {
-        /// The order that the outcome names.
+        /// Id of the order that the outcome names.
         order: OrderId,
     },
-    /// The state's bound on unresolved orders is reached.
+    /// The limit on pending orders is reached.
     Full,
 }
--- a/crates/authority/src/engine.rs
+++ b/crates/authority/src/engine.rs
@@ -1,64 +1,64 @@
-//! An engine as it was read back. A reading is never stale at the engine, but an answer may be
-//! late; one counts only for the question that was asked last.
+//! The state of an engine as reported by the engine. A reading is current when the engine takes it,
+//! but its answer may arrive late; callers use it only as the answer to their newest request.
 
 use crate::order::{Model, Order, Role};
 use crate::settled::Settled;
 use crate::{Fence, OrderId};
 use smallvec::SmallVec;
 
-/// How far the engine is with the order that it took last.
+/// Progress of the order that an engine accepted last.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Progress {
-    /// It is carrying it out.
+    /// The engine is executing the order.
     Running,
-    /// It has carried it out.
+    /// The engine has executed the order.
     Done,
-    /// It could not.
+    /// The engine could not execute the order.
     Failed,
 }
 
-/// The order that an engine took last.
+/// The order that an engine accepted last.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LastOrder {
-    /// The order.
+    /// Id of the order.
     pub order: OrderId,
-    /// How far the engine is with it.
+    /// Its progress.
     pub progress: Progress,
 }
 
-/// The state of an engine at some moment between the question and the answer.
+/// The state of an engine at some moment between the request and its answer.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Reading {
-    /// Changes with each start of the engine.
+    /// Identifies the run of the engine; changes with each start.
     pub incarnation: u64,
-    /// Its role.
+    /// Current role.
     pub role: Role,
-    /// The models that it has loaded.
+    /// Loaded models.
     pub models: SmallVec<[Model; 2]>,
-    /// The order that it took last since its start.
+    /// The order accepted last since the start.
     pub last_order: Option<LastOrder>,
-    /// The greatest fencing token that it has seen since its start; 0 for none.
+    /// The greatest fencing token seen since the start; 0 for none.
     pub fence: Fence,
-    /// Whether it refuses smaller tokens.
+    /// Whether the engine rejects smaller fencing tokens.
     pub checks_fence: bool,
-    /// Streams that it has open.
+    /// Number of open streams.
     pub open_streams: u32,
 }
 
 impl Reading {
-    /// How far the engine is with `order`; `None` if it took another one last, or none.
+    /// Progress of `order`. `None` if the engine accepted another order last, or none.
     pub fn progress(&self, order: OrderId) -> Option<Progress> {
-        let taken = self.last_order.filter(|taken| taken.order == order)?;
-        Some(taken.progress)
+        let last = self.last_order.filter(|last| last.order == order)?;
+        Some(last.progress)
     }
 
-    /// Whether the engine is carrying out any order.
+    /// Whether the engine is executing any order.
     pub fn is_running(&self) -> bool {
-        let progress = self.last_order.map(|taken| taken.progress);
+        let progress = self.last_order.map(|last| last.progress);
         progress == Some(Progress::Running)
     }
 
-    /// Whether the engine is as `order` asks.
+    /// Whether the engine is in the state that `order` asks for.
     pub fn satisfies(&self, order: &Order) -> bool {
         match order {
             Order::SetRole(role) => self.role == *role,
@@ -67,19 +67,18 @@
         }
     }
 
-    /// The orders that would bring the engine back to what the concluded orders settled; empty if
-    /// it is so.
+    /// Returns the orders that bring the engine back to its settled state; empty if it matches.
     pub fn repairs(&self, settled: &Settled) -> SmallVec<[Order; 1]> {
         let role = settled.role.map(Order::SetRole);
-        let models = settled.models.iter().map(|placed| {
-            let model = placed.model.clone();
-            if placed.loaded {
+        let models = settled.models.iter().map(|settled| {
+            let model = settled.model.clone();
+            if settled.loaded {
                 Order::LoadModel(model)
             } else {
                 Order::UnloadModel(model)
             }
         });
-        let wanted = role.into_iter().chain(models);
-        wanted.filter(|order| !self.satisfies(order)).collect()
+        let orders = role.into_iter().chain(models);
+        orders.filter(|order| !self.satisfies(order)).collect()
     }
 }
--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -1,21 +1,21 @@
-//! What an engine can be ordered to do, and how an order can end.
+//! Orders to engines and their verdicts.
 
-use crate::statement::Malformed;
+use crate::authority_record::Malformed;
 use wire::record;
 
-/// What an engine does with prompts and outputs.
+/// Which phases of a request an engine runs.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Role {
     /// Prefill and decode.
     Mixed,
-    /// Prefill only; the KV cache is exported.
+    /// Prefill only. The engine exports the KV cache.
     Prefill,
-    /// Decode only; the KV cache is imported.
+    /// Decode only. The engine imports the KV cache.
     Decode,
 }
 
 impl Role {
-    /// The role of a wire value; `None` for an unspecified or unknown one.
+    /// Converts a wire value. Returns `None` for an unspecified or unknown role.
     pub fn from_wire(raw: i32) -> Option<Self> {
         match record::Role::try_from(raw) {
             Ok(record::Role::Mixed) => Some(Self::Mixed),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The wire value.
+    /// Returns the wire value.
     pub fn to_wire(self) -> i32 {
         let raw = match self {
             Self::Mixed => record::Role::Mixed,
@@ -39,34 +39,35 @@
 /// A model, or an adapter on a model, that an engine can load.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Model {
-    /// Name of the model.
+    /// Name of the base model.
     pub model: String,
-    /// Adapter on it; empty for the bare model.
+    /// Name of the adapter; empty for the base model alone.
     pub adapter: String,
     /// Version of the weights.
     pub version: String,
 }
 
 impl Model {
-    /// Whether both fill the same place in an engine, whatever their versions.
+    /// Whether both occupy the same slot of an engine. Versions are ignored: loading one version
+    /// replaces another.
     pub fn same_slot(&self, other: &Self) -> bool {
         self.model == other.model && self.adapter == other.adapter
     }
 }
 
-/// One thing that an engine is told to do.
+/// An order to an engine.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Order {
-    /// Take a role.
+    /// Switch to a role.
     SetRole(Role),
-    /// Load a model, in place of another version of it.
+    /// Load a model, replacing any other version of it.
     LoadModel(Model),
-    /// Forget a model.
+    /// Unload a model.
     UnloadModel(Model),
 }
 
 impl Order {
-    /// Whether carrying it out fetches weights from the rate-limited store.
+    /// Whether the order fetches weights from the rate-limited weight store.
     pub fn uses_weight_store(&self) -> bool {
         matches!(self, Self::LoadModel(_))
     }
@@ -85,16 +86,17 @@
                     field: "order.role",
                 }),
             Kind::LoadModel(load) => {
-                checked(&load.model, &load.version, &load.adapter).map(Self::LoadModel)
+                checked_model(&load.model, &load.version, &load.adapter).map(Self::LoadModel)
             }
             Kind::UnloadModel(unload) => {
-                checked(&unload.model, &unload.version, &unload.adapter).map(Self::UnloadModel)
+                checked_model(&unload.model, &unload.version, &unload.adapter)
+                    .map(Self::UnloadModel)
             }
         }
     }
 }
 
-fn checked(model: &str, version: &str, adapter: &str) -> Result<Model, Malformed> {
+fn checked_model(model: &str, version: &str, adapter: &str) -> Result<Model, Malformed> {
     if model.is_empty() {
         return Err(Malformed {
             field: "order.model",
@@ -132,16 +134,16 @@
 /// How an order ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Verdict {
-    /// The engine was read back in the state that the order asks for.
+    /// The engine was read back in the requested state.
     Done,
-    /// The engine was read back in another state, and the order cannot act any more.
+    /// The engine was read back in another state, and the order can no longer take effect.
     Undone,
     /// The upstream has left the instance list.
     Gone,
 }
 
 impl Verdict {
-    /// The verdict of a wire value; `None` for an unspecified or unknown one.
+    /// Converts a wire value. Returns `None` for an unspecified or unknown verdict.
     pub fn from_wire(raw: i32) -> Option<Self> {
         match record::Verdict::try_from(raw) {
             Ok(record::Verdict::Done) => Some(Self::Done),
@@ -151,7 +153,7 @@
         }
     }
 
-    /// The wire value.
+    /// Returns the wire value.
     pub fn to_wire(self) -> i32 {
         let raw = match self {
             Self::Done => record::Verdict::Done,
--- a/crates/authority/src/settled.rs
+++ b/crates/authority/src/settled.rs
@@ -1,19 +1,19 @@
-//! What the concluded orders made of an upstream. A read-back that differs shows a restart of the
-//! engine or an order that acted late.
+//! The settled state of an upstream: the state that its concluded orders established. An engine
+//! whose reading differs has restarted, or an order took effect late.
 
 use crate::order::{Model, Order, Role, Verdict};
 use crate::{OrderId, ScopeId};
 use smallvec::SmallVec;
 
-/// Bound on the models remembered of one upstream; the one settled longest ago is forgotten first.
+/// Limit on the models kept for one upstream. The model settled longest ago is dropped first.
 pub const MAX_MODELS_PER_UPSTREAM: usize = 16;
 
-/// A model that an order settled.
+/// A model that an order loaded or unloaded.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct SettledModel {
     /// The model.
     pub model: Model,
-    /// Whether it was loaded, else unloaded.
+    /// True if the order loaded it, false if the order unloaded it.
     pub loaded: bool,
 }
 
@@ -22,16 +22,16 @@
 pub struct Settled {
     /// The scope whose holder concluded the newest order.
     pub scope: ScopeId,
-    /// The newest concluded order, whatever its verdict.
+    /// Id of the newest concluded order, whatever its verdict.
     pub order: OrderId,
-    /// The role, if an order set it.
+    /// The role, if an order has set one.
     pub role: Option<Role>,
-    /// The models that orders loaded or unloaded, the newest last.
+    /// The models that orders have loaded or unloaded, newest last.
     pub models: SmallVec<[SettledModel; 1]>,
 }
 
 impl Settled {
-    /// The state of an upstream of which no order is known.
+    /// Creates the state of an upstream without concluded orders.
     pub fn new(scope: ScopeId) -> Self {
         Self {
             scope,
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Takes in the end of an order.
+    /// Applies the verdict of an order.
     pub fn conclude(&mut self, scope: &ScopeId, id: OrderId, order: &Order, verdict: Verdict) {
         self.scope.clone_from(scope);
         self.order = id;
         match verdict {
-            Verdict::Done => self.carry_out(order),
+            Verdict::Done => self.apply_order(order),
             Verdict::Undone => (),
-            // An upstream that comes back under the same id is another process.
+            // An upstream that returns under the same id is a new process with unknown state.
             Verdict::Gone => {
                 self.role = None;
                 self.models.clear();
@@ -56,16 +56,17 @@
         }
     }
 
-    fn carry_out(&mut self, order: &Order) {
+    fn apply_order(&mut self, order: &Order) {
         match order {
             Order::SetRole(role) => self.role = Some(*role),
-            Order::LoadModel(model) => self.place(model, true),
-            Order::UnloadModel(model) => self.place(model, false),
+            Order::LoadModel(model) => self.set_model(model, true),
+            Order::UnloadModel(model) => self.set_model(model, false),
         }
     }
 
-    fn place(&mut self, model: &Model, loaded: bool) {
-        self.models.retain(|placed| !placed.model.same_slot(model));
+    fn set_model(&mut self, model: &Model, loaded: bool) {
+        self.models
+            .retain(|settled| !settled.model.same_slot(model));
         if self.models.len() == MAX_MODELS_PER_UPSTREAM {
             self.models.remove(0);
         }
--- a/crates/authority/src/state.rs
+++ b/crates/authority/src/state.rs
@@ -1,61 +1,61 @@
-//! The fold of the log: who holds each scope, which orders are unresolved, what the concluded
-//! ones settled. It is a function of the prefix of the log alone, so every process that has folded
-//! up to an offset agrees on it; see `docs/design/authority.md`.
+//! The fold of the log: the holder of each scope, the pending orders, and the settled state of the
+//! upstreams. It depends only on the folded prefix of the log, so all processes agree on the state
+//! at an offset. See `docs/design/authority.md`.
 
 use crate::author::Author;
+use crate::authority_record::AuthorityRecord;
 use crate::effect::{Effect, Refusal};
 use crate::order::{Order, Verdict};
 use crate::settled::Settled;
-use crate::statement::AuthorityRecord;
 use crate::{Fence, Offset, OrderId, ScopeId, UpstreamId};
 use std::collections::{BTreeMap, VecDeque};
 use wire::record::Record;
 
 mod snapshot;
-mod take;
+mod transitions;
 
-/// Bound on upstreams whose settled state is remembered; the one whose order is oldest is forgotten
-/// first. It is above the 1,400 engines of the target size with room for replaced ones.
+/// Limit on upstreams with a settled state. The one with the oldest order is dropped first. The
+/// limit covers the 1,400 engines of the target size, with room for replaced engines.
 pub const MAX_SETTLED_UPSTREAMS: usize = 4096;
 
-/// Bound on unresolved orders; there is at most one an upstream.
+/// Limit on pending orders. Each upstream has at most one.
 pub const MAX_PENDING_ORDERS: usize = 4096;
 
-/// Bound on the concluded orders that are kept for operators.
+/// Limit on the concluded orders kept for operators.
 pub const MAX_RECENT_ORDERS: usize = 64;
 
 /// The claim in force of a scope.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct CurrentClaim {
-    /// Offset of the claim.
+    /// Fencing token, which is the offset of the claim.
     pub fence: Fence,
-    /// Its author.
+    /// Author of the claim.
     pub holder: Author,
-    /// Whether the holder gave it up.
+    /// Whether the holder has released the scope.
     pub released: bool,
     /// Offset of the newest valid renewal, or of the claim itself.
     pub renewed: Offset,
 }
 
-/// An unresolved order.
+/// An order without an outcome.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct PendingOrder {
-    /// Offset of the intent.
+    /// Id of the order, which is the offset of the intent.
     pub order: OrderId,
     /// The scope.
     pub scope: ScopeId,
-    /// The claim under which it was intended.
+    /// The claim under which the intent was written.
     pub fence: Fence,
-    /// What the upstream is told.
+    /// The order to the upstream.
     pub action: Order,
-    /// The newest order of the upstream that was concluded before.
+    /// Id of the upstream's newest concluded order at the time of the intent.
     pub previous: OrderId,
 }
 
-/// A concluded order, for operators.
+/// A concluded order, kept for operators.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct ConcludedOrder {
-    /// The order as it was intended.
+    /// The order as it was pending.
     pub intent: PendingOrder,
     /// The upstream.
     pub upstream: UpstreamId,
@@ -63,7 +63,7 @@
     pub offset: Offset,
     /// How it ended.
     pub verdict: Verdict,
-    /// What the holder said of it.
+    /// Explanation by the holder.
     pub detail: String,
 }
 
@@ -78,55 +78,55 @@
 }
 
 impl State {
-    /// The state before the first record.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The last folded offset; 0 for none.
+    /// Offset of the last folded record; 0 for none.
     pub fn folded(&self) -> Offset {
         self.folded
     }
 
-    /// The claim in force of a scope.
+    /// The claim in force of a scope, or the released one if nobody has claimed the scope since.
     pub fn current_claim(&self, scope: &str) -> Option<&CurrentClaim> {
         self.scopes.get(scope)
     }
 
-    /// All scopes that were ever claimed.
+    /// The newest claims of all scopes that were ever claimed.
     pub fn current_claims(&self) -> impl Iterator<Item = (&ScopeId, &CurrentClaim)> {
         self.scopes.iter()
     }
 
-    /// The unresolved order of an upstream. While there is one, no entry sends new work there.
+    /// The pending order of an upstream. While it is pending, no entry sends new work there.
     pub fn pending_order(&self, upstream: &str) -> Option<&PendingOrder> {
         self.pending.get(upstream)
     }
 
-    /// All unresolved orders.
+    /// All pending orders.
     pub fn pending_orders(&self) -> impl Iterator<Item = (&UpstreamId, &PendingOrder)> {
         self.pending.iter()
     }
 
-    /// What the concluded orders made of an upstream.
+    /// The settled state of an upstream.
     pub fn settled(&self, upstream: &str) -> Option<&Settled> {
         self.settled.get(upstream)
     }
 
-    /// The settled state of all upstreams of which an order is known.
+    /// The settled states of all upstreams with a concluded order.
     pub fn all_settled(&self) -> impl Iterator<Item = (&UpstreamId, &Settled)> {
         self.settled.iter()
     }
 
-    /// The newest concluded orders, the newest last. They are not part of snapshots and decide
-    /// nothing.
+    /// The most recently concluded orders, newest last. They are not part of snapshots and affect no
+    /// decision.
     pub fn recent_orders(&self) -> impl Iterator<Item = &ConcludedOrder> {
         self.recent.iter()
     }
 
-    /// How many unresolved orders that fetch weights have a smaller id. A holder sends such an
-    /// order only while fewer than the store's limit stand before it. Its own folded prefix holds
-    /// all of them, so holders of different scopes keep the limit without talking to each other.
+    /// Number of pending orders that fetch weights and have a smaller id. A holder sends such an
+    /// order only while this number is below the weight store's limit. The folded prefix contains
+    /// all earlier orders, so holders of different scopes keep the limit without communicating.
     pub fn pending_loads_before(&self, order: OrderId) -> usize {
         let loads = self.pending.values();
         loads
@@ -134,16 +134,15 @@
             .count()
     }
 
-    /// Takes in the record at `offset`. All records are handed in, whatever they hold; one that was
-    /// folded before is passed over, so a record that is delivered twice does no harm, but none may
-    /// be left out.
+    /// Applies the record at `offset`. The caller passes every record, whatever its kind. Records
+    /// that were folded before are ignored, so duplicate delivery is harmless.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Effect {
         if offset <= self.folded {
             return Effect::Repeated;
         }
-        // A record that was left out may hold the claim in force or an intent. Folding on without
-        // it would show as a former holder whose orders count, or as an upstream that gets work
-        // while another process reconfigures it.
+        // A missing record may contain the claim in force or an intent. Without it, orders of a
+        // former holder would be accepted, or an upstream would receive work while another process
+        // reconfigures it.
         if offset > self.folded + 1 {
             return Effect::Gap {
                 missing: self.folded + 1,
@@ -152,7 +151,9 @@
         self.folded = offset;
         match AuthorityRecord::read(record) {
             Ok(None) => Effect::Unrelated,
-            Ok(Some(statement)) => self.take(offset, statement).unwrap_or_else(Effect::Refused),
+            Ok(Some(record)) => self
+                .apply_record(offset, record)
+                .unwrap_or_else(Effect::Refused),
             Err(malformed) => Effect::Refused(Refusal::Malformed(malformed)),
         }
     }
--- a/crates/authority/src/state/snapshot.rs
+++ b/crates/authority/src/state/snapshot.rs
@@ -1,22 +1,22 @@
-//! The state's part of a snapshot record.
+//! Conversion of the state to and from a snapshot record.
 
 use super::{CurrentClaim, PendingOrder, State};
 use crate::author::Author;
+use crate::authority_record::Malformed;
 use crate::order::{Model, Order, Role};
 use crate::settled::{Settled, SettledModel};
-use crate::statement::Malformed;
 use wire::record;
 
 impl State {
-    /// Writes the scopes, the unresolved orders and the settled state into a snapshot, sorted by
-    /// name, so that all processes write the same bytes. The other fields are the caller's.
+    /// Writes the scopes, pending orders and settled states into a snapshot. They are sorted by
+    /// name, so that all processes write the same bytes. Other fields are left to the caller.
     pub fn fill_snapshot(&self, snapshot: &mut record::Snapshot) {
-        let scopes = self.scopes.iter().map(|(scope, held)| record::Scope {
+        let scopes = self.scopes.iter().map(|(scope, claim)| record::Scope {
             scope: scope.clone(),
-            fence: held.fence,
-            holder: Some((&held.holder).into()),
-            released: held.released,
-            renewed: held.renewed,
+            fence: claim.fence,
+            holder: Some((&claim.holder).into()),
+            released: claim.released,
+            renewed: claim.renewed,
         });
         let pending = self.pending.iter();
         let orders = pending.map(|(upstream, pending)| record::PendingOrder {
@@ -30,25 +30,25 @@
             }),
         });
         let settled = self.settled.iter();
-        let settled = settled.map(|(upstream, known)| write_settled(upstream, known));
+        let settled = settled.map(|(upstream, settled)| write_settled(upstream, settled));
         snapshot.scopes = scopes.collect();
         snapshot.orders = orders.collect();
         snapshot.settled = settled.collect();
     }
 }
 
-fn write_settled(upstream: &str, known: &Settled) -> record::Settled {
-    let models = known.models.iter().map(|placed| record::SettledModel {
-        model: placed.model.model.clone(),
-        version: placed.model.version.clone(),
-        adapter: placed.model.adapter.clone(),
-        loaded: placed.loaded,
+fn write_settled(upstream: &str, settled: &Settled) -> record::Settled {
+    let models = settled.models.iter().map(|settled| record::SettledModel {
+        model: settled.model.model.clone(),
+        version: settled.model.version.clone(),
+        adapter: settled.model.adapter.clone(),
+        loaded: settled.loaded,
     });
     record::Settled {
-        scope: known.scope.clone(),
+        scope: settled.scope.clone(),
         upstream: upstream.to_owned(),
-        order: known.order,
-        role: known.role.map_or(0, Role::to_wire),
+        order: settled.order,
+        role: settled.role.map_or(0, Role::to_wire),
         models: models.collect(),
     }
 }
@@ -56,20 +56,20 @@
 impl TryFrom<&record::Snapshot> for State {
     type Error = Malformed;
 
-    /// The state as of the snapshot's `upto`; records up to there count as folded.
+    /// Restores the state as of the snapshot's `upto`. Records up to that offset count as folded.
     fn try_from(raw: &record::Snapshot) -> Result<Self, Malformed> {
         let mut state = Self {
             folded: raw.upto,
             ..Self::default()
         };
         for scope in &raw.scopes {
-            let holding = CurrentClaim {
+            let claim = CurrentClaim {
                 fence: scope.fence,
                 holder: Author::try_from(scope.holder.as_ref())?,
                 released: scope.released,
                 renewed: scope.renewed,
             };
-            state.scopes.insert(scope.scope.clone(), holding);
+            state.scopes.insert(scope.scope.clone(), claim);
         }
         for order in &raw.orders {
             let intent = order.intent.as_ref().ok_or(Malformed { field: "intent" })?;
@@ -82,22 +82,22 @@
             };
             state.pending.insert(intent.upstream.clone(), pending);
         }
-        for known in &raw.settled {
-            let upstream = known.upstream.clone();
-            state.settled.insert(upstream, read_settled(known));
+        for settled in &raw.settled {
+            let upstream = settled.upstream.clone();
+            state.settled.insert(upstream, read_settled(settled));
         }
         Ok(state)
     }
 }
 
 fn read_settled(raw: &record::Settled) -> Settled {
-    let models = raw.models.iter().map(|placed| SettledModel {
+    let models = raw.models.iter().map(|settled| SettledModel {
         model: Model {
-            model: placed.model.clone(),
-            adapter: placed.adapter.clone(),
-            version: placed.version.clone(),
+            model: settled.model.clone(),
+            adapter: settled.adapter.clone(),
+            version: settled.version.clone(),
         },
-        loaded: placed.loaded,
+        loaded: settled.loaded,
     });
     Settled {
         scope: raw.scope.clone(),
