--- a/crates/authority/src/lease/message.rs
+++ b/crates/authority/src/lease/message.rs
@@ -1,4 +1,4 @@
-//! What goes into a lease and what comes out.
+//! Inputs and outputs of a lease.
 
 use crate::author::Author;
 use crate::nonce::Nonce;
@@ -6,48 +6,48 @@
 use clock::Moment;
 use wire::record::record::Body;
 
-/// What a lease is told.
+/// An input of a lease.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
     /// Time has passed.
     Tick,
-    /// A read that was sent at `asked` reached the end of the log, and its records are folded.
+    /// A read reached the end of the log, and its records are folded.
     Read {
         /// When the read was sent.
         sent_at: Moment,
     },
-    /// The live entries, this one among them.
+    /// The live entries, including this one.
     Members(&'a [InstanceId]),
-    /// How many other scopes this process holds.
+    /// Number of other scopes that this process holds.
     OtherScopes(u32),
-    /// The log answered an append; it counts only when it is read back.
+    /// The log acknowledged an append. The record takes effect only when it is read back.
     AppendAcknowledged(Nonce),
-    /// An append certainly did not and will not reach the log.
+    /// An append has not reached the log and will not.
     AppendFailed(Nonce),
-    /// Nothing is known about an append: it may land at any later time.
+    /// The result of an append is unknown; the record may still be logged at any time.
     AppendUnknown(Nonce),
-    /// The process shuts down: give the scope up and do not claim any more.
+    /// The process shuts down: release the scope and make no further claims.
     Leave,
 }
 
-/// What the owner of a lease has to do.
+/// An action for the owner of a lease.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Append a record, once, and tell how it went.
+    /// Append a record once and report the result.
     Append {
-        /// The nonce that the record must carry.
+        /// Nonce of the record.
         nonce: Nonce,
-        /// Its body.
+        /// Body of the record.
         body: Body,
     },
-    /// This process holds the scope.
+    /// This process has acquired the scope.
     Acquired {
-        /// Its claim.
+        /// Fencing token of its claim.
         fence: Fence,
     },
-    /// This process does not hold the scope any more.
+    /// This process no longer holds the scope.
     Lost {
-        /// The new holder; `None` if this process released.
+        /// The new holder; `None` if this process released the scope.
         to: Option<Author>,
     },
 }
--- a/crates/authority/src/lease/term.rs
+++ b/crates/authority/src/lease/term.rs
@@ -1,33 +1,34 @@
-//! How long a lease lasts and how long others wait.
+//! Durations of a lease and of the waits of its challengers.
 
 use std::time::Duration;
 
-/// Smallest lease: below it a third of the lease is no more than a round trip to a slow log.
+/// Below this, the renewal interval of a third of the lease is no longer than a round trip to a
+/// slow log.
 pub const MIN_LEASE: Duration = Duration::from_millis(300);
 
-/// Greatest rate drift that the arithmetic is made for: a tenth.
+/// Largest supported drift of the clock rate: a tenth.
 pub const MAX_DRIFT_PPM: u32 = 100_000;
 
-/// The unchecked figures, as the settings give them.
+/// The unchecked settings of a lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TermConfig {
-    /// For how long a holder may act after it sent a renewal.
+    /// How long a holder may act after sending a renewal.
     pub lease: Duration,
-    /// What challengers wait beyond it.
+    /// Additional wait of challengers beyond the lease.
     pub margin: Duration,
-    /// By how many millionths the rate of any process's monotonic clock may differ from true time,
-    /// either way.
+    /// Largest deviation of the rate of a process's monotonic clock from real time, in either
+    /// direction, in parts per million.
     pub drift_ppm: u32,
-    /// By how much the challengers of one scope differ in their waits.
+    /// Difference between the waits of challengers of successive ranks.
     pub stagger: Duration,
-    /// After how long an append that failed or was not answered is made anew.
+    /// Delay before an append that failed or was not answered is repeated.
     pub retry: Duration,
 }
 
 impl Default for TermConfig {
-    /// Ten seconds of lease: control is without a holder for 13 seconds or so after a kill, during
-    /// which the fleet serves on as it stands; shorter leases would spend more appends on renewals
-    /// (one in 3.3 seconds and scope).
+    /// With a lease of 10 s, a scope has no holder for about 13 s after its holder is killed, while
+    /// the fleet keeps serving unchanged. Shorter leases cost more appends for renewals, which are
+    /// one per scope every 3.3 s.
     fn default() -> Self {
         Self {
             lease: Duration::from_secs(10),
@@ -39,56 +40,56 @@
     }
 }
 
-/// A figure that cannot be used.
+/// An invalid setting.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// Name of the figure.
+    /// Name of the setting.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with its value.
     pub problem: &'static str,
 }
 
-/// The checked figures. All processes of a fleet use the same.
+/// The checked durations of a lease. All processes of a fleet use the same values.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Term {
     lease: Duration,
-    wait: Duration,
+    challenge_wait: Duration,
     stagger: Duration,
-    retry: Duration,
+    retry_delay: Duration,
 }
 
 impl TryFrom<TermConfig> for Term {
     type Error = Vec<Finding>;
 
-    /// Checks the figures.
+    /// Checks the settings.
     ///
     /// # Errors
     ///
-    /// All findings together.
-    fn try_from(figures: TermConfig) -> Result<Self, Vec<Finding>> {
+    /// Returns all findings.
+    fn try_from(config: TermConfig) -> Result<Self, Vec<Finding>> {
         let mut findings = Vec::new();
         let mut check = |wrong, field, problem| {
             if wrong {
                 findings.push(Finding { field, problem });
             }
         };
-        check(figures.lease < MIN_LEASE, "lease", "is below 300 ms");
+        check(config.lease < MIN_LEASE, "lease", "is below 300 ms");
         check(
-            figures.drift_ppm > MAX_DRIFT_PPM,
+            config.drift_ppm > MAX_DRIFT_PPM,
             "drift_ppm",
             "is above 100000, a tenth",
         );
         check(
-            figures.retry.is_zero() || figures.retry > figures.lease / 3,
+            config.retry.is_zero() || config.retry > config.lease / 3,
             "retry",
             "is zero or above a third of the lease",
         );
         if findings.is_empty() {
             Ok(Self {
-                lease: figures.lease,
-                wait: wait(&figures),
-                stagger: figures.stagger,
-                retry: figures.retry,
+                lease: config.lease,
+                challenge_wait: challenge_wait(&config),
+                stagger: config.stagger,
+                retry_delay: config.retry,
             })
         } else {
             Err(findings)
@@ -97,39 +98,39 @@
 }
 
 impl Term {
-    /// For how long a holder may act after it sent a renewal, on its own clock.
+    /// How long a holder may act after sending a renewal, on its own clock.
     pub fn lease(&self) -> Duration {
         self.lease
     }
 
-    /// How long a challenger waits after it read a renewal, on its own clock: never shorter than
-    /// the lease on any other clock.
+    /// How long a challenger waits after reading a renewal, on its own clock. Never shorter than the
+    /// lease on any other clock.
     pub fn challenge_wait(&self) -> Duration {
-        self.wait
+        self.challenge_wait
     }
 
-    /// By how much the challengers of one scope differ in their waits.
+    /// Difference between the waits of challengers of successive ranks.
     pub fn stagger(&self) -> Duration {
         self.stagger
     }
 
-    /// After how long an append that failed or was not answered is made anew.
+    /// Delay before an append that failed or was not answered is repeated.
     pub fn retry_delay(&self) -> Duration {
-        self.retry
+        self.retry_delay
     }
 
-    /// After how long a holder renews.
+    /// Time between two renewals of a holder.
     pub fn renewal_interval(&self) -> Duration {
         self.lease / 3
     }
 }
 
-/// The holder's clock may be slow and the challenger's fast: with rates in `1 - d ..= 1 + d`, a
-/// lease of `L` on the holder's clock takes at most `L / (1 - d)` of true time, in which the
-/// challenger's clock advances by at most `L * (1 + d) / (1 - d)`.
-fn wait(figures: &TermConfig) -> Duration {
+/// Covers a slow holder and a fast challenger: with clock rates in `1 - d ..= 1 + d`, a lease of `L`
+/// on the holder's clock takes at most `L / (1 - d)` of real time, in which the challenger's clock
+/// advances by at most `L * (1 + d) / (1 - d)`.
+fn challenge_wait(config: &TermConfig) -> Duration {
     const MILLION: u128 = 1_000_000;
-    let drift = u128::from(figures.drift_ppm);
-    let nanos = (figures.lease.as_nanos() * (MILLION + drift)).div_ceil(MILLION - drift);
-    Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX)) + figures.margin
+    let drift = u128::from(config.drift_ppm);
+    let nanos = (config.lease.as_nanos() * (MILLION + drift)).div_ceil(MILLION - drift);
+    Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX)) + config.margin
 }
--- a/crates/authority/tests/common/bench.rs
+++ b/crates/authority/tests/common/bench.rs
@@ -89,7 +89,7 @@
         self.grant = Some(Grant {
             fence: self.state.folded(),
             until: Duration::from_secs(100_000),
-            since: self.now,
+            held_since: self.now,
             quarantine_until: self.now + Duration::from_secs(quiet_in),
         });
         let serving = self.engines.keys().cloned().collect();
--- a/crates/authority/tests/common/mod.rs
+++ b/crates/authority/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Records as processes write them.
+//! Builders of log records.
 #![allow(dead_code)]
 
 use authority::author::Author;
--- a/crates/authority/tests/common/process.rs
+++ b/crates/authority/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! Lease machines of several instances on one log, with the faults chosen by the test.
+//! Leases of several instances on one log. The tests inject the faults.
 
 use crate::common::{SCOPE, author};
 use authority::author::Author;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use wire::record::{Record, record::Body};
 
-pub(crate) fn figures() -> TermConfig {
+pub(crate) fn term_config() -> TermConfig {
     TermConfig {
         lease: Duration::from_secs(9),
         margin: Duration::from_secs(1),
@@ -20,7 +20,7 @@
     }
 }
 
-/// One instance: its lease machine, its folded state and how far it has read.
+/// One instance with its lease and folded state.
 pub(crate) struct Process {
     pub(crate) lease: Lease,
     pub(crate) state: State,
@@ -28,14 +28,14 @@
 }
 
 impl Process {
-    pub(crate) fn new(instance: &str, figures: TermConfig) -> Self {
-        Self::run(instance, 1, figures)
+    pub(crate) fn new(instance: &str, config: TermConfig) -> Self {
+        Self::with_incarnation(instance, 1, config)
     }
 
-    pub(crate) fn run(instance: &str, incarnation: u64, figures: TermConfig) -> Self {
+    pub(crate) fn with_incarnation(instance: &str, incarnation: u64, config: TermConfig) -> Self {
         let mut author = author(instance);
         author.incarnation = incarnation;
-        let term = Term::try_from(figures).expect("usable figures");
+        let term = Term::try_from(config).expect("a valid configuration");
         let seed = instance.bytes().map(u64::from).sum::<u64>() + 1000 * incarnation;
         Self {
             lease: Lease::new(SCOPE.to_owned(), author.clone(), term, seed),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Lets time pass; gives the appends.
+    /// Advances to `now` and returns the appends.
     pub(crate) fn tick(&mut self, now: Moment) -> Vec<Record> {
         self.step(now, &Input::Tick)
     }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reads up to and including the offset `upto`.
+    /// Reads the log up to and including offset `upto`.
     pub(crate) fn read_upto(&mut self, now: Moment, log: &[Record], upto: usize) -> Vec<Output> {
         let mut outputs = Vec::new();
         let folded = self.state.folded();
@@ -79,11 +79,11 @@
         outputs
     }
 
-    /// Reads to the end of the log; gives what follows from it.
+    /// Reads to the end of the log and returns the outputs.
     pub(crate) fn read(&mut self, now: Moment, log: &[Record]) -> Vec<Output> {
         let mut outputs = self.read_upto(now, log, log.len());
-        let asked = Input::Read { sent_at: now };
-        outputs.extend(self.lease.step(now, &asked));
+        let read = Input::Read { sent_at: now };
+        outputs.extend(self.lease.step(now, &read));
         outputs
     }
 }
--- a/crates/authority/tests/state.rs
+++ b/crates/authority/tests/state.rs
@@ -20,9 +20,8 @@
 
 #[test]
 fn first_claim_in_the_log_wins() {
-    // Symptom: two instances act as the holder of one pool.
-    // Sequence: nobody holds; both read that and claim.
-    // Cause: both claims would count, because both were right when they were sent.
+    // Two instances read that nobody holds the pool, and both claim it. Both claims were correct
+    // when they were sent, but only one instance may become the holder.
     let (state, effects) = fold(&[claim("a", 0, 0), claim("b", 0, 0)]);
     assert_matches!(effects[0], Effect::Claimed { fence: 1, .. });
     assert_eq!(
@@ -37,18 +36,17 @@
 
 #[test]
 fn renewal_that_the_challenger_had_not_read_defeats_its_claim() {
-    // Symptom: a holder acts on its lease beside the new claim.
-    // Sequence: the challenger waits, the renewal lands, the claim lands.
-    // Cause: the claim names the claim in force, which a renewal does not change.
+    // A renewal is logged just before the challenger's claim and extends the holder's lease. It does
+    // not change the claim in force, so the challenger must also name the newest renewal.
     let (state, effects) = fold(&[claim("a", 0, 0), renewal("a", 1), claim("b", 1, 1)]);
     assert_eq!(effects[2], Effect::Refused(Refusal::Renewed { renewed: 2 }));
     assert_eq!(state.current_claim(common::SCOPE).unwrap().fence, 1);
     let (_, effects) = fold(&[claim("a", 0, 0), renewal("a", 1), claim("b", 1, 2)]);
-    assert_matches!(&effects[2], Effect::Claimed { previous_holder: Some(from), .. } if *from == author("a"));
+    assert_matches!(&effects[2], Effect::Claimed { previous_holder: Some(previous), .. } if *previous == author("a"));
 }
 
 #[test]
-fn former_holder_can_neither_renew_nor_intend_nor_conclude() {
+fn records_of_a_former_holder_are_refused() {
     let log = [
         claim("a", 0, 0),
         intent("a", 1, "engine-1", 0),
@@ -71,7 +69,7 @@
 }
 
 #[test]
-fn another_run_of_the_holder_is_not_the_holder() {
+fn restarted_instance_is_not_the_holder() {
     let mut restarted = renewal("a", 1);
     restarted.author.as_mut().unwrap().incarnation = 2;
     let (_, effects) = fold(&[claim("a", 0, 0), restarted]);
@@ -82,7 +80,7 @@
 }
 
 #[test]
-fn released_scope_is_claimed_again_but_not_used() {
+fn released_scope_can_only_be_claimed_again() {
     let log = [
         claim("a", 0, 0),
         release("a", 1),
@@ -109,7 +107,7 @@
 }
 
 #[test]
-fn engine_has_one_unresolved_order() {
+fn engine_has_at_most_one_pending_order() {
     let (_, effects) = fold(&[
         claim("a", 0, 0),
         intent("a", 1, "engine-1", 0),
@@ -119,11 +117,9 @@
 }
 
 #[test]
-fn intent_that_lands_twice_counts_once() {
-    // Symptom: an engine is taken away a second time for an order that was carried out.
-    // Sequence: the answer to an intent is lost, it is appended again, the second copy is
-    //   concluded, then the first copy lands.
-    // Cause: nothing in the copy says that the order it asks for was concluded.
+fn duplicate_intent_counts_once() {
+    // The answer to an intent is lost, so the intent is appended twice. One copy is concluded before
+    // the other is logged. The late copy must not close the engine for the same order again.
     let (state, effects) = fold(&[
         claim("a", 0, 0),
         intent("a", 1, "engine-1", 0),
@@ -138,11 +134,9 @@
 }
 
 #[test]
-fn former_claim_of_the_present_holder_is_not_in_force() {
-    // Symptom: an intent that was sent under a claim since lost counts under a later one.
-    // Sequence: a holds, sends an intent that is delayed, loses the scope to b, wins it again,
-    //   then the intent lands.
-    // Cause: the author is the holder again, and only the fence tells the claims apart.
+fn earlier_claim_of_the_current_holder_is_not_in_force() {
+    // "a" sends an intent that is delayed, loses the scope to "b" and acquires it again before the
+    // intent is logged. The author is the holder again; only the fence distinguishes the claims.
     let (_, effects) = fold(&[
         claim("a", 0, 0),
         claim("b", 1, 1),
@@ -156,10 +150,9 @@
 }
 
 #[test]
-fn record_that_is_delivered_twice_counts_once() {
-    // Symptom: a claim wins against a renewal that stands in the log before it.
-    // Sequence: two renewals are folded, the first is delivered again.
-    // Cause: the newest renewal would be set back to the first.
+fn record_delivered_twice_counts_once() {
+    // The first of two renewals is delivered again. Applying it would reset the newest renewal, and
+    // a claim based on the first renewal could win.
     let (mut state, _) = fold(&[claim("a", 0, 0), renewal("a", 1), renewal("a", 1)]);
     assert_eq!(state.apply(2, &renewal("a", 1)), Effect::Repeated);
     assert_eq!(state.current_claim(common::SCOPE).unwrap().renewed, 3);
@@ -167,37 +160,36 @@
 }
 
 #[test]
-fn record_behind_a_gap_changes_nothing() {
-    // Symptom: a former holder's order counts after another instance has claimed the scope.
-    // Sequence: a holds; a reader loses the record with b's claim and gets the next one.
-    // Cause: the fold would go on from a claim that is no longer in force.
+fn record_after_a_gap_changes_nothing() {
+    // A reader misses the record with the claim of "b". Folding the next record against the claim of
+    // "a" would accept an order of a former holder.
     let (mut state, _) = fold(&[claim("a", 0, 0)]);
     let before = state.clone();
-    let behind = intent("a", 1, "engine-1", 0);
-    assert_eq!(state.apply(3, &behind), Effect::Gap { missing: 2 });
+    let late = intent("a", 1, "engine-1", 0);
+    assert_eq!(state.apply(3, &late), Effect::Gap { missing: 2 });
     assert_eq!(state, before);
     assert_matches!(
         state.apply(2, &claim("b", 1, 1)),
         Effect::Claimed { fence: 2, .. }
     );
     assert_eq!(
-        state.apply(3, &behind),
+        state.apply(3, &late),
         Effect::Refused(Refusal::Unauthorised { in_force: 2 })
     );
 }
 
 #[test]
 fn malformed_records_change_nothing() {
-    let mut nameless = claim("a", 0, 0);
-    nameless.author = None;
-    let (state, effects) = fold(&[nameless, claim("", 0, 0)]);
+    let mut without_author = claim("a", 0, 0);
+    without_author.author = None;
+    let (state, effects) = fold(&[without_author, claim("", 0, 0)]);
     for effect in effects {
         assert_matches!(effect, Effect::Refused(Refusal::Malformed(_)));
     }
     assert_eq!(state.current_claims().count(), 0);
 }
 
-/// Any record that two instances could write about two engines in a short log.
+/// Any record of two instances about two engines in a short log.
 fn any_record() -> impl Strategy<Value = Record> {
     let instance = prop_oneof![Just("a"), Just("b")];
     let upstream = prop_oneof![Just("engine-1"), Just("engine-2")];
@@ -224,7 +216,7 @@
         let mut snapshot = Snapshot { upto: cut as u64, ..Snapshot::default() };
         prefix.fill_snapshot(&mut snapshot);
         let mut resumed = State::try_from(&snapshot).unwrap();
-        // A reader may get records again that the snapshot contains.
+        // A reader may receive records that the snapshot already contains.
         for (record, offset) in log.iter().zip(1..) {
             let effect = resumed.apply(offset, record);
             if offset > cut as u64 {
