--- a/crates/authority/src/change.rs
+++ b/crates/authority/src/change.rs
@@ -1,8 +1,8 @@
-//! One planned change of one upstream, from its intent in the log to its outcome: role change,
-//! model load and unload alike. The upstream is closed for new work while the intent is
-//! unresolved; the order is sent only after every entry that may still send has confirmed that and
-//! the work in hand is over; what came of it is read back. A change that a former holder left is
-//! finished if the engine had begun it, else undone. See `docs/design/orders.md`.
+//! One planned change of an upstream (a role change, model load or model unload), from the intent
+//! in the log to the outcome. While the intent is pending, the upstream is closed to new work. The
+//! order is sent only after every entry that may still send work has confirmed the close and the
+//! open work has ended. The result is read back from the engine. A change left by a former holder
+//! is completed if the engine has begun it, and otherwise undone. See `docs/design/orders.md`.
 
 use crate::OrderId;
 use crate::order::{Order, Verdict};
@@ -13,92 +13,93 @@
 pub use message::{Blocker, Input, Output, Permit, RequestId, SendResult};
 pub use timing::Timing;
 
-mod act;
 pub mod message;
-mod read;
+mod output;
+mod reading;
 pub mod timing;
 
-/// Whose intent it is.
+/// Which process wrote the intent.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Origin {
-    /// This process intended it and knows whether it was sent.
+    /// This process wrote the intent and knows whether it has sent the order.
     Own,
-    /// A former holder intended it and may have sent it.
+    /// A former holder wrote the intent and may have sent the order.
     Inherited,
 }
 
-/// Where a change stands.
+/// The step of a change.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Step {
-    /// The engine is read for the first time.
+    /// Reading the engine for the first time.
     Survey,
-    /// Entries that may still send new work have not confirmed.
+    /// Waiting until every entry that may still send new work has confirmed the close.
     Closing,
-    /// Work in hand is not over.
+    /// Waiting for open work to end.
     Draining,
-    /// The order is being sent.
+    /// Sending the order.
     Sending,
-    /// The engine is carrying the order out, or nothing is known.
+    /// The engine is executing the order, or the result of the send is unknown.
     Running,
-    /// The engine has ended the order; the last reading is outstanding.
+    /// The engine has finished the order; waiting for a final reading.
     Verifying,
-    /// The engine is being told that the order must not begin any more.
+    /// Cancelling the order, so that the engine cannot begin it later.
     Cancelling,
-    /// The engine was told so; the last reading is outstanding.
+    /// The order is cancelled; waiting for a final reading.
     Barred,
-    /// The outcome is being logged.
+    /// Logging the outcome.
     Concluding(Verdict, &'static str),
 }
 
-/// A question that was not answered yet.
+/// A request to the engine that is not answered yet.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-struct Question {
-    ticket: RequestId,
-    until: Moment,
+struct PendingRequest {
+    id: RequestId,
+    deadline: Moment,
 }
 
 /// The state machine of one change.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Change {
     order: OrderId,
-    what: Order,
+    action: Order,
     origin: Origin,
-    pace: Timing,
+    timing: Timing,
     step: Step,
-    /// When the upstream was closed, as far as this process knows.
-    began: Moment,
-    /// `None` until the first list came.
-    waiting: Option<SmallVec<[Blocker; 4]>>,
-    question: Option<Question>,
-    tickets: RequestId,
-    /// When the next question is due.
-    next: Moment,
-    /// The engine's incarnation and whether it checks fences, at the newest reading.
+    /// When this process learnt that the upstream was closed.
+    started_at: Moment,
+    /// `None` until the first list arrives.
+    blockers: Option<SmallVec<[Blocker; 4]>>,
+    pending_request: Option<PendingRequest>,
+    last_request: RequestId,
+    /// Earliest time of the next output.
+    due: Moment,
+    /// Incarnation of the engine in the newest reading.
     incarnation: Option<u64>,
+    /// Whether the engine checked fencing tokens in the newest reading.
     checks_fence: bool,
     sends: u32,
-    /// When the newest send was over. Counted from its beginning, the longest delay would have
-    /// passed too early if this process was paused between its check and its send.
+    /// When the newest send ended. Measured from its start, the maximum delivery delay would end
+    /// too early if this process was paused between its check and its send.
     last_send: Option<Moment>,
 }
 
-/// At most one thing is done a step.
+/// The outputs of one step, at most one.
 pub type Outputs = SmallVec<[Output; 1]>;
 
 impl Change {
-    /// A change whose intent was folded as valid.
-    pub fn new(now: Moment, pending: &PendingOrder, origin: Origin, pace: Timing) -> Self {
+    /// Creates a change whose intent was folded as valid.
+    pub fn new(now: Moment, pending: &PendingOrder, origin: Origin, timing: Timing) -> Self {
         Self {
             order: pending.order,
-            what: pending.action.clone(),
+            action: pending.action.clone(),
             origin,
-            pace,
+            timing,
             step: Step::Survey,
-            began: now,
-            waiting: None,
-            question: None,
-            tickets: 0,
-            next: now,
+            started_at: now,
+            blockers: None,
+            pending_request: None,
+            last_request: 0,
+            due: now,
             incarnation: None,
             checks_fence: false,
             sends: 0,
@@ -106,76 +107,79 @@
         }
     }
 
-    /// Where it stands.
+    /// The current step.
     pub fn current_step(&self) -> Step {
         self.step
     }
 
-    /// Since when it is known to this process.
+    /// When this process learnt of the change.
     pub fn started_at(&self) -> Moment {
-        self.began
+        self.started_at
     }
 
-    /// What the closing waits for; empty before the first list.
+    /// What the change waits for before its order can be sent; empty before the first list.
     pub fn blockers(&self) -> &[Blocker] {
-        self.waiting.as_deref().unwrap_or(&[])
+        self.blockers.as_deref().unwrap_or(&[])
     }
 
-    /// Takes in an answer or the passing of time and tells what is due.
+    /// Applies an input and returns the output that is due, if any.
     pub fn step(&mut self, now: Moment, permit: &Permit, input: Input) -> Outputs {
-        self.take(now, permit, input);
-        self.act(now, permit).into_iter().collect()
+        self.handle_input(now, permit, input);
+        self.next_output(now, permit).into_iter().collect()
     }
 
-    fn take(&mut self, now: Moment, permit: &Permit, input: Input) {
+    fn handle_input(&mut self, now: Moment, permit: &Permit, input: Input) {
         match input {
-            Input::Tick => self.give_up_question(now),
-            Input::Blockers(waiting) => self.waiting = Some(waiting),
+            Input::Tick => self.expire_request(now),
+            Input::Blockers(blockers) => self.blockers = Some(blockers),
             Input::Absent => self.conclude(now, Verdict::Gone, "not in the instance list"),
-            Input::Reading(ticket, reading) if self.answers(ticket) => {
-                self.read(now, permit, &reading);
+            Input::Reading(id, reading) if self.take_pending(id) => {
+                self.handle_reading(now, permit, &reading);
             }
-            Input::Unreachable(ticket) if self.answers(ticket) => {
-                self.next = now + self.pace.poll_interval;
+            Input::Unreachable(id) if self.take_pending(id) => {
+                self.due = now + self.timing.poll_interval;
             }
-            Input::Sent(ticket, receipt) if self.answers(ticket) => self.sent(now, receipt),
-            Input::Cancelled(ticket, receipt) if self.answers(ticket) => {
-                self.cancelled(now, receipt);
+            Input::Sent(id, result) if self.take_pending(id) => self.handle_sent(now, result),
+            Input::Cancelled(id, result) if self.take_pending(id) => {
+                self.handle_cancelled(now, result);
             }
-            // The answer to an earlier question shows the engine as it was before the last act.
+            // An answer to an earlier request shows the engine before the latest action.
             Input::Reading(..) | Input::Unreachable(_) | Input::Sent(..) | Input::Cancelled(..) => {
             }
         }
-        self.follow_waiting(now);
+        self.follow_blockers(now);
     }
 
-    fn answers(&mut self, ticket: RequestId) -> bool {
-        let newest = self.question.is_some_and(|asked| asked.ticket == ticket);
+    fn take_pending(&mut self, id: RequestId) -> bool {
+        let newest = self.pending_request.is_some_and(|pending| pending.id == id);
         if newest {
-            self.question = None;
+            self.pending_request = None;
         }
         newest
     }
 
-    fn give_up_question(&mut self, now: Moment) {
-        if self.question.is_none_or(|asked| now < asked.until) {
+    fn expire_request(&mut self, now: Moment) {
+        if self
+            .pending_request
+            .is_none_or(|pending| now < pending.deadline)
+        {
             return;
         }
-        self.question = None;
-        self.next = now;
+        self.pending_request = None;
+        self.due = now;
         if self.step == Step::Sending {
             self.last_send = Some(now);
             self.step = Step::Running;
         }
     }
 
-    /// An entry that starts or returns while the engine is closed may still send until it has
-    /// folded the intent; an order sent before it confirmed could cut its stream.
-    fn follow_waiting(&mut self, now: Moment) {
-        let closed = self.waiting.as_ref().is_some_and(SmallVec::is_empty);
+    /// An entry that starts or returns while the engine is closed may send work until it has folded
+    /// the intent. An order sent before it confirms could abort its stream.
+    fn follow_blockers(&mut self, now: Moment) {
+        let closed = self.blockers.as_ref().is_some_and(SmallVec::is_empty);
         match self.step {
             Step::Closing if closed => self.enter(now, Step::Draining),
-            Step::Draining | Step::Sending if !closed && self.question.is_none() => {
+            Step::Draining | Step::Sending if !closed && self.pending_request.is_none() => {
                 self.enter(now, Step::Closing);
             }
             _ => (),
@@ -185,47 +189,47 @@
             self.step,
             Step::Survey | Step::Closing | Step::Draining | Step::Sending
         );
-        if unsent && closing && now >= self.began + self.pace.close_timeout {
+        if unsent && closing && now >= self.started_at + self.timing.close_timeout {
             self.conclude(now, Verdict::Undone, "not drained in time");
         }
     }
 
     fn enter(&mut self, now: Moment, step: Step) {
         self.step = step;
-        self.next = now;
+        self.due = now;
     }
 
     fn conclude(&mut self, now: Moment, verdict: Verdict, detail: &'static str) {
         if !matches!(self.step, Step::Concluding(..)) {
-            self.question = None;
+            self.pending_request = None;
             self.enter(now, Step::Concluding(verdict, detail));
         }
     }
 
-    fn sent(&mut self, now: Moment, receipt: SendResult) {
+    fn handle_sent(&mut self, now: Moment, result: SendResult) {
         if self.step != Step::Sending {
             return;
         }
-        self.next = now + self.pace.poll_interval;
+        self.due = now + self.timing.poll_interval;
         self.last_send = Some(now);
-        match receipt {
+        match result {
             SendResult::Accepted => self.step = Step::Running,
             SendResult::Unknown => self.enter(now, Step::Running),
             SendResult::Busy { .. } => self.step = Step::Draining,
-            // The newer token bars the order as a cancellation would. An order that is sent again
-            // and again is refused each time, and the engine would stay closed for good.
+            // The newer token prevents the order like a cancellation. Repeating the order would be
+            // refused each time and keep the engine closed for ever.
             SendResult::Superseded { .. } => self.enter(now, Step::Barred),
             SendResult::Failed => (),
         }
     }
 
-    fn cancelled(&mut self, now: Moment, receipt: SendResult) {
+    fn handle_cancelled(&mut self, now: Moment, result: SendResult) {
         if self.step != Step::Cancelling {
             return;
         }
-        match receipt {
+        match result {
             SendResult::Accepted | SendResult::Superseded { .. } => self.enter(now, Step::Barred),
-            _ => self.next = now + self.pace.poll_interval,
+            _ => self.due = now + self.timing.poll_interval,
         }
     }
 }
--- a/crates/authority/src/change/message.rs
+++ b/crates/authority/src/change/message.rs
@@ -1,4 +1,4 @@
-//! What goes into a planned change and what comes out.
+//! Inputs and outputs of a planned change.
 
 use crate::engine::Reading;
 use crate::lease::Grant;
@@ -7,51 +7,51 @@
 use clock::Moment;
 use smallvec::SmallVec;
 
-/// Numbers the questions of one change. Only the answer to the newest counts: an older one tells
-/// what was before the act that followed.
+/// Numbers the requests of one change. Only the answer to the newest request is used: older answers
+/// describe the engine before the latest action.
 pub type RequestId = u32;
 
-/// Something that a closing waits for, as it is told to operators.
+/// Something that a change waits for before its order can be sent, described for operators.
 pub type Blocker = String;
 
-/// What the process may do at this moment.
+/// What this process may do at this moment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Permit {
     /// The claim in force and its lease.
     pub grant: Grant,
-    /// Whether the weight store has room for this order.
+    /// Whether the limit of the weight store admits this order.
     pub admitted: bool,
 }
 
-/// What became of something that was sent to an engine.
+/// The result of sending an order or a cancellation to an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendResult {
-    /// The engine took it.
+    /// The engine accepted it.
     Accepted,
     /// The engine has seen a newer fencing token.
     Superseded {
         /// That token.
         fence: Fence,
     },
-    /// The engine is carrying out another order.
+    /// The engine is executing another order.
     Busy {
-        /// That order.
+        /// Id of that order.
         order: OrderId,
     },
-    /// It certainly did not leave this process.
+    /// It did not leave this process.
     Failed,
-    /// Nothing is known: it may arrive at any time up to the longest delay.
+    /// The result is unknown; it may still arrive within the maximum delivery delay.
     Unknown,
 }
 
-/// What a change is told.
+/// An input of a change.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// What still stands between this order and its sending, as `fleet`'s confirmed drain tells it;
-    /// empty if every entry that may still send new work has confirmed this order and has nothing
-    /// open that would be cut.
+    /// What the order still waits for, from the confirmed drain of `fleet`. Empty if every entry
+    /// that may still send new work has confirmed the order and has no open work that the order
+    /// would abort.
     Blockers(SmallVec<[Blocker; 4]>),
     /// The upstream has left the instance list.
     Absent,
@@ -65,43 +65,43 @@
     Cancelled(RequestId, SendResult),
 }
 
-/// What the owner of a change has to do.
+/// An action for the owner of a change.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// Ask the engine for its state.
+    /// Read the state of the engine.
     Read {
-        /// To be given back with the answer.
+        /// Returned with the answer.
         request: RequestId,
     },
     /// Send the order, unless `not_after` has passed at the moment of the send.
     Send {
-        /// To be given back with the answer.
+        /// Returned with the answer.
         request: RequestId,
-        /// The order's id.
+        /// Id of the order.
         order: OrderId,
-        /// The fencing token for the engine.
+        /// Fencing token for the engine.
         fence: Fence,
-        /// What the engine is to do.
+        /// The order.
         action: Order,
-        /// When the send must be over.
+        /// When the send must have ended.
         not_after: Moment,
     },
-    /// Tell the engine that the order must not begin any more.
+    /// Cancel the order, so that the engine cannot begin it later.
     Cancel {
-        /// To be given back with the answer.
+        /// Returned with the answer.
         request: RequestId,
-        /// The order's id.
+        /// Id of the order.
         order: OrderId,
-        /// The fencing token for the engine.
+        /// Fencing token for the engine.
         fence: Fence,
-        /// When the send must be over.
+        /// When the send must have ended.
         not_after: Moment,
     },
     /// Append the outcome.
     Conclude {
         /// How the order ended.
         verdict: Verdict,
-        /// Said to operators.
+        /// Explanation for operators.
         detail: &'static str,
     },
 }
--- a/crates/authority/src/change/read.rs
+++ b/crates/authority/src/change/reading.rs
@@ -1,4 +1,4 @@
-//! What a reading of the engine means for the change.
+//! Handles readings of the engine.
 
 use super::{Change, Origin, Permit, Step};
 use crate::engine::{Progress, Reading};
@@ -6,24 +6,24 @@
 use clock::Moment;
 
 impl Change {
-    pub(super) fn read(&mut self, now: Moment, permit: &Permit, reading: &Reading) {
+    pub(super) fn handle_reading(&mut self, now: Moment, permit: &Permit, reading: &Reading) {
         let restarted = self
             .incarnation
             .is_some_and(|known| known != reading.incarnation);
         self.incarnation = Some(reading.incarnation);
         self.checks_fence = reading.checks_fence;
-        self.next = now + self.pace.poll_interval;
+        self.due = now + self.timing.poll_interval;
         match (self.step, reading.progress(self.order)) {
             (Step::Concluding(..) | Step::Closing, _) => (),
             (_, Some(Progress::Running)) => self.step = Step::Running,
             (_, Some(Progress::Done | Progress::Failed)) => self.verify(now, permit, reading),
-            (Step::Survey, None) => self.survey(now, reading),
+            (Step::Survey, None) => self.handle_not_begun(now, reading),
             (Step::Draining, None) => {
                 if reading.open_streams == 0 && !reading.is_running() {
                     self.enter(now, Step::Sending);
                 }
             }
-            (Step::Running, None) if !restarted && self.sends < self.pace.max_sends => {
+            (Step::Running, None) if !restarted && self.sends < self.timing.max_sends => {
                 self.resend(now);
             }
             (Step::Barred, None) if restarted => self.enter(now, Step::Cancelling),
@@ -32,20 +32,20 @@
         }
     }
 
-    /// Not begun: an order of our own takes its course, an inherited one is undone. The former
-    /// holder knew what the engine had open and whether all had confirmed; its successor plans
-    /// anew instead.
-    fn survey(&mut self, now: Moment, reading: &Reading) {
+    /// The engine has not begun the order. An own order proceeds. An inherited one is undone,
+    /// because only the former holder knew the open work and whether the drain was confirmed; the
+    /// successor plans the change again.
+    fn handle_not_begun(&mut self, now: Moment, reading: &Reading) {
         match self.origin {
-            Origin::Own if reading.satisfies(&self.what) => {
-                self.conclude(now, Verdict::Done, "was so already");
+            Origin::Own if reading.satisfies(&self.action) => {
+                self.conclude(now, Verdict::Done, "already in the requested state");
             }
             Origin::Own => self.enter(now, Step::Closing),
             Origin::Inherited => self.enter(now, Step::Cancelling),
         }
     }
 
-    /// The order did not arrive, or not yet. The same order is idempotent at the engine.
+    /// The order has not arrived, or not yet. Sending it again is idempotent at the engine.
     fn resend(&mut self, now: Moment) {
         if self.origin == Origin::Own {
             self.step = Step::Draining;
@@ -57,34 +57,34 @@
     fn verify(&mut self, now: Moment, permit: &Permit, reading: &Reading) {
         self.step = Step::Verifying;
         if self.is_final(now, permit, reading) {
-            self.judge(now, reading);
+            self.conclude_by_state(now, reading);
         }
     }
 
     fn verify_barred(&mut self, now: Moment, permit: &Permit, reading: &Reading) {
         if !reading.is_running() && self.is_final(now, permit, reading) {
-            self.judge(now, reading);
+            self.conclude_by_state(now, reading);
         }
     }
 
-    /// Whether nothing that was sent for this order can still change the engine. An engine that
-    /// checks fences refuses all copies once it has seen a token that is newer than the order's;
-    /// if it took the order itself last, a copy is idempotent and the token of the next order
-    /// refuses it. An engine that ignores fences, or has restarted and forgotten them, could
-    /// still be changed by a copy on its way: the outcome would open it for work and the copy
-    /// would cut that.
+    /// Whether nothing sent for this order can still change the engine. An engine that checks
+    /// fencing tokens refuses all copies once it has seen a token newer than the order's. If it
+    /// accepted this order last, a copy is idempotent, and the token of the next order makes the
+    /// engine refuse it. An engine that ignores fencing tokens, or has lost them in a restart, could
+    /// still execute a copy in transit: the outcome would open the engine, and the copy would abort
+    /// its new work.
     fn is_final(&self, now: Moment, permit: &Permit, reading: &Reading) -> bool {
-        let taken = reading.progress(self.order).is_some();
-        if reading.checks_fence && (taken || reading.fence > self.order) {
+        let accepted = reading.progress(self.order).is_some();
+        if reading.checks_fence && (accepted || reading.fence > self.order) {
             return true;
         }
-        let delay = self.pace.max_order_delay;
-        let arrived = self.last_send.is_none_or(|sent| now >= sent + delay);
-        arrived && permit.grant.is_quarantine_over(now, delay)
+        let max_delay = self.timing.max_order_delay;
+        let arrived = self.last_send.is_none_or(|sent| now >= sent + max_delay);
+        arrived && permit.grant.is_quarantine_over(now, max_delay)
     }
 
-    fn judge(&mut self, now: Moment, reading: &Reading) {
-        if reading.satisfies(&self.what) {
+    fn conclude_by_state(&mut self, now: Moment, reading: &Reading) {
+        if reading.satisfies(&self.action) {
             self.conclude(now, Verdict::Done, "read back");
         } else {
             self.conclude(now, Verdict::Undone, "read back in another state");
--- a/crates/authority/src/change/timing.rs
+++ b/crates/authority/src/change/timing.rs
@@ -1,21 +1,21 @@
-//! How long the steps of a planned change take.
+//! Durations and limits of a planned change.
 
 use std::time::Duration;
 
-/// The durations of a planned change.
+/// Durations and limits of a planned change.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Timing {
-    /// Between two readings of an engine.
+    /// Time between two readings of an engine.
     pub poll_interval: Duration,
-    /// After which the answer of an engine is given up. No send may take longer, and none is
-    /// begun with less of the lease left.
+    /// Timeout of a request to an engine. No send takes longer, and none starts with less of the
+    /// lease left.
     pub request_timeout: Duration,
-    /// For how long an engine is closed for new work without an order being sent to it; after
-    /// that the change is undone, because the engine would serve nobody meanwhile.
+    /// How long an engine may stay closed to new work before its order is sent. After that the
+    /// change is undone, because the closed engine serves nobody.
     pub close_timeout: Duration,
-    /// The longest time that an order which left a process may take to reach the engine.
+    /// Longest time between the end of a send and the arrival of the order at the engine.
     pub max_order_delay: Duration,
-    /// How often an order is sent before the change is undone.
+    /// Number of times that an order is sent before the change is undone.
     pub max_sends: u32,
 }
 
--- a/crates/authority/tests/common/engine.rs
+++ b/crates/authority/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that keeps the interface of `docs/PLATFORM.md`.
+//! A simulated engine with the interface of `docs/PLATFORM.md`.
 
 use authority::change::SendResult;
 use authority::engine::{LastOrder, Progress, Reading};
@@ -9,8 +9,8 @@
 
 pub(crate) struct Engine {
     pub(crate) reading: Reading,
-    pub(crate) barred: BTreeSet<OrderId>,
-    what: Option<Order>,
+    pub(crate) cancelled: BTreeSet<OrderId>,
+    action: Option<Order>,
 }
 
 impl Engine {
@@ -26,12 +26,12 @@
         };
         Self {
             reading,
-            barred: BTreeSet::new(),
-            what: None,
+            cancelled: BTreeSet::new(),
+            action: None,
         }
     }
 
-    fn refuses(&mut self, fence: Fence) -> Option<SendResult> {
+    fn check_token(&mut self, fence: Fence) -> Option<SendResult> {
         let newest = self.reading.fence;
         if self.reading.checks_fence && fence < newest {
             return Some(SendResult::Superseded { fence: newest });
@@ -40,52 +40,52 @@
         None
     }
 
-    pub(crate) fn order(&mut self, order: OrderId, fence: Fence, what: &Order) -> SendResult {
-        let known = self.reading.progress(order).is_some() || self.barred.contains(&order);
+    pub(crate) fn order(&mut self, order: OrderId, fence: Fence, action: &Order) -> SendResult {
+        let known = self.reading.progress(order).is_some() || self.cancelled.contains(&order);
         if known {
             return SendResult::Accepted;
         }
-        if let Some(refused) = self.refuses(fence) {
-            return refused;
+        if let Some(refusal) = self.check_token(fence) {
+            return refusal;
         }
         if self.reading.is_running() {
-            let running = self.reading.last_order.map_or(0, |taken| taken.order);
+            let running = self.reading.last_order.map_or(0, |last| last.order);
             return SendResult::Busy { order: running };
         }
         let progress = Progress::Running;
         self.reading.last_order = Some(LastOrder { order, progress });
-        self.what = Some(what.clone());
+        self.action = Some(action.clone());
         SendResult::Accepted
     }
 
     pub(crate) fn cancel(&mut self, order: OrderId, fence: Fence) -> SendResult {
-        if let Some(refused) = self.refuses(fence) {
-            return refused;
+        if let Some(refusal) = self.check_token(fence) {
+            return refusal;
         }
         if self.reading.progress(order).is_none() {
-            self.barred.insert(order);
+            self.cancelled.insert(order);
         }
         SendResult::Accepted
     }
 
-    /// Ends the order that runs.
-    pub(crate) fn end(&mut self, progress: Progress) {
-        if let Some(taken) = &mut self.reading.last_order {
-            taken.progress = progress;
+    /// Ends the running order.
+    pub(crate) fn finish(&mut self, progress: Progress) {
+        if let Some(last) = &mut self.reading.last_order {
+            last.progress = progress;
         }
         if progress == Progress::Done
-            && let Some(Order::SetRole(role)) = &self.what
+            && let Some(Order::SetRole(role)) = &self.action
         {
             self.reading.role = *role;
         }
         if progress == Progress::Done
-            && let Some(Order::LoadModel(model)) = &self.what
+            && let Some(Order::LoadModel(model)) = &self.action
         {
             self.reading.models.push(model.clone());
         }
     }
 
-    /// The engine forgets everything but its settings.
+    /// Restarts the engine, which loses all state except its settings.
     pub(crate) fn restart(&mut self) {
         let incarnation = self.reading.incarnation + 1;
         *self = Self::new(self.reading.checks_fence);
--- a/crates/authority/tests/common/bench.rs
+++ b/crates/authority/tests/common/harness.rs
@@ -1,9 +1,9 @@
-//! A planner of one holder, its log and its engines. Time and faults are the test's.
+//! The planner of one holder with its log and engines. The tests control time and faults.
 #![allow(dead_code)]
 
 use crate::common::{SCOPE, claim, record};
 use crate::engine::Engine;
-use authority::change::{self, Output as Act, RequestId, SendResult, Step, Timing};
+use authority::change::{self, Output as ChangeOutput, RequestId, SendResult, Step, Timing};
 use authority::lease::Grant;
 use authority::order::{Order, Role, Verdict};
 use authority::planner::{Bounds, Input, Output, Planner, Reason};
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-pub(crate) const PACE: Timing = Timing {
+pub(crate) const TIMING: Timing = Timing {
     poll_interval: Duration::from_secs(1),
     request_timeout: Duration::from_secs(2),
     close_timeout: Duration::from_secs(60),
@@ -29,23 +29,23 @@
     reconcile_interval: Duration::from_secs(1000),
 };
 
-/// What the bench does with what goes to the engines.
+/// How the harness treats requests to the engines.
 #[derive(Clone, Copy, Eq, PartialEq)]
-pub(crate) enum Path {
-    Open,
-    /// The engine does not get it, and the process does not know.
-    Lost,
-    /// The engine gets it, and the answer is lost.
-    Deaf,
+pub(crate) enum Link {
+    Delivers,
+    /// The request is lost, and the process does not know.
+    DropsRequests,
+    /// The request arrives, and its answer is lost.
+    DropsAnswers,
 }
 
-pub(crate) struct Bench {
+pub(crate) struct Harness {
     pub(crate) now: Moment,
     pub(crate) state: State,
     pub(crate) planner: Planner,
     pub(crate) grant: Option<Grant>,
     pub(crate) engines: BTreeMap<String, Engine>,
-    pub(crate) path: Path,
+    pub(crate) link: Link,
     pub(crate) sends: Vec<(String, OrderId, Fence)>,
     pub(crate) cancels: Vec<OrderId>,
     pub(crate) concluded: Vec<(OrderId, Verdict)>,
@@ -53,44 +53,44 @@
     instance: String,
 }
 
-impl Bench {
-    /// Instance "a" holds the scope by claim 1, and three engines serve.
+impl Harness {
+    /// Instance "a" holds the scope by claim 1; three engines serve.
     pub(crate) fn new(checks_fence: bool) -> Self {
         let names = ["engine-1", "engine-2", "engine-3"].map(str::to_owned);
         let engines = names.iter().cloned();
-        let mut bench = Self {
+        let mut harness = Self {
             now: Duration::ZERO,
             state: State::new(),
-            planner: Planner::new(SCOPE.to_owned(), BOUNDS, PACE, 7),
+            planner: Planner::new(SCOPE.to_owned(), BOUNDS, TIMING, 7),
             grant: None,
             engines: engines
                 .map(|name| (name, Engine::new(checks_fence)))
                 .collect(),
-            path: Path::Open,
+            link: Link::Delivers,
             sends: Vec::new(),
             cancels: Vec::new(),
             concluded: Vec::new(),
             mismatches: 0,
             instance: "a".to_owned(),
         };
-        bench.hold("a", 0);
-        bench.step(Input::Serving(BTreeSet::from(names)));
-        bench
+        harness.take_over("a", 0);
+        harness.step(Input::Serving(BTreeSet::from(names)));
+        harness
     }
 
-    /// `instance` takes the scope over, with a planner that knows nothing.
-    pub(crate) fn hold(&mut self, instance: &str, quiet_in: u64) {
-        let held = self.state.current_claim(SCOPE);
-        let (fence, seen) = held.map_or((0, 0), |held| (held.fence, held.renewed));
+    /// `instance` takes over the scope with a new planner.
+    pub(crate) fn take_over(&mut self, instance: &str, quarantine_secs: u64) {
+        let current = self.state.current_claim(SCOPE);
+        let (fence, seen) = current.map_or((0, 0), |claim| (claim.fence, claim.renewed));
         self.fold(&claim(instance, fence, seen));
         self.instance = instance.to_owned();
-        let mut planner = Planner::new(SCOPE.to_owned(), BOUNDS, PACE, 8);
+        let mut planner = Planner::new(SCOPE.to_owned(), BOUNDS, TIMING, 8);
         std::mem::swap(&mut planner, &mut self.planner);
         self.grant = Some(Grant {
             fence: self.state.folded(),
             until: Duration::from_secs(100_000),
             held_since: self.now,
-            quarantine_until: self.now + Duration::from_secs(quiet_in),
+            quarantine_until: self.now + Duration::from_secs(quarantine_secs),
         });
         let serving = self.engines.keys().cloned().collect();
         self.step(Input::Serving(serving));
@@ -101,55 +101,59 @@
         self.state.apply(offset, record);
     }
 
-    pub(crate) fn want(&mut self, upstream: &str, what: Order) {
+    pub(crate) fn request(&mut self, upstream: &str, action: Order) {
         self.step(Input::Request {
             upstream: upstream.to_owned(),
-            action: what,
+            action,
             reason: Reason::Plan,
         });
     }
 
-    pub(crate) fn want_role(&mut self, upstream: &str) {
-        self.want(upstream, Order::SetRole(Role::Decode));
+    pub(crate) fn request_role(&mut self, upstream: &str) {
+        self.request(upstream, Order::SetRole(Role::Decode));
     }
 
-    /// Gives an input and carries out everything that follows from it.
+    /// Passes an input to the planner and executes all outputs that follow.
     pub(crate) fn step(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             let outputs = self.planner.step(self.now, &self.state, self.grant, input);
             for output in outputs {
-                inputs.extend(self.carry_out(output));
+                inputs.extend(self.execute(output));
             }
         }
     }
 
-    /// Lets time pass in seconds.
-    pub(crate) fn pass(&mut self, secs: u64) {
+    /// Advances time second by second.
+    pub(crate) fn advance(&mut self, secs: u64) {
         for _ in 0..secs {
             self.now += Duration::from_secs(1);
             self.step(Input::Tick);
         }
     }
 
-    /// Tells the change of an upstream what it waits for.
-    pub(crate) fn waiting(&mut self, upstream: &str, entries: &[&str]) {
-        let order = self.state.pending_order(upstream).expect("an order").order;
-        let waits: SmallVec<_> = entries.iter().map(|entry| (*entry).to_owned()).collect();
-        self.step(Input::Change(order, change::Input::Blockers(waits)));
+    /// Sets what the change of an upstream waits for.
+    pub(crate) fn set_blockers(&mut self, upstream: &str, entries: &[&str]) {
+        let order = self
+            .state
+            .pending_order(upstream)
+            .expect("a pending order")
+            .order;
+        let blockers: SmallVec<_> = entries.iter().map(|entry| (*entry).to_owned()).collect();
+        self.step(Input::Change(order, change::Input::Blockers(blockers)));
     }
 
-    pub(crate) fn at(&self, upstream: &str) -> Option<Step> {
-        let mut underway = self.planner.active_changes();
-        let found = underway.find(|underway| underway.upstream == upstream);
-        found.map(|underway| underway.change.current_step())
+    pub(crate) fn step_of(&self, upstream: &str) -> Option<Step> {
+        let mut changes = self.planner.active_changes();
+        let found = changes.find(|change| change.upstream == upstream);
+        found.map(|change| change.change.current_step())
     }
 
     pub(crate) fn engine(&mut self, upstream: &str) -> &mut Engine {
-        self.engines.get_mut(upstream).expect("an engine")
+        self.engines.get_mut(upstream).expect("a known engine")
     }
 
-    fn carry_out(&mut self, output: Output) -> Option<Input> {
+    fn execute(&mut self, output: Output) -> Option<Input> {
         match output {
             Output::Append { body, .. } => {
                 let instance = self.instance.clone();
@@ -161,7 +165,7 @@
                 order,
                 output,
             } => {
-                let answer = self.tell(&upstream, output);
+                let answer = self.call_engine(&upstream, output);
                 Some(Input::Change(order, answer))
             }
             Output::Check { upstream, settled } => {
@@ -183,55 +187,55 @@
         }
     }
 
-    fn tell(&mut self, upstream: &str, act: Act) -> change::Input {
-        let path = self.path;
-        match act {
-            Act::Read { request: ticket } => {
-                change::Input::Reading(ticket, self.engine(upstream).reading.clone())
+    fn call_engine(&mut self, upstream: &str, output: ChangeOutput) -> change::Input {
+        let link = self.link;
+        match output {
+            ChangeOutput::Read { request } => {
+                change::Input::Reading(request, self.engine(upstream).reading.clone())
             }
-            Act::Send {
-                request: ticket,
+            ChangeOutput::Send {
+                request,
                 order,
                 fence,
-                action: what,
+                action,
                 ..
             } => {
                 self.sends.push((upstream.to_owned(), order, fence));
                 let engine = self.engine(upstream);
-                answer(path, ticket, change::Input::Sent, || {
-                    engine.order(order, fence, &what)
+                deliver(link, request, change::Input::Sent, || {
+                    engine.order(order, fence, &action)
                 })
             }
-            Act::Cancel {
-                request: ticket,
+            ChangeOutput::Cancel {
+                request,
                 order,
                 fence,
                 ..
             } => {
                 self.cancels.push(order);
                 let engine = self.engine(upstream);
-                answer(path, ticket, change::Input::Cancelled, || {
+                deliver(link, request, change::Input::Cancelled, || {
                     engine.cancel(order, fence)
                 })
             }
-            Act::Conclude { .. } => unreachable!("the planner turns it into an append"),
+            ChangeOutput::Conclude { .. } => unreachable!("the planner turns it into an append"),
         }
     }
 }
 
-fn answer(
-    path: Path,
-    ticket: RequestId,
-    kind: fn(RequestId, SendResult) -> change::Input,
-    act: impl FnOnce() -> SendResult,
+fn deliver(
+    link: Link,
+    request: RequestId,
+    answer: fn(RequestId, SendResult) -> change::Input,
+    send: impl FnOnce() -> SendResult,
 ) -> change::Input {
-    let receipt = match path {
-        Path::Open => act(),
-        Path::Lost => SendResult::Unknown,
-        Path::Deaf => {
-            act();
+    let result = match link {
+        Link::Delivers => send(),
+        Link::DropsRequests => SendResult::Unknown,
+        Link::DropsAnswers => {
+            send();
             SendResult::Unknown
         }
     };
-    kind(ticket, receipt)
+    answer(request, result)
 }
--- a/crates/spec/src/orders/world.rs
+++ b/crates/spec/src/orders/world.rs
@@ -272,9 +272,7 @@
 
     fn tell(&mut self, config: &Config, which: usize, order: OrderId, act: Act) -> Option<Told> {
         let (ticket, fence, what) = match act {
-            Act::Read { request: ticket } => {
-                return Some(Told::Reading(ticket, self.reading(config)));
-            }
+            Act::Read { request } => return Some(Told::Reading(request, self.reading(config))),
             Act::Send {
                 request: ticket,
                 fence,
