--- a/crates/authority/src/planner.rs
+++ b/crates/authority/src/planner.rs
@@ -1,6 +1,6 @@
-//! All planned changes of one scope, while this process holds it: which wanted change is begun
-//! when, so that enough upstreams stay open and the weight store's limit is kept; which changes a
-//! former holder left; which engines differ from what was settled. See `docs/design/orders.md`.
+//! All planned changes of a scope that this process holds. The planner starts requested changes
+//! while enough upstreams stay open and the weight store has room, takes over changes of a former
+//! holder, and repairs engines that differ from their settled state. See `docs/design/orders.md`.
 
 use crate::change::{self, Change, Origin, Permit, Timing};
 use crate::lease::Grant;
@@ -16,73 +16,73 @@
 pub use bounds::Bounds;
 pub use message::{Input, Output, Reason};
 
-mod begin;
 pub mod bounds;
+mod intents;
 pub mod message;
 mod reconcile;
 
-/// What a step asks of the owner.
+/// The outputs of one step.
 pub type Outputs = SmallVec<[Output; 4]>;
 
-/// A change that is wanted and whose intent was not folded yet.
+/// A requested change whose intent is not folded yet.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Wish {
-    what: Order,
+struct RequestedChange {
+    action: Order,
     reason: Reason,
-    /// Whether an intent was sent, which may land at any later time.
-    sent: bool,
-    /// When the intent may be sent, or sent again.
-    next: Moment,
+    /// Whether an intent was sent. It may be logged at any later time.
+    intent_sent: bool,
+    /// Earliest time to send the intent, or to send it again.
+    next_intent: Moment,
 }
 
-/// What is known of a change that is under way.
+/// A change whose order is pending.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveChange<'a> {
     /// The upstream.
     pub upstream: &'a UpstreamId,
-    /// The order.
+    /// Id of the order.
     pub order: OrderId,
     /// The change.
     pub change: &'a Change,
 }
 
-/// The aggregate.
+/// The state machine of all changes of one scope.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Planner {
     scope: ScopeId,
     bounds: Bounds,
-    pace: Timing,
+    timing: Timing,
     nonces: NonceSource,
     serving: BTreeSet<UpstreamId>,
-    wishes: BTreeMap<UpstreamId, Wish>,
+    requested: BTreeMap<UpstreamId, RequestedChange>,
     changes: BTreeMap<OrderId, (UpstreamId, Change)>,
-    checks: BTreeMap<UpstreamId, Moment>,
+    next_checks: BTreeMap<UpstreamId, Moment>,
     mismatches: u64,
 }
 
 impl Planner {
-    /// A planner without wishes. `seed` is drawn at random for each planner.
-    pub fn new(scope: ScopeId, bounds: Bounds, pace: Timing, seed: u64) -> Self {
+    /// Creates a planner without changes. `seed` is drawn at random for each planner.
+    pub fn new(scope: ScopeId, bounds: Bounds, timing: Timing, seed: u64) -> Self {
         Self {
             scope,
             bounds,
-            pace,
+            timing,
             nonces: NonceSource::new(seed),
             serving: BTreeSet::new(),
-            wishes: BTreeMap::new(),
+            requested: BTreeMap::new(),
             changes: BTreeMap::new(),
-            checks: BTreeMap::new(),
+            next_checks: BTreeMap::new(),
             mismatches: 0,
         }
     }
 
-    /// Takes new bounds, from a new revision of the catalogue.
-    pub fn set_bounds(&mut self, bounds: Bounds, pace: Timing) {
+    /// Sets new bounds and timing, from a new revision of the catalogue.
+    pub fn set_bounds(&mut self, bounds: Bounds, timing: Timing) {
         self.bounds = bounds;
-        self.pace = pace;
+        self.timing = timing;
     }
 
-    /// The changes that are under way under this process.
+    /// The changes that this process is executing.
     pub fn active_changes(&self) -> impl Iterator<Item = ActiveChange<'_>> {
         self.changes
             .iter()
@@ -93,26 +93,26 @@
             })
     }
 
-    /// The changes that wait to be begun.
+    /// The changes that wait for their intent.
     pub fn requested_changes(&self) -> impl Iterator<Item = (&UpstreamId, &Order, Reason)> {
-        self.wishes
+        self.requested
             .iter()
-            .map(|(upstream, wish)| (upstream, &wish.what, wish.reason))
+            .map(|(upstream, request)| (upstream, &request.action, request.reason))
     }
 
-    /// Whether nothing is under way, so that a process that shuts down may release the scope
-    /// without leaving a half-done change to its successor.
+    /// Whether no change is in progress. A process that shuts down may then release the scope
+    /// without leaving an unfinished change to its successor.
     pub fn is_idle(&self) -> bool {
-        self.changes.is_empty() && !self.wishes.values().any(|wish| wish.sent)
+        self.changes.is_empty() && !self.requested.values().any(|request| request.intent_sent)
     }
 
-    /// How many engines were found in another state than the concluded orders settled.
+    /// Number of engines found in a state other than their settled state.
     pub fn mismatches(&self) -> u64 {
         self.mismatches
     }
 
-    /// Takes an input in and tells what is due. `state` is folded as far as this process has read
-    /// the log, `grant` is the lease's of the same moment.
+    /// Applies an input and returns the outputs that are due. `state` is folded as far as this
+    /// process has read the log; `grant` is that of the lease at the same moment.
     pub fn step(
         &mut self,
         now: Moment,
@@ -123,75 +123,79 @@
         let mut outputs = Outputs::new();
         let Some(grant) = grant else {
             self.step_down();
-            self.take(now, state, input, &mut outputs);
+            self.handle_input(now, state, input, &mut outputs);
             return outputs;
         };
-        self.follow(now, state, &grant, &mut outputs);
+        self.sync_changes(now, state, &grant, &mut outputs);
         match input {
             Input::Change(order, input) => {
-                self.drive(now, state, grant, order, input, &mut outputs);
+                self.step_change(now, state, grant, order, input, &mut outputs);
             }
-            other => self.take(now, state, other, &mut outputs),
+            other => self.handle_input(now, state, other, &mut outputs),
         }
         let orders: SmallVec<[OrderId; 4]> = self.changes.keys().copied().collect();
         for order in orders {
             let tick = change::Input::Tick;
-            self.drive(now, state, grant, order, tick, &mut outputs);
+            self.step_change(now, state, grant, order, tick, &mut outputs);
         }
-        self.begin(now, state, &grant, &mut outputs);
-        self.check(now, state, &mut outputs);
+        self.send_intents(now, state, &grant, &mut outputs);
+        self.send_checks(now, state, &mut outputs);
         outputs
     }
 
-    /// Another process holds the scope and takes over what is unresolved. Intents that were sent
-    /// under the lost claim are invalid if they land after the new one.
+    /// Drops all changes: the next holder takes over the pending orders. Intents sent under the
+    /// lost claim are invalid if they are logged after the new claim.
     fn step_down(&mut self) {
         self.changes.clear();
-        self.checks.clear();
-        for wish in self.wishes.values_mut() {
-            wish.sent = false;
+        self.next_checks.clear();
+        for request in self.requested.values_mut() {
+            request.intent_sent = false;
         }
     }
 
-    fn take(&mut self, now: Moment, state: &State, input: Input, outputs: &mut Outputs) {
+    fn handle_input(&mut self, now: Moment, state: &State, input: Input, outputs: &mut Outputs) {
         match input {
             Input::Tick | Input::Change(..) => (),
             Input::Serving(serving) => self.serving = serving,
             Input::Request {
                 upstream,
-                action: what,
+                action,
                 reason,
-            } => self.want(now, upstream, what, reason),
+            } => self.request(now, upstream, action, reason),
             Input::Withdraw { upstream } => {
-                if self.wishes.get(&upstream).is_some_and(|wish| !wish.sent) {
-                    self.wishes.remove(&upstream);
+                if self
+                    .requested
+                    .get(&upstream)
+                    .is_some_and(|request| !request.intent_sent)
+                {
+                    self.requested.remove(&upstream);
                 }
             }
             Input::Checked {
                 upstream,
                 settled,
                 reading,
-            } => self.compare(now, state, upstream, settled, &reading, outputs),
+            } => self.compare_reading(now, state, upstream, settled, &reading, outputs),
         }
     }
 
-    fn want(&mut self, now: Moment, upstream: UpstreamId, what: Order, reason: Reason) {
-        let waiting = self.wishes.get(&upstream);
-        // What was sent may land; another intent beside it would be refused, or come second.
-        if waiting.is_some_and(|wish| wish.sent || wish.reason < reason) {
+    fn request(&mut self, now: Moment, upstream: UpstreamId, action: Order, reason: Reason) {
+        let queued = self.requested.get(&upstream);
+        // A sent intent may still be logged. A second one would be refused or follow it.
+        if queued.is_some_and(|request| request.intent_sent || request.reason < reason) {
             return;
         }
-        let wish = Wish {
-            what,
+        let request = RequestedChange {
+            action,
             reason,
-            sent: false,
-            next: now,
+            intent_sent: false,
+            next_intent: now,
         };
-        self.wishes.insert(upstream, wish);
+        self.requested.insert(upstream, request);
     }
 
-    /// Follows the fold: each unresolved order of the scope has its change, and no other has.
-    fn follow(&mut self, now: Moment, state: &State, grant: &Grant, outputs: &mut Outputs) {
+    /// Keeps one change for each pending order of the scope, and none for other orders.
+    fn sync_changes(&mut self, now: Moment, state: &State, grant: &Grant, outputs: &mut Outputs) {
         let concluded = self.changes.iter();
         let concluded =
             concluded.filter(|(order, (upstream, _))| !is_pending(state, upstream, **order));
@@ -214,23 +218,26 @@
             if pending.scope != self.scope || self.changes.contains_key(&pending.order) {
                 continue;
             }
-            let sent = self.wishes.get(upstream).is_some_and(|wish| wish.sent);
+            let sent = self
+                .requested
+                .get(upstream)
+                .is_some_and(|request| request.intent_sent);
             if sent {
-                self.wishes.remove(upstream);
+                self.requested.remove(upstream);
             }
-            // Only this planner, under the claim in force, knows for certain what was sent.
+            // Only for intents of this planner under the claim in force is it known what was sent.
             let origin = if sent && pending.fence == grant.fence {
                 Origin::Own
             } else {
                 Origin::Inherited
             };
-            let change = Change::new(now, pending, origin, self.pace);
+            let change = Change::new(now, pending, origin, self.timing);
             self.changes
                 .insert(pending.order, (upstream.clone(), change));
         }
     }
 
-    fn drive(
+    fn step_change(
         &mut self,
         now: Moment,
         state: &State,
--- a/crates/authority/src/planner/bounds.rs
+++ b/crates/authority/src/planner/bounds.rs
@@ -1,20 +1,20 @@
-//! How much may be under way at once.
+//! Limits on concurrent changes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::UpstreamId;
 
-/// The bounds of one scope.
+/// The limits of one scope.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Bounds {
-    /// Orders of the scope that may be unresolved at once.
+    /// Largest number of pending orders in the scope.
     pub max_concurrent: usize,
-    /// Upstreams that must stay open for new work.
+    /// Least number of upstreams that stay open to new work.
     pub min_open: usize,
-    /// Orders of all scopes that may fetch from the weight store at once.
+    /// Largest number of orders, over all scopes, that fetch from the weight store at once.
     pub max_loads: usize,
-    /// Between two comparisons of an idle engine with what the concluded orders settled.
+    /// Time between two comparisons of an idle engine with its settled state.
     pub reconcile_interval: Duration,
 }
 
@@ -30,8 +30,8 @@
 }
 
 impl Bounds {
-    /// Whether one more upstream may be closed. `closed` are those that are closed already or
-    /// whose intent may yet land; `serving` are those that could take new work otherwise.
+    /// Whether one more upstream may be closed. `closed` contains upstreams that are closed or whose
+    /// intent may still be logged; `serving` those that take new work unless closed by an order.
     pub(super) fn has_room(
         &self,
         upstream: &UpstreamId,
@@ -41,10 +41,10 @@
         if closed.len() >= self.max_concurrent {
             return false;
         }
-        let left = serving
+        let open = serving
             .iter()
             .filter(|other| *other != upstream && !closed.contains(other));
-        // An upstream that serves nobody anyway takes nothing away.
-        !serving.contains(upstream) || left.count() >= self.min_open
+        // Closing an upstream that does not serve removes no capacity.
+        !serving.contains(upstream) || open.count() >= self.min_open
     }
 }
--- a/crates/authority/src/planner/message.rs
+++ b/crates/authority/src/planner/message.rs
@@ -1,4 +1,4 @@
-//! What goes into a planner and what comes out.
+//! Inputs and outputs of a planner.
 
 use crate::change;
 use crate::engine::Reading;
@@ -9,90 +9,91 @@
 use std::collections::BTreeSet;
 use wire::record::record::Body;
 
-/// Why a change is wanted; the first kind goes first.
+/// Why a change is requested, in descending priority.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Reason {
-    /// An engine was read back in another state than the concluded orders settled.
+    /// The engine differs from its settled state.
     Repair,
-    /// An operator asked for it.
+    /// Requested by an operator.
     Operator,
-    /// The role planner asked for it.
+    /// Requested by the role planner.
     Plan,
 }
 
-/// What a planner is told.
+/// An input of a planner.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed, or records were folded.
     Tick,
-    /// The upstreams of the pool that could take new work if no order closed them: listed as
-    /// live, not drained, not failing.
+    /// The upstreams of the pool that take new work unless closed by an order: listed as live, not
+    /// drained and not failing.
     Serving(BTreeSet<UpstreamId>),
-    /// A change is wanted. It takes the place of one that waits for the same upstream.
+    /// Request a change. It replaces a waiting change of the same upstream, unless that one has a
+    /// higher priority or its intent was sent.
     Request {
         /// The upstream.
         upstream: UpstreamId,
-        /// What it is to do.
+        /// The order to send.
         action: Order,
-        /// Why.
+        /// Why it is requested.
         reason: Reason,
     },
-    /// A change is not wanted any more. One whose intent was sent takes its course.
+    /// Withdraw a requested change. A change whose intent was sent proceeds.
     Withdraw {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Something for the change of this order.
+    /// An input for the change of this order.
     Change(OrderId, change::Input),
     /// An answer to [`Output::Check`].
     Checked {
         /// The upstream.
         upstream: UpstreamId,
-        /// The order that came with the question.
+        /// The order id of the request.
         settled: OrderId,
-        /// The engine.
+        /// State of the engine.
         reading: Reading,
     },
 }
 
-/// What the owner of a planner has to do.
+/// An action for the owner of a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Append a record, once. How it went need not be told.
+    /// Append a record once. The result need not be reported.
     Append {
-        /// The nonce that the record must carry.
+        /// Nonce of the record.
         nonce: Nonce,
-        /// Its body.
+        /// Body of the record.
         body: Body,
     },
-    /// Something to ask or tell the upstream for a change.
+    /// Send a request to the upstream for a change.
     Change {
         /// The upstream.
         upstream: UpstreamId,
-        /// The order.
+        /// Id of the order.
         order: OrderId,
-        /// What to do.
+        /// The request.
         output: change::Output,
     },
-    /// Read the engine while it is idle.
+    /// Read an idle engine.
     Check {
         /// The upstream.
         upstream: UpstreamId,
-        /// Its newest concluded order, to be given back with the answer.
+        /// Its newest concluded order, returned with the answer.
         settled: OrderId,
     },
-    /// An engine differs from what the concluded orders settled; repairs are wanted.
+    /// An engine differs from its settled state.
     Mismatch {
         /// The upstream.
         upstream: UpstreamId,
-        /// The orders that would mend it.
+        /// The orders that restore the settled state.
         repairs: SmallVec<[Order; 1]>,
     },
     /// An order of this scope was concluded.
     Concluded {
         /// The upstream.
         upstream: UpstreamId,
-        /// The order.
+        /// Id of the order.
         order: OrderId,
         /// How it ended.
         verdict: Verdict,
--- a/crates/authority/src/planner/reconcile.rs
+++ b/crates/authority/src/planner/reconcile.rs
@@ -1,4 +1,4 @@
-//! Comparison of idle engines with what the concluded orders settled.
+//! Compares idle engines with their settled state.
 
 use super::{Output, Outputs, Planner, Reason};
 use crate::engine::Reading;
@@ -7,51 +7,52 @@
 use clock::Moment;
 
 impl Planner {
-    /// Asks for a reading of each idle engine now and then.
-    pub(super) fn check(&mut self, now: Moment, state: &State, outputs: &mut Outputs) {
-        for (upstream, known) in state.all_settled() {
+    /// Requests a reading of each idle engine whose reconcile interval has passed.
+    pub(super) fn send_checks(&mut self, now: Moment, state: &State, outputs: &mut Outputs) {
+        for (upstream, settled) in state.all_settled() {
             let busy =
-                state.pending_order(upstream).is_some() || self.wishes.contains_key(upstream);
-            if busy || known.scope != self.scope || !self.serving.contains(upstream) {
+                state.pending_order(upstream).is_some() || self.requested.contains_key(upstream);
+            if busy || settled.scope != self.scope || !self.serving.contains(upstream) {
                 continue;
             }
-            let due = self.checks.entry(upstream.clone()).or_insert(now);
+            let due = self.next_checks.entry(upstream.clone()).or_insert(now);
             if now >= *due {
                 *due = now + self.bounds.reconcile_interval;
                 outputs.push(Output::Check {
                     upstream: upstream.clone(),
-                    settled: known.order,
+                    settled: settled.order,
                 });
             }
         }
-        self.checks
+        self.next_checks
             .retain(|upstream, _| state.settled(upstream).is_some());
     }
 
-    /// A difference shows a restart of the engine, or an order that acted after its outcome was
-    /// logged. The reading is dropped if an order was intended or concluded since the question.
-    pub(super) fn compare(
+    /// A difference means that the engine has restarted, or that an order took effect after its
+    /// outcome was logged. The reading is ignored if an order became pending or was concluded since
+    /// the request.
+    pub(super) fn compare_reading(
         &mut self,
         now: Moment,
         state: &State,
         upstream: UpstreamId,
-        asked: OrderId,
+        checked: OrderId,
         reading: &Reading,
         outputs: &mut Outputs,
     ) {
-        let known = state.settled(&upstream);
-        let Some(known) = known.filter(|known| known.order == asked) else {
+        let settled = state.settled(&upstream);
+        let Some(settled) = settled.filter(|settled| settled.order == checked) else {
             return;
         };
         if state.pending_order(&upstream).is_some() || reading.is_running() {
             return;
         }
-        let repairs = reading.repairs(known);
+        let repairs = reading.repairs(settled);
         let Some(first) = repairs.first() else {
             return;
         };
         self.mismatches += 1;
-        self.want(now, upstream.clone(), first.clone(), Reason::Repair);
+        self.request(now, upstream.clone(), first.clone(), Reason::Repair);
         outputs.push(Output::Mismatch { upstream, repairs });
     }
 }
