--- a/crates/claims/examples/cost.rs
+++ b/crates/claims/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Measures what claims cost in time, memory and bytes, for `docs/CAPACITY.md`:
+//! Measures the cost of claims in time, memory and bytes for `docs/CAPACITY.md`. Run with
 //! `cargo run --release -p claims --example cost [CLAIMS] [BATCH]`.
 
 use std::error::Error;
@@ -12,7 +12,9 @@
 const HOLDERS: u64 = 8;
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let mut arguments = std::env::args().skip(1).map(|word| word.parse::<u64>());
+    let mut arguments = std::env::args()
+        .skip(1)
+        .map(|argument| argument.parse::<u64>());
     let claims = arguments.next().transpose()?.unwrap_or(100_000);
     let batch = arguments.next().transpose()?.unwrap_or(16);
     let records: Vec<Record> = (0..claims / batch)
@@ -25,21 +27,21 @@
     );
 
     let before = resident()?;
-    let mut book = ClaimTable::new();
+    let mut table = ClaimTable::new();
     let start = Instant::now();
     for (offset, record) in (1..).zip(&records) {
-        book.apply(offset, record);
+        table.apply(offset, record);
     }
     let each = start.elapsed().as_nanos() as u64 / claims;
-    println!("{} claims folded, {each} ns each", book.len());
+    println!("{} claims folded, {each} ns each", table.len());
     let grown = (resident()? - before) * 1024;
     println!("{} bytes of memory a claim", grown / claims);
     let start = Instant::now();
-    book.forget_before(records.len() as u64 + 1);
+    table.forget_before(records.len() as u64 + 1);
     println!(
         "all forgotten in {:?}, {} left",
         start.elapsed(),
-        book.len()
+        table.len()
     );
     Ok(())
 }
@@ -67,13 +69,13 @@
     }
 }
 
-/// Resident memory in KiB.
+/// Resident memory of this process in KiB.
 fn resident() -> Result<u64, Box<dyn Error>> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
         .lines()
         .find(|line| line.starts_with("VmRSS:"))
-        .ok_or("no VmRSS")?;
-    let words = line.split_whitespace().nth(1).ok_or("no figure")?;
-    Ok(words.parse()?)
+        .ok_or("VmRSS is missing")?;
+    let value = line.split_whitespace().nth(1).ok_or("VmRSS has no value")?;
+    Ok(value.parse()?)
 }
--- a/crates/claims/src/batcher.rs
+++ b/crates/claims/src/batcher.rs
@@ -1,4 +1,4 @@
-//! Claims the keys of this process's calls in groups and decides for each call.
+//! Claims the keys of this process's calls in batches and decides each call.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,13 +7,13 @@
 use wire::record::record::Body;
 use wire::record::{KeyEnd, Record};
 
-use crate::ledger::{Ledger, Phase};
+use crate::call_table::{CallTable, Phase};
 use crate::outcomes::Outcomes;
 use crate::{
     Call, CallEnd, CallId, ClaimTable, Decision, Digest, Effect, Executed, Holder, Input, Limits,
     LogStatus, Nonce, Offset, OutagePolicy, Output, Outputs,
 };
-use append::Flight;
+use append::InFlightAppend;
 
 mod append;
 mod read_back;
@@ -21,165 +21,170 @@
 /// The claims of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Batcher {
-    pace: Limits,
+    limits: Limits,
     holder: Arc<Holder>,
     seed: u64,
-    drawn: u64,
-    book: ClaimTable,
-    ledger: Ledger,
+    nonces_used: u64,
+    claims: ClaimTable,
+    calls: CallTable,
     outcomes: Outcomes,
-    flights: BTreeMap<Nonce, Flight>,
-    /// When claims may be appended next.
-    next: Moment,
-    /// Keys that ran here although another call holds their claim.
+    in_flight: BTreeMap<Nonce, InFlightAppend>,
+    /// Earliest time of the next append of claims.
+    next_claims: Moment,
+    /// Keys of calls that ran here although another call holds the claim.
     contested: BTreeSet<Digest>,
-    reach: LogStatus,
+    log: LogStatus,
 }
 
 impl Batcher {
-    /// A batcher for this run of this instance. `seed` begins its nonces and must be drawn at
-    /// random. The log counts as out until it is said to be up.
-    pub fn new(holder: Holder, seed: u64, pace: Limits) -> Self {
+    /// Creates a batcher for this run of this instance. Its nonces start with `seed`, which must be
+    /// drawn at random. The log counts as down until [`Input::Log`] reports it up.
+    pub fn new(holder: Holder, seed: u64, limits: Limits) -> Self {
         Self {
-            pace,
+            limits,
             holder: Arc::new(holder),
             seed,
-            drawn: 0,
-            book: ClaimTable::new(),
-            ledger: Ledger::default(),
+            nonces_used: 0,
+            claims: ClaimTable::new(),
+            calls: CallTable::default(),
             outcomes: Outcomes::default(),
-            flights: BTreeMap::new(),
-            next: Moment::ZERO,
+            in_flight: BTreeMap::new(),
+            next_claims: Moment::ZERO,
             contested: BTreeSet::new(),
-            reach: LogStatus::Down,
+            log: LogStatus::Down,
         }
     }
 
     /// The claims in force.
     pub fn claims(&self) -> &ClaimTable {
-        &self.book
+        &self.claims
     }
 
-    /// Calls that are held.
+    /// Number of open calls.
     pub fn open_calls(&self) -> usize {
-        self.ledger.len()
+        self.calls.len()
     }
 
-    /// Forgets claims before the first offset that the log retains.
+    /// Drops claims before `first`, the first offset that the log retains.
     pub fn forget_before(&mut self, first: Offset) {
-        self.book.forget_before(first);
+        self.claims.forget_before(first);
     }
 
-    /// When [`Input::Tick`] is wanted next.
+    /// When [`Input::Tick`] is needed next.
     pub fn next_wake(&self) -> Option<Moment> {
-        let timer = self.ledger.next_timer();
-        let outcomes = self.outcomes.expires(self.pace.read_back_timeout);
-        let flights = self
-            .flights
+        let timer = self.calls.next_timer();
+        let outcomes = self.outcomes.expires_at(self.limits.read_back_timeout);
+        let expiries = self
+            .in_flight
             .values()
-            .filter(|flight| flight.landed.is_none())
-            .map(|flight| flight.sent + self.pace.read_back_timeout);
+            .filter(|append| append.offset.is_none())
+            .map(|append| append.sent_at + self.limits.read_back_timeout);
         let mut appends: Option<Moment> = None;
-        if self.reach == LogStatus::Up {
-            let claims = self.ledger.has_queued() && self.flights.len() < self.pace.max_in_flight;
-            let due = self.outcomes.due(self.pace.outcome_interval);
-            appends = claims.then_some(self.next).into_iter().chain(due).min();
+        if self.log == LogStatus::Up {
+            let claims =
+                self.calls.has_queued() && self.in_flight.len() < self.limits.max_in_flight;
+            let due = self.outcomes.due_at(self.limits.outcome_interval);
+            appends = claims
+                .then_some(self.next_claims)
+                .into_iter()
+                .chain(due)
+                .min();
         }
-        flights.chain(timer).chain(outcomes).chain(appends).min()
+        expiries.chain(timer).chain(outcomes).chain(appends).min()
     }
 
-    /// Takes one input.
+    /// Applies an input.
     pub fn step(&mut self, now: Moment, input: Input) -> Outputs {
         let mut outputs = Outputs::new();
         match input {
-            Input::Call(call) => self.call(now, call, &mut outputs),
-            Input::CallerGone(ticket) => self.gone(ticket),
-            Input::Ended(ticket, end) => self.ended(ticket, end),
+            Input::Call(call) => self.handle_call(now, call, &mut outputs),
+            Input::CallerGone(id) => self.handle_caller_gone(id),
+            Input::Ended(id, end) => self.handle_ended(id, end),
             Input::Appended(nonce, offset) => {
-                if let Some(flight) = self.flights.get_mut(&nonce) {
-                    flight.landed = Some(offset);
+                if let Some(append) = self.in_flight.get_mut(&nonce) {
+                    append.offset = Some(offset);
                 }
             }
             Input::Rejected(nonce) => {
-                self.next = self.next.max(now + self.pace.retry_delay);
+                self.next_claims = self.next_claims.max(now + self.limits.retry_delay);
                 self.requeue(&nonce);
             }
-            // It may stand in the log or come yet, and is waited for as if nothing had happened.
+            // The record may be in the log or still be logged, so the append stays in flight.
             Input::AnswerLost(_) | Input::Tick => {}
-            Input::Log(reach) => self.log(reach, &mut outputs),
+            Input::Log(status) => self.handle_log_status(status, &mut outputs),
         }
-        self.timers(now, &mut outputs);
-        self.appends(now, &mut outputs);
+        self.run_timers(now, &mut outputs);
+        self.append_due(now, &mut outputs);
         outputs
     }
 
     /// Folds one record of the log.
     pub fn fold(&mut self, now: Moment, offset: Offset, record: &Record) -> Outputs {
         let mut outputs = Outputs::new();
-        let folded = self.book.apply(offset, record);
-        let own = folded != Effect::Repeated && self.wrote(record);
+        let effect = self.claims.apply(offset, record);
+        let own = effect != Effect::Repeated && self.is_own(record);
         if own && let Ok(nonce) = Nonce::try_from(record.nonce.as_slice()) {
-            self.flights.remove(&nonce);
+            self.in_flight.remove(&nonce);
             self.outcomes.read_back(&nonce);
         }
-        if let (Effect::Claims(won), Some(Body::KeyClaims(batch))) = (&folded, &record.body) {
+        if let (Effect::Claims(won), Some(Body::KeyClaims(batch))) = (&effect, &record.body) {
             for (claim, won) in batch.claims.iter().zip(won) {
                 if own {
-                    self.read_back(now, offset, claim, *won, &mut outputs);
+                    self.handle_own_claim(now, offset, claim, *won, &mut outputs);
                 } else if *won {
-                    self.forestalled(claim, &mut outputs);
+                    self.handle_claim_of_another(claim, &mut outputs);
                 }
             }
         }
-        self.timers(now, &mut outputs);
-        self.appends(now, &mut outputs);
+        self.run_timers(now, &mut outputs);
+        self.append_due(now, &mut outputs);
         outputs
     }
 
-    fn call(&mut self, now: Moment, call: Call, outputs: &mut Outputs) {
-        let ticket = call.id;
-        let decision = if let Some(decision) = self.known(&call) {
+    fn handle_call(&mut self, now: Moment, call: Call, outputs: &mut Outputs) {
+        let id = call.id;
+        let decision = if let Some(decision) = self.decide_known(&call) {
             decision
-        } else if self.ledger.len() >= self.pace.max_calls || call.deadline <= now {
+        } else if self.calls.len() >= self.limits.max_calls || call.deadline <= now {
             Decision::Refused {
                 executed: call.executed(),
             }
-        } else if self.reach == LogStatus::Up {
-            let timer = self.timer(now, &call);
-            self.ledger.insert(call, Phase::Waiting, timer);
+        } else if self.log == LogStatus::Up {
+            let timer = self.first_timer(now, &call);
+            self.calls.insert(call, Phase::Waiting, timer);
             return;
         } else if call.runs_unclaimed() {
-            self.ledger.insert(call, Phase::Running, now);
+            self.calls.insert(call, Phase::Running, now);
             Decision::RunUnclaimed
         } else {
             Decision::Refused {
                 executed: call.executed(),
             }
         };
-        outputs.push(Output::Decide(ticket, decision));
+        outputs.push(Output::Decide(id, decision));
     }
 
-    /// What is decided without a new claim.
-    fn known(&self, call: &Call) -> Option<Decision> {
+    /// Decides a call that needs no new claim.
+    fn decide_known(&self, call: &Call) -> Option<Decision> {
         if call.policy == OutagePolicy::FirstAttempt && call.attempt.is_none() {
             return Some(Decision::AttemptRequired);
         }
-        if let Some(claim) = self.book.claim(&call.key) {
-            return Some(Decision::repeat(claim, &call.fingerprint));
+        if let Some(claim) = self.claims.claim(&call.key) {
+            return Some(Decision::for_claimed_key(claim, &call.fingerprint));
         }
-        // The claim of a call here is perhaps not in the log yet, or cannot be.
-        if let Some(held) = self.ledger.by_key(&call.key) {
-            let (holder, request) = (Arc::clone(&self.holder), held.call.request.as_str().into());
-            return Some(if held.call.fingerprint != call.fingerprint {
+        // An open call here may have a claim that is not in the log yet, or cannot be appended.
+        if let Some(open) = self.calls.by_key(&call.key) {
+            let (holder, request) = (Arc::clone(&self.holder), open.call.request.as_str().into());
+            return Some(if open.call.fingerprint != call.fingerprint {
                 Decision::Conflict
-            } else if held.phase == Phase::Ended(CallEnd::Answered) {
+            } else if open.phase == Phase::Ended(CallEnd::Answered) {
                 Decision::Answered { holder, request }
             } else {
                 Decision::InProgress { holder, request }
             });
         }
-        // The first attempt may be running without a claim at an instance that cannot be asked. If a
-        // later one ran because its claim wins, the call would have run twice.
+        // The first attempt may be running without a claim at an instance that cannot be reached. If
+        // a later attempt could win the claim and run, the call would run twice.
         if call.policy == OutagePolicy::FirstAttempt && !call.runs_unclaimed() {
             return Some(Decision::Refused {
                 executed: Executed::Unknown,
@@ -188,40 +193,36 @@
         None
     }
 
-    fn timer(&self, now: Moment, call: &Call) -> Moment {
+    fn first_timer(&self, now: Moment, call: &Call) -> Moment {
         if call.runs_unclaimed() {
-            call.deadline.min(now + self.pace.first_attempt_wait)
+            call.deadline.min(now + self.limits.first_attempt_wait)
         } else {
             call.deadline
         }
     }
 
-    fn gone(&mut self, ticket: CallId) {
+    fn handle_caller_gone(&mut self, id: CallId) {
         let waiting = |phase| phase == Phase::Waiting;
-        if self
-            .ledger
-            .get(ticket)
-            .is_some_and(|held| waiting(held.phase))
-        {
-            self.ledger.remove(ticket);
+        if self.calls.get(id).is_some_and(|open| waiting(open.phase)) {
+            self.calls.remove(id);
         }
     }
 
-    fn ended(&mut self, ticket: CallId, end: CallEnd) {
-        let Some(held) = self.ledger.get_mut(ticket) else {
+    fn handle_ended(&mut self, id: CallId, end: CallEnd) {
+        let Some(open) = self.calls.get_mut(id) else {
             return;
         };
-        if held.phase != Phase::Running {
+        if open.phase != Phase::Running {
             return;
         }
-        let (key, claim) = (held.call.key, held.claim);
-        // A call that ran before its claim was in the log is kept until the claim is read back, so
-        // that a repeat here finds it and the claim is not taken for one of a call that never ran.
-        if held.unclaimed && end != CallEnd::NotRun {
-            held.phase = Phase::Ended(end);
+        let (key, claim) = (open.call.key, open.claim);
+        // Keep a call that ran without a claim until its claim is read back. Repeats here then find
+        // it, and the claim is not mistaken for that of a call that never ran.
+        if open.unclaimed && end != CallEnd::NotRun {
+            open.phase = Phase::Ended(end);
             return;
         }
-        self.ledger.remove(ticket);
+        self.calls.remove(id);
         match (claim, end) {
             (Some(claim), CallEnd::Answered) => self.outcomes.add(&key, claim, KeyEnd::Answered),
             (Some(claim), CallEnd::NotRun) => self.outcomes.add(&key, claim, KeyEnd::NotRun),
@@ -229,55 +230,55 @@
         }
     }
 
-    fn log(&mut self, reach: LogStatus, outputs: &mut Outputs) {
-        self.reach = reach;
-        if reach == LogStatus::Up {
+    fn handle_log_status(&mut self, status: LogStatus, outputs: &mut Outputs) {
+        self.log = status;
+        if status == LogStatus::Up {
             return;
         }
-        for ticket in self.ledger.waiting() {
-            self.decide_unclaimed(ticket, outputs);
+        for id in self.calls.waiting() {
+            self.decide_unclaimed(id, outputs);
         }
     }
 
-    /// Decides a call whose claim is not read back and can no longer be waited for.
-    fn decide_unclaimed(&mut self, ticket: CallId, outputs: &mut Outputs) {
-        let Some(held) = self.ledger.get(ticket) else {
+    /// Decides a call that can no longer wait for its claim.
+    fn decide_unclaimed(&mut self, id: CallId, outputs: &mut Outputs) {
+        let Some(open) = self.calls.get(id) else {
             return;
         };
-        let decision = if held.call.runs_unclaimed() {
-            self.ledger.run(ticket);
+        let decision = if open.call.runs_unclaimed() {
+            self.calls.mark_running(id);
             Decision::RunUnclaimed
         } else {
-            let executed = held.call.executed();
-            // It is forgotten, so that nothing can make it run any more. If its claim still lands
-            // and wins, it is concluded as not run.
-            self.ledger.remove(ticket);
+            let executed = open.call.executed();
+            // Remove the call so that it can no longer run. If its claim is logged later and wins,
+            // it is concluded as not run.
+            self.calls.remove(id);
             Decision::Refused { executed }
         };
-        outputs.push(Output::Decide(ticket, decision));
+        outputs.push(Output::Decide(id, decision));
     }
 
-    fn timers(&mut self, now: Moment, outputs: &mut Outputs) {
-        while let Some(ticket) = self.ledger.due(now) {
-            let Some(held) = self.ledger.get(ticket) else {
+    fn run_timers(&mut self, now: Moment, outputs: &mut Outputs) {
+        while let Some(id) = self.calls.pop_due(now) {
+            let Some(open) = self.calls.get(id) else {
                 continue;
             };
-            let (deadline, executed) = (held.call.deadline, held.call.executed());
+            let (deadline, executed) = (open.call.deadline, open.call.executed());
             if deadline <= now {
-                self.ledger.remove(ticket);
-                outputs.push(Output::Decide(ticket, Decision::Refused { executed }));
-            } else if held.call.runs_unclaimed() {
-                self.decide_unclaimed(ticket, outputs);
+                self.calls.remove(id);
+                outputs.push(Output::Decide(id, Decision::Refused { executed }));
+            } else if open.call.runs_unclaimed() {
+                self.decide_unclaimed(id, outputs);
             } else {
-                self.ledger.postpone(ticket, deadline);
+                self.calls.set_timer(id, deadline);
             }
         }
-        self.outcomes.expire(now, self.pace.read_back_timeout);
-        self.expire_flights(now);
+        self.outcomes.expire(now, self.limits.read_back_timeout);
+        self.expire_appends(now);
     }
 
-    /// True if this run of this instance wrote the record.
-    fn wrote(&self, record: &Record) -> bool {
+    /// Whether this run of this instance wrote the record.
+    fn is_own(&self, record: &Record) -> bool {
         let author = record.author.as_ref().map(Holder::from);
         author.as_ref() == Some(&*self.holder)
     }
--- a/crates/claims/src/batcher/read_back.rs
+++ b/crates/claims/src/batcher/read_back.rs
@@ -1,4 +1,4 @@
-//! Takes up claims that the log shows and decides the calls that wait for them.
+//! Handles claims read back from the log and decides the calls that wait for them.
 
 use std::sync::Arc;
 
@@ -6,24 +6,24 @@
 use wire::record::{KeyClaim, KeyEnd};
 
 use super::Batcher;
-use crate::ledger::Phase;
+use crate::call_table::Phase;
 use crate::{CallEnd, CallId, Decision, Digest, Executed, Offset, Output, Outputs};
 
 impl Batcher {
-    /// Takes up a claim of another process that is now in force. A call here with its key has lost,
-    /// though its own claim is not read back yet: if it waited for that it could meanwhile run
-    /// unclaimed, or be refused as not run, beside the other.
-    pub(super) fn forestalled(&mut self, claim: &KeyClaim, outputs: &mut Outputs) {
+    /// Handles a claim of another process that is now in force. An open call here with the same key
+    /// has lost, even if its own claim is not read back yet. If it kept waiting, it could run without
+    /// a claim, or be refused as not run, while the other call runs.
+    pub(super) fn handle_claim_of_another(&mut self, claim: &KeyClaim, outputs: &mut Outputs) {
         let key = Digest::try_from(claim.key.as_slice());
-        let held = key.ok().and_then(|key| self.ledger.by_key(&key));
-        if let Some(held) = held.filter(|held| held.unclaimed) {
-            let ticket = held.call.id;
-            self.lost(ticket, outputs);
+        let open = key.ok().and_then(|key| self.calls.by_key(&key));
+        if let Some(open) = open.filter(|open| open.unclaimed) {
+            let id = open.call.id;
+            self.handle_lost(id, outputs);
         }
     }
 
-    /// Takes up a claim of this process that the log shows.
-    pub(super) fn read_back(
+    /// Handles a claim of this process.
+    pub(super) fn handle_own_claim(
         &mut self,
         now: Moment,
         offset: Offset,
@@ -34,79 +34,76 @@
         let Ok(key) = Digest::try_from(claim.key.as_slice()) else {
             return;
         };
-        let held = self.ledger.by_key(&key);
-        let Some(held) = held.filter(|held| held.call.request == claim.request) else {
-            // The call was given up, or it was concluded as not run and this is a second copy of
-            // its claim. It will never run, and unless this is said the key stays blocked.
+        let open = self.calls.by_key(&key);
+        let Some(open) = open.filter(|open| open.call.request == claim.request) else {
+            // The call was refused, or concluded as not run and this is a second copy of its claim.
+            // It will never run. Without this outcome, the key would stay blocked.
             if won && !self.contested.contains(&key) {
                 self.outcomes.add(&key, offset, KeyEnd::NotRun);
             }
             return;
         };
-        let ticket = held.call.id;
+        let id = open.call.id;
         if won {
-            self.won(now, offset, ticket, outputs);
-        } else if held.unclaimed {
-            self.lost(ticket, outputs);
+            self.handle_won(now, offset, id, outputs);
+        } else if open.unclaimed {
+            self.handle_lost(id, outputs);
         }
     }
 
-    fn won(&mut self, now: Moment, offset: Offset, ticket: CallId, outputs: &mut Outputs) {
-        let gap = self.book.has_gap();
-        let Some(held) = self.ledger.get_mut(ticket) else {
+    fn handle_won(&mut self, now: Moment, offset: Offset, id: CallId, outputs: &mut Outputs) {
+        let gap = self.claims.has_gap();
+        let Some(open) = self.calls.get_mut(id) else {
             return;
         };
-        held.claim = Some(offset);
-        held.unclaimed = false;
-        let (key, phase, give_up) = (held.call.key, held.phase, held.call.deadline);
+        open.claim = Some(offset);
+        open.unclaimed = false;
+        let (key, phase, deadline) = (open.call.key, open.phase, open.call.deadline);
         match phase {
             Phase::Running => {}
             Phase::Ended(end) => {
-                self.ledger.remove(ticket);
+                self.calls.remove(id);
                 if end == CallEnd::Answered {
                     self.outcomes.add(&key, offset, KeyEnd::Answered);
                 }
             }
-            // A process that was paused wakes up long after its caller has gone, and perhaps after
-            // an answer that it did not run.
-            Phase::Waiting if gap || give_up <= now => {
+            // A process resuming from a pause may read its claim long after the caller has gone, or
+            // was told that the call did not run.
+            Phase::Waiting if gap || deadline <= now => {
                 let executed = if gap { Executed::Unknown } else { Executed::No };
-                self.ledger.remove(ticket);
+                self.calls.remove(id);
                 self.outcomes.add(&key, offset, KeyEnd::NotRun);
-                outputs.push(Output::Decide(ticket, Decision::Refused { executed }));
+                outputs.push(Output::Decide(id, Decision::Refused { executed }));
             }
             Phase::Waiting => {
-                self.ledger.run(ticket);
+                self.calls.mark_running(id);
                 let decision = Decision::Run { claim: offset };
-                outputs.push(Output::Decide(ticket, decision));
+                outputs.push(Output::Decide(id, decision));
             }
         }
     }
 
-    fn lost(&mut self, ticket: CallId, outputs: &mut Outputs) {
-        let Some(held) = self.ledger.get_mut(ticket) else {
+    fn handle_lost(&mut self, id: CallId, outputs: &mut Outputs) {
+        let Some(open) = self.calls.get_mut(id) else {
             return;
         };
-        held.unclaimed = false;
-        let (key, phase) = (held.call.key, held.phase);
+        open.unclaimed = false;
+        let (key, phase) = (open.call.key, open.phase);
         if phase == Phase::Waiting {
-            let decision = Decision::lost(&self.book, &key, &held.call.fingerprint);
-            self.ledger.remove(ticket);
-            outputs.push(Output::Decide(ticket, decision));
+            let decision = Decision::for_lost_claim(&self.claims, &key, &open.call.fingerprint);
+            self.calls.remove(id);
+            outputs.push(Output::Decide(id, decision));
             return;
         }
-        if let Some(claim) = self.book.claim(&key) {
+        if let Some(claim) = self.claims.claim(&key) {
             let holder = Arc::clone(&claim.holder);
-            // If the other call is concluded as not run, a second copy of this call's claim could
-            // win, and would be concluded as not run as well, although it ran.
+            // If the other call is concluded as not run, a second copy of this call's claim may win.
+            // It must not be concluded as not run, because this call ran.
             self.contested.insert(key);
-            outputs.push(Output::Contested {
-                call: ticket,
-                holder,
-            });
+            outputs.push(Output::Contested { call: id, holder });
         }
         if phase != Phase::Running {
-            self.ledger.remove(ticket);
+            self.calls.remove(id);
         }
     }
 }
--- a/crates/claims/src/claim_table.rs
+++ b/crates/claims/src/claim_table.rs
@@ -1,4 +1,4 @@
-//! The fold of all claims that the log retains.
+//! The fold of all claims retained in the log.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,44 +12,44 @@
 /// The claim in force of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// The record that holds it.
+    /// Offset of the record with the claim.
     pub offset: Offset,
-    /// The process that may run the call, and no other.
+    /// The only process that may run the call.
     pub holder: Arc<Holder>,
     /// Request id at the holder.
     pub request: Box<str>,
-    /// What the key was used for.
+    /// Digest of the call that the key was used for.
     pub fingerprint: Digest,
-    /// True once the holder has said that the call ran and was answered.
+    /// Whether the holder has logged that the call was answered.
     pub answered: bool,
 }
 
-/// What a record did to the claims.
+/// The effect of a record on the claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It holds claims; for each in turn whether it is now the one in force.
+    /// The record contains claims. For each of them, in order, whether it is now in force.
     Claims(SmallVec<[bool; 8]>),
-    /// It concerns others, or concludes claims.
+    /// The record concludes claims or does not concern claims.
     Other,
-    /// It was folded before.
+    /// The offset was folded before.
     Repeated,
 }
 
-/// All claims in force. It must be folded from the first record that the log retains, not from a
-/// snapshot, which holds no claims.
+/// All claims in force. It must be folded from the first record that the log retains, because
+/// snapshots contain no claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClaimTable {
     claims: BTreeMap<Digest, Claim>,
-    /// Keys in the order in which they were claimed, so that forgetting touches only what goes.
-    order: VecDeque<(Offset, Digest)>,
-    /// One copy of each holder for all of its claims.
+    /// Keys in the order of their claims, so that dropping old claims visits only these.
+    by_offset: VecDeque<(Offset, Digest)>,
+    /// Holders, shared by their claims.
     holders: BTreeSet<Arc<Holder>>,
     folded: Offset,
     gap: bool,
 }
 
 impl ClaimTable {
-    /// The book before the first record.
+    /// Creates the table before the first record.
     pub fn new() -> Self {
         Self::default()
     }
@@ -64,30 +64,30 @@
         self.claims.len()
     }
 
-    /// True if no claim is in force.
+    /// Whether no claim is in force.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Offset of the newest folded record.
+    /// Offset of the last folded record.
     pub fn folded(&self) -> Offset {
         self.folded
     }
 
-    /// True if retained records were passed over. A claim in them could be the first, so that
-    /// nobody who reads this book may believe to have won.
+    /// Whether retained records were skipped. The skipped records may contain earlier claims, so no
+    /// claim in this table is known to be the first.
     pub fn has_gap(&self) -> bool {
         self.gap
     }
 
-    /// Forgets claims that the log no longer retains; `first` is the first retained offset. Called
-    /// before the first record is folded, and from time to time after.
+    /// Drops claims that the log no longer retains; `first` is the first retained offset. Call this
+    /// before folding the first record and regularly afterwards.
     pub fn forget_before(&mut self, first: Offset) {
-        while let Some((offset, key)) = self.order.front().copied() {
+        while let Some((offset, key)) = self.by_offset.front().copied() {
             if offset >= first {
                 break;
             }
-            self.order.pop_front();
+            self.by_offset.pop_front();
             if self
                 .claims
                 .get(&key)
@@ -100,7 +100,7 @@
         self.folded = self.folded.max(first.saturating_sub(1));
     }
 
-    /// Folds one record. All records are handed in, in order, whatever they hold.
+    /// Folds one record. The caller passes every record in order, whatever its kind.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Effect {
         if offset <= self.folded {
             return Effect::Repeated;
@@ -111,12 +111,12 @@
         self.folded = offset;
         match &record.body {
             Some(Body::KeyClaims(batch)) => {
-                let holder = self.holder(holder(record));
-                let claim = |claim| self.take(offset, &holder, claim);
-                Effect::Claims(batch.claims.iter().map(claim).collect())
+                let holder = self.intern(author_of(record));
+                let insert = |claim| self.insert(offset, &holder, claim);
+                Effect::Claims(batch.claims.iter().map(insert).collect())
             }
             Some(Body::KeyOutcomes(batch)) => {
-                let holder = holder(record);
+                let holder = author_of(record);
                 for outcome in &batch.outcomes {
                     self.conclude(&holder, outcome);
                 }
@@ -126,15 +126,15 @@
         }
     }
 
-    fn take(&mut self, offset: Offset, holder: &Arc<Holder>, raw: &KeyClaim) -> bool {
+    fn insert(&mut self, offset: Offset, holder: &Arc<Holder>, raw: &KeyClaim) -> bool {
         let (Ok(key), Ok(fingerprint)) = (
             Digest::try_from(raw.key.as_slice()),
             Digest::try_from(raw.fingerprint.as_slice()),
         ) else {
             return false;
         };
-        // The first claim wins. If a later one could replace it, the holder of the first, which has
-        // perhaps just been told to run, and that of the later one would both send the call.
+        // The first claim wins. If a later claim could replace it, both holders could send the call:
+        // that of the first claim may already have been told to run it.
         if self.claims.contains_key(&key) {
             return false;
         }
@@ -146,7 +146,7 @@
             answered: false,
         };
         self.claims.insert(key, claim);
-        self.order.push_back((offset, key));
+        self.by_offset.push_back((offset, key));
         true
     }
 
@@ -157,14 +157,14 @@
         let Some(claim) = self.claims.get_mut(&key) else {
             return;
         };
-        // Only the process that holds the claim knows whether a byte left it. An outcome of an
-        // earlier claim, or of another process, must not free a key that is perhaps being run.
+        // Only the holder of the claim knows whether it sent the call. An outcome of an earlier
+        // claim or from another process must not free a key whose call may be running.
         if claim.offset != outcome.claim || *claim.holder != *holder {
             return;
         }
         match outcome.end() {
             KeyEnd::Answered => claim.answered = true,
-            // What was once said to have run stays so.
+            // A call that was reported as answered stays answered.
             KeyEnd::NotRun if !claim.answered => {
                 self.claims.remove(&key);
             }
@@ -172,16 +172,16 @@
         }
     }
 
-    fn holder(&mut self, holder: Holder) -> Arc<Holder> {
+    fn intern(&mut self, holder: Holder) -> Arc<Holder> {
         let holder = Arc::new(holder);
-        if let Some(known) = self.holders.get(&holder) {
-            return Arc::clone(known);
+        if let Some(shared) = self.holders.get(&holder) {
+            return Arc::clone(shared);
         }
         self.holders.insert(Arc::clone(&holder));
         holder
     }
 }
 
-fn holder(record: &Record) -> Holder {
+fn author_of(record: &Record) -> Holder {
     record.author.as_ref().map(Holder::from).unwrap_or_default()
 }
--- a/crates/claims/src/decision.rs
+++ b/crates/claims/src/decision.rs
@@ -1,56 +1,56 @@
-//! What is decided for a call, and how it ended.
+//! Decisions on calls, and how calls end.
 
 use std::sync::Arc;
 
 use crate::{Claim, ClaimTable, Digest, Holder, Offset};
 
-/// Whether the request under a key has been executed, as it is told to the caller.
+/// Whether the request with a key was executed, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Executed {
-    /// Certainly not, by any attempt.
+    /// No attempt was executed.
     No,
-    /// Perhaps.
+    /// An attempt may have been executed.
     Unknown,
 }
 
-/// What the entry does with a call.
+/// What the entry must do with a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// Send it, once, and report how it ended. Its claim is in the log.
+    /// Send the call once and report how it ended. Its claim is in the log.
     Run {
         /// Offset of the claim.
         claim: Offset,
     },
-    /// Send it, once, and report how it ended. Its claim is not in the log yet.
+    /// Send the call once and report how it ended. Its claim is not in the log yet.
     RunUnclaimed,
-    /// Another call with the key is not concluded; its holder can be asked.
+    /// Another call with the key is not concluded. Its holder can be asked.
     InProgress {
-        /// The process that has it, perhaps dead.
+        /// The process that holds the claim. It may have ended.
         holder: Arc<Holder>,
-        /// Request id there.
+        /// Request id at the holder.
         request: Box<str>,
     },
-    /// Another call with the key was answered; its holder may still have the answer.
+    /// Another call with the key was answered. Its holder may still have the answer.
     Answered {
-        /// The process that had it.
+        /// The process that ran the call.
         holder: Arc<Holder>,
-        /// Request id there.
+        /// Request id at the holder.
         request: Box<str>,
     },
-    /// The key was used for something else.
+    /// The key was used for a different request.
     Conflict,
-    /// It does not run and will not.
+    /// The call did not run and will not.
     Refused {
-        /// What the caller is told of the key.
+        /// Whether an attempt with the key may have been executed.
         executed: Executed,
     },
-    /// The entry's calls must declare their attempt, and this one does not.
+    /// The entry requires calls to declare their attempt, and this call does not.
     AttemptRequired,
 }
 
 impl Decision {
-    /// What a call meets whose key is claimed already.
-    pub(crate) fn repeat(claim: &Claim, fingerprint: &Digest) -> Self {
+    /// Decides a call whose key is already claimed.
+    pub(crate) fn for_claimed_key(claim: &Claim, fingerprint: &Digest) -> Self {
         let (holder, request) = (Arc::clone(&claim.holder), claim.request.clone());
         if claim.fingerprint != *fingerprint {
             Self::Conflict
@@ -61,11 +61,11 @@
         }
     }
 
-    /// What a call meets whose claim was not the first. If the first was concluded in the meantime
-    /// the key may be free again, but this call's claim is spent.
-    pub(crate) fn lost(book: &ClaimTable, key: &Digest, fingerprint: &Digest) -> Self {
-        match book.claim(key) {
-            Some(claim) => Self::repeat(claim, fingerprint),
+    /// Decides a call whose claim was not the first. If the first claim was concluded in the
+    /// meantime, the key may be free again, but the claim of this call is void.
+    pub(crate) fn for_lost_claim(claims: &ClaimTable, key: &Digest, fingerprint: &Digest) -> Self {
+        match claims.claim(key) {
+            Some(claim) => Self::for_claimed_key(claim, fingerprint),
             None => Self::Refused {
                 executed: Executed::Unknown,
             },
@@ -73,13 +73,13 @@
     }
 }
 
-/// How a call ended that was to run.
+/// How a call that was told to run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallEnd {
-    /// It ran and its answer came back.
+    /// The call ran, and its answer arrived.
     Answered,
-    /// No byte of it left this process, and none will.
+    /// No byte of the call left this process, and none will.
     NotRun,
-    /// A byte of it may have left, and no answer came back.
+    /// Part of the call may have left this process, and no answer arrived.
     Unknown,
 }
--- a/crates/claims/src/holder.rs
+++ b/crates/claims/src/holder.rs
@@ -2,13 +2,13 @@
 
 use wire::record::Author;
 
-/// One run of one instance. A restarted instance is another holder: it does not know what its
-/// predecessor sent.
+/// One run of one instance. A restarted instance is a different holder: it does not know what the
+/// earlier run sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Holder {
     /// Instance id from the settings.
     pub instance: String,
-    /// Milliseconds since the Unix epoch at which the process started.
+    /// Start time of the process in milliseconds since the Unix epoch.
     pub incarnation: u64,
 }
 
--- a/crates/claims/src/message.rs
+++ b/crates/claims/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the batcher and what comes out.
+//! Limits, inputs and outputs of the batcher.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,24 +8,26 @@
 
 use crate::{Call, CallEnd, CallId, Decision, Holder, Nonce, Offset};
 
-/// How appends are spent. The log takes several hundred a second for all processes together.
+/// Limits of the batcher. They bound its appends because the log accepts only several hundred
+/// appends per second from all processes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Most claims, or outcomes, in one append.
+    /// Largest number of claims, or of outcomes, in one append.
     pub max_batch: usize,
-    /// Most appends of claims that are not read back.
+    /// Largest number of appends of claims that are not read back.
     pub max_in_flight: usize,
-    /// Least time between two appends of claims.
+    /// Minimum time between two appends of claims.
     pub claim_interval: Duration,
-    /// Least time between two appends of outcomes.
+    /// Minimum time between two appends of outcomes.
     pub outcome_interval: Duration,
-    /// Least time from an append that the log rejected to the next one.
+    /// Minimum time between an append that the log rejected and the next append of claims.
     pub retry_delay: Duration,
-    /// How long an append may go unread before its calls are claimed again.
+    /// Time within which an append must be read back before its claims or outcomes are appended
+    /// again.
     pub read_back_timeout: Duration,
-    /// How long a first attempt waits for its claim if it may run without.
+    /// How long a first attempt that may run without a claim waits for its claim.
     pub first_attempt_wait: Duration,
-    /// Most calls that are held; those beyond are refused.
+    /// Largest number of open calls. Further calls are refused.
     pub max_calls: usize,
 }
 
@@ -44,57 +46,57 @@
     }
 }
 
-/// Whether the log answers, as the client of the log sees it.
+/// Availability of the log as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LogStatus {
     /// Appends and reads succeed.
     Up,
-    /// They do not.
+    /// Appends or reads fail.
     Down,
 }
 
-/// What happens to the batcher.
+/// An input of the batcher.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// A call arrived.
     Call(Call),
-    /// Its caller has gone.
+    /// The caller of a call has disconnected.
     CallerGone(CallId),
     /// A call that was told to run has ended.
     Ended(CallId, CallEnd),
-    /// The log answered that an append stands at this offset. It counts once it is read back.
+    /// The log acknowledged an append at this offset. Its claims count once they are read back.
     Appended(Nonce, Offset),
-    /// The log has certainly not taken an append, and will not.
+    /// The log has not accepted an append and will not.
     Rejected(Nonce),
     /// The answer to an append is lost.
     AnswerLost(Nonce),
-    /// The log came or went.
+    /// The availability of the log changed.
     Log(LogStatus),
     /// Time has passed.
     Tick,
 }
 
-/// What the batcher wants done.
+/// An action for the owner of the batcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Append this to the log, once.
+    /// Append a record to the log once.
     Append {
-        /// The nonce of the record.
+        /// Nonce of the record.
         nonce: Nonce,
-        /// Its body.
+        /// Body of the record.
         body: Body,
     },
-    /// Do this with a call.
+    /// A decision on a call.
     Decide(CallId, Decision),
-    /// A call that ran without a claim met the claim of another call with the same key: both may
-    /// have run. Operators must hear of it.
+    /// A call ran without a claim, and another call holds the claim of its key. Both may have run,
+    /// so operators must be told.
     Contested {
-        /// The call here.
+        /// The call at this process.
         call: CallId,
-        /// The process of the other.
+        /// The holder of the other call.
         holder: Arc<Holder>,
     },
 }
 
-/// A few outputs.
+/// The outputs of one step.
 pub type Outputs = SmallVec<[Output; 4]>;
--- a/crates/claims/src/outcomes.rs
+++ b/crates/claims/src/outcomes.rs
@@ -1,82 +1,88 @@
-//! Outcomes that this process has to write. They are written late and in groups: nothing waits for
-//! them but repeats, and writing one twice does no harm.
+//! Outcomes to be appended. They are delayed and batched: only repeats wait for them, and appending
+//! one twice is harmless.
 
 use clock::Moment;
 use wire::record::{KeyEnd, KeyOutcome};
 
 use crate::{Digest, Nonce, Offset};
 
-/// Outcomes by where they are.
+/// Outcomes that are queued or in flight.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Outcomes {
-    pending: Vec<KeyOutcome>,
-    flight: Option<Flight>,
-    last: Option<Moment>,
+    queued: Vec<KeyOutcome>,
+    in_flight: Option<InFlight>,
+    last_append: Option<Moment>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Flight {
+struct InFlight {
     nonce: Nonce,
-    sent: Moment,
+    sent_at: Moment,
     outcomes: Vec<KeyOutcome>,
 }
 
 impl Outcomes {
     pub(crate) fn add(&mut self, key: &Digest, claim: Offset, end: KeyEnd) {
-        self.pending.push(KeyOutcome {
+        self.queued.push(KeyOutcome {
             key: key.to_vec(),
             claim,
             end: end.into(),
         });
     }
 
-    /// When the next ones may be written, if there are any and none are on their way.
-    pub(crate) fn due(&self, interval: Moment) -> Option<Moment> {
-        if self.pending.is_empty() || self.flight.is_some() {
+    /// When the next batch may be appended. `None` if no outcome is queued or a batch is in flight.
+    pub(crate) fn due_at(&self, interval: Moment) -> Option<Moment> {
+        if self.queued.is_empty() || self.in_flight.is_some() {
             return None;
         }
-        Some(self.last.map_or(Moment::ZERO, |last| last + interval))
+        Some(
+            self.last_append
+                .map_or(Moment::ZERO, |last| last + interval),
+        )
     }
 
-    /// Takes outcomes to be written under this nonce.
-    pub(crate) fn take(&mut self, now: Moment, nonce: Nonce, most: usize) -> Vec<KeyOutcome> {
-        let rest = self.pending.split_off(self.pending.len().min(most));
-        let outcomes = std::mem::replace(&mut self.pending, rest);
-        self.last = Some(now);
-        self.flight = Some(Flight {
+    /// Takes a batch of at most `max` outcomes to be appended with this nonce.
+    pub(crate) fn take_batch(&mut self, now: Moment, nonce: Nonce, max: usize) -> Vec<KeyOutcome> {
+        let rest = self.queued.split_off(self.queued.len().min(max));
+        let outcomes = std::mem::replace(&mut self.queued, rest);
+        self.last_append = Some(now);
+        self.in_flight = Some(InFlight {
             nonce,
-            sent: now,
+            sent_at: now,
             outcomes: outcomes.clone(),
         });
         outcomes
     }
 
-    /// Notes that the outcomes of this nonce were read back.
+    /// Drops the batch with this nonce, which was read back.
     pub(crate) fn read_back(&mut self, nonce: &Nonce) {
         if self
-            .flight
+            .in_flight
             .as_ref()
-            .is_some_and(|flight| flight.nonce == *nonce)
+            .is_some_and(|batch| batch.nonce == *nonce)
         {
-            self.flight = None;
+            self.in_flight = None;
         }
     }
 
-    /// Takes the outcomes of this nonce back to be written again.
-    pub(crate) fn failed(&mut self, nonce: &Nonce) {
-        if let Some(flight) = self.flight.take_if(|flight| flight.nonce == *nonce) {
-            self.pending.splice(0..0, flight.outcomes);
+    /// Queues the batch with this nonce again, because its append was rejected.
+    pub(crate) fn requeue(&mut self, nonce: &Nonce) {
+        if let Some(batch) = self.in_flight.take_if(|batch| batch.nonce == *nonce) {
+            self.queued.splice(0..0, batch.outcomes);
         }
     }
 
-    /// Takes back outcomes that were sent too long ago.
-    pub(crate) fn expire(&mut self, now: Moment, patience: Moment) {
-        if let Some(flight) = self.flight.take_if(|flight| flight.sent + patience <= now) {
-            self.pending.splice(0..0, flight.outcomes);
+    /// Queues the batch in flight again if it was not read back within `timeout`.
+    pub(crate) fn expire(&mut self, now: Moment, timeout: Moment) {
+        if let Some(batch) = self
+            .in_flight
+            .take_if(|batch| batch.sent_at + timeout <= now)
+        {
+            self.queued.splice(0..0, batch.outcomes);
         }
     }
 
-    pub(crate) fn expires(&self, patience: Moment) -> Option<Moment> {
-        self.flight.as_ref().map(|flight| flight.sent + patience)
+    pub(crate) fn expires_at(&self, timeout: Moment) -> Option<Moment> {
+        self.in_flight.as_ref().map(|batch| batch.sent_at + timeout)
     }
 }
