--- a/crates/claims/tests/batcher.rs
+++ b/crates/claims/tests/batcher.rs
@@ -1,5 +1,5 @@
-//! Decisions of one and of several entries over one log, under single faults. What happens without
-//! the log is in `outage.rs`.
+//! Decisions of one or several entries on one log, under single faults. Outages of the log are
+//! tested in `outage.rs`.
 
 mod common;
 
@@ -12,18 +12,22 @@
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
     a.append(&mut log);
-    assert_eq!(a.last(), None, "an answer of the log is not enough");
+    assert_eq!(
+        a.last_decision(),
+        None,
+        "the acknowledgement of the append is not enough"
+    );
     a.read(&log);
-    assert_eq!(a.last(), Some(&(1, Decision::Run { claim: 1 })));
+    assert_eq!(a.last_decision(), Some(&(1, Decision::Run { claim: 1 })));
     a.ended(1, CallEnd::Answered);
     a.settle(&mut log);
     a.call(2, Some(2), OutagePolicy::Refuse);
-    assert_matches!(a.last(), Some((2, Decision::Answered { request, .. })) if &**request == "a-1");
+    assert_matches!(a.last_decision(), Some((2, Decision::Answered { request, .. })) if &**request == "a-1");
     assert_eq!(a.batcher.open_calls(), 0);
 }
 
 #[test]
-fn of_two_entries_the_first_in_the_log_runs() {
+fn first_claim_in_the_log_runs() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
@@ -32,15 +36,15 @@
     a.append(&mut log);
     a.read(&log);
     b.read(&log);
-    assert_matches!(a.last(), Some((1, Decision::InProgress { holder, .. })) if holder.instance == "b");
-    assert_eq!(b.last(), Some(&(1, Decision::Run { claim: 1 })));
+    assert_matches!(a.last_decision(), Some((1, Decision::InProgress { holder, .. })) if holder.instance == "b");
+    assert_eq!(b.last_decision(), Some(&(1, Decision::Run { claim: 1 })));
 }
 
-/// Symptom: a call runs unclaimed, or is called not run, beside one whose claim is known here.
-/// Sequence: an append is lost; the claim of another entry for the same key is read meanwhile.
-/// Cause: the call would wait for its own claim although the key is taken.
+/// The append of a call is lost, and the claim of another entry for the same key is read. If the
+/// call kept waiting for its own claim, it could run unclaimed, or be refused as not run, while the
+/// other call runs.
 #[test]
-fn claim_of_another_decides_a_waiting_call_at_once() {
+fn claim_of_another_entry_decides_a_waiting_call() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
     for policy in [OutagePolicy::Refuse, OutagePolicy::FirstAttempt] {
@@ -56,15 +60,15 @@
     }
     b.call(1, Some(1), OutagePolicy::FirstAttempt);
     b.advance(250);
-    assert_eq!(b.last(), Some(&(1, Decision::RunUnclaimed)));
+    assert_eq!(b.last_decision(), Some(&(1, Decision::RunUnclaimed)));
     a.call(1, Some(1), OutagePolicy::FirstAttempt);
     a.append(&mut log);
     b.read(&log);
-    assert_eq!(b.contested, [1], "told before its own claim stands");
+    assert_eq!(b.contested, [1], "reported before its own claim is logged");
 }
 
 #[test]
-fn key_with_another_body_is_a_conflict() {
+fn key_reused_for_another_body_is_a_conflict() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
     let other = claims::Call {
@@ -77,22 +81,22 @@
         deadline: a.now + common::ms(3_000),
     };
     a.input(Input::Call(other.clone()));
-    assert_eq!(a.last(), Some(&(2, Decision::Conflict)));
+    assert_eq!(a.last_decision(), Some(&(2, Decision::Conflict)));
     a.append(&mut log);
     a.read(&log);
     a.input(Input::Call(claims::Call { id: 3, ..other }));
-    assert_eq!(a.last(), Some(&(3, Decision::Conflict)));
+    assert_eq!(a.last_decision(), Some(&(3, Decision::Conflict)));
 }
 
 #[test]
-fn calls_are_claimed_in_groups() {
+fn calls_are_claimed_in_batches() {
     let mut a = Entry::new("a", 1);
-    for ticket in 0..40 {
+    for id in 0..40 {
         let call = claims::Call {
-            id: ticket,
-            key: claims::key_digest("kiosks", "cards", &ticket.to_string()),
+            id,
+            key: claims::key_digest("kiosks", "cards", &id.to_string()),
             fingerprint: [0; 16],
-            request: format!("a-{ticket}"),
+            request: format!("a-{id}"),
             attempt: Some(1),
             policy: OutagePolicy::Refuse,
             deadline: a.now + common::ms(3_000),
@@ -102,7 +106,7 @@
     assert_eq!(
         a.appends.len(),
         1,
-        "the first goes at once, the rest wait for the pace"
+        "the first is appended at once, the others wait for the claim interval"
     );
     a.advance(20);
     assert_eq!(a.appends.len(), 2);
@@ -110,15 +114,14 @@
     assert_eq!(
         a.batcher.next_wake(),
         Some(common::ms(2_000)),
-        "nothing to do but wait"
+        "the next timer is the read-back timeout"
     );
 }
 
-/// Symptom: a caller is told that its call did not run, and it runs afterwards.
-/// Sequence: the claim is appended, the reader stalls, the deadline passes, the claim is read back.
-/// Cause: a claim that wins says nothing about whether its call is still wanted.
+/// The reader stalls until after the deadline, and then the claim is read back and wins. The caller
+/// was already told that its call did not run, so it must not run now.
 #[test]
-fn call_that_was_given_up_never_runs_and_frees_its_key() {
+fn call_past_its_deadline_never_runs_and_frees_its_key() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
@@ -131,13 +134,11 @@
     b.read(&log);
     b.call(1, Some(2), OutagePolicy::Refuse);
     b.settle(&mut log);
-    assert_matches!(b.last(), Some((1, Decision::Run { .. })));
+    assert_matches!(b.last_decision(), Some((1, Decision::Run { .. })));
 }
 
-/// Symptom: as above.
-/// Sequence: the process is paused from the append until long after the deadline; when it wakes it
-/// reads its claim before any timer has fired.
-/// Cause: timers of a paused process do not fire.
+/// The process is paused from the append until long after the deadline. Its timers do not fire
+/// during the pause, so it reads the claim first.
 #[test]
 fn paused_process_does_not_run_a_call_past_its_deadline() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
@@ -148,12 +149,10 @@
     assert_eq!(a.decided, [(1, not_run())]);
 }
 
-/// Symptom: a call waits for its deadline although the log works.
-/// Sequence: the answer to the append is lost, and the append as well.
-/// Cause: nothing tells a lost append from one that comes late. Claiming again is safe, since
-/// both copies may stand.
+/// The append and its answer are lost. A lost append looks like a late one, so the call is claimed
+/// again instead of waiting for its deadline. This is safe because both copies may be logged.
 #[test]
-fn lost_append_is_claimed_again_and_both_copies_may_stand() {
+fn lost_append_is_claimed_again_and_both_copies_may_be_logged() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
     let first = a.appends.remove(0);
@@ -162,9 +161,12 @@
     a.append(&mut log);
     a.read(&log);
     assert_eq!(a.decided, [(1, Decision::Run { claim: 1 })]);
-    log.take(&first);
+    log.append(&first);
     a.read(&log);
-    assert!(a.contested.is_empty(), "its own copy is no other call");
+    assert!(
+        a.contested.is_empty(),
+        "a copy of its own claim is not another call"
+    );
     a.ended(1, CallEnd::Answered);
     a.settle(&mut log);
     assert_eq!(a.decided.len(), 1);
@@ -176,30 +178,28 @@
     );
 }
 
-/// Symptom: a key stays blocked until the log forgets it, though its call never ran.
-/// Sequence: a claim whose answer was lost lands a second time, after the call was given up and
-/// concluded.
-/// Cause: the second copy wins the free key for a call that is gone.
+/// A claim whose answer was lost is logged a second time after its call was refused and concluded.
+/// The second copy wins the free key for a call that never runs, and would block it until the log
+/// drops the claim.
 #[test]
 fn second_copy_of_a_concluded_claim_is_concluded_as_well() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
     let copy = a.appends.remove(0);
-    log.take(&copy);
+    log.append(&copy);
     a.advance(3_000);
     a.settle(&mut log);
-    log.take(&copy);
+    log.append(&copy);
     a.settle(&mut log);
     b.read(&log);
     b.call(1, Some(2), OutagePolicy::Refuse);
     b.settle(&mut log);
-    assert_matches!(b.last(), Some((1, Decision::Run { .. })));
+    assert_matches!(b.last_decision(), Some((1, Decision::Run { .. })));
 }
 
-/// Symptom: the caller waits for nothing.
-/// Sequence: the holder is killed after its claim, before or after it sent the call.
-/// Cause: nobody else can know which; the key stays claimed.
+/// The holder is killed after its claim. Nobody else can know whether it sent the call, so the key
+/// stays claimed.
 #[test]
 fn claim_of_a_killed_process_stays() {
     let mut log = Log::default();
@@ -211,16 +211,15 @@
     for entry in [&mut restarted, &mut b] {
         entry.read(&log);
         entry.call(1, Some(2), OutagePolicy::Refuse);
-        assert_matches!(entry.last(), Some((1, Decision::InProgress { holder, .. })) if holder.incarnation == 1);
+        assert_matches!(entry.last_decision(), Some((1, Decision::InProgress { holder, .. })) if holder.incarnation == 1);
     }
 }
 
-/// Symptom: a restarted process runs a call whose claim its predecessor made.
-/// Sequence: the process is killed after its append, which lands late; the restarted one counts its
-/// requests from 1 again and has a call with the same key and request id waiting.
-/// Cause: the predecessor may have run the call; only instance and start together tell them apart.
+/// A process is killed after its append, which is logged late. The restarted process numbers its
+/// requests from 1 again and has a waiting call with the same key and request id. The earlier run
+/// may have run the call; only the instance together with the start time distinguishes the runs.
 #[test]
-fn claim_of_the_predecessor_is_not_taken_for_ones_own() {
+fn claim_of_an_earlier_run_is_not_own() {
     let mut log = Log::default();
     let (mut old, mut new) = (Entry::new("a", 1), Entry::new("a", 2));
     old.call(1, Some(1), OutagePolicy::Refuse);
@@ -232,12 +231,12 @@
 }
 
 #[test]
-fn rejected_append_is_tried_again_later() {
+fn rejected_append_is_retried_after_a_delay() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
     let first = a.appends.remove(0);
     a.input(Input::Rejected(first.nonce));
-    assert!(a.appends.is_empty(), "not at once");
+    assert!(a.appends.is_empty(), "no retry before the delay");
     assert_eq!(a.batcher.next_wake(), Some(a.now + common::ms(100)));
     a.advance(100);
     a.append(&mut log);
@@ -245,11 +244,10 @@
     assert_eq!(a.decided, [(1, Decision::Run { claim: 1 })]);
 }
 
-/// Symptom: a call runs although an earlier claim of its key stands in the log.
-/// Sequence: the reader starts behind the first retained record.
-/// Cause: an unread claim could be the first.
+/// The reader skips the first retained record. It may contain an earlier claim of the same key, so
+/// no call may run.
 #[test]
-fn nothing_runs_by_a_book_with_a_gap() {
+fn no_call_runs_on_a_table_with_a_gap() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
@@ -261,20 +259,20 @@
 }
 
 #[test]
-fn calls_beyond_the_bound_are_refused() {
+fn calls_beyond_the_limit_are_refused() {
     let mut a = Entry::new("a", 1);
-    let pace = claims::Limits {
+    let limits = claims::Limits {
         max_calls: 0,
         ..claims::Limits::default()
     };
-    a.batcher = claims::Batcher::new(claims::Holder::default(), 1, pace);
+    a.batcher = claims::Batcher::new(claims::Holder::default(), 1, limits);
     a.input(Input::Log(LogStatus::Up));
     a.call(1, Some(1), OutagePolicy::FirstAttempt);
-    assert_eq!(a.last(), Some(&(1, not_run())));
+    assert_eq!(a.last_decision(), Some(&(1, not_run())));
 }
 
 #[test]
-fn caller_that_goes_frees_its_key() {
+fn disconnected_caller_frees_its_key() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
     a.call(1, Some(1), OutagePolicy::Refuse);
     a.input(Input::CallerGone(1));
@@ -282,7 +280,7 @@
     assert!(a.batcher.claims().is_empty());
     a.call(2, Some(2), OutagePolicy::Refuse);
     a.settle(&mut log);
-    assert_matches!(a.last(), Some((2, Decision::Run { .. })));
+    assert_matches!(a.last_decision(), Some((2, Decision::Run { .. })));
     a.input(Input::CallerGone(2));
     a.ended(2, CallEnd::Unknown);
     a.settle(&mut log);
--- a/crates/claims/tests/claim_table.rs
+++ b/crates/claims/tests/claim_table.rs
@@ -42,36 +42,35 @@
     )
 }
 
-fn folded(records: &[Record]) -> ClaimTable {
-    let mut book = ClaimTable::new();
+fn fold(records: &[Record]) -> ClaimTable {
+    let mut table = ClaimTable::new();
     for (offset, record) in (1..).zip(records) {
-        book.apply(offset, record);
+        table.apply(offset, record);
     }
-    book
+    table
 }
 
-fn holder(book: &ClaimTable) -> Option<(&str, Offset)> {
-    let claim = book.claim(&KEY)?;
+fn holder(table: &ClaimTable) -> Option<(&str, Offset)> {
+    let claim = table.claim(&KEY)?;
     Some((&claim.holder.instance, claim.offset))
 }
 
 #[test]
 fn first_claim_of_a_key_wins() {
-    let book = folded(&[claim("a", 1), claim("b", 1)]);
-    assert_eq!(holder(&book), Some(("a", 1)));
+    let table = fold(&[claim("a", 1), claim("b", 1)]);
+    assert_eq!(holder(&table), Some(("a", 1)));
 }
 
 #[test]
-fn key_that_was_not_run_is_claimed_again() {
+fn key_concluded_as_not_run_can_be_claimed_again() {
     let end = outcome("a", 1, 1, KeyEnd::NotRun);
-    let book = folded(&[claim("a", 1), end, claim("b", 1)]);
-    assert_eq!(holder(&book), Some(("b", 3)));
+    let table = fold(&[claim("a", 1), end, claim("b", 1)]);
+    assert_eq!(holder(&table), Some(("b", 3)));
 }
 
-/// Symptom: a call runs twice although its key was claimed.
-/// Sequence: an outcome arrives that is not the holder's own word on this very claim.
-/// Cause: another process, or a later run of the same instance, cannot know what was sent; and an
-/// outcome of an earlier claim says nothing of the later one.
+/// An outcome from another process, from a later run of the same instance or for another claim must
+/// not free a claimed key, because its call could then run twice. Only the holder knows whether it
+/// sent the call.
 #[test]
 fn only_the_holder_frees_its_own_claim() {
     for end in [
@@ -79,8 +78,8 @@
         outcome("a", 2, 1, KeyEnd::NotRun),
         outcome("a", 1, 9, KeyEnd::NotRun),
     ] {
-        let book = folded(&[claim("a", 1), end, claim("b", 1)]);
-        assert_eq!(holder(&book), Some(("a", 1)));
+        let table = fold(&[claim("a", 1), end, claim("b", 1)]);
+        assert_eq!(holder(&table), Some(("a", 1)));
     }
 }
 
@@ -88,37 +87,36 @@
 fn answered_claim_stays() {
     let ends = [KeyEnd::Answered, KeyEnd::NotRun].map(|end| outcome("a", 1, 1, end));
     let [answered, not_run] = ends;
-    let book = folded(&[claim("a", 1), answered, not_run]);
-    assert!(book.claim(&KEY).is_some_and(|claim| claim.answered));
+    let table = fold(&[claim("a", 1), answered, not_run]);
+    assert!(table.claim(&KEY).is_some_and(|claim| claim.answered));
 }
 
 #[test]
-fn claims_go_with_the_records() {
-    let mut book = folded(&[claim("a", 1), claim("b", 1)]);
-    book.forget_before(2);
-    assert!(book.is_empty());
-    assert_eq!(book.apply(2, &claim("b", 1)), Effect::Repeated);
-    book.apply(3, &claim("c", 1));
-    assert_eq!(holder(&book), Some(("c", 3)));
+fn claims_are_dropped_with_their_records() {
+    let mut table = fold(&[claim("a", 1), claim("b", 1)]);
+    table.forget_before(2);
+    assert!(table.is_empty());
+    assert_eq!(table.apply(2, &claim("b", 1)), Effect::Repeated);
+    table.apply(3, &claim("c", 1));
+    assert_eq!(holder(&table), Some(("c", 3)));
 }
 
 #[test]
-fn forgetting_a_concluded_claim_keeps_the_later_one() {
+fn dropping_a_concluded_claim_keeps_the_later_one() {
     let end = outcome("a", 1, 1, KeyEnd::NotRun);
-    let mut book = folded(&[claim("a", 1), end, claim("b", 1)]);
-    book.forget_before(2);
-    assert_eq!(holder(&book), Some(("b", 3)));
+    let mut table = fold(&[claim("a", 1), end, claim("b", 1)]);
+    table.forget_before(2);
+    assert_eq!(holder(&table), Some(("b", 3)));
 }
 
-/// Symptom: a claim counts as the first although the log holds an earlier one.
-/// Sequence: a reader starts at a snapshot and passes over retained records.
-/// Cause: snapshots hold no claims.
+/// A reader starts at a snapshot and skips retained records. Snapshots contain no claims, so the
+/// skipped records may contain an earlier claim.
 #[test]
-fn records_that_were_passed_over_are_noticed() {
-    let mut book = ClaimTable::new();
-    book.forget_before(5);
-    book.apply(5, &claim("a", 1));
-    assert!(!book.has_gap());
-    book.apply(7, &claim("b", 1));
-    assert!(book.has_gap());
+fn skipped_records_are_detected() {
+    let mut table = ClaimTable::new();
+    table.forget_before(5);
+    table.apply(5, &claim("a", 1));
+    assert!(!table.has_gap());
+    table.apply(7, &claim("b", 1));
+    assert!(table.has_gap());
 }
--- a/crates/claims/tests/common/mod.rs
+++ b/crates/claims/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A log in memory and entries that read it when told to.
+//! An in-memory log, and entries that read it on request.
 #![allow(dead_code, unreachable_pub)]
 
 use std::time::Duration;
@@ -15,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// What an entry has sent and the log has not taken yet.
+/// An append that an entry has sent and the log has not yet accepted.
 pub struct Append {
     pub nonce: Nonce,
     pub record: Record,
@@ -27,7 +27,7 @@
 }
 
 impl Log {
-    pub fn take(&mut self, append: &Append) -> Offset {
+    pub fn append(&mut self, append: &Append) -> Offset {
         self.records.push(append.record.clone());
         self.records.len() as Offset
     }
@@ -44,7 +44,7 @@
 }
 
 impl Entry {
-    /// An entry that finds the log up.
+    /// Creates an entry for which the log is up.
     pub fn new(instance: &str, incarnation: u64) -> Self {
         let holder = Holder {
             instance: instance.to_owned(),
@@ -66,7 +66,7 @@
 
     pub fn input(&mut self, input: Input) {
         let outputs = self.batcher.step(self.now, input);
-        self.keep(outputs);
+        self.record_outputs(outputs);
     }
 
     pub fn advance(&mut self, by: u64) {
@@ -78,20 +78,20 @@
     pub fn read(&mut self, log: &Log) {
         for (position, record) in log.records.iter().enumerate().skip(self.read) {
             let outputs = self.batcher.fold(self.now, position as Offset + 1, record);
-            self.keep(outputs);
+            self.record_outputs(outputs);
         }
         self.read = log.records.len();
     }
 
-    /// Hands all appends to the log; their answers come at once.
+    /// Delivers all appends to the log, which answers at once.
     pub fn append(&mut self, log: &mut Log) {
         for append in std::mem::take(&mut self.appends) {
-            let offset = log.take(&append);
+            let offset = log.append(&append);
             self.input(Input::Appended(append.nonce, offset));
         }
     }
 
-    /// Claims, waits and reads until nothing is left to be appended.
+    /// Advances time, appends and reads until no append is left.
     pub fn settle(&mut self, log: &mut Log) {
         for _ in 0..4 {
             self.advance(300);
@@ -100,11 +100,11 @@
         }
     }
 
-    pub fn last(&self) -> Option<&(CallId, Decision)> {
+    pub fn last_decision(&self) -> Option<&(CallId, Decision)> {
         self.decided.last()
     }
 
-    fn keep(&mut self, outputs: Outputs) {
+    fn record_outputs(&mut self, outputs: Outputs) {
         for output in outputs {
             match output {
                 Output::Append { nonce, body } => self.appends.push(Append {
@@ -116,18 +116,18 @@
                         ..Record::default()
                     },
                 }),
-                Output::Decide(ticket, decision) => self.decided.push((ticket, decision)),
-                Output::Contested { call: ticket, .. } => self.contested.push(ticket),
+                Output::Decide(id, decision) => self.decided.push((id, decision)),
+                Output::Contested { call, .. } => self.contested.push(call),
             }
         }
     }
 
-    pub fn call(&mut self, ticket: CallId, attempt: Option<u32>, policy: OutagePolicy) {
+    pub fn call(&mut self, id: CallId, attempt: Option<u32>, policy: OutagePolicy) {
         let call = Call {
-            id: ticket,
+            id,
             key: claims::key_digest("kiosks", "cards", "k"),
             fingerprint: claims::fingerprint("POST", "/cards", b"12.00"),
-            request: format!("{}-{ticket}", self.holder.instance),
+            request: format!("{}-{id}", self.holder.instance),
             attempt,
             policy,
             deadline: self.now + ms(3_000),
@@ -135,8 +135,8 @@
         self.input(Input::Call(call));
     }
 
-    pub fn ended(&mut self, ticket: CallId, end: CallEnd) {
-        self.input(Input::Ended(ticket, end));
+    pub fn ended(&mut self, id: CallId, end: CallEnd) {
+        self.input(Input::Ended(id, end));
     }
 }
 
--- a/crates/claims/tests/outage.rs
+++ b/crates/claims/tests/outage.rs
@@ -1,4 +1,4 @@
-//! Decisions while the log is out or slow, and once it is back.
+//! Decisions while the log is down or slow, and after it is up again.
 
 mod common;
 
@@ -11,67 +11,69 @@
     let mut a = Entry::new("a", 1);
     a.call(1, Some(1), OutagePolicy::Refuse);
     a.input(Input::Log(LogStatus::Down));
-    assert_eq!(a.last(), Some(&(1, not_run())), "also one that waits");
+    assert_eq!(
+        a.last_decision(),
+        Some(&(1, not_run())),
+        "also refuses waiting calls"
+    );
     a.call(2, None, OutagePolicy::Refuse);
     assert_eq!(
-        a.last(),
+        a.last_decision(),
         Some(&(2, unknown())),
         "an earlier attempt may have run"
     );
     a.call(3, Some(2), OutagePolicy::Refuse);
-    assert_eq!(a.last(), Some(&(3, unknown())));
+    assert_eq!(a.last_decision(), Some(&(3, unknown())));
 }
 
-/// Symptom: a card is charged twice.
-/// Sequence: the first attempt runs without a claim while the log is out, its entry dies, the log
-/// comes back, the caller's second attempt claims the key at another entry and wins.
-/// Cause: a run without a claim leaves no trace that others could see.
+/// The first attempt runs without a claim while the log is down, and its entry is killed. When the
+/// log is up again, a second attempt at another entry could claim the key and run: other processes
+/// cannot see a run without a claim.
 #[test]
-fn later_attempt_never_runs_where_first_attempts_run_unclaimed() {
+fn later_attempt_never_runs_if_first_attempts_may_run_unclaimed() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
     a.input(Input::Log(LogStatus::Down));
     a.call(1, Some(1), OutagePolicy::FirstAttempt);
-    assert_eq!(a.last(), Some(&(1, Decision::RunUnclaimed)));
+    assert_eq!(a.last_decision(), Some(&(1, Decision::RunUnclaimed)));
     drop(a);
     b.call(1, Some(2), OutagePolicy::FirstAttempt);
     b.settle(&mut log);
     assert_eq!(b.decided, [(1, unknown())]);
     b.call(2, None, OutagePolicy::FirstAttempt);
-    assert_eq!(b.last(), Some(&(2, Decision::AttemptRequired)));
+    assert_eq!(b.last_decision(), Some(&(2, Decision::AttemptRequired)));
 }
 
-/// Symptom: two first attempts with one key run at one entry.
-/// Sequence: the log is out, a caller sends its first attempt twice.
-/// Cause: neither finds a claim in the log.
+/// While the log is down, a caller sends its first attempt twice to one entry. Neither finds a claim
+/// in the log, so the entry must remember the first run.
 #[test]
-fn run_without_claim_is_remembered_here_and_claimed_once_the_log_is_back() {
+fn unclaimed_run_is_remembered_and_claimed_when_the_log_is_up() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
     a.input(Input::Log(LogStatus::Down));
     a.call(1, Some(1), OutagePolicy::FirstAttempt);
     a.call(2, Some(1), OutagePolicy::FirstAttempt);
-    assert_matches!(a.last(), Some((2, Decision::InProgress { .. })));
+    assert_matches!(a.last_decision(), Some((2, Decision::InProgress { .. })));
     a.ended(1, CallEnd::Answered);
     a.call(3, Some(2), OutagePolicy::FirstAttempt);
-    assert_matches!(a.last(), Some((3, Decision::Answered { request, .. })) if &**request == "a-1");
+    assert_matches!(a.last_decision(), Some((3, Decision::Answered { request, .. })) if &**request == "a-1");
     a.input(Input::Log(LogStatus::Up));
     a.settle(&mut log);
     assert_eq!(a.batcher.open_calls(), 0);
     b.read(&log);
     b.call(1, Some(2), OutagePolicy::FirstAttempt);
-    assert_matches!(b.last(), Some((1, Decision::Answered { holder, .. })) if holder.instance == "a");
+    assert_matches!(b.last_decision(), Some((1, Decision::Answered { holder, .. })) if holder.instance == "a");
 }
 
 #[test]
-fn first_attempt_waits_only_a_while_for_its_claim() {
+fn first_attempt_waits_a_limited_time_for_its_claim() {
     let (mut log, mut a) = (Log::default(), Entry::new("a", 1));
     a.call(1, Some(1), OutagePolicy::FirstAttempt);
     a.append(&mut log);
     a.advance(249);
-    assert_eq!(a.last(), None);
+    assert_eq!(a.last_decision(), None);
     a.advance(1);
-    assert_eq!(a.last(), Some(&(1, Decision::RunUnclaimed)));
+    assert_eq!(a.last_decision(), Some(&(1, Decision::RunUnclaimed)));
     a.read(&log);
     a.ended(1, CallEnd::NotRun);
     a.settle(&mut log);
@@ -79,11 +81,11 @@
     assert_eq!(a.decided.len(), 1);
 }
 
-/// Symptom: a call may have run twice and nobody hears of it.
-/// Sequence: a balancer sends one first attempt to two entries; one cannot reach the log.
-/// Cause: the caller's declaration is all that protects a run without a claim.
+/// A balancer sends one first attempt to two entries, and one of them runs it without a claim. The
+/// call may have run twice, so the conflict must be reported, and the unclaimed run must never be
+/// concluded as not run.
 #[test]
-fn run_that_met_another_claim_is_told_and_never_called_not_run() {
+fn contested_run_is_reported_and_never_concluded_as_not_run() {
     let mut log = Log::default();
     let (mut a, mut b) = (Entry::new("a", 1), Entry::new("b", 1));
     a.call(1, Some(1), OutagePolicy::FirstAttempt);
@@ -92,14 +94,14 @@
     let copy = b.appends.remove(0);
     b.advance(250);
     b.ended(1, CallEnd::Answered);
-    log.take(&copy);
+    log.append(&copy);
     a.read(&log);
     b.read(&log);
     assert_eq!(b.contested, [1]);
-    // The other call did not run after all, and a second copy of this one's claim comes late.
+    // The other call did not run, and a second copy of this call's claim is logged late.
     a.ended(1, CallEnd::NotRun);
     a.settle(&mut log);
-    log.take(&copy);
+    log.append(&copy);
     b.settle(&mut log);
     a.settle(&mut log);
     assert_eq!(
