--- a/crates/gateway/src/frame.rs
+++ b/crates/gateway/src/frame.rs
@@ -146,10 +146,10 @@
             // Each frame repeats recent prompts; see `crate::mesh`.
             WorkChange::Started(_, job) if job.work > 0 => {}
             WorkChange::Started(engine, job) => {
-                frame.started.push(encode_started(&engine, &job, now))
+                frame.started.push(encode_started(&engine, &job, now));
             }
             WorkChange::Read(engine, number, at) => {
-                reads.push((encode_ticket(&engine, number), at))
+                reads.push((encode_ticket(&engine, number), at));
             }
             WorkChange::Ended(engine, number, outcome) => {
                 frame.ended.push(wire::gateway::Ticket {
