--- a/crates/authority/src/change/reading.rs
+++ b/crates/authority/src/change/reading.rs
@@ -38,7 +38,7 @@
     fn handle_not_begun(&mut self, now: Moment, reading: &Reading) {
         match self.origin {
             Origin::Own if reading.satisfies(&self.action) => {
-                self.conclude(now, Verdict::Done, "already in the requested state");
+                self.conclude(now, Verdict::Done, "was so already");
             }
             Origin::Own => self.enter(now, Step::Closing),
             Origin::Inherited => self.enter(now, Step::Cancelling),
--- a/crates/gateway/src/quarantine_store.rs
+++ b/crates/gateway/src/quarantine_store.rs
@@ -153,11 +153,11 @@
     {
         Ok(Ok(is_claimed)) => is_claimed,
         Ok(Err(trouble)) => {
-            log::info!(id = request.call.id.as_str(), trouble:% = trouble; "a held call is not tried, since the store is unavailable");
+            log::info!(id = request.call.id.as_str(), trouble:% = trouble; "no trial of a held call without the store");
             false
         }
         Err(_) => {
-            log::info!(id = request.call.id.as_str(); "a held call is not tried, since the store did not answer in time");
+            log::info!(id = request.call.id.as_str(); "no trial of a held call, the store takes too long");
             false
         }
     }
