--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -363,7 +363,7 @@
 }
 
 /// Responses to other requests that are skipped on one connection before it is given up.
-const MAX_MISMATCHED: usize = 3;
+const MAX_MISMATCHED_RESPONSES: usize = 3;
 /// Largest response body that is buffered.
 pub(crate) const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
@@ -430,7 +430,7 @@
     instance: &str,
 ) -> Result<EngineResponse, Failure> {
     let mut answer = client.send(head, &request.body).await?;
-    for _ in 0..MAX_MISMATCHED {
+    for _ in 0..MAX_MISMATCHED_RESPONSES {
         let reply = upstream::parse_reply(&answer.head, &request.call.id, instance);
         if !reply.names_other_request {
             return Ok(EngineResponse {
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -61,7 +61,7 @@
 /// A line for each call in the store, held ones first.
 pub(crate) async fn list_held(settings: &Settings) -> Result<Vec<String>, Failure> {
     let mut calls: Vec<StoredCall> = read_calls(&mut store(settings)).await?;
-    calls.sort_by_key(|known| (!known.entry.is_held(), known.call));
+    calls.sort_by_key(|stored| (!stored.entry.is_held(), stored.call));
     let lines = calls.iter().map(|StoredCall { call, entry, .. }| {
         let state = if entry.is_held() { "held" } else { "let go" };
         let last = NOW.saturating_sub(entry.last_crash().unwrap_or(NOW));
@@ -79,12 +79,12 @@
 pub(crate) async fn release(settings: &Settings, call: Fingerprint) -> Result<(), Failure> {
     let mut store = store(settings);
     let calls = read_calls(&mut store).await?;
-    let known = calls.into_iter().find(|known| known.call == call);
-    let mut known = known.ok_or(Failure::Unknown)?;
-    known.entry.released = Some(NOW);
+    let stored = calls.into_iter().find(|stored| stored.call == call);
+    let mut stored = stored.ok_or(Failure::Unknown)?;
+    stored.entry.released = Some(NOW);
     let released = Suspect {
-        written_unix_ms: known.now_unix_ms,
-        ..frame::encode_suspect(call, &known.entry, NOW)
+        written_unix_ms: stored.now_unix_ms,
+        ..frame::encode_suspect(call, &stored.entry, NOW)
     };
     let value = released.encode_to_vec();
     store
--- a/crates/gateway/tests/rate_limits.rs
+++ b/crates/gateway/tests/rate_limits.rs
@@ -29,7 +29,7 @@
     /// Plain calls.
     Plain,
     /// Prefill for another engine.
-    Read,
+    Prefill,
     /// Prefill and decode at one engine.
     Generate,
     /// Decode with the KV cache of another engine.
@@ -43,7 +43,7 @@
         match self {
             Self::Plain => "/safe/",
             Self::Resume => "/resume/",
-            Self::Read | Self::Generate | Self::TakeOver => "/stream/",
+            Self::Prefill | Self::Generate | Self::TakeOver => "/stream/",
         }
     }
 
@@ -72,7 +72,7 @@
         let first = Gateway::start_unconfigured().await;
         let (service, stage) = match kind {
             RequestKind::Plain => ("app", None),
-            RequestKind::Read => ("pool", Some("prefill")),
+            RequestKind::Prefill => ("pool", Some("prefill")),
             RequestKind::Generate | RequestKind::TakeOver | RequestKind::Resume => {
                 ("pool", Some("decode"))
             }
@@ -80,7 +80,7 @@
         let mut engines = Engines::default();
         // Of equal engines, the one with the first id is chosen.
         let limited = engines.add(&first, "limited", service, stage).await;
-        if kind == RequestKind::Read {
+        if kind == RequestKind::Prefill {
             let decode = engines.add(&first, "other-2", "pool", Some("decode")).await;
             decode.set_prefill_time(PREFILL_TIME);
         }
@@ -139,7 +139,7 @@
     /// Adds engines that can serve everything without the limited one.
     async fn add_unlimited(&mut self, kind: RequestKind, gateway: &Gateway) {
         self.add(gateway, "other-1", "app", None).await;
-        if kind != RequestKind::Read {
+        if kind != RequestKind::Prefill {
             let decode = self.add(gateway, "other-2", "pool", Some("decode")).await;
             decode.set_prefill_time(PREFILL_TIME);
         }
@@ -179,7 +179,7 @@
     let mut broken = Vec::new();
     for kind in [
         RequestKind::Plain,
-        RequestKind::Read,
+        RequestKind::Prefill,
         RequestKind::Generate,
         RequestKind::TakeOver,
         RequestKind::Resume,
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -24,10 +24,10 @@
 
 impl StartingProcess {
     fn new() -> Self {
-        let directory = TempDir::new().expect("a scratch directory can be made");
+        let directory = TempDir::new().expect("a scratch directory can be created");
         let path = directory.path().join("node.toml");
         rustix::fs::mknodat(CWD, &path, FileType::Fifo, Mode::RUSR | Mode::WUSR, 0)
-            .expect("a pipe can be made");
+            .expect("a pipe can be created");
         let mut command = Command::new(env!("CARGO_BIN_EXE_tarragon-gateway"));
         command
             .args(["serve", "--settings"])
