--- a/crates/serving/src/budget.rs
+++ b/crates/serving/src/budget.rs
@@ -24,16 +24,16 @@
 /// Repeats left to this instance, by service.
 #[derive(Debug)]
 pub struct RepeatBudgets {
-    bound: RepeatLimit,
+    limit: RepeatLimit,
     instances: u32,
     services: HashMap<ServiceName, Budget>,
 }
 
 impl RepeatBudgets {
     /// Budgets of one of `instances` instances.
-    pub fn new(bound: RepeatLimit, instances: u32) -> Self {
+    pub fn new(limit: RepeatLimit, instances: u32) -> Self {
         Self {
-            bound,
+            limit,
             instances: instances.max(1),
             services: HashMap::new(),
         }
@@ -41,8 +41,8 @@
 
     /// Takes in a changed bound. What was earned under the one before is gone only if it changed.
     pub fn set_limit(&mut self, bound: RepeatLimit) {
-        if self.bound != bound {
-            self.bound = bound;
+        if self.limit != bound {
+            self.limit = bound;
             self.services.clear();
         }
     }
@@ -68,8 +68,8 @@
 
     fn budget(&mut self, service: &ServiceName) -> &mut Budget {
         let config = Config {
-            ratio: self.bound.ratio * RATIO_USED,
-            burst: (self.bound.slack * SLACK_USED / f64::from(self.instances)).max(1.0),
+            ratio: self.limit.ratio * RATIO_USED,
+            burst: (self.limit.slack * SLACK_USED / f64::from(self.instances)).max(1.0),
             max_attempts: u32::MAX,
             ..Config::default()
         };
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -19,7 +19,7 @@
 
 /// Time that an order may be on its way after it left: to open a connection, and until the kernel gives
 /// an unacknowledged one up.
-const ON_THE_WAY: Duration = Duration::from_millis(800);
+const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(800);
 
 /// A claim as it was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,14 +33,14 @@
 /// What one instance knows of the turns.
 #[derive(Clone, Debug)]
 pub struct Claimant {
-    wait: Duration,
+    takeover_delay: Duration,
     is_first_start: bool,
-    seen: Option<(Fence, Moment)>,
+    newest_seen: Option<(Fence, Moment)>,
     /// Whether that claim is this instance's own.
-    is_own: bool,
+    newest_is_own: bool,
     /// Era of the log, and since when it is another one than this instance knew before.
     era: Option<Era>,
-    went_back: Option<Moment>,
+    rolled_back_at: Option<Moment>,
 }
 
 impl Claimant {
@@ -48,11 +48,11 @@
     pub fn new(lease: Duration, is_first_start: bool) -> Self {
         Self {
             is_first_start,
-            wait: lease + ORDER_WINDOW + ON_THE_WAY,
-            seen: None,
-            is_own: false,
+            takeover_delay: lease + ORDER_WINDOW + MAX_ORDER_TRANSIT,
+            newest_seen: None,
+            newest_is_own: false,
             era: None,
-            went_back: None,
+            rolled_back_at: None,
         }
     }
 
@@ -62,28 +62,28 @@
     /// by what the log says then until every such turn is over. Two instances that order within one lease would show it. Whoever has just
     /// started cannot know whether the log went back a moment ago.
     pub fn observe_era(&mut self, era: Era, now: Moment) {
-        let went_back = match self.era {
+        let may_be_restored = match self.era {
             Some(known) => known < era,
             None => !self.is_first_start,
         };
-        if went_back {
-            self.went_back = Some(now);
+        if may_be_restored {
+            self.rolled_back_at = Some(now);
         }
         self.era = self.era.max(Some(era));
     }
 
     /// Takes in a claim of another instance, of which that one told.
     pub fn observe_claim(&mut self, fence: Fence, now: Moment) {
-        if self.seen.is_none_or(|(known, _)| known < fence) {
-            self.seen = Some((fence, now));
-            self.is_own = false;
+        if self.newest_seen.is_none_or(|(known, _)| known < fence) {
+            self.newest_seen = Some((fence, now));
+            self.newest_is_own = false;
         }
     }
 
     /// How long it is of no use to look whether this instance may claim: another one did a moment ago, as it told. Looking costs a call.
     pub fn time_to_wait(&self, now: Moment) -> Duration {
-        let heard = self.seen.filter(|_| !self.is_own);
-        let until = heard.map_or(Duration::ZERO, |(_, at)| at + self.wait);
+        let announced = self.newest_seen.filter(|_| !self.newest_is_own);
+        let until = announced.map_or(Duration::ZERO, |(_, at)| at + self.takeover_delay);
         until.saturating_sub(now)
     }
 
@@ -94,20 +94,20 @@
     /// again at once; others wait from when they first saw it, which is never before it was made.
     pub fn may_claim(&mut self, newest: Option<Claim>, me: &str, now: Moment) -> bool {
         if self
-            .went_back
-            .is_some_and(|at| now.saturating_sub(at) < self.wait)
+            .rolled_back_at
+            .is_some_and(|at| now.saturating_sub(at) < self.takeover_delay)
         {
             return false;
         }
         let Some(newest) = newest else {
             return true;
         };
-        let seen = match self.seen {
+        let seen = match self.newest_seen {
             Some((fence, at)) if fence == newest.fence => at,
             _ => now,
         };
-        self.seen = Some((newest.fence, seen));
-        self.is_own = newest.holder == me;
-        self.is_own || now.saturating_sub(seen) >= self.wait
+        self.newest_seen = Some((newest.fence, seen));
+        self.newest_is_own = newest.holder == me;
+        self.newest_is_own || now.saturating_sub(seen) >= self.takeover_delay
     }
 }
--- a/crates/serving/src/cost.rs
+++ b/crates/serving/src/cost.rs
@@ -12,7 +12,7 @@
 use crate::{Fleet, Zone, hash, speed};
 
 /// Fixed time that handing a prompt's memory over takes, besides the bytes.
-const HANDOVER: Duration = Duration::from_millis(15);
+const KV_HANDOVER: Duration = Duration::from_millis(15);
 /// How much a token that is fetched counts, against the time that reading it would take: its copy pushes
 /// other parts out, which are then fetched or read again.
 const COPY_WEIGHT: f64 = 1.5;
@@ -21,18 +21,18 @@
 const READ_WEIGHT: f64 = 1.5;
 /// What reading counts beyond that by its square, a millisecond: a prompt that is being read holds
 /// up all calls that come meanwhile, of which a few come a second to each engine.
-const BLOCKING: f64 = 0.001;
+const BLOCKING_WEIGHT: f64 = 0.001;
 /// Disadvantage of an engine in another data centre: the way there and back, and bytes between
 /// data centres that are paid for.
-const FAR: Duration = Duration::from_millis(6);
+const OTHER_ZONE_COST: Duration = Duration::from_millis(6);
 /// What opening a connection costs: a round trip and the engine's accepting, and a place among the connections that it takes. An instance
 /// with a call or two a second would else open one for nearly every call, to engines that are alike.
-const CONNECT: Duration = Duration::from_millis(4);
+const CONNECT_COST: Duration = Duration::from_millis(4);
 /// Weight of a millisecond of waiting for a call that cannot be on time. Not nothing, since its caller leaves in the end.
-const LATE_HASTE: f64 = 0.2;
+const LATE_WAIT_WEIGHT: f64 = 0.2;
 /// Spread of equal places: engines that cost nearly the same are ordered by the prompt, so that
 /// instances that know nothing of each other's calls choose alike.
-const SPREAD: Duration = Duration::from_millis(10);
+const TIE_BREAK_COST: Duration = Duration::from_millis(10);
 
 /// A place and what it costs.
 pub(crate) struct Cost {
@@ -45,50 +45,53 @@
 }
 
 /// The place that costs the least.
-pub(crate) fn best(costs: impl Iterator<Item = Cost>) -> Option<Cost> {
+pub(crate) fn cheapest(costs: impl Iterator<Item = Cost>) -> Option<Cost> {
     costs.min_by(|a, b| a.total.total_cmp(&b.total))
 }
 
 /// What it costs to have the prompt read at an engine, in milliseconds.
-pub(crate) fn read(
+pub(crate) fn prefill_cost(
     fleet: &Fleet,
     engine: &Engine,
     demand: &Demand,
-    size: &Generation,
+    generation: &Generation,
     sources: &Sources,
     now: Moment,
 ) -> Cost {
     let speed = fleet.speed(engine);
-    let fetch = fetch::quickest(fleet, engine, size, sources, &speed);
-    let unread = fetch.unread;
-    let work = speed::work(unread, size.tokens);
-    let reading = speed.millis(u64::from(work)) * engine.slowdown;
-    let read = wait(fleet, engine, demand, work, now);
+    let plan = fetch::quickest_prefill(fleet, engine, generation, sources, &speed);
+    let prefill_tokens = plan.prefill_tokens;
+    let work = speed::work(prefill_tokens, generation.tokens);
+    let reading_ms = speed.millis(u64::from(work)) * engine.slowdown;
+    let read_delay_ms = read_delay(fleet, engine, demand, work, now);
     let limit_wait = place::limit_wait(fleet, engine, demand, now).unwrap_or_default();
     let expected = millis(limit_wait)
         + speed.setup_ms
         + slot_wait(engine) * engine.slowdown
-        + fetch.takes
-        + read;
-    let copied = speed.millis(u64::from(speed::work(fetch.tokens, size.tokens)));
-    let total = haste(demand) * expected
-        + COPY_WEIGHT * copied
-        + READ_WEIGHT * reading
-        + BLOCKING * reading * reading
-        + beside(fleet, engine, reading)
-        + far(engine, demand)
-        + connect(engine, demand)
-        + spread(engine, size.prompt);
+        + plan.transfer_ms
+        + read_delay_ms;
+    let copied_ms = speed.millis(u64::from(speed::work(
+        plan.fetched_tokens,
+        generation.tokens,
+    )));
+    let total = wait_weight(demand) * expected
+        + COPY_WEIGHT * copied_ms
+        + READ_WEIGHT * reading_ms
+        + BLOCKING_WEIGHT * reading_ms * reading_ms
+        + stream_cost(fleet, engine, reading_ms)
+        + other_zone_cost(engine, demand)
+        + connect_cost(engine, demand)
+        + tie_break_cost(engine, generation.prompt);
     Cost {
         total,
         target: Target {
             engine: engine.record.id.clone(),
-            prefill_tokens: unread,
+            prefill_tokens,
             work,
             rank: demand.priority,
             limit_wait,
-            expected_latency: from_millis(expected * overrun(fleet, demand, now)),
-            fetch_from: fetch.from,
+            expected_latency: from_millis(expected * late_wait_factor(fleet, demand, now)),
+            fetch_from: plan.fetch_from,
             placed_by: None,
         },
     }
@@ -99,15 +102,15 @@
 /// Calls that can be on time go before one that cannot, also those which come later. Without these it is expected to be
 /// read as soon as what is there now is read; in a peak that never comes, its caller waits to the end for nothing, and
 /// one notices it by calls that fail while hardly any are refused.
-fn overrun(fleet: &Fleet, demand: &Demand, now: Moment) -> f64 {
+fn late_wait_factor(fleet: &Fleet, demand: &Demand, now: Moment) -> f64 {
     if demand.priority < LATE_RANK {
         return 1.0;
     }
-    fleet.overrun(demand.service, now)
+    fleet.wait_overrun(demand.service, now)
 }
 
 /// Time until work that is sent now is done, in milliseconds.
-fn wait(fleet: &Fleet, engine: &Engine, demand: &Demand, work: u32, now: Moment) -> f64 {
+fn read_delay(fleet: &Fleet, engine: &Engine, demand: &Demand, work: u32, now: Moment) -> f64 {
     let new = Job {
         ticket: 0,
         sent_at: now,
@@ -119,71 +122,75 @@
 
 /// How much a millisecond of waiting counts for a call. One that cannot be on time is worth the same whenever its
 /// answer comes, so that it must not make others late to be there sooner.
-fn haste(demand: &Demand) -> f64 {
+fn wait_weight(demand: &Demand) -> f64 {
     if demand.priority < LATE_RANK {
         1.0
     } else {
-        LATE_HASTE
+        LATE_WAIT_WEIGHT
     }
 }
 
 /// What reading here costs the streams beside it, in milliseconds.
-fn beside(fleet: &Fleet, engine: &Engine, reading: f64) -> f64 {
+fn stream_cost(fleet: &Fleet, engine: &Engine, reading_ms: f64) -> f64 {
     if is_prefill(engine) {
         return 0.0;
     }
-    fleet.strain(engine) * reading * f64::from(engine.running_calls())
+    fleet.stream_delay_per_ms(engine) * reading_ms * f64::from(engine.running_calls())
 }
 
-fn far(engine: &Engine, demand: &Demand) -> f64 {
+fn other_zone_cost(engine: &Engine, demand: &Demand) -> f64 {
     if engine.record.zone == *demand.zone {
         0.0
     } else {
-        millis(FAR)
+        millis(OTHER_ZONE_COST)
     }
 }
 
-fn connect(engine: &Engine, demand: &Demand) -> f64 {
+fn connect_cost(engine: &Engine, demand: &Demand) -> f64 {
     if demand.connected.contains(&engine.record.id) {
         0.0
     } else {
-        millis(CONNECT)
+        millis(CONNECT_COST)
     }
 }
 
 /// Calls beyond the slots wait for one to end; each is taken to need a tenth of a second.
 fn slot_wait(engine: &Engine) -> f64 {
-    let over = (engine.running_calls() + 1).saturating_sub(engine.record.slots);
-    100.0 * f64::from(over)
+    let excess = (engine.running_calls() + 1).saturating_sub(engine.record.slots);
+    100.0 * f64::from(excess)
 }
 
-fn spread(engine: &Engine, prompt: &[Part]) -> f64 {
+fn tie_break_cost(engine: &Engine, prompt: &[Part]) -> f64 {
     let first = prompt.first().map_or(0, |part| part.id);
-    millis(SPREAD) * hash::unit_interval(&format!("{first}{}", engine.record.id))
+    millis(TIE_BREAK_COST) * hash::unit_interval(&format!("{first}{}", engine.record.id))
 }
 
 /// The engine to which a prompt's memory is handed at least cost.
-pub(crate) fn take_over(
+pub(crate) fn decode_cost(
     fleet: &Fleet,
     engines: &[&Engine],
     demand: &Demand,
-    size: &Generation,
+    generation: &Generation,
     source: &Zone,
     now: Moment,
 ) -> Option<Cost> {
-    let moved = fetch::transfer(size.model, size.tokens);
-    let takers = engines.iter().filter(|engine| !is_prefill(engine));
-    best(takers.map(|engine| {
-        let far = engine.record.zone != *source;
-        let way = if far { 2.0 * moved } else { moved };
+    let transfer_ms = fetch::transfer_ms(generation.model, generation.tokens);
+    let candidates = engines.iter().filter(|engine| !is_prefill(engine));
+    cheapest(candidates.map(|engine| {
+        let is_far = engine.record.zone != *source;
+        let path_ms = if is_far {
+            2.0 * transfer_ms
+        } else {
+            transfer_ms
+        };
         let batch = f64::from(engine.running_calls()) + slot_wait(engine);
         let limit_wait = place::limit_wait(fleet, engine, demand, now).unwrap_or_default();
         let total = millis(limit_wait)
-            + way
+            + path_ms
             + batch * engine.slowdown
-            + wait(fleet, engine, demand, 0, now)
-            + connect(engine, demand)
-            + millis(HANDOVER);
+            + read_delay(fleet, engine, demand, 0, now)
+            + connect_cost(engine, demand)
+            + millis(KV_HANDOVER);
         Cost {
             total,
             target: Target {
--- a/crates/serving/src/flow.rs
+++ b/crates/serving/src/decaying_rate.rs
@@ -6,29 +6,29 @@
 
 /// Time constant of the mean: longer than the waves of a mix that swings every 2.8 s, shorter than a change of
 /// engines pays back.
-const FADES: Duration = Duration::from_secs(4);
+const TIME_CONSTANT: Duration = Duration::from_secs(4);
 
 /// A flow.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Flow {
+pub(crate) struct DecayingRate {
     sum: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
-impl Flow {
+impl DecayingRate {
     /// Adds an amount.
     pub(crate) fn add(&mut self, amount: u32, now: Moment) {
-        self.sum = self.faded(now) + f64::from(amount);
-        self.at = now;
+        self.sum = self.decayed(now) + f64::from(amount);
+        self.updated_at = now;
     }
 
     /// Amount in a millisecond.
     pub(crate) fn rate(&self, now: Moment) -> f64 {
-        self.faded(now) / (FADES.as_secs_f64() * 1_000.0)
+        self.decayed(now) / (TIME_CONSTANT.as_secs_f64() * 1_000.0)
     }
 
-    fn faded(&self, now: Moment) -> f64 {
-        let past = now.saturating_sub(self.at).as_secs_f64();
-        self.sum * (-past / FADES.as_secs_f64()).exp()
+    fn decayed(&self, now: Moment) -> f64 {
+        let past = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.sum * (-past / TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::PeerId;
 use crate::health::{Health, PeerReports};
-use crate::pauses::Reading;
+use crate::pauses::ReadActivity;
 use crate::quarantine::Build;
 use crate::queue;
 use crate::{EngineId, ServiceName, Zone, hash};
@@ -107,9 +107,9 @@
 pub(crate) struct Pending {
     pub job: Job,
     /// When it was expected to be read, at the speed of its stage.
-    pub expected: Duration,
+    pub expected_read_time: Duration,
     /// Whether nothing was known to be before it.
-    pub alone: bool,
+    pub was_idle: bool,
 }
 
 /// A change that an engine has been ordered to make.
@@ -138,24 +138,24 @@
     pub stage_change: Option<StageChange>,
     /// Time that work takes here against what the speed of its stage gives; 1 is as expected.
     pub slowdown: f64,
-    pub(crate) calls: u32,
+    pub(crate) own_calls: u32,
     pub(crate) pending: SmallVec<[Pending; 8]>,
-    pub(crate) others: BTreeMap<PeerId, Work>,
+    pub(crate) peer_work: BTreeMap<PeerId, Work>,
     /// When the last prompt that is known to be read was read.
-    pub(crate) freed: Moment,
+    pub(crate) last_read_at: Moment,
     /// When it has had prompts to read.
-    pub(crate) reading: Reading,
+    pub(crate) reading: ReadActivity,
 }
 
 /// Weight of one observation in [`Engine::pace`], where nothing was before the call.
-const PACE_WEIGHT: f64 = 0.15;
+const SLOWDOWN_WEIGHT: f64 = 0.15;
 /// Weight where something was: what others sent just before is not known yet, and a wait for it says
 /// little of the engine's pace.
-const PACE_WEIGHT_BEHIND: f64 = 0.04;
+const QUEUED_SLOWDOWN_WEIGHT: f64 = 0.04;
 /// Bounds of [`Engine::pace`], so that one odd call does not close an engine.
-const PACE_RANGE: (f64, f64) = (0.25, 12.0);
+const SLOWDOWN_RANGE: (f64, f64) = (0.25, 12.0);
 /// Bounds of a single observation of the pace, for the same reason.
-const PACE_STEP: (f64, f64) = (0.3, 8.0);
+const SLOWDOWN_SAMPLE_RANGE: (f64, f64) = (0.3, 8.0);
 
 impl Engine {
     /// An engine without work.
@@ -167,18 +167,18 @@
             record_gone: false,
             stage_change: None,
             slowdown: 1.0,
-            calls: 0,
+            own_calls: 0,
             pending: SmallVec::new(),
-            others: BTreeMap::new(),
-            freed: Moment::ZERO,
-            reading: Reading::default(),
+            peer_work: BTreeMap::new(),
+            last_read_at: Moment::ZERO,
+            reading: ReadActivity::default(),
         }
     }
 
     /// What it does, or will do once it has changed.
     pub fn target_stage(&self) -> Option<Stage> {
         self.stage_change
-            .map_or(self.record.stage, |changing| Some(changing.stage))
+            .map_or(self.record.stage, |change| Some(change.stage))
     }
 
     /// Whether it takes new calls, or will once it has changed: its record says so, and nothing that it has ended.
@@ -193,7 +193,7 @@
 
     /// Whether nothing that calls came to speaks against one more now.
     pub fn is_available(&self, now: Moment) -> bool {
-        self.health.is_available(now) && self.peer_reports.is_open(now)
+        self.health.is_available(now) && self.peer_reports.is_available(now)
     }
 
     /// Share of recent calls that failed, from 0 to 1.
@@ -206,54 +206,59 @@
     /// This instance's work here.
     pub fn own_work(&self) -> Work {
         Work {
-            calls: self.calls,
+            calls: self.own_calls,
             jobs: self.pending.iter().map(|pending| pending.job).collect(),
         }
     }
 
     /// Calls of all instances here.
     pub fn running_calls(&self) -> u32 {
-        let others = self.others.values().map(|work| work.calls);
-        self.calls + others.sum::<u32>()
+        let peer_calls = self.peer_work.values().map(|work| work.calls);
+        self.own_calls + peer_calls.sum::<u32>()
     }
 
     /// Prompts of all instances that are not read yet, the oldest first.
     pub fn pending_jobs(&self) -> SmallVec<[Job; 16]> {
         let own = self.pending.iter().map(|pending| pending.job);
-        let others = self
-            .others
+        let peer_jobs = self
+            .peer_work
             .values()
             .flat_map(|work| work.jobs.iter().copied());
-        let mut jobs: SmallVec<[Job; 16]> = own.chain(others).collect();
+        let mut jobs: SmallVec<[Job; 16]> = own.chain(peer_jobs).collect();
         jobs.sort_by_key(|job| job.sent_at);
         jobs
     }
 
     /// Time from now until a new job has been read, if a millisecond reads `rate` tokens of work.
     pub fn time_until_read(&self, new: Job, rate: f64) -> Duration {
-        queue::time_until_read(&self.pending_jobs(), self.freed, new, rate / self.slowdown)
+        queue::time_until_read(
+            &self.pending_jobs(),
+            self.last_read_at,
+            new,
+            rate / self.slowdown,
+        )
     }
 
     /// Takes in whether there are prompts to read from now on.
-    pub(crate) fn note_reading(&mut self, now: Moment) {
+    pub(crate) fn update_reading(&mut self, now: Moment) {
         let own = self.pending.iter().any(|pending| pending.job.work > 0);
         let reads = |work: &Work| work.jobs.iter().any(|job| job.work > 0);
-        let is_reading = own || self.others.values().any(reads);
-        self.reading.note(is_reading, now);
+        let is_reading = own || self.peer_work.values().any(reads);
+        self.reading.set(is_reading, now);
     }
 
     /// Takes in that work took `took` milliseconds where `expected` were expected.
-    pub(crate) fn observe(&mut self, expected: f64, took: f64, alone: bool) {
+    pub(crate) fn observe_slowdown(&mut self, expected: f64, took: f64, was_idle: bool) {
         if expected <= 0.0 {
             return;
         }
-        let weight = if alone {
-            PACE_WEIGHT
+        let weight = if was_idle {
+            SLOWDOWN_WEIGHT
         } else {
-            PACE_WEIGHT_BEHIND
+            QUEUED_SLOWDOWN_WEIGHT
         };
-        let ratio = (took / expected).clamp(PACE_STEP.0, PACE_STEP.1);
+        let ratio = (took / expected).clamp(SLOWDOWN_SAMPLE_RANGE.0, SLOWDOWN_SAMPLE_RANGE.1);
         let next = self.slowdown * (ratio / self.slowdown).powf(weight);
-        self.slowdown = next.clamp(PACE_RANGE.0, PACE_RANGE.1);
+        self.slowdown = next.clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
     }
 }
--- a/crates/serving/src/fetch.rs
+++ b/crates/serving/src/fetch.rs
@@ -14,98 +14,117 @@
 use crate::{EngineId, Fleet};
 
 /// Fixed time that fetching parts of a prompt takes, besides the bytes.
-const FETCH: Duration = Duration::from_millis(10);
+const FETCH_SETUP: Duration = Duration::from_millis(10);
 
 /// An engine that keeps the beginning of the prompt, the one that keeps most of its data centre.
 pub(crate) struct Source<'a> {
     engine: &'a Engine,
-    kept: u32,
+    cached_tokens: u32,
 }
 
 pub(crate) type Sources<'a> = SmallVec<[Source<'a>; 4]>;
 
 /// How an engine comes to the prompt.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Fetch {
+pub(crate) struct PrefillPlan {
     /// Engine from which it fetches parts.
-    pub from: Option<EngineId>,
+    pub fetch_from: Option<EngineId>,
     /// Tokens that it reads.
-    pub unread: u32,
+    pub prefill_tokens: u32,
     /// Tokens that it fetches.
-    pub tokens: u32,
+    pub fetched_tokens: u32,
     /// Time for the transfer, in milliseconds.
-    pub takes: f64,
+    pub transfer_ms: f64,
 }
 
 /// Finds the engine of each data centre that keeps the most of a prompt.
 pub(crate) fn sources<'a>(
     fleet: &'a Fleet,
     demand: &'a Demand,
-    size: &Generation,
+    generation: &Generation,
     now: Moment,
 ) -> Sources<'a> {
     let mut sources = Sources::new();
     for engine in fleet.ready(demand.service) {
-        let kept = fleet.parts.cached_tokens(&engine.record.id, size.prompt);
-        if kept == 0 || !engine.is_available(now) {
+        let cached_tokens = fleet
+            .parts
+            .cached_tokens(&engine.record.id, generation.prompt);
+        if cached_tokens == 0 || !engine.is_available(now) {
             continue;
         }
-        let near = |source: &&mut Source| source.engine.record.zone == engine.record.zone;
-        match sources.iter_mut().find(near) {
-            Some(source) if source.kept >= kept => {}
-            Some(source) => *source = Source { engine, kept },
-            None => sources.push(Source { engine, kept }),
+        let same_zone = |source: &&mut Source| source.engine.record.zone == engine.record.zone;
+        match sources.iter_mut().find(same_zone) {
+            Some(source) if source.cached_tokens >= cached_tokens => {}
+            Some(source) => {
+                *source = Source {
+                    engine,
+                    cached_tokens,
+                }
+            }
+            None => sources.push(Source {
+                engine,
+                cached_tokens,
+            }),
         }
     }
     sources
 }
 
 /// The quickest way for an engine to come to a prompt: it reads all that it does not keep, or fetches some of it.
-pub(crate) fn quickest(
+pub(crate) fn quickest_prefill(
     fleet: &Fleet,
     engine: &Engine,
-    size: &Generation,
+    generation: &Generation,
     sources: &Sources,
     speed: &Speed,
-) -> Fetch {
-    let kept = fleet.parts.cached_tokens(&engine.record.id, size.prompt);
-    let kept = kept.min(size.tokens);
-    let whole = Fetch {
-        from: None,
-        unread: size.tokens - kept,
-        tokens: 0,
-        takes: 0.0,
+) -> PrefillPlan {
+    let cached_tokens = fleet
+        .parts
+        .cached_tokens(&engine.record.id, generation.prompt);
+    let cached_tokens = cached_tokens.min(generation.tokens);
+    let without_fetch = PrefillPlan {
+        fetch_from: None,
+        prefill_tokens: generation.tokens - cached_tokens,
+        fetched_tokens: 0,
+        transfer_ms: 0.0,
     };
-    let time = |fetch: &Fetch| {
-        let work = speed::work(fetch.unread, size.tokens);
-        fetch.takes + speed.millis(u64::from(work)) * engine.slowdown
+    let total_ms = |plan: &PrefillPlan| {
+        let work = speed::work(plan.prefill_tokens, generation.tokens);
+        plan.transfer_ms + speed.millis(u64::from(work)) * engine.slowdown
     };
-    let fetches = sources
+    let plans = sources
         .iter()
-        .filter_map(|source| from(source, engine, size, kept));
-    fetches
-        .chain([whole])
-        .min_by(|a, b| time(a).total_cmp(&time(b)))
+        .filter_map(|source| fetch_plan(source, engine, generation, cached_tokens));
+    plans
+        .chain([without_fetch])
+        .min_by(|a, b| total_ms(a).total_cmp(&total_ms(b)))
         .unwrap_or_default()
 }
 
 /// What it takes to fetch from a source, if it keeps more than the engine does.
-fn from(source: &Source, engine: &Engine, size: &Generation, kept: u32) -> Option<Fetch> {
-    let most = source.kept.min(size.tokens);
-    let tokens = most.checked_sub(kept).filter(|&tokens| tokens > 0)?;
-    let moved = transfer(size.model, tokens);
+fn fetch_plan(
+    source: &Source,
+    engine: &Engine,
+    generation: &Generation,
+    cached_tokens: u32,
+) -> Option<PrefillPlan> {
+    let available = source.cached_tokens.min(generation.tokens);
+    let tokens = available
+        .checked_sub(cached_tokens)
+        .filter(|&tokens| tokens > 0)?;
+    let one_way_ms = transfer_ms(generation.model, tokens);
     let is_far = source.engine.record.zone != engine.record.zone;
-    let way = if is_far { 2.0 * moved } else { moved };
-    Some(Fetch {
-        from: Some(source.engine.record.id.clone()),
-        unread: size.tokens - most,
-        tokens,
-        takes: way + FETCH.as_secs_f64() * 1_000.0,
+    let path_ms = if is_far { 2.0 * one_way_ms } else { one_way_ms };
+    Some(PrefillPlan {
+        fetch_from: Some(source.engine.record.id.clone()),
+        prefill_tokens: generation.tokens - available,
+        fetched_tokens: tokens,
+        transfer_ms: path_ms + FETCH_SETUP.as_secs_f64() * 1_000.0,
     })
 }
 
 /// Time that the memory of some tokens takes over the link, in milliseconds.
-pub(crate) fn transfer(model: &Model, tokens: u32) -> f64 {
+pub(crate) fn transfer_ms(model: &Model, tokens: u32) -> f64 {
     #[allow(clippy::cast_precision_loss)]
     let bits = f64::from(tokens) * model.kv_bytes_per_token as f64 * 8.0;
     bits / (model.link_mbps.max(1.0) * 1_000.0)
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -6,23 +6,23 @@
 
 use clock::Moment;
 
+use crate::decaying_rate::DecayingRate;
 use crate::engine::{
     Engine, Job, LATE_RANK, Pending, Rank, Record, Stage, StageChange, Ticket, Work,
 };
-use crate::flow::Flow;
 use crate::health::Outcome;
-use crate::overrun::Overrun;
+use crate::overrun::WaitOverrun;
 use crate::parts::{CachedParts, Part};
-use crate::pauses::Pauses;
+use crate::pauses::PauseModel;
 use crate::speed::Speed;
 use crate::throttle::{Rate, Throttles};
 use crate::{EngineId, ServiceName, hash, queue};
 
+mod peer_work;
 mod remote;
 mod streams;
-mod told;
 
-use remote::Remote;
+use remote::RemoteCall;
 
 /// Id of another instance.
 pub type PeerId = u64;
@@ -33,7 +33,7 @@
 
 /// Longest time that a change of what an engine does is waited for: its calls in hand end within
 /// some seconds, and the change itself takes three.
-const CHANGE: Duration = Duration::from_secs(12);
+const STAGE_CHANGE_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// A call that was sent to an engine, in the books.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     engines: BTreeMap<EngineId, Engine>,
-    by_short: HashMap<u32, EngineId>,
+    by_short_hash: HashMap<u32, EngineId>,
     /// Which engine has read what.
     pub parts: CachedParts,
     /// Rate limits that engines have announced.
@@ -55,23 +55,23 @@
     next_ticket: Ticket,
     speeds: HashMap<(ServiceName, Stage), Speed>,
     /// When each other instance was last heard of.
-    heard: BTreeMap<PeerId, Moment>,
+    peer_heard_at: BTreeMap<PeerId, Moment>,
     /// Engines at which each other instance has had work since it last told all. Without this every state of
     /// every instance would cost a look at every engine.
-    at: HashMap<PeerId, Vec<EngineId>>,
+    peer_engines: HashMap<PeerId, Vec<EngineId>>,
     /// Engines at which this instance has calls, since frames tell of these many times a second.
-    busy: BTreeSet<EngineId>,
+    busy_engines: BTreeSet<EngineId>,
     /// Engines that change what they do.
-    changing: BTreeSet<EngineId>,
+    stage_changes: BTreeSet<EngineId>,
     /// Calls that this instance placed for others, by the numbers that they have there.
-    remote: HashMap<PeerId, HashMap<Ticket, Remote>>,
+    remote_calls: HashMap<PeerId, HashMap<Ticket, RemoteCall>>,
     /// Work of prompts sent by all instances, by service.
-    reading: HashMap<ServiceName, Flow>,
+    work_rates: HashMap<ServiceName, DecayingRate>,
     changes: Vec<WorkChange>,
     /// How much longer calls that yield wait, by service.
-    overruns: HashMap<ServiceName, Overrun>,
+    overruns: HashMap<ServiceName, WaitOverrun>,
     /// Pauses of streams, by service.
-    pauses: HashMap<ServiceName, Pauses>,
+    pauses: HashMap<ServiceName, PauseModel>,
 }
 
 /// Something that changed in this instance's work at the engines.
@@ -103,12 +103,12 @@
                 let changed = engine.record_gone || engine.record != record;
                 engine.record_gone = false;
                 engine.record = record;
-                let done = |changing: &mut StageChange| engine.record.stage == Some(changing.stage);
-                engine.stage_change.take_if(done);
+                let is_done = |change: &mut StageChange| engine.record.stage == Some(change.stage);
+                engine.stage_change.take_if(is_done);
                 changed
             }
             None => {
-                self.by_short
+                self.by_short_hash
                     .insert(hash::hash32(&record.id), record.id.clone());
                 self.engines.insert(record.id.clone(), Engine::new(record));
                 true
@@ -123,7 +123,7 @@
         };
         let changed = !engine.record_gone;
         engine.record_gone = true;
-        self.sweep();
+        self.remove_unused();
         changed
     }
 
@@ -139,8 +139,8 @@
     }
 
     /// The engine whose id has this short number.
-    pub fn by_hash(&self, short: u32) -> Option<EngineId> {
-        self.by_short.get(&short).cloned()
+    pub fn by_hash(&self, hash: u32) -> Option<EngineId> {
+        self.by_short_hash.get(&hash).cloned()
     }
 
     /// Engines of a service that take new calls by their record.
@@ -157,12 +157,12 @@
 
     /// Takes in that an engine was ordered to change what it does. It gets no calls until its record
     /// says that it has, or for [`CHANGE`].
-    pub fn begin_stage_change(&mut self, id: &str, changing: StageChange) {
+    pub fn begin_stage_change(&mut self, id: &str, change: StageChange) {
         if let Some(engine) = self.engines.get_mut(id)
-            && engine.record.stage != Some(changing.stage)
+            && engine.record.stage != Some(change.stage)
         {
-            engine.stage_change.get_or_insert(changing);
-            self.changing.insert(engine.record.id.clone());
+            engine.stage_change.get_or_insert(change);
+            self.stage_changes.insert(engine.record.id.clone());
         }
     }
 
@@ -175,13 +175,13 @@
 
     /// Engines that this instance has ordered to change what they do.
     pub fn own_stage_changes(&self) -> impl Iterator<Item = (&EngineId, Stage)> {
-        self.changing.iter().filter_map(|id| {
-            let changing = self
+        self.stage_changes.iter().filter_map(|id| {
+            let change = self
                 .engines
                 .get(id)?
                 .stage_change
-                .filter(|changing| changing.own)?;
-            Some((id, changing.stage))
+                .filter(|change| change.own)?;
+            Some((id, change.stage))
         })
     }
 
@@ -200,16 +200,16 @@
             rank,
             work,
         };
-        let pending = self.pending(id, job);
+        let pending = self.pending_call(id, job);
         if let (Some(engine), Some(pending)) = (self.engines.get_mut(id), pending) {
-            engine.calls += 1;
-            self.busy.insert(id.clone());
+            engine.own_calls += 1;
+            self.busy_engines.insert(id.clone());
             engine.pending.push(pending);
-            engine.note_reading(now);
+            engine.update_reading(now);
             self.changes.push(WorkChange::Started(id.clone(), job));
             if work > 0 {
                 let service = engine.record.service.clone();
-                self.reading.entry(service).or_default().add(work, now);
+                self.work_rates.entry(service).or_default().add(work, now);
             }
         }
         SentCall {
@@ -219,14 +219,14 @@
     }
 
     /// A prompt at an engine, with when it will be read if the engine keeps the pace of its stage.
-    fn pending(&self, id: &EngineId, job: Job) -> Option<Pending> {
+    fn pending_call(&self, id: &EngineId, job: Job) -> Option<Pending> {
         let engine = self.engines.get(id)?;
         let jobs = engine.pending_jobs();
         let rate = self.speed(engine).tokens_per_ms;
         Some(Pending {
             job,
-            expected: queue::time_until_read(&jobs, engine.freed, job, rate),
-            alone: jobs.is_empty(),
+            expected_read_time: queue::time_until_read(&jobs, engine.last_read_at, job, rate),
+            was_idle: jobs.is_empty(),
         })
     }
 
@@ -236,14 +236,14 @@
             return;
         };
         let mut pending = engine.pending.iter();
-        let at = pending.position(|p| p.job.ticket == sent.ticket);
-        let Some(pending) = at.map(|at| engine.pending.remove(at)) else {
+        let index = pending.position(|p| p.job.ticket == sent.ticket);
+        let Some(pending) = index.map(|at| engine.pending.remove(at)) else {
             return;
         };
         if pending.job.work == 0 {
             return;
         }
-        engine.note_reading(now);
+        engine.update_reading(now);
         self.changes
             .push(WorkChange::Read(sent.engine.clone(), sent.ticket, now));
         self.learn(&sent.engine, &pending, now);
@@ -258,29 +258,29 @@
         let stage = engine.record.stage.unwrap_or(Stage::Decode);
         let key = (engine.record.service.clone(), stage);
         let speed = self.speeds.entry(key).or_insert_with(|| Speed::new(stage));
-        if pending.alone {
+        if pending.was_idle {
             speed.observe(pending.job.work, took);
         }
         let setup = Duration::from_secs_f64(speed.setup_ms / 1_000.0);
-        engine.freed = engine.freed.max(at.saturating_sub(setup));
-        let expected = pending.expected + setup;
+        engine.last_read_at = engine.last_read_at.max(at.saturating_sub(setup));
+        let expected = pending.expected_read_time + setup;
         if pending.job.rank >= LATE_RANK {
             let overrun = self.overruns.entry(engine.record.service.clone());
             let factor = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
             overrun.or_default().observe(factor, at);
         }
-        engine.observe(expected.as_secs_f64(), took.as_secs_f64(), pending.alone);
+        engine.observe_slowdown(expected.as_secs_f64(), took.as_secs_f64(), pending.was_idle);
     }
 
     /// Takes in that a call has ended.
     pub fn end_call(&mut self, sent: &SentCall, outcome: Option<Outcome>, now: Moment) {
-        self.note_unread(sent, now);
+        self.learn_from_unread(sent, now);
         if let Some(engine) = self.engines.get_mut(&sent.engine) {
             engine.pending.retain(|p| p.job.ticket != sent.ticket);
-            engine.note_reading(now);
-            engine.calls = engine.calls.saturating_sub(1);
-            if engine.calls == 0 {
-                self.busy.remove(&sent.engine);
+            engine.update_reading(now);
+            engine.own_calls = engine.own_calls.saturating_sub(1);
+            if engine.own_calls == 0 {
+                self.busy_engines.remove(&sent.engine);
             }
             if let Some(outcome) = outcome {
                 if outcome == Outcome::Ended && !engine.health.has_ended() {
@@ -292,29 +292,32 @@
             let ended = WorkChange::Ended(sent.engine.clone(), sent.ticket, outcome);
             self.changes.push(ended);
             if engine.record_gone {
-                self.sweep();
+                self.remove_unused();
             }
         }
     }
 
     /// Takes in how long a call that yields had waited if it ends before its prompt was read.
-    fn note_unread(&mut self, sent: &SentCall, now: Moment) {
+    fn learn_from_unread(&mut self, sent: &SentCall, now: Moment) {
         let Some(engine) = self.engines.get(&sent.engine) else {
             return;
         };
-        let yields = |pending: &&Pending| pending.job.rank >= LATE_RANK && pending.job.work > 0;
-        let mut own = engine.pending.iter().filter(yields);
+        let is_late = |pending: &&Pending| pending.job.rank >= LATE_RANK && pending.job.work > 0;
+        let mut own = engine.pending.iter().filter(is_late);
         let Some(pending) = own.find(|pending| pending.job.ticket == sent.ticket) else {
             return;
         };
-        let expected = pending.expected.as_secs_f64() + self.speed(engine).setup_ms / 1_000.0;
+        let expected =
+            pending.expected_read_time.as_secs_f64() + self.speed(engine).setup_ms / 1_000.0;
         let took = now.saturating_sub(pending.job.sent_at).as_secs_f64();
         let overrun = self.overruns.entry(engine.record.service.clone());
-        overrun.or_default().left(took / expected.max(1e-3), now);
+        overrun
+            .or_default()
+            .observe_abandoned(took / expected.max(1e-3), now);
     }
 
     /// How much longer than what is before it a call that yields waits, as a factor.
-    pub(crate) fn overrun(&self, service: &ServiceName, now: Moment) -> f64 {
+    pub(crate) fn wait_overrun(&self, service: &ServiceName, now: Moment) -> f64 {
         let overrun = self.overruns.get(service);
         overrun.map_or(1.0, |overrun| overrun.factor(now))
     }
@@ -336,7 +339,9 @@
 
     /// Tokens of work that all instances have had read lately, in a millisecond.
     pub fn work_rate(&self, service: &ServiceName, now: Moment) -> f64 {
-        self.reading.get(service).map_or(0.0, |flow| flow.rate(now))
+        self.work_rates
+            .get(service)
+            .map_or(0.0, |flow| flow.rate(now))
     }
 
     /// Counts a call that limits of a service's engines keep away. Gives the time after which its caller may come back.
@@ -352,16 +357,17 @@
     pub fn expire(&mut self, now: Moment) {
         self.throttles.expire(now);
         let engines = &mut self.engines;
-        self.changing.retain(|id| {
+        self.stage_changes.retain(|id| {
             let Some(engine) = engines.get_mut(id) else {
                 return false;
             };
-            let is_over = |changing: &mut StageChange| now.saturating_sub(changing.since) > CHANGE;
+            let is_over =
+                |change: &mut StageChange| now.saturating_sub(change.since) > STAGE_CHANGE_TIMEOUT;
             engine.stage_change.take_if(is_over);
             engine.stage_change.is_some()
         });
-        let heard = self.heard.iter();
-        let silent = heard.filter(|(_, heard)| now.saturating_sub(**heard) > PEER_WORK_AGE);
+        let peers = self.peer_heard_at.iter();
+        let silent = peers.filter(|(_, heard)| now.saturating_sub(**heard) > PEER_WORK_AGE);
         let silent: Vec<PeerId> = silent.map(|(peer, _)| *peer).collect();
         for peer in silent {
             self.forget_peer(peer, now);
@@ -376,7 +382,9 @@
     }
 
     fn busy(&self) -> impl Iterator<Item = &Engine> {
-        self.busy.iter().filter_map(|id| self.engines.get(id))
+        self.busy_engines
+            .iter()
+            .filter_map(|id| self.engines.get(id))
     }
 
     /// Takes in that an engine reads these parts.
@@ -384,24 +392,24 @@
         &mut self,
         id: &EngineId,
         prompt: &[Part],
-        memory_tokens: u64,
+        kv_capacity_tokens: u64,
         now: Moment,
     ) {
         if self.engines.contains_key(id) {
-            self.parts.record(id, prompt, memory_tokens, now);
+            self.parts.record(id, prompt, kv_capacity_tokens, now);
         }
     }
 
-    fn sweep(&mut self) {
+    fn remove_unused(&mut self) {
         let parts = &mut self.parts;
         let throttles = &mut self.throttles;
-        let by_short = &mut self.by_short;
+        let by_short_hash = &mut self.by_short_hash;
         self.engines.retain(|id, engine| {
-            let keep = !engine.record_gone || engine.calls > 0;
+            let keep = !engine.record_gone || engine.own_calls > 0;
             if !keep {
                 parts.forget(id);
                 throttles.forget(id);
-                by_short.remove(&hash::hash32(id));
+                by_short_hash.remove(&hash::hash32(id));
             }
             keep
         });
--- a/crates/serving/src/fleet/told.rs
+++ b/crates/serving/src/fleet/peer_work.rs
@@ -32,32 +32,32 @@
 
     /// Replaces a peer's work at all engines. Engines that are not listed have none of it.
     pub fn apply_all_work(&mut self, peer: PeerId, works: Vec<(EngineId, Work)>, now: Moment) {
-        self.heard.insert(peer, now);
-        self.clear(peer, now);
-        let mut at = Vec::with_capacity(works.len());
+        self.peer_heard_at.insert(peer, now);
+        self.clear_peer_work(peer, now);
+        let mut engines = Vec::with_capacity(works.len());
         for (id, work) in works {
             if let Some(engine) = self.engines.get_mut(&id) {
-                engine.others.insert(peer, work);
-                engine.note_reading(now);
-                at.push(id);
+                engine.peer_work.insert(peer, work);
+                engine.update_reading(now);
+                engines.push(id);
             }
         }
-        self.at.insert(peer, at);
+        self.peer_engines.insert(peer, engines);
     }
 
     /// Removes all work of a peer.
-    fn clear(&mut self, peer: PeerId, now: Moment) {
-        for id in self.at.remove(&peer).unwrap_or_default() {
+    fn clear_peer_work(&mut self, peer: PeerId, now: Moment) {
+        for id in self.peer_engines.remove(&peer).unwrap_or_default() {
             if let Some(engine) = self.engines.get_mut(&id) {
-                engine.others.remove(&peer);
-                engine.note_reading(now);
+                engine.peer_work.remove(&peer);
+                engine.update_reading(now);
             }
         }
     }
 
     /// Applies one change of a peer's work.
     pub fn apply_change(&mut self, peer: PeerId, change: &WorkChange, now: Moment) {
-        self.heard.insert(peer, now);
+        self.peer_heard_at.insert(peer, now);
         match change {
             WorkChange::Started(id, job) => self.started(peer, id, *job, now),
             WorkChange::Read(id, ticket, at) => self.read(peer, id, *ticket, *at, now),
@@ -74,10 +74,10 @@
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
-        let work = match engine.others.entry(peer) {
+        let work = match engine.peer_work.entry(peer) {
             Entry::Occupied(known) => known.into_mut(),
             Entry::Vacant(new) => {
-                self.at.entry(peer).or_default().push(id.clone());
+                self.peer_engines.entry(peer).or_default().push(id.clone());
                 new.insert(Work::default())
             }
         };
@@ -89,9 +89,12 @@
         if job.work > 0 {
             work.jobs.push(job);
             let service = engine.record.service.clone();
-            self.reading.entry(service).or_default().add(job.work, now);
+            self.work_rates
+                .entry(service)
+                .or_default()
+                .add(job.work, now);
         }
-        engine.note_reading(now);
+        engine.update_reading(now);
     }
 
     fn read(&mut self, peer: PeerId, id: &EngineId, ticket: Ticket, at: Moment, now: Moment) {
@@ -101,12 +104,12 @@
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
-        if let Some(work) = engine.others.get_mut(&peer) {
+        if let Some(work) = engine.peer_work.get_mut(&peer) {
             work.jobs.retain(|job| job.ticket != ticket);
         }
         let setup = Duration::from_secs_f64(setup / 1_000.0);
-        engine.freed = engine.freed.max(at.saturating_sub(setup));
-        engine.note_reading(now);
+        engine.last_read_at = engine.last_read_at.max(at.saturating_sub(setup));
+        engine.update_reading(now);
     }
 
     fn ended(
@@ -120,20 +123,20 @@
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
-        if let Some(work) = engine.others.get_mut(&peer) {
+        if let Some(work) = engine.peer_work.get_mut(&peer) {
             work.calls = work.calls.saturating_sub(1);
             work.jobs.retain(|job| job.ticket != ticket);
         }
         if let Some(outcome) = outcome {
             engine.peer_reports.record(peer, outcome, now);
         }
-        engine.note_reading(now);
+        engine.update_reading(now);
     }
 
     /// Drops what another instance said, because it has ended.
     pub fn forget_peer(&mut self, peer: PeerId, now: Moment) {
-        self.heard.remove(&peer);
-        self.clear(peer, now);
-        self.end_all_for(peer, now);
+        self.peer_heard_at.remove(&peer);
+        self.clear_peer_work(peer, now);
+        self.end_remote_calls(peer, now);
     }
 }
--- a/crates/serving/src/fleet/remote.rs
+++ b/crates/serving/src/fleet/remote.rs
@@ -15,14 +15,14 @@
 
 /// A call of another instance.
 #[derive(Clone, Debug)]
-pub(super) struct Remote {
+pub(super) struct RemoteCall {
     sent: SentCall,
-    since: Moment,
+    begun_at: Moment,
 }
 
 /// Time after which a call that its sender does not name among those in hand has ended, and the report of it was lost. It
 /// spans the way of the answer by which the sender learned of its place.
-const SETTLED: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
 impl Fleet {
     /// Enters a call of another instance that is sent at a moment, by the number that it has there.
@@ -35,16 +35,19 @@
         rank: Rank,
         at: Moment,
     ) {
-        self.heard.insert(peer, at);
+        self.peer_heard_at.insert(peer, at);
         let sent = self.begin_call(id, work, rank, at);
-        let remote = Remote { sent, since: at };
-        self.remote.entry(peer).or_default().insert(ticket, remote);
+        let remote = RemoteCall { sent, begun_at: at };
+        self.remote_calls
+            .entry(peer)
+            .or_default()
+            .insert(ticket, remote);
     }
 
     /// Takes in that the prompt of another instance's call was read at a moment.
     pub fn remote_prompt_read(&mut self, peer: PeerId, ticket: Ticket, at: Moment) {
         let remote = self
-            .remote
+            .remote_calls
             .get(&peer)
             .and_then(|remote| remote.get(&ticket));
         if let Some(sent) = remote.map(|remote| remote.sent.clone()) {
@@ -60,8 +63,8 @@
         outcome: Option<Outcome>,
         now: Moment,
     ) {
-        let remote = self.remote.get_mut(&peer);
-        let Some(Remote { sent, .. }) = remote.and_then(|remote| remote.remove(&ticket)) else {
+        let remote = self.remote_calls.get_mut(&peer);
+        let Some(RemoteCall { sent, .. }) = remote.and_then(|remote| remote.remove(&ticket)) else {
             return;
         };
         // That an engine has ended is certain, whoever says it.
@@ -74,23 +77,23 @@
 
     /// Takes in all calls that another instance has in hand of those that this one placed for it.
     pub fn retain_remote_calls(&mut self, peer: PeerId, open: &[Ticket], now: Moment) {
-        let Some(remote) = self.remote.get(&peer) else {
+        let Some(remote) = self.remote_calls.get(&peer) else {
             return;
         };
-        self.heard.insert(peer, now);
-        let is_settled = |remote: &Remote| now.saturating_sub(remote.since) > SETTLED;
-        let over = remote
+        self.peer_heard_at.insert(peer, now);
+        let is_settled = |remote: &RemoteCall| now.saturating_sub(remote.begun_at) > SETTLE_TIME;
+        let ended = remote
             .iter()
             .filter(|(ticket, remote)| is_settled(remote) && !open.contains(ticket));
-        let over: Vec<Ticket> = over.map(|(ticket, _)| *ticket).collect();
+        let over: Vec<Ticket> = ended.map(|(ticket, _)| *ticket).collect();
         for ticket in over {
             self.end_remote_call(peer, ticket, None, now);
         }
     }
 
     /// Ends all calls of an instance that has ended or fallen silent.
-    pub(super) fn end_all_for(&mut self, peer: PeerId, now: Moment) {
-        for remote in self.remote.remove(&peer).into_iter().flatten() {
+    pub(super) fn end_remote_calls(&mut self, peer: PeerId, now: Moment) {
+        for remote in self.remote_calls.remove(&peer).into_iter().flatten() {
             self.end_call(&remote.1.sent, None, now);
         }
     }
--- a/crates/serving/src/fleet/streams.rs
+++ b/crates/serving/src/fleet/streams.rs
@@ -7,7 +7,7 @@
 use super::Fleet;
 use crate::EngineId;
 use crate::engine::Engine;
-use crate::pauses::{self, Pauses, StreamMark};
+use crate::pauses::{self, PauseModel, StreamMark};
 
 impl Fleet {
     /// Where a stream at an engine is now.
@@ -42,11 +42,11 @@
     }
 
     /// What each millisecond of reading costs each stream at an engine, in milliseconds.
-    pub(crate) fn strain(&self, engine: &Engine) -> f64 {
+    pub(crate) fn stream_delay_per_ms(&self, engine: &Engine) -> f64 {
         let pauses = self.pauses.get(&engine.record.service);
-        let beside = pauses.and_then(Pauses::beside_reading);
+        let beside = pauses.and_then(PauseModel::pause_while_reading);
         beside.map_or(0.0, |beside| {
-            pauses::strain(beside * engine.slowdown.max(1.0))
+            pauses::stream_delay(beside * engine.slowdown.max(1.0))
         })
     }
 }
--- a/crates/serving/src/health.rs
+++ b/crates/serving/src/health.rs
@@ -27,31 +27,31 @@
 /// these calls its benefit. One notices it by failures that all name one engine. At two failures
 /// within the last five or so calls it rests; a service whose every engine fails a seventh of its
 /// calls stays below that.
-const CLOSE_AT: f64 = 0.35;
+const FAILURE_THRESHOLD: f64 = 0.35;
 /// Weight of one outcome.
-const WEIGHT: f64 = 0.2;
+const OUTCOME_WEIGHT: f64 = 0.2;
 /// Rest after a refusal for want of room, about as long as a call takes.
 ///
 /// An engine that refuses looks idle to whoever counts only the calls that it has taken. One
 /// notices it by calls that all try it first, each at the price of a repeat.
-const FULL_REST: Duration = Duration::from_millis(50);
+const OVERLOAD_BACKOFF: Duration = Duration::from_millis(50);
 /// Time in which the share of failures halves without any call.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 /// First rest after failures; doubles with each further one in a row.
-const REST: Duration = Duration::from_millis(1_000);
+const MIN_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Longest rest.
-const LONGEST_REST: Duration = Duration::from_millis(4_000);
+const MAX_BACKOFF: Duration = Duration::from_millis(4_000);
 /// Rest after a connection that did not open: the engine is gone, or its queue of connections is
 /// full for a moment.
-const UNREACHABLE_REST: Duration = Duration::from_millis(1_000);
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(1_000);
 
 /// Recent outcomes at one engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failures: f64,
-    noted: Moment,
-    rests: u32,
-    until: Moment,
+    updated_at: Moment,
+    backoffs: u32,
+    retry_at: Moment,
     probing: bool,
     ended: bool,
 }
@@ -60,19 +60,19 @@
     /// Takes in an outcome.
     pub fn record(&mut self, outcome: Outcome, now: Moment) {
         self.failures = self.failures(now);
-        self.noted = now;
+        self.updated_at = now;
         match outcome {
-            Outcome::Success => self.good(),
-            Outcome::Overloaded => self.until = self.until.max(now + FULL_REST),
-            Outcome::Unreachable => self.rest(UNREACHABLE_REST, now),
+            Outcome::Success => self.on_success(),
+            Outcome::Overloaded => self.retry_at = self.retry_at.max(now + OVERLOAD_BACKOFF),
+            Outcome::Unreachable => self.back_off(UNREACHABLE_BACKOFF, now),
             Outcome::Ended => self.ended = true,
-            Outcome::Failed => self.failed(now),
+            Outcome::Failed => self.on_failure(now),
         }
     }
 
     /// Whether a call may be sent here.
     pub fn is_available(&self, now: Moment) -> bool {
-        now >= self.until && !self.ended
+        now >= self.retry_at && !self.ended
     }
 
     /// Whether the engine is known to have ended, although its record stands.
@@ -83,38 +83,38 @@
     /// Share of recent calls that failed, from 0 to 1. It fades with time: an engine that gets no calls
     /// because it failed would never be seen to have recovered.
     pub fn failures(&self, now: Moment) -> f64 {
-        let halvings = now.saturating_sub(self.noted).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let halvings = now.saturating_sub(self.updated_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.failures * 0.5_f64.powf(halvings)
     }
 
-    fn good(&mut self) {
-        self.failures *= 1.0 - WEIGHT;
+    fn on_success(&mut self) {
+        self.failures *= 1.0 - OUTCOME_WEIGHT;
         self.probing = false;
-        if self.failures < CLOSE_AT / 4.0 {
-            self.rests = 0;
+        if self.failures < FAILURE_THRESHOLD / 4.0 {
+            self.backoffs = 0;
         }
     }
 
-    fn failed(&mut self, now: Moment) {
-        self.failures = self.failures * (1.0 - WEIGHT) + WEIGHT;
-        if self.failures >= CLOSE_AT || self.probing {
-            let rest = REST * 2_u32.saturating_pow(self.rests.min(4));
-            self.rest(rest.min(LONGEST_REST), now);
+    fn on_failure(&mut self, now: Moment) {
+        self.failures = self.failures * (1.0 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT;
+        if self.failures >= FAILURE_THRESHOLD || self.probing {
+            let backoff = MIN_BACKOFF * 2_u32.saturating_pow(self.backoffs.min(4));
+            self.back_off(backoff.min(MAX_BACKOFF), now);
         }
     }
 
-    fn rest(&mut self, rest: Duration, now: Moment) {
-        if now < self.until {
+    fn back_off(&mut self, duration: Duration, now: Moment) {
+        if now < self.retry_at {
             return;
         }
-        self.rests += 1;
+        self.backoffs += 1;
         self.probing = true;
-        self.until = now + rest;
+        self.retry_at = now + duration;
     }
 }
 
 /// Time within which another instance must tell of a failure as well.
-const AGREES: Duration = Duration::from_secs(2);
+const CORROBORATION_WINDOW: Duration = Duration::from_secs(2);
 
 /// What other instances tell of their calls at one engine.
 ///
@@ -125,12 +125,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerReports {
     health: Health,
-    failed: Option<(PeerId, Moment)>,
+    last_failure: Option<(PeerId, Moment)>,
 }
 
 impl PeerReports {
     /// Whether a call may be sent here by what others tell.
-    pub fn is_open(&self, now: Moment) -> bool {
+    pub fn is_available(&self, now: Moment) -> bool {
         self.health.is_available(now)
     }
 
@@ -143,17 +143,18 @@
     pub fn record(&mut self, peer: PeerId, outcome: Outcome, now: Moment) {
         match outcome {
             Outcome::Success | Outcome::Overloaded => self.health.record(outcome, now),
-            Outcome::Failed | Outcome::Unreachable => self.failed(peer, now),
+            Outcome::Failed | Outcome::Unreachable => self.on_failure(peer, now),
             // Told by itself, and once.
             Outcome::Ended => {}
         }
     }
 
-    fn failed(&mut self, peer: PeerId, now: Moment) {
-        let before = self.failed.replace((peer, now));
-        let agrees =
-            |(other, at): (PeerId, Moment)| other != peer && now.saturating_sub(at) <= AGREES;
-        if before.is_some_and(agrees) {
+    fn on_failure(&mut self, peer: PeerId, now: Moment) {
+        let previous = self.last_failure.replace((peer, now));
+        let is_corroborated = |(other, at): (PeerId, Moment)| {
+            other != peer && now.saturating_sub(at) <= CORROBORATION_WINDOW
+        };
+        if previous.is_some_and(is_corroborated) {
             self.health.record(Outcome::Failed, now);
         }
     }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -10,14 +10,14 @@
 pub mod budget;
 pub mod claim;
 mod cost;
+mod decaying_rate;
 pub mod engine;
 mod fetch;
 pub mod fingerprint;
-mod fit;
 pub mod fleet;
-mod flow;
 pub mod hash;
 pub mod health;
+mod linear_fit;
 pub mod organisation;
 mod overrun;
 pub mod parts;
--- a/crates/serving/src/fit.rs
+++ b/crates/serving/src/linear_fit.rs
@@ -2,7 +2,7 @@
 
 /// Sums over observations of which earlier ones count less.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Fit {
+pub(crate) struct LinearFit {
     weight: f64,
     x: f64,
     y: f64,
@@ -10,15 +10,15 @@
     xy: f64,
 }
 
-impl Fit {
+impl LinearFit {
     /// Takes an observation in. `kept` is what is left of all earlier ones.
-    pub(crate) fn observe(&mut self, x: f64, y: f64, kept: f64) {
-        let add = |sum: &mut f64, value: f64| *sum = *sum * kept + value;
-        add(&mut self.weight, 1.0);
-        add(&mut self.x, x);
-        add(&mut self.y, y);
-        add(&mut self.xx, x * x);
-        add(&mut self.xy, x * y);
+    pub(crate) fn observe(&mut self, x: f64, y: f64, retained: f64) {
+        let accumulate = |sum: &mut f64, value: f64| *sum = *sum * retained + value;
+        accumulate(&mut self.weight, 1.0);
+        accumulate(&mut self.x, x);
+        accumulate(&mut self.y, y);
+        accumulate(&mut self.xx, x * x);
+        accumulate(&mut self.xy, x * y);
     }
 
     /// How many observations count, with faded ones in part.
@@ -28,13 +28,13 @@
 
     /// What the line rises by for each step of one: the line with the least squares of distances, unless the observations lie within `least`, a variance, of
     /// one place: then any slope would do.
-    pub(crate) fn slope(&self, least: f64) -> Option<f64> {
+    pub(crate) fn slope(&self, min_variance: f64) -> Option<f64> {
         let (x, y) = self.mean()?;
-        let spread = self.xx / self.weight - x * x;
-        if spread < least {
+        let variance = self.xx / self.weight - x * x;
+        if variance < min_variance {
             return None;
         }
-        Some((self.xy / self.weight - x * y) / spread)
+        Some((self.xy / self.weight - x * y) / variance)
     }
 
     /// The middle of the observations.
--- a/crates/serving/src/organisation.rs
+++ b/crates/serving/src/organisation.rs
@@ -91,9 +91,9 @@
                 findings.push(Finding::SharedName(organisation.name.clone()));
             }
             for digest in digests {
-                let before = by_key.insert(digest, organisation.clone());
-                let other = before.filter(|before| before.name != organisation.name);
-                findings.extend(other.map(|other| {
+                let previous = by_key.insert(digest, organisation.clone());
+                let other_holder = previous.filter(|before| before.name != organisation.name);
+                findings.extend(other_holder.map(|other| {
                     Finding::SharedKey(other.name.clone(), organisation.name.clone())
                 }));
             }
--- a/crates/serving/src/parts.rs
+++ b/crates/serving/src/parts.rs
@@ -32,38 +32,38 @@
 
 /// Parts that one engine holds, as far as is known.
 #[derive(Clone, Debug, Default)]
-struct Memory {
-    held: HashMap<PartId, (Moment, u32)>,
+struct EngineCache {
+    parts: HashMap<PartId, (Moment, u32)>,
     tokens: u64,
 }
 
 /// Share of an engine's memory that is taken to be there for parts; the rest is in running calls.
-const KEPT: f64 = 0.9;
-
-impl Memory {
-    fn touch(&mut self, part: Part, now: Moment, room: u64) {
-        let before = self.held.insert(part.id, (now, part.tokens));
-        let old = before.map_or(0, |(_, tokens)| u64::from(tokens));
-        self.tokens = self.tokens + u64::from(part.tokens) - old;
-        if self.tokens > room {
-            self.evict(room);
+const PARTS_SHARE: f64 = 0.9;
+
+impl EngineCache {
+    fn touch(&mut self, part: Part, now: Moment, capacity: u64) {
+        let previous = self.parts.insert(part.id, (now, part.tokens));
+        let previous_tokens = previous.map_or(0, |(_, tokens)| u64::from(tokens));
+        self.tokens = self.tokens + u64::from(part.tokens) - previous_tokens;
+        if self.tokens > capacity {
+            self.evict(capacity);
         }
     }
 
     /// Drops what was used longest ago until a tenth of the room is free, so that the search for
     /// the oldest is not made for each part.
-    fn evict(&mut self, room: u64) {
+    fn evict(&mut self, capacity: u64) {
         let mut by_age: Vec<(Moment, PartId, u32)> = self
-            .held
+            .parts
             .iter()
             .map(|(&id, &(used, tokens))| (used, id, tokens))
             .collect();
         by_age.sort_unstable();
         for (_, id, tokens) in by_age {
-            if self.tokens <= room - room / 10 {
+            if self.tokens <= capacity - capacity / 10 {
                 break;
             }
-            self.held.remove(&id);
+            self.parts.remove(&id);
             self.tokens -= u64::from(tokens);
         }
     }
@@ -72,53 +72,59 @@
 /// The parts of all engines.
 #[derive(Clone, Debug, Default)]
 pub struct CachedParts {
-    memories: HashMap<EngineId, Memory>,
+    caches: HashMap<EngineId, EngineCache>,
 }
 
 impl CachedParts {
     /// Takes in that an engine reads these parts.
-    pub fn record(&mut self, engine: &EngineId, prompt: &[Part], memory_tokens: u64, now: Moment) {
+    pub fn record(
+        &mut self,
+        engine: &EngineId,
+        prompt: &[Part],
+        kv_capacity_tokens: u64,
+        now: Moment,
+    ) {
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             clippy::cast_precision_loss
         )]
-        let room = (memory_tokens as f64 * KEPT) as u64;
-        let memory = self.memories.entry(engine.clone()).or_default();
+        let capacity = (kv_capacity_tokens as f64 * PARTS_SHARE) as u64;
+        let cache = self.caches.entry(engine.clone()).or_default();
         for &part in prompt {
-            memory.touch(part, now, room);
+            cache.touch(part, now, capacity);
         }
     }
 
     /// Tokens at the beginning of the prompt that the engine need not read again. A part is of use
     /// only behind all parts before it.
     pub fn cached_tokens(&self, engine: &EngineId, prompt: &[Part]) -> u32 {
-        let Some(memory) = self.memories.get(engine) else {
+        let Some(cache) = self.caches.get(engine) else {
             return 0;
         };
         prompt
             .iter()
-            .take_while(|part| memory.held.contains_key(&part.id))
+            .take_while(|part| cache.parts.contains_key(&part.id))
             .map(|part| part.tokens)
             .sum()
     }
 
     /// All parts that an engine holds, the one used longest ago first.
     pub fn cached_parts(&self, engine: &EngineId) -> Vec<Part> {
-        let Some(memory) = self.memories.get(engine) else {
+        let Some(cache) = self.caches.get(engine) else {
             return Vec::new();
         };
-        let mut held: Vec<(Moment, Part)> = memory
-            .held
+        let mut parts: Vec<(Moment, Part)> = cache
+            .parts
             .iter()
             .map(|(&id, &(used, tokens))| (used, Part { id, tokens }))
             .collect();
-        held.sort_unstable_by_key(|(used, part)| (*used, part.id));
-        held.into_iter().map(|(_, part)| part).collect()
+        parts.sort_unstable_by_key(|(used, part)| (*used, part.id));
+        parts.into_iter().map(|(_, part)| part).collect()
     }
 
     /// Forgets an engine that has ended.
     pub fn forget(&mut self, engine: &EngineId) {
-        self.memories.remove(engine);
+        self.caches.remove(engine);
     }
 }
--- a/crates/serving/src/pauses.rs
+++ b/crates/serving/src/pauses.rs
@@ -6,19 +6,19 @@
 
 use clock::Moment;
 
-use crate::fit::Fit;
+use crate::linear_fit::LinearFit;
 
 /// When an engine has had prompts to read.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Reading {
+pub(crate) struct ReadActivity {
     is_reading: bool,
     total: Duration,
     at: Moment,
 }
 
-impl Reading {
+impl ReadActivity {
     /// Takes in whether the engine has a prompt to read from now on.
-    pub(crate) fn note(&mut self, is_reading: bool, now: Moment) {
+    pub(crate) fn set(&mut self, is_reading: bool, now: Moment) {
         self.total = self.total(now);
         self.at = self.at.max(now);
         self.is_reading = is_reading;
@@ -46,39 +46,39 @@
 /// All times are shares of the longest pause that the stream may have. A straight line through the pauses
 /// gives the pause of a stream beside which nothing is read, and how much reading adds to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pauses {
-    seen: Fit,
+pub(crate) struct PauseModel {
+    observations: LinearFit,
 }
 
 /// What is left of earlier pauses with each new one: some hundred count, a second or two of an instance's
 /// streams under load.
-const KEPT: f64 = 1.0 - 1.0 / 400.0;
+const RETAINED: f64 = 1.0 - 1.0 / 400.0;
 /// Pauses that must have been seen before anything is said of them.
-const ENOUGH: f64 = 40.0;
+const MIN_WEIGHT: f64 = 40.0;
 /// Least spread of the reading times through which a line is laid, as a variance.
-const LEAST_SPREAD: f64 = 1e-4;
+const MIN_VARIANCE: f64 = 1e-4;
 /// A pause that is longer than this tells of an engine that stands still, and not of reading.
-const LONGEST: f64 = 4.0;
+const MAX_PAUSE: f64 = 4.0;
 /// Share of a pause by which reading holds a stream up at the most. An engine makes a token after each chunk of a prompt,
 /// so that it never stands still.
-const MOST_ADDED: f64 = 0.95;
+const MAX_ADDED_SHARE: f64 = 0.95;
 
-impl Pauses {
+impl PauseModel {
     /// Takes in one pause and the reading time in it.
     pub(crate) fn observe(&mut self, read: f64, pause: f64) {
-        if pause <= LONGEST {
-            self.seen.observe(read, pause, KEPT);
+        if pause <= MAX_PAUSE {
+            self.observations.observe(read, pause, RETAINED);
         }
     }
 
     /// The pause of a stream at an engine that never ceases to read, as a share of what it may have.
-    pub(crate) fn beside_reading(&self) -> Option<f64> {
-        if self.seen.weight() < ENOUGH {
+    pub(crate) fn pause_while_reading(&self) -> Option<f64> {
+        if self.observations.weight() < MIN_WEIGHT {
             return None;
         }
-        let (read, pause) = self.seen.mean()?;
-        let added = self.seen.slope(LEAST_SPREAD)?;
-        let added = added.clamp(0.0, MOST_ADDED);
+        let (read, pause) = self.observations.mean()?;
+        let added = self.observations.slope(MIN_VARIANCE)?;
+        let added = added.clamp(0.0, MAX_ADDED_SHARE);
         let alone = (pause - added * read).max(0.0);
         // Reading goes on through the whole pause: pause = alone + added * pause.
         Some(alone / (1.0 - added))
@@ -87,10 +87,10 @@
 
 /// Share of their longest pause up to which streams lose nothing by reading: events come a little later than
 /// usual now and then, which takes the rest.
-const FREE: f64 = 0.5;
+const FREE_SHARE: f64 = 0.5;
 
 /// How much a stream loses by reading, from nothing to a millisecond for each millisecond read, where its
 /// pauses beside reading are this share of what they may be.
-pub(crate) fn strain(beside_reading: f64) -> f64 {
-    ((beside_reading - FREE) / (1.0 - FREE)).clamp(0.0, 1.0)
+pub(crate) fn stream_delay(beside_reading: f64) -> f64 {
+    ((beside_reading - FREE_SHARE) / (1.0 - FREE_SHARE)).clamp(0.0, 1.0)
 }
--- a/crates/serving/src/place.rs
+++ b/crates/serving/src/place.rs
@@ -145,23 +145,23 @@
 }
 
 /// Share of a caller's time within which the first answer must be expected.
-const IN_TIME: f64 = 0.9;
+const MAX_WAIT_SHARE: f64 = 0.9;
 /// Time told to a caller when no engine is known at all.
-const NO_ENGINE_AFTER: Duration = Duration::from_millis(500);
+const NO_ENGINE_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Share of the time in which a call is on time that it may wait for an engine's rate limit.
 const LIMIT_WAIT_SHARE: f64 = 0.5;
 /// Shortest `Retry-After` of a rejection by rate limits.
-const MIN_LIMITED_AFTER: Duration = Duration::from_millis(100);
+const MIN_RATE_LIMIT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Finds the place for a call.
 pub fn choose(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
-    let demand = in_time(demand);
+    let demand = below_late_rank(demand);
     if demand.isolated {
-        return choose_alone(fleet, &demand, now);
+        return choose_isolated(fleet, &demand, now);
     }
     match &demand.generation {
-        Some(generation) => generate(fleet, &demand, generation, now),
-        None => plain(fleet, &demand, now),
+        Some(generation) => choose_generation(fleet, &demand, generation, now),
+        None => choose_plain(fleet, &demand, now),
     }
 }
 
@@ -179,10 +179,10 @@
             }
         }
         Choice::Refuse {
-            retry_after: after,
+            retry_after,
             reason: Refusal::RateLimited,
             ..
-        } => *after = fleet.defer(demand.service, now).max(*after),
+        } => *retry_after = fleet.defer(demand.service, now).max(*retry_after),
         Choice::Refuse { .. } => {}
     }
 }
@@ -195,16 +195,16 @@
 }
 
 /// Finds the place of a call that may end its engine: where the fewest calls run, which also reads its prompt.
-fn choose_alone(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
-    let quietest = {
-        let engines = open(fleet, demand, now).filter(|engine| !cost::is_prefill(engine));
+fn choose_isolated(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
+    let least_busy = {
+        let engines = available(fleet, demand, now).filter(|engine| !cost::is_prefill(engine));
         engines.min_by_key(|engine| engine.running_calls())
     };
     let others = fleet.ready(demand.service).map(|engine| &engine.record.id);
-    let others = others.filter(|id| quietest.is_some_and(|quietest| quietest.record.id != **id));
-    let avoid: Vec<EngineId> = demand.excluded.iter().chain(others).cloned().collect();
+    let others = others.filter(|id| least_busy.is_some_and(|quietest| quietest.record.id != **id));
+    let excluded: Vec<EngineId> = demand.excluded.iter().chain(others).cloned().collect();
     let demand = Demand {
-        excluded: &avoid,
+        excluded: &excluded,
         may_split: false,
         isolated: false,
         ..*demand
@@ -214,31 +214,39 @@
 
 /// The demand at a rank of calls that can be on time. Ranks from [`LATE`] on are for those that cannot: a route whose
 /// calls an operator has put there would be taken for late on an idle fleet, and refused in the next peak.
-fn in_time<'a>(demand: &Demand<'a>) -> Demand<'a> {
+fn below_late_rank<'a>(demand: &Demand<'a>) -> Demand<'a> {
     Demand {
         priority: demand.priority.min(LATE_RANK - 1),
         ..*demand
     }
 }
 
-fn open<'a>(fleet: &'a Fleet, demand: &'a Demand, now: Moment) -> impl Iterator<Item = &'a Engine> {
+fn available<'a>(
+    fleet: &'a Fleet,
+    demand: &'a Demand,
+    now: Moment,
+) -> impl Iterator<Item = &'a Engine> {
     fleet
         .ready(demand.service)
-        .filter(move |engine| engine.is_available(now) && takes(fleet, engine, demand, now))
+        .filter(move |engine| engine.is_available(now) && admits(fleet, engine, demand, now))
 }
 
 /// If every engine rests, the one that rests soonest over is better than none.
-fn any<'a>(fleet: &'a Fleet, demand: &'a Demand, now: Moment) -> impl Iterator<Item = &'a Engine> {
+fn admitting<'a>(
+    fleet: &'a Fleet,
+    demand: &'a Demand,
+    now: Moment,
+) -> impl Iterator<Item = &'a Engine> {
     fleet
         .ready(demand.service)
-        .filter(move |engine| takes(fleet, engine, demand, now))
+        .filter(move |engine| admits(fleet, engine, demand, now))
 }
 
 /// Whether an engine may get a call, however it is.
 ///
 /// An engine resets connections beyond those it takes from all instances, and a call that had been sent on
 /// one may have run. One notices it by resets of calls at the fullest engines of a burst.
-fn takes(fleet: &Fleet, engine: &Engine, demand: &Demand, now: Moment) -> bool {
+fn admits(fleet: &Fleet, engine: &Engine, demand: &Demand, now: Moment) -> bool {
     engine.running_calls() < demand.connections
         && !demand.excluded.contains(&engine.record.id)
         && limit_wait(fleet, engine, demand, now).is_some()
@@ -252,19 +260,19 @@
     now: Moment,
 ) -> Option<Duration> {
     match fleet.throttles.permit(&engine.record.id, now) {
-        Permit::After(wait) => (wait <= longest_wait(demand)).then_some(wait),
+        Permit::After(wait) => (wait <= max_limit_wait(demand)).then_some(wait),
         Permit::Elsewhere(_) => None,
     }
 }
 
 /// A queue longer than this would make every call late in it, and serve no more of them. One that is late anyway takes what no
 /// other waits for.
-fn longest_wait(demand: &Demand) -> Duration {
+fn max_limit_wait(demand: &Demand) -> Duration {
     if demand.priority >= LATE_RANK {
         return Duration::ZERO;
     }
-    let on_time = demand.latency_target.mul_f64(LIMIT_WAIT_SHARE);
-    on_time.min(demand.time_left.mul_f64(IN_TIME))
+    let by_target = demand.latency_target.mul_f64(LIMIT_WAIT_SHARE);
+    by_target.min(demand.time_left.mul_f64(MAX_WAIT_SHARE))
 }
 
 /// The refusal of a call that no engine takes.
@@ -275,26 +283,26 @@
     let waits = engines.filter_map(
         |engine| match fleet.throttles.permit(&engine.record.id, now) {
             Permit::After(wait) if wait.is_zero() => None,
-            Permit::After(wait) => Some(wait.saturating_sub(longest_wait(demand))),
+            Permit::After(wait) => Some(wait.saturating_sub(max_limit_wait(demand))),
             Permit::Elsewhere(interval) => Some(interval),
         },
     );
-    let (after, why) = match waits.min() {
-        Some(wait) => (wait.max(MIN_LIMITED_AFTER), Refusal::RateLimited),
-        None => (NO_ENGINE_AFTER, Refusal::NoEngine),
+    let (retry_after, reason) = match waits.min() {
+        Some(wait) => (wait.max(MIN_RATE_LIMIT_RETRY_AFTER), Refusal::RateLimited),
+        None => (NO_ENGINE_RETRY_AFTER, Refusal::NoEngine),
     };
     Choice::Refuse {
-        retry_after: after,
-        reason: why,
+        retry_after,
+        reason,
         best_target: None,
     }
 }
 
-fn plain(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
+fn choose_plain(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
     let cost = |engine: &&Engine| plain_cost(fleet, engine, demand, now);
-    let best = open(fleet, demand, now)
+    let best = available(fleet, demand, now)
         .min_by(|a, b| cost(a).total_cmp(&cost(b)))
-        .or_else(|| any(fleet, demand, now).min_by(|a, b| cost(a).total_cmp(&cost(b))));
+        .or_else(|| admitting(fleet, demand, now).min_by(|a, b| cost(a).total_cmp(&cost(b))));
     match best {
         Some(engine) => Choice::Direct(Target {
             engine: engine.record.id.clone(),
@@ -311,37 +319,42 @@
 }
 
 /// Against which a wait is weighed for a call that is late already.
-const SHORTEST_TARGET: Duration = Duration::from_millis(10);
+const MIN_LATENCY_TARGET: Duration = Duration::from_millis(10);
 
 /// Calls before this one, in units of the engine's slots, and what speaks against the engine.
 fn plain_cost(fleet: &Fleet, engine: &Engine, demand: &Demand, now: Moment) -> f64 {
     let load = f64::from(engine.running_calls() + 1) / f64::from(engine.record.slots.max(1));
-    let far = if engine.record.zone == *demand.zone {
+    let distance = if engine.record.zone == *demand.zone {
         0.0
     } else {
         0.1
     };
     let wait = limit_wait(fleet, engine, demand, now).unwrap_or_default();
-    let late = wait.as_secs_f64() / demand.latency_target.max(SHORTEST_TARGET).as_secs_f64();
-    load + far + late + 4.0 * engine.failures(now)
+    let lateness = wait.as_secs_f64() / demand.latency_target.max(MIN_LATENCY_TARGET).as_secs_f64();
+    load + distance + lateness + 4.0 * engine.failures(now)
 }
 
-fn generate(fleet: &Fleet, demand: &Demand, size: &Generation, now: Moment) -> Choice {
-    let choice = at_rank(fleet, demand, size, now);
-    let choice = match expected(&choice) {
+fn choose_generation(
+    fleet: &Fleet,
+    demand: &Demand,
+    generation: &Generation,
+    now: Moment,
+) -> Choice {
+    let choice = choose_at_rank(fleet, demand, generation, now);
+    let choice = match expected_latency(&choice) {
         Some(expected) if expected > demand.latency_target => {
             let late = Demand {
                 priority: demand.priority.saturating_add(LATE_RANK),
                 ..*demand
             };
-            at_rank(fleet, &late, size, now)
+            choose_at_rank(fleet, &late, generation, now)
         }
         _ => choice,
     };
     refuse_if_late(choice, demand)
 }
 
-fn expected(choice: &Choice) -> Option<Duration> {
+fn expected_latency(choice: &Choice) -> Option<Duration> {
     match choice {
         Choice::Direct(target) => Some(target.expected_latency),
         Choice::Split {
@@ -351,33 +364,40 @@
     }
 }
 
-fn at_rank(fleet: &Fleet, demand: &Demand, size: &Generation, now: Moment) -> Choice {
-    let mut engines: Vec<&Engine> = open(fleet, demand, now).collect();
+fn choose_at_rank(fleet: &Fleet, demand: &Demand, generation: &Generation, now: Moment) -> Choice {
+    let mut engines: Vec<&Engine> = available(fleet, demand, now).collect();
     if engines
         .iter()
         .all(|e| e.record.stage == Some(Stage::Prefill))
     {
-        engines = any(fleet, demand, now).collect();
+        engines = admitting(fleet, demand, now).collect();
     }
-    let sources = fetch::sources(fleet, demand, size, now);
-    let direct = cost::best(
+    let sources = fetch::sources(fleet, demand, generation, now);
+    let direct = cost::cheapest(
         engines
             .iter()
             .filter(|e| !cost::is_prefill(e))
-            .map(|e| cost::read(fleet, e, demand, size, &sources, now)),
+            .map(|e| cost::prefill_cost(fleet, e, demand, generation, &sources, now)),
     );
     let Some(direct) = direct else {
         return refuse(fleet, demand, now);
     };
-    let prefill = cost::best(
+    let prefill = cost::cheapest(
         engines
             .iter()
             .filter(|e| demand.may_split && cost::is_prefill(e))
-            .map(|e| cost::read(fleet, e, demand, size, &sources, now)),
+            .map(|e| cost::prefill_cost(fleet, e, demand, generation, &sources, now)),
     );
     let split = prefill.and_then(|prefill| {
         let source = fleet.get(&prefill.target.engine)?;
-        let decode = cost::take_over(fleet, &engines, demand, size, &source.record.zone, now)?;
+        let decode = cost::decode_cost(
+            fleet,
+            &engines,
+            demand,
+            generation,
+            &source.record.zone,
+            now,
+        )?;
         Some((prefill, decode))
     });
     match split {
@@ -398,16 +418,16 @@
 /// Finds the engine that takes over the memory of a prompt that was read in a data centre: the one that was reserved, else the best
 /// one now.
 pub fn choose_decode(fleet: &Fleet, demand: &Demand, source: &Zone, now: Moment) -> Option<Target> {
-    let demand = in_time(demand);
-    let size = demand.generation.as_ref()?;
+    let demand = below_late_rank(demand);
+    let generation = demand.generation.as_ref()?;
     if let Some(target) = reserved(fleet, &demand) {
         return Some(target);
     }
-    let mut engines: Vec<&Engine> = open(fleet, &demand, now).collect();
+    let mut engines: Vec<&Engine> = available(fleet, &demand, now).collect();
     if engines.iter().all(|engine| cost::is_prefill(engine)) {
-        engines = any(fleet, &demand, now).collect();
+        engines = admitting(fleet, &demand, now).collect();
     }
-    cost::take_over(fleet, &engines, &demand, size, source, now).map(|cost| cost.target)
+    cost::decode_cost(fleet, &engines, &demand, generation, source, now).map(|cost| cost.target)
 }
 
 /// The engine that was reserved for a call, if it still takes calls.
@@ -427,10 +447,10 @@
 }
 
 fn refuse_if_late(choice: Choice, demand: &Demand) -> Choice {
-    let Some(expected) = expected(&choice) else {
+    let Some(expected) = expected_latency(&choice) else {
         return choice;
     };
-    let bound = demand.time_left.mul_f64(IN_TIME);
+    let bound = demand.time_left.mul_f64(MAX_WAIT_SHARE);
     if expected <= bound {
         return choice;
     }
--- a/crates/serving/src/placer.rs
+++ b/crates/serving/src/placer.rs
@@ -21,7 +21,7 @@
 pub const PLACERS_PER_ZONE: usize = 2;
 /// How much longer than the one before it an instance waits before it fills a vacancy, where it cannot know
 /// whether the one before it lives. A new placer makes itself known in less.
-const STEP: Duration = Duration::from_millis(150);
+const VACANCY_STEP: Duration = Duration::from_millis(150);
 
 /// Hash of a data centre's name.
 pub type ZoneHash = u32;
@@ -62,10 +62,10 @@
     /// all filled a vacancy at once, a data centre would have as many placers as instances for a moment, and each
     /// call would be told to all of them. So each waits for as long as those before it need.
     pub fn update(&mut self, own: &Member, others: &[Member], now: Moment) -> Placers {
-        let mut living: Vec<&Member> = others.iter().filter(|other| other.alive).collect();
-        living.sort_unstable_by_key(|other| (other.zone, other.order));
-        let near = living.iter().filter(|other| other.zone == own.zone);
-        let before = near.filter(|other| other.order < own.order).count();
+        let mut live: Vec<&Member> = others.iter().filter(|other| other.alive).collect();
+        live.sort_unstable_by_key(|other| (other.zone, other.order));
+        let same_zone = live.iter().filter(|other| other.zone == own.zone);
+        let before = same_zone.filter(|other| other.order < own.order).count();
         self.placing = before < PLACERS_PER_ZONE && self.may_fill(own, others, now);
         if before >= PLACERS_PER_ZONE {
             self.vacant_since = None;
@@ -74,10 +74,12 @@
             includes_self: self.placing,
             others: Vec::new(),
         };
-        for some in living.chunk_by(|a, b| a.zone == b.zone) {
-            let is_own = some.first().is_some_and(|first| first.zone == own.zone);
-            let seats = PLACERS_PER_ZONE - usize::from(is_own && self.placing);
-            let chosen = some.iter().take(seats);
+        for zone_members in live.chunk_by(|a, b| a.zone == b.zone) {
+            let is_own = zone_members
+                .first()
+                .is_some_and(|first| first.zone == own.zone);
+            let vacancies = PLACERS_PER_ZONE - usize::from(is_own && self.placing);
+            let chosen = zone_members.iter().take(vacancies);
             placers
                 .others
                 .extend(chosen.map(|chosen| (chosen.address, chosen.zone)));
@@ -87,11 +89,11 @@
 
     fn may_fill(&mut self, own: &Member, others: &[Member], now: Moment) -> bool {
         let since = *self.vacant_since.get_or_insert(now);
-        let unknown = others
+        let uncertain = others
             .iter()
             .filter(|other| !other.alive && other.zone == own.zone && other.order < own.order);
-        let unknown = u32::try_from(unknown.count()).unwrap_or(u32::MAX);
-        self.placing || now.saturating_sub(since) >= STEP.saturating_mul(unknown)
+        let unknown = u32::try_from(uncertain.count()).unwrap_or(u32::MAX);
+        self.placing || now.saturating_sub(since) >= VACANCY_STEP.saturating_mul(unknown)
     }
 }
 
@@ -109,15 +111,16 @@
 pub fn ask_order(
     placers: &[(SocketAddr, ZoneHash)],
     own: ZoneHash,
-    beginning: u32,
+    prefix: u32,
 ) -> Vec<SocketAddr> {
-    let (mut near, mut far): (Vec<_>, Vec<_>) = placers.iter().partition(|(_, at)| *at == own);
-    for some in [&mut near, &mut far] {
-        if !some.is_empty() {
-            let first = beginning as usize % some.len();
-            some.rotate_left(first);
+    let (mut own_zone, mut other_zones): (Vec<_>, Vec<_>) =
+        placers.iter().partition(|(_, at)| *at == own);
+    for group in [&mut own_zone, &mut other_zones] {
+        if !group.is_empty() {
+            let first = prefix as usize % group.len();
+            group.rotate_left(first);
         }
     }
-    near.append(&mut far);
-    near.into_iter().map(|(address, _)| address).collect()
+    own_zone.append(&mut other_zones);
+    own_zone.into_iter().map(|(address, _)| address).collect()
 }
--- a/crates/serving/src/prior_wait.rs
+++ b/crates/serving/src/prior_wait.rs
@@ -9,28 +9,28 @@
 
 /// A longest time that was not seen again for this long is forgotten: callers may have been given
 /// another one.
-const AGE: Duration = Duration::from_secs(60);
+const LONGEST_MAX_AGE: Duration = Duration::from_secs(60);
 /// Parts into which times up to the longest are counted. Of 1/80 of a caller's time it matters little whether it
 /// has passed.
-const STEPS: usize = 80;
+const BUCKETS: usize = 80;
 /// What is left of earlier callers with each new one: some hundred count, so that those who come back together after
 /// an outage stay the fewer.
-const KEPT: f64 = 1.0 - 1.0 / 500.0;
+const RETAINED: f64 = 1.0 - 1.0 / 500.0;
 
 /// The times that callers of each route wait.
 #[derive(Clone, Debug, Default)]
 pub struct PriorWaits {
-    routes: HashMap<String, Times>,
+    routes: HashMap<String, RouteWaits>,
 }
 
 /// The times that callers of one route wait.
 #[derive(Clone, Debug)]
-struct Times {
+struct RouteWaits {
     longest: Duration,
     /// When the longest was last seen.
-    seen: Moment,
+    longest_seen_at: Moment,
     /// Callers by their time, in parts of the longest.
-    counts: [f64; STEPS],
+    counts: [f64; BUCKETS],
 }
 
 impl PriorWaits {
@@ -43,76 +43,77 @@
     /// has a patience of its own: taken for ones that have waited, most would yield from the beginning, and one
     /// would notice it by ranks that say nothing. So a caller has waited only if it waits less than new ones do.
     pub fn estimate(&mut self, route: &str, left: Duration, now: Moment) -> Duration {
-        let Some(times) = self.routes.get_mut(route) else {
-            self.routes.insert(route.to_owned(), Times::new(left, now));
+        let Some(waits) = self.routes.get_mut(route) else {
+            self.routes
+                .insert(route.to_owned(), RouteWaits::new(left, now));
             return Duration::ZERO;
         };
-        if left > times.longest || now.saturating_sub(times.seen) > AGE {
-            *times = Times::new(left, now);
+        if left > waits.longest || now.saturating_sub(waits.longest_seen_at) > LONGEST_MAX_AGE {
+            *waits = RouteWaits::new(left, now);
             return Duration::ZERO;
         }
-        times.waited(left, now)
+        waits.estimate(left, now)
     }
 }
 
-impl Times {
+impl RouteWaits {
     fn new(left: Duration, now: Moment) -> Self {
-        let mut times = Self {
+        let mut waits = Self {
             longest: left,
-            seen: now,
-            counts: [0.0; STEPS],
+            longest_seen_at: now,
+            counts: [0.0; BUCKETS],
         };
-        times.count(left);
-        times
+        waits.count(left);
+        waits
     }
 
-    fn waited(&mut self, left: Duration, now: Moment) -> Duration {
+    fn estimate(&mut self, left: Duration, now: Moment) -> Duration {
         if left == self.longest {
-            self.seen = now;
+            self.longest_seen_at = now;
         }
         // Most callers are new ones, and their times spread evenly up to the longest: their middle is the middle of all,
         // and their least lies as far below it as the longest above.
-        let middle = self.middle();
-        let least = middle.saturating_sub(self.longest - middle);
+        let median = self.median();
+        let least = median.saturating_sub(self.longest - median);
         self.count(left);
-        if left + self.error() >= least {
+        if left + self.bucket_error() >= least {
             return Duration::ZERO;
         }
-        middle.saturating_sub(left)
+        median.saturating_sub(left)
     }
 
     fn count(&mut self, left: Duration) {
-        let part = left.as_secs_f64() / self.longest.as_secs_f64().max(1e-3);
+        let share = left.as_secs_f64() / self.longest.as_secs_f64().max(1e-3);
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             clippy::cast_precision_loss
         )]
-        let step = (part * STEPS as f64) as usize;
+        let bucket = (share * BUCKETS as f64) as usize;
         for count in &mut self.counts {
-            *count *= KEPT;
+            *count *= RETAINED;
         }
-        self.counts[step.min(STEPS - 1)] += 1.0;
+        self.counts[bucket.min(BUCKETS - 1)] += 1.0;
     }
 
     /// By how much the least time may be too long: the middle is rounded up, and counts twice.
     #[allow(clippy::cast_possible_truncation)]
-    fn error(&self) -> Duration {
-        self.longest / (STEPS / 2) as u32
+    fn bucket_error(&self) -> Duration {
+        self.longest / (BUCKETS / 2) as u32
     }
 
     /// The time that half of the callers exceed, rounded up to a step.
-    fn middle(&self) -> Duration {
+    fn median(&self) -> Duration {
         let half = self.counts.iter().sum::<f64>() / 2.0;
         let mut above = 0.0;
-        let steps = self.counts.iter().enumerate().rev();
-        let mut reached = steps.skip_while(|(_, count)| {
+        let buckets = self.counts.iter().enumerate().rev();
+        let mut reached = buckets.skip_while(|(_, count)| {
             above += **count;
             above < half
         });
-        let step = reached.next().map_or(STEPS, |(step, _)| step + 1);
+        let bucket = reached.next().map_or(BUCKETS, |(step, _)| step + 1);
         #[allow(clippy::cast_precision_loss)]
-        let part = step as f64 / STEPS as f64;
-        self.longest.mul_f64(part)
+        let share = bucket as f64 / BUCKETS as f64;
+        self.longest.mul_f64(share)
     }
 }
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -89,16 +89,16 @@
 /// end of a fatal call costs an engine for seconds and its neighbours' calls.
 pub const HOLD_CRASHES: usize = 3;
 /// Crashes from which on a call goes alone.
-const ALONE: usize = 2;
+const ISOLATE_CRASHES: usize = 2;
 /// Trials of a held call. Each may end one more engine, and three calls in all may reach engines; the third is left for one that
 /// was on its way.
-const TRIALS: usize = 2;
+const MAX_TRIALS: usize = 2;
 /// Trials that may come to nothing: their caller leaves, their engine refuses the call or breaks off and lives, their instance
 /// is killed. Further ones count as failed, so that a call whose outcome is never seen ends a bounded number of engines.
 const MAX_INCONCLUSIVE: u32 = 8;
 /// How long a call is held before each trial, and after the last one. The first is longer than engines take to be back and
 /// bounds how long an innocent call is kept from engines; the last is the time in which operators see to it.
-const HOLDS: [Duration; TRIALS + 1] = [
+const HOLD_DURATIONS: [Duration; MAX_TRIALS + 1] = [
     Duration::from_secs(30),
     Duration::from_secs(10 * 60),
     Duration::from_secs(24 * 60 * 60),
@@ -109,24 +109,24 @@
 ///
 /// A call that many callers send runs at all engines at once. Where a fatal one ends three engines within a tenth of a second, none of its
 /// runs ends well in between; one would notice it by a route that is refused altogether for as long as the hold lasts.
-const ALIKE_HOLD: Duration = Duration::from_secs(1);
+const SHARED_CRASH_HOLD: Duration = Duration::from_secs(1);
 /// How long a call is remembered that is not held. Callers that repeat a call later do so by hand.
-const REMEMBERED: Duration = Duration::from_secs(10 * 60);
+const RETENTION: Duration = Duration::from_secs(10 * 60);
 /// A good run that another instance tells of is a later one if it ended this much after the one known, or speaks against an end. What
 /// instances tell each other seems later by its way; without this bound one run would clear ever later ends.
-const LATER: Duration = Duration::from_secs(1);
+const MIN_LATER: Duration = Duration::from_secs(1);
 /// Crashes kept of one call; more add nothing.
-const KEPT: usize = 8;
+const MAX_CRASHES: usize = 8;
 /// Calls remembered at the most, with some hundred bytes each.
-const MOST: usize = 1_024;
+const MAX_CALLS: usize = 1_024;
 /// Calls remembered of one caller at the most, so that none can have those of others forgotten.
-const MOST_OF_CALLER: usize = 64;
+const MAX_CALLS_PER_CALLER: usize = 64;
 
 impl Entry {
     /// Crashes that nothing speaks against.
     pub fn uncleared_crashes(&self) -> usize {
-        let standing = self.crashes.iter().filter(|crash| self.stands(crash));
-        standing.count()
+        let uncleared = self.crashes.iter().filter(|crash| self.is_uncleared(crash));
+        uncleared.count()
     }
 
     /// When the last engine ended with it in hand.
@@ -141,7 +141,7 @@
 
     /// A run that ended well at the same build, or an operator's word, speaks against all crashes before it. A build that runs a call
     /// well says nothing of another one that it ends.
-    fn stands(&self, crash: &Crash) -> bool {
+    fn is_uncleared(&self, crash: &Crash) -> bool {
         let clears = |good: &GoodRun| good.build == crash.build && good.at >= crash.at;
         let is_released = self.released.is_some_and(|at| at >= crash.at);
         !is_released && !self.good_runs.iter().any(clears)
@@ -149,39 +149,39 @@
 
     /// What may be done with it if it is held for `hold` from its last crash or trial on.
     fn verdict(&self, hold: Duration, now: Moment) -> Verdict {
-        let standing = self.uncleared_crashes();
-        if standing < HOLD_CRASHES {
-            return if standing < ALONE {
+        let crashes = self.uncleared_crashes();
+        if crashes < HOLD_CRASHES {
+            return if crashes < ISOLATE_CRASHES {
                 Verdict::Clear
             } else {
                 Verdict::Suspected
             };
         }
         let after = (self.held_since() + hold).saturating_sub(now);
-        if after.is_zero() && self.spent() < TRIALS {
+        if after.is_zero() && self.counted_trials() < MAX_TRIALS {
             return Verdict::TrialDue;
         }
-        let fatal = |build| {
+        let is_fatal = |build| {
             self.crashes
                 .iter()
-                .any(|crash| crash.build == build && self.stands(crash))
+                .any(|crash| crash.build == build && self.is_uncleared(crash))
         };
         let builds = self.good_runs.iter().map(|good| good.build);
         Verdict::Held {
             after,
-            good_builds: builds.filter(|build| !fatal(*build)).collect(),
+            good_builds: builds.filter(|build| !is_fatal(*build)).collect(),
         }
     }
 
     /// Trials that count: one that comes to nothing says nothing of the call, and is made again.
-    fn spent(&self) -> usize {
+    fn counted_trials(&self) -> usize {
         let inconclusive = self.trials.saturating_sub(self.failed_trials);
         let counted = inconclusive.saturating_sub(MAX_INCONCLUSIVE);
         (self.failed_trials + counted) as usize
     }
 
     fn hold(&self) -> Duration {
-        HOLDS[self.spent().min(TRIALS)]
+        HOLD_DURATIONS[self.counted_trials().min(MAX_TRIALS)]
     }
 
     fn held_since(&self) -> Moment {
@@ -189,27 +189,28 @@
     }
 
     /// Whether it is held for ends of the same engines as another one.
-    fn is_alike(&self, other: &Self) -> bool {
-        let ended = |engine: u32| other.crashes.iter().any(|crash| crash.engine == engine);
-        let standing = self.crashes.iter().filter(|crash| self.stands(crash));
-        other.is_held() && standing.filter(|crash| ended(crash.engine)).count() >= HOLD_CRASHES
+    fn shares_crashes(&self, other: &Self) -> bool {
+        let crashed_there = |engine: u32| other.crashes.iter().any(|crash| crash.engine == engine);
+        let standing = self.crashes.iter().filter(|crash| self.is_uncleared(crash));
+        other.is_held()
+            && standing.filter(|crash| crashed_there(crash.engine)).count() >= HOLD_CRASHES
     }
 
-    fn touched(&self) -> Moment {
+    fn last_event(&self) -> Moment {
         let good = self.good_runs.iter().map(|good| good.at).max();
         let all = [self.last_crash(), good, self.released, self.last_trial];
         all.into_iter().flatten().max().unwrap_or_default()
     }
 
-    fn is_over(&self, now: Moment) -> bool {
+    fn is_expired(&self, now: Moment) -> bool {
         if self.is_held() {
-            self.spent() >= TRIALS && now >= self.held_since() + self.hold()
+            self.counted_trials() >= MAX_TRIALS && now >= self.held_since() + self.hold()
         } else {
-            now.saturating_sub(self.touched()) >= REMEMBERED
+            now.saturating_sub(self.last_event()) >= RETENTION
         }
     }
 
-    fn crashed(&mut self, crash: Crash) -> bool {
+    fn add_crash(&mut self, crash: Crash) -> bool {
         let known = self
             .crashes
             .iter_mut()
@@ -219,7 +220,7 @@
             known.at = known.at.min(crash.at);
             return false;
         }
-        if self.crashes.len() >= KEPT {
+        if self.crashes.len() >= MAX_CRASHES {
             self.crashes.remove(0);
         }
         self.crashes.push(crash);
@@ -227,7 +228,7 @@
     }
 
     /// Takes in a good run. Says whether it speaks against a crash.
-    fn ended_well(&mut self, good: GoodRun) -> bool {
+    fn add_good_run(&mut self, good: GoodRun) -> bool {
         let before = self.uncleared_crashes();
         match self
             .good_runs
@@ -241,43 +242,43 @@
     }
 
     /// Takes in a good run that another instance tells of.
-    fn hear_good(&mut self, good: GoodRun) -> bool {
+    fn merge_good_run(&mut self, good: GoodRun) -> bool {
         let known = self
             .good_runs
             .iter()
             .find(|known| known.build == good.build);
-        if known.is_none_or(|known| good.at >= known.at + LATER) {
-            self.ended_well(good);
+        if known.is_none_or(|known| good.at >= known.at + MIN_LATER) {
+            self.add_good_run(good);
             return true;
         }
         let clears = |crash: &Crash| crash.build == good.build && crash.at <= good.at;
         let is_needed = self
             .crashes
             .iter()
-            .any(|crash| self.stands(crash) && clears(crash));
-        is_needed && self.ended_well(good)
+            .any(|crash| self.is_uncleared(crash) && clears(crash));
+        is_needed && self.add_good_run(good)
     }
 
-    fn join(&mut self, told: &Self) -> bool {
+    fn merge(&mut self, other: &Self) -> bool {
         let mut is_news = false;
-        for crash in &told.crashes {
-            is_news |= self.crashed(*crash);
+        for crash in &other.crashes {
+            is_news |= self.add_crash(*crash);
         }
-        for good in &told.good_runs {
-            is_news |= self.hear_good(*good);
+        for good in &other.good_runs {
+            is_news |= self.merge_good_run(*good);
         }
-        let is_later = |at: Moment| self.released.is_none_or(|known| at >= known + LATER);
-        if told.released.is_some_and(is_later) {
-            self.released = told.released;
+        let is_later = |at: Moment| self.released.is_none_or(|known| at >= known + MIN_LATER);
+        if other.released.is_some_and(is_later) {
+            self.released = other.released;
             is_news = true;
         }
-        if told.trials > self.trials {
-            self.trials = told.trials;
-            self.last_trial = told.last_trial;
+        if other.trials > self.trials {
+            self.trials = other.trials;
+            self.last_trial = other.last_trial;
             is_news = true;
         }
-        if told.failed_trials > self.failed_trials {
-            self.failed_trials = told.failed_trials;
+        if other.failed_trials > self.failed_trials {
+            self.failed_trials = other.failed_trials;
             is_news = true;
         }
         is_news
@@ -312,10 +313,10 @@
     /// Takes in that an engine ended with a call in hand. Says whether this is new.
     pub fn record_crash(&mut self, call: Fingerprint, caller: Caller, crash: Crash) -> bool {
         let entry = self.entry(call, caller);
-        let fails_trial =
+        let is_trial_failed =
             entry.is_held() && entry.last_trial.is_some_and(|tried| crash.at >= tried);
-        let is_new = entry.crashed(crash);
-        if is_new && fails_trial {
+        let is_new = entry.add_crash(crash);
+        if is_new && is_trial_failed {
             entry.failed_trials = (entry.failed_trials + 1).min(entry.trials);
         }
         is_new
@@ -324,7 +325,7 @@
     /// Takes in that an engine outlived a run of a call. Says whether others should hear of it.
     pub fn record_good_run(&mut self, call: Fingerprint, good: GoodRun) -> bool {
         let entry = self.entries.get_mut(&call);
-        entry.is_some_and(|entry| entry.ended_well(good))
+        entry.is_some_and(|entry| entry.add_good_run(good))
     }
 
     /// What is known of a call once it is tried from now on, if its trial is due. Nothing is noted yet: a claim of the trial that does not stand
@@ -352,14 +353,14 @@
     }
 
     /// Takes in what another instance knows of a call. Says whether something of it is new.
-    pub fn merge(&mut self, call: Fingerprint, told: &Entry) -> bool {
-        self.entry(call, told.caller).join(told)
+    pub fn merge(&mut self, call: Fingerprint, other: &Entry) -> bool {
+        self.entry(call, other.caller).merge(other)
     }
 
     /// Calls that all must know: held ones, and those that are one crash short of it.
     pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, &Entry)> {
         let entries = self.entries.iter().map(|(call, entry)| (*call, entry));
-        entries.filter(|(_, entry)| entry.uncleared_crashes() >= ALONE)
+        entries.filter(|(_, entry)| entry.uncleared_crashes() >= ISOLATE_CRASHES)
     }
 
     /// Digest of what all must know. Two instances with the same one would judge all calls alike.
@@ -376,27 +377,27 @@
 
     /// Forgets calls whose time is over.
     pub fn expire(&mut self, now: Moment) {
-        self.entries.retain(|_, entry| !entry.is_over(now));
+        self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
     /// How long a held call is held. Those that are alike come one after the other, in an order that all instances share.
     fn hold(&self, call: Fingerprint, entry: &Entry) -> Duration {
-        if entry.spent() > 0 || !entry.is_held() {
+        if entry.counted_trials() > 0 || !entry.is_held() {
             return entry.hold();
         }
         let others = self.entries.iter().filter(|(other, _)| **other != call);
-        let alike = others.filter(|(_, other)| entry.is_alike(other));
-        let (mut count, mut before) = (0, 0);
-        for (other, _) in alike {
+        let sharing = others.filter(|(_, other)| entry.shares_crashes(other));
+        let (mut count, mut preceding) = (0, 0);
+        for (other, _) in sharing {
             count += 1;
-            before += u32::from(*other < call);
+            preceding += u32::from(*other < call);
         }
         if count == 0 {
             return entry.hold();
         }
         // A trial may still run, so further ones come at growing distances.
         let backoff = 2u32.saturating_pow(entry.trials);
-        let hold = ALIKE_HOLD.saturating_mul((before + 1).saturating_mul(backoff));
+        let hold = SHARED_CRASH_HOLD.saturating_mul((preceding + 1).saturating_mul(backoff));
         hold.min(entry.hold())
     }
 
@@ -404,11 +405,11 @@
     /// else the least of all.
     fn entry(&mut self, call: Fingerprint, caller: Caller) -> &mut Entry {
         if !self.entries.contains_key(&call) {
-            let own = self.entries.values().filter(|entry| entry.caller == caller);
-            if own.count() >= MOST_OF_CALLER {
-                self.drop_least(|entry| entry.caller == caller);
-            } else if self.entries.len() >= MOST {
-                self.drop_least(|_| true);
+            let same_caller = self.entries.values().filter(|entry| entry.caller == caller);
+            if same_caller.count() >= MAX_CALLS_PER_CALLER {
+                self.evict_least(|entry| entry.caller == caller);
+            } else if self.entries.len() >= MAX_CALLS {
+                self.evict_least(|_| true);
             }
         }
         self.entries.entry(call).or_insert_with(|| Entry {
@@ -417,9 +418,10 @@
         })
     }
 
-    fn drop_least(&mut self, of: impl Fn(&Entry) -> bool) {
-        let all = self.entries.iter().filter(|(_, entry)| of(entry));
-        let least = all.min_by_key(|(_, entry)| (entry.uncleared_crashes(), entry.touched()));
+    fn evict_least(&mut self, is_candidate: impl Fn(&Entry) -> bool) {
+        let candidates = self.entries.iter().filter(|(_, entry)| is_candidate(entry));
+        let least =
+            candidates.min_by_key(|(_, entry)| (entry.uncleared_crashes(), entry.last_event()));
         if let Some(call) = least.map(|(call, _)| *call) {
             self.entries.remove(&call);
         }
--- a/crates/serving/src/queue.rs
+++ b/crates/serving/src/queue.rs
@@ -16,7 +16,7 @@
 /// Work that an engine reads in one step. It chooses the next prompt while it reads the last step of
 /// the present one, so a job that comes later than this before the end finds the choice made.
 /// Origin: the size of a step that engines with chunked prefill are usually run with.
-const STEP: u32 = 2_048;
+const CHUNK_WORK: u32 = 2_048;
 
 /// Time from the sending of a new job until it has been read. `jobs` are the others, the oldest
 /// first; `freed` is when the engine was last known to have finished one; `rate` is in tokens of work a
@@ -26,11 +26,11 @@
     waiting.push(new);
     let mut at = freed;
     loop {
-        let Some(next) = next(&waiting, at.saturating_sub(time(STEP, rate))) else {
+        let Some(next) = next_job(&waiting, at.saturating_sub(read_time(CHUNK_WORK, rate))) else {
             return Duration::ZERO;
         };
         let job = waiting.remove(next);
-        at = at.max(job.sent_at) + time(job.work, rate);
+        at = at.max(job.sent_at) + read_time(job.work, rate);
         if job == new && next == waiting.len() {
             return at.saturating_sub(new.sent_at);
         }
@@ -39,21 +39,21 @@
 
 /// The job that the engine begins at a moment: the most urgent one that is there, the oldest of
 /// these; if none is there, the one that comes first.
-fn next(waiting: &[Job], at: Moment) -> Option<usize> {
-    let there = waiting
+fn next_job(waiting: &[Job], at: Moment) -> Option<usize> {
+    let arrived = waiting
         .iter()
         .enumerate()
         .filter(|(_, job)| job.sent_at <= at);
-    let most_urgent = there.min_by_key(|(_, job)| (job.rank, job.sent_at));
-    let first = || {
+    let most_urgent = arrived.min_by_key(|(_, job)| (job.rank, job.sent_at));
+    let next_to_arrive = || {
         waiting
             .iter()
             .enumerate()
             .min_by_key(|(_, job)| job.sent_at)
     };
-    most_urgent.or_else(first).map(|(index, _)| index)
+    most_urgent.or_else(next_to_arrive).map(|(index, _)| index)
 }
 
-fn time(work: u32, rate: f64) -> Duration {
+fn read_time(work: u32, rate: f64) -> Duration {
     Duration::from_secs_f64(f64::from(work) / rate.max(0.1) / 1_000.0)
 }
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -11,15 +11,15 @@
 use crate::{EngineId, Fleet, hash};
 
 /// Silence of the store after which lapsed records are doubted.
-const OUTAGE: Duration = Duration::from_millis(1_200);
+const OUTAGE_SILENCE: Duration = Duration::from_millis(1_200);
 /// Time after the store's return within which engines that live are back.
-const RETURN: Duration = Duration::from_millis(2_200);
+const RECOVERY_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Time after the store has come back from an older copy within which records there may be of before: engines renew theirs
 /// within it, and those of engines that have ended lapse.
-const STALE: Duration = Duration::from_secs(5);
+const ROLLBACK_GRACE: Duration = Duration::from_secs(5);
 /// Time for which it is remembered that an engine's record is gone. A copy is some seconds old.
-const GONE: Duration = Duration::from_secs(60);
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Takes records over into the fleet.
 ///
@@ -30,20 +30,20 @@
 /// Engines that had said that they are leaving are believed.
 #[derive(Debug, Default)]
 pub struct Registry {
-    heard: Moment,
+    store_heard_at: Moment,
     doubt_until: Moment,
     doubted: BTreeMap<EngineId, Moment>,
     /// Digests of the records that stand, by name.
-    known: BTreeMap<Name, u64>,
+    digests: BTreeMap<Name, u64>,
     offsets: BTreeMap<Name, u64>,
     /// Offset of the newest record that changed something.
     upto: u64,
     /// The last incarnation of each name, also once its record is gone.
-    lives: BTreeMap<Name, Life>,
+    incarnations: BTreeMap<Name, Incarnation>,
     /// Names whose records cannot be read.
     unreadable: BTreeSet<Name>,
     /// Engines whose records are gone, and since when.
-    gone: BTreeMap<EngineId, Moment>,
+    removed: BTreeMap<EngineId, Moment>,
     /// Until when records may be of before what is known, since the store came back from an older copy.
     stale_until: Moment,
 }
@@ -53,9 +53,9 @@
 
 /// One start of an engine.
 #[derive(Clone, Debug)]
-struct Life {
+struct Incarnation {
     id: EngineId,
-    born: Option<u64>,
+    started_ms: Option<u64>,
 }
 
 /// What a change of the registry was.
@@ -74,13 +74,15 @@
 impl Registry {
     /// Notes that the store answered this instance, or a peer that announces it.
     pub fn store_answered(&mut self, now: Moment) {
-        if now <= self.heard {
+        if now <= self.store_heard_at {
             return;
         }
-        if now.saturating_sub(self.heard) > OUTAGE && !self.heard.is_zero() {
-            self.doubt_until = now + RETURN;
+        if now.saturating_sub(self.store_heard_at) > OUTAGE_SILENCE
+            && !self.store_heard_at.is_zero()
+        {
+            self.doubt_until = now + RECOVERY_GRACE;
         }
-        self.heard = now;
+        self.store_heard_at = now;
     }
 
     /// Takes in that the store has come back from an older copy.
@@ -89,13 +91,13 @@
     /// ended is back, and one that has just started is missing. An instance that believed the copy would send calls to the
     /// first two and none to the third; one would notice it by calls at engines that had said they leave.
     pub fn store_rolled_back(&mut self, now: Moment) {
-        self.doubt_until = now + RETURN;
-        self.stale_until = now + STALE;
+        self.doubt_until = now + RECOVERY_GRACE;
+        self.stale_until = now + ROLLBACK_GRACE;
     }
 
     /// Whether a record may be of before what is known.
     fn may_be_stale(&self) -> bool {
-        self.heard < self.stale_until
+        self.store_heard_at < self.stale_until
     }
 
     /// Whether news of a key are newer than what is known. The same record comes from the store
@@ -116,7 +118,7 @@
 
     /// How far the records are known. Two instances share the digest if they know the same ones.
     pub fn topic_state(&self) -> TopicState {
-        let records = self.known.values();
+        let records = self.digests.values();
         TopicState {
             upto: self.upto,
             digest: records.fold(0, |digest, record| digest ^ record),
@@ -137,29 +139,29 @@
     pub fn put(&mut self, fleet: &mut Fleet, mut record: Record) -> Change {
         self.unreadable.remove(&record.name);
         if self.may_be_stale() {
-            if self.gone.contains_key(&record.id) {
+            if self.removed.contains_key(&record.id) {
                 return Change::None;
             }
-            let leaves = |engine: &Engine| engine.record.state == State::Draining;
-            if fleet.get(&record.id).is_some_and(leaves) {
+            let is_leaving = |engine: &Engine| engine.record.state == State::Draining;
+            if fleet.get(&record.id).is_some_and(is_leaving) {
                 record.state = State::Draining;
             }
         }
-        if let Some(life) = self.lives.get(&record.name)
-            && life.id != record.id
+        if let Some(known) = self.incarnations.get(&record.name)
+            && known.id != record.id
         {
-            if life.born > record.started_ms {
+            if known.started_ms > record.started_ms {
                 return Change::None;
             }
-            self.doubted.remove(&life.id);
-            fleet.remove(&life.id);
+            self.doubted.remove(&known.id);
+            fleet.remove(&known.id);
         }
-        let life = Life {
+        let incarnation = Incarnation {
             id: record.id.clone(),
-            born: record.started_ms,
+            started_ms: record.started_ms,
         };
-        self.lives.insert(record.name.clone(), life);
-        self.known.insert(record.name.clone(), digest(&record));
+        self.incarnations.insert(record.name.clone(), incarnation);
+        self.digests.insert(record.name.clone(), digest(&record));
         self.doubted.remove(&record.id);
         if fleet.put(record) {
             Change::Put
@@ -170,23 +172,27 @@
 
     /// Takes in that a record is gone.
     pub fn remove(&mut self, fleet: &mut Fleet, name: &str, now: Moment) -> Change {
-        self.known.remove(name);
+        self.digests.remove(name);
         self.unreadable.remove(name);
-        let Some(id) = self.lives.get(name).map(|life| life.id.clone()) else {
+        let Some(id) = self
+            .incarnations
+            .get(name)
+            .map(|incarnation| incarnation.id.clone())
+        else {
             return Change::None;
         };
         let id = &*id;
-        let leaving = fleet
+        let is_leaving = fleet
             .get(id)
             .is_some_and(|engine| engine.record.state == State::Draining);
-        if now < self.doubt_until && !leaving && fleet.get(id).is_some() {
+        if now < self.doubt_until && !is_leaving && fleet.get(id).is_some() {
             self.doubted
                 .entry(EngineId::from(id))
                 .or_insert(self.doubt_until);
             return Change::Doubted;
         }
         if fleet.remove(id) {
-            self.gone.insert(EngineId::from(id), now);
+            self.removed.insert(EngineId::from(id), now);
             Change::Removed
         } else {
             Change::None
@@ -198,10 +204,10 @@
     /// What it overwrote may be the record of an engine that lives, and that writes it again within seconds; until then
     /// nobody says that it is still there.
     pub fn mark_unreadable(&mut self, fleet: &mut Fleet, name: &str) -> bool {
-        self.known.remove(name);
-        if let Some(life) = self.lives.get(name) {
-            self.doubted.remove(&life.id);
-            fleet.remove(&life.id);
+        self.digests.remove(name);
+        if let Some(known) = self.incarnations.get(name) {
+            self.doubted.remove(&known.id);
+            fleet.remove(&known.id);
         }
         self.unreadable.insert(Name::from(name))
     }
@@ -227,26 +233,27 @@
             }
         }
         // What is remembered of names that are gone guards against records that come late, and must not grow for ever.
-        self.lives
-            .retain(|name, life| listed.contains(name) || fleet.get(&life.id).is_some());
+        self.incarnations.retain(|name, incarnation| {
+            listed.contains(name) || fleet.get(&incarnation.id).is_some()
+        });
         changes
     }
 
     /// Removes engines whose time of doubt is over. Gives their ids.
     pub fn expire(&mut self, fleet: &mut Fleet, now: Moment) -> Vec<EngineId> {
-        self.gone
-            .retain(|_, since| now.saturating_sub(*since) < GONE);
-        let over: Vec<EngineId> = self
+        self.removed
+            .retain(|_, since| now.saturating_sub(*since) < REMOVED_RETENTION);
+        let expired: Vec<EngineId> = self
             .doubted
             .iter()
             .filter(|(_, until)| now >= **until)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &over {
+        for id in &expired {
             self.doubted.remove(id);
             fleet.remove(id);
         }
-        over
+        expired
     }
 }
 
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -74,28 +74,28 @@
 }
 
 /// Shortest time that callers of a stream wait for an event.
-const PATIENCE: Duration = Duration::from_secs(2);
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Callers of a stream wait this many times the target for an event, if that is longer.
-const PATIENCE_TARGETS: u32 = 4;
+const EVENT_TIMEOUT_TARGETS: u32 = 4;
 /// Or this many times the longest pause that is on time.
-const PATIENCE_GAPS: u32 = 8;
+const EVENT_TIMEOUT_GAPS: u32 = 8;
 
 impl Route {
     /// How long callers wait for the first event of a stream, or for the next one. Origin: the
     /// users' page on streams; a call whose first event comes later is work for nobody.
     pub fn event_timeout(&self) -> Duration {
-        let by_target = self.latency_target * PATIENCE_TARGETS;
-        let by_gap = self.max_gap.unwrap_or_default() * PATIENCE_GAPS;
-        PATIENCE.max(by_target).max(by_gap)
+        let by_target = self.latency_target * EVENT_TIMEOUT_TARGETS;
+        let by_gap = self.max_gap.unwrap_or_default() * EVENT_TIMEOUT_GAPS;
+        MIN_EVENT_TIMEOUT.max(by_target).max(by_gap)
     }
 
     /// The service for a call, by a number drawn evenly from 0 to 1.
     pub fn service(&self, drawn: f64) -> &ServiceName {
         let sum: u32 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = drawn * f64::from(sum);
+        let mut remaining = drawn * f64::from(sum);
         for share in &self.shares {
-            left -= f64::from(share.weight);
-            if left < 0.0 {
+            remaining -= f64::from(share.weight);
+            if remaining < 0.0 {
                 return &share.service;
             }
         }
--- a/crates/serving/src/scaling.rs
+++ b/crates/serving/src/scaling.rs
@@ -68,41 +68,41 @@
 
 /// Engines that are not reclaimable, as a part of what a data centre had when it was first seen. When all others are reclaimed
 /// everywhere, these go on.
-const FIRM: f64 = 0.1;
+const ON_DEMAND_SHARE: f64 = 0.1;
 /// What is spent on engines that are, as a part of the price of what a data centre had. The cheaper they are the more there are, and the more
 /// are left when those of one or two data centres go.
-const SPENT: f64 = 0.3;
+const RECLAIMABLE_BUDGET: f64 = 0.3;
 /// Fewest and most of them that this may buy, as a part of how many there were. Fewer would not replace the others; more have little to
 /// do, and each holds parts of prompts that others hold as well.
-const RECLAIMABLE: RangeInclusive<f64> = 1.1..=2.0;
+const RECLAIMABLE_SHARES: RangeInclusive<f64> = 1.1..=2.0;
 /// Price up to which reclaimable engines are used at all: dearer ones do not pay for what they lose.
-const WORTH_IT: f64 = 0.7;
+const MAX_RECLAIMABLE_PRICE: f64 = 0.7;
 /// Time without a further engine after which all that a deployment started with are known: some heartbeats.
-const SETTLES: Duration = Duration::from_millis(3_000);
+const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 /// Time for which a number must be off before it is ordered again. Engines are replaced, and new ones start before old ones leave.
-const HOLD: Duration = Duration::from_secs(2);
+const HOLD_TIME: Duration = Duration::from_secs(2);
 /// Time beyond an engine's boot until an order shows in the list.
-const SHOWS: Duration = Duration::from_secs(3);
+const LISTING_DELAY: Duration = Duration::from_secs(3);
 /// Pause before what was not to be had is ordered again.
-const REFUSED: Duration = Duration::from_secs(3);
+const REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
 /// Engines that are let go at once, in all data centres together. Each one that leaves is told to all instances, and gets no calls once they
 /// know; news of hundreds take seconds.
-const LET_GO: u32 = 60;
+const MAX_LEAVING: u32 = 60;
 /// Part of a number by which it may be off without an order.
-const SLACK: f64 = 0.15;
+const SLACK_SHARE: f64 = 0.15;
 /// Part of its reclaimable engines below which a data centre has lost them.
-const LOST: f64 = 0.5;
+const LOST_SHARE: f64 = 0.5;
 /// Time for which engines that stand in for lost ones stay once those are back, which have read nothing yet.
-const STAND_IN: Duration = Duration::from_secs(8);
+const STAND_IN_TIME: Duration = Duration::from_secs(8);
 /// Time for which reclaimable engines must be missing before others are paid for in their place: mostly they are back sooner than those
 /// would be of use.
-const LONG: Duration = Duration::from_secs(20);
+const LONG_LOSS: Duration = Duration::from_secs(20);
 
 /// What was ordered of one kind in a data centre, and what came of it.
 #[derive(Clone, Copy, Debug, Default)]
-struct Subject {
+struct OrderState {
     ordered: Option<(u32, Moment)>,
-    refused: Option<Moment>,
+    refused_at: Option<Moment>,
     off_since: Option<Moment>,
 }
 
@@ -115,38 +115,38 @@
 
 /// A data centre as the plan sees it.
 #[derive(Clone, Debug, Default)]
-struct Site {
+struct ZonePlan {
     /// Most engines that it had before the first were taken away.
-    found: u32,
+    initial_engines: u32,
     /// Since when its reclaimable engines have been missing.
-    lost: Option<Moment>,
+    lost_since: Option<Moment>,
     stand_in: StandIn,
 }
 
-impl Site {
+impl ZonePlan {
     /// Whether it has engines for others.
     fn stands_in(&self, now: Moment) -> bool {
-        self.lost.is_none() && now < self.stand_in.until
+        self.lost_since.is_none() && now < self.stand_in.until
     }
 }
 
 /// The plan for one service.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    sites: BTreeMap<Zone, Site>,
+    zones: BTreeMap<Zone, ZonePlan>,
     /// When a further engine was last found.
-    grown: Moment,
+    last_growth: Moment,
     /// Whether engines that the deployment started with were taken away.
     has_begun: bool,
     /// Numbers that an operator fixed.
     fixed: BTreeMap<(Zone, bool), u32>,
-    subjects: BTreeMap<(Zone, bool), Subject>,
+    order_states: BTreeMap<(Zone, bool), OrderState>,
 }
 
 /// Engines that a data centre has, or should have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Count {
-    firm: u32,
+    on_demand: u32,
     reclaimable: u32,
 }
 
@@ -155,7 +155,7 @@
         if reclaimable {
             self.reclaimable
         } else {
-            self.firm
+            self.on_demand
         }
     }
 }
@@ -173,32 +173,38 @@
         now: Moment,
     ) -> Orders {
         let mut orders = Orders::new();
-        if range.reclaimable_price.is_none_or(|price| price > WORTH_IT) {
+        if range
+            .reclaimable_price
+            .is_none_or(|price| price > MAX_RECLAIMABLE_PRICE)
+        {
             return orders;
         }
         let counts = counts(fleet.active(service));
-        self.find(&counts, now);
-        self.note_lost(&counts, range, now);
-        let mut may_go = LET_GO.saturating_sub(self.leaving(&counts));
-        let is_within = |site: &Site| site.found <= range.max;
-        let sites = self.sites.iter().filter(|(_, site)| is_within(site));
-        let zones: Vec<Zone> = sites.map(|(zone, _)| zone.clone()).collect();
+        self.update_initial_engines(&counts, now);
+        self.update_lost(&counts, range, now);
+        let mut may_leave = MAX_LEAVING.saturating_sub(self.leaving(&counts));
+        let is_within = |plan: &ZonePlan| plan.initial_engines <= range.max;
+        let plans = self.zones.iter().filter(|(_, plan)| is_within(plan));
+        let zones: Vec<Zone> = plans.map(|(zone, _)| zone.clone()).collect();
         for zone in zones {
             let has = counts.get(&zone).copied().unwrap_or_default();
             let wanted = self.wanted(&zone, range, now);
-            let mut wanted = self.step(&zone, wanted, has, range);
+            let mut wanted = self.next_step(&zone, wanted, has, range);
             // What was ordered to go already goes.
-            let stays = self.ordered_firm(&zone).unwrap_or(has.firm).min(has.firm);
-            wanted.firm = wanted.firm.max(stays.saturating_sub(may_go));
-            orders.extend(self.look(&zone, true, wanted, has, range, now));
-            let are_there = has.reclaimable + slack(wanted.reclaimable) >= wanted.reclaimable;
-            let is_settled = now.saturating_sub(self.grown) >= SETTLES;
-            if has.firm < wanted.firm || (are_there && is_settled) {
-                let order = self.look(&zone, false, wanted, has, range, now);
-                let gone = order
+            let staying = self
+                .ordered_on_demand(&zone)
+                .unwrap_or(has.on_demand)
+                .min(has.on_demand);
+            wanted.on_demand = wanted.on_demand.max(staying.saturating_sub(may_leave));
+            orders.extend(self.due_order(&zone, true, wanted, has, range, now));
+            let has_reclaimable = has.reclaimable + slack(wanted.reclaimable) >= wanted.reclaimable;
+            let is_settled = now.saturating_sub(self.last_growth) >= SETTLE_TIME;
+            if has.on_demand < wanted.on_demand || (has_reclaimable && is_settled) {
+                let order = self.due_order(&zone, false, wanted, has, range, now);
+                let ordered_away = order
                     .as_ref()
-                    .map_or(0, |_| stays.saturating_sub(wanted.firm));
-                may_go = may_go.saturating_sub(gone);
+                    .map_or(0, |_| staying.saturating_sub(wanted.on_demand));
+                may_leave = may_leave.saturating_sub(ordered_away);
                 orders.extend(order);
             }
         }
@@ -208,16 +214,16 @@
     /// Engines that are still there though they were ordered away.
     fn leaving(&self, counts: &BTreeMap<Zone, Count>) -> u32 {
         let leaving = counts.iter().map(|(zone, count)| {
-            let ordered = self.ordered_firm(zone);
-            ordered.map_or(0, |ordered| count.firm.saturating_sub(ordered))
+            let ordered = self.ordered_on_demand(zone);
+            ordered.map_or(0, |ordered| count.on_demand.saturating_sub(ordered))
         });
         leaving.sum()
     }
 
     /// Engines that are not reclaimable, as they were ordered last.
-    fn ordered_firm(&self, zone: &Zone) -> Option<u32> {
-        let subject = self.subjects.get(&(zone.clone(), false))?;
-        Some(subject.ordered?.0)
+    fn ordered_on_demand(&self, zone: &Zone) -> Option<u32> {
+        let order_state = self.order_states.get(&(zone.clone(), false))?;
+        Some(order_state.ordered?.0)
     }
 
     /// Takes in the numbers that an operator fixed, in place of those before.
@@ -228,103 +234,112 @@
     /// Takes in that a number was ordered.
     pub fn record_order(&mut self, order: &Order, now: Moment) {
         self.has_begun |= !order.reclaimable;
-        let subject = self.subject(&order.zone, order.reclaimable);
-        *subject = Subject {
+        let order_state = self.order_state(&order.zone, order.reclaimable);
+        *order_state = OrderState {
             ordered: Some((order.engines, now)),
-            ..Subject::default()
+            ..OrderState::default()
         };
     }
 
     /// Takes in that a number is not to be had, or that it is not known whether it was ordered.
     pub fn record_refusal(&mut self, order: &Order, now: Moment) {
-        let subject = self.subject(&order.zone, order.reclaimable);
-        subject.refused = Some(now);
-        subject.off_since = None;
+        let order_state = self.order_state(&order.zone, order.reclaimable);
+        order_state.refused_at = Some(now);
+        order_state.off_since = None;
     }
 
     /// What whoever orders next has to know.
     pub fn zone_states(&self) -> Vec<ZoneState> {
         let ordered = |zone: &Zone, reclaimable| {
-            let subject = self.subjects.get(&(zone.clone(), reclaimable))?;
-            Some(subject.ordered?.0)
+            let order_state = self.order_states.get(&(zone.clone(), reclaimable))?;
+            Some(order_state.ordered?.0)
         };
-        let sites = self.sites.iter();
-        let booked = sites.map(|(zone, site)| ZoneState {
+        let plans = self.zones.iter();
+        let states = plans.map(|(zone, plan)| ZoneState {
             zone: zone.clone(),
-            initial_engines: site.found,
+            initial_engines: plan.initial_engines,
             on_demand: ordered(zone, false),
             reclaimable: ordered(zone, true),
         });
-        booked.collect()
+        states.collect()
     }
 
     /// Takes in what another instance knows that ordered later than this one. Without it this one would take what it finds for what
     /// the deployment started with, and order all anew.
-    pub fn adopt(&mut self, book: &[ZoneState], now: Moment) {
-        for booked in book {
-            self.sites.entry(booked.zone.clone()).or_default().found = booked.initial_engines;
-            self.has_begun |= booked.on_demand.is_some();
-            for (reclaimable, engines) in [(false, booked.on_demand), (true, booked.reclaimable)] {
-                let subject = self.subject(&booked.zone, reclaimable);
-                let is_known = subject.ordered.map(|(known, _)| known) == engines;
+    pub fn adopt(&mut self, states: &[ZoneState], now: Moment) {
+        for state in states {
+            self.zones
+                .entry(state.zone.clone())
+                .or_default()
+                .initial_engines = state.initial_engines;
+            self.has_begun |= state.on_demand.is_some();
+            for (reclaimable, engines) in [(false, state.on_demand), (true, state.reclaimable)] {
+                let order_state = self.order_state(&state.zone, reclaimable);
+                let is_known = order_state.ordered.map(|(known, _)| known) == engines;
                 if let Some(engines) = engines.filter(|_| !is_known) {
-                    subject.ordered = Some((engines, now));
+                    order_state.ordered = Some((engines, now));
                 }
             }
         }
     }
 
     /// Finds how many engines the deployment starts with.
-    fn find(&mut self, counts: &BTreeMap<Zone, Count>, now: Moment) {
+    fn update_initial_engines(&mut self, counts: &BTreeMap<Zone, Count>, now: Moment) {
         if self.has_begun {
             return;
         }
         for (zone, count) in counts {
-            let own = self.subjects.get(&(zone.clone(), true));
-            let is_ordered = own.is_some_and(|subject| subject.ordered.is_some());
-            let all = count.firm + if is_ordered { 0 } else { count.reclaimable };
-            let site = self.sites.entry(zone.clone()).or_default();
-            if site.found < all {
-                site.found = all;
-                self.grown = now;
+            let reclaimable_orders = self.order_states.get(&(zone.clone(), true));
+            let is_ordered =
+                reclaimable_orders.is_some_and(|order_state| order_state.ordered.is_some());
+            let all = count.on_demand + if is_ordered { 0 } else { count.reclaimable };
+            let plan = self.zones.entry(zone.clone()).or_default();
+            if plan.initial_engines < all {
+                plan.initial_engines = all;
+                self.last_growth = now;
             }
         }
     }
 
     /// Notes which data centres have lost their reclaimable engines, and has the others stand in.
-    fn note_lost(&mut self, counts: &BTreeMap<Zone, Count>, range: &Range, now: Moment) {
+    fn update_lost(&mut self, counts: &BTreeMap<Zone, Count>, range: &Range, now: Moment) {
         let mut missing = 0;
-        for (zone, site) in &mut self.sites {
-            let usual = usual(site.found, range).reclaimable;
+        for (zone, plan) in &mut self.zones {
+            let usual = usual_count(plan.initial_engines, range).reclaimable;
             let has = counts.get(zone).map_or(0, |count| count.reclaimable);
-            let ordered = self.subjects.get(&(zone.clone(), true));
+            let ordered = self.order_states.get(&(zone.clone(), true));
             let is_awaited = ordered
-                .and_then(|subject| subject.ordered)
-                .is_none_or(|(_, at)| now.saturating_sub(at) < range.boot + SHOWS);
-            if f64::from(has) >= f64::from(usual) * LOST {
-                site.lost = None;
-            } else if site.lost.is_some() || !is_awaited {
-                site.lost.get_or_insert(now);
+                .and_then(|order_state| order_state.ordered)
+                .is_none_or(|(_, at)| now.saturating_sub(at) < range.boot + LISTING_DELAY);
+            if f64::from(has) >= f64::from(usual) * LOST_SHARE {
+                plan.lost_since = None;
+            } else if plan.lost_since.is_some() || !is_awaited {
+                plan.lost_since.get_or_insert(now);
                 missing += usual - has;
             }
         }
-        let others = self.sites.values().filter(|site| site.lost.is_none());
+        let others = self.zones.values().filter(|plan| plan.lost_since.is_none());
         let others = u32::try_from(others.count()).unwrap_or(u32::MAX);
         if missing == 0 || others == 0 {
             return;
         }
         let stand_in = StandIn {
             engines: missing.div_ceil(others),
-            until: now + STAND_IN,
+            until: now + STAND_IN_TIME,
         };
-        for site in self.sites.values_mut().filter(|site| site.lost.is_none()) {
-            let is_less = site.stand_in.until > now && site.stand_in.engines > stand_in.engines;
-            let engines = if is_less {
-                site.stand_in.engines
+        for plan in self
+            .zones
+            .values_mut()
+            .filter(|plan| plan.lost_since.is_none())
+        {
+            let keeps_engines =
+                plan.stand_in.until > now && plan.stand_in.engines > stand_in.engines;
+            let engines = if keeps_engines {
+                plan.stand_in.engines
             } else {
                 stand_in.engines
             };
-            site.stand_in = StandIn {
+            plan.stand_in = StandIn {
                 engines,
                 ..stand_in
             };
@@ -332,68 +347,80 @@
     }
 
     fn wanted(&self, zone: &Zone, range: &Range, now: Moment) -> Count {
-        let Some(site) = self.sites.get(zone) else {
+        let Some(plan) = self.zones.get(zone) else {
             return Count::default();
         };
-        let usual = usual(site.found, range);
-        let is_long = site
-            .lost
-            .is_some_and(|since| now.saturating_sub(since) >= LONG);
-        let firm = if is_long { site.found } else { usual.firm };
-        let firm = firm.min(range.max);
-        let more = if site.stands_in(now) {
-            site.stand_in.engines
+        let usual = usual_count(plan.initial_engines, range);
+        let is_long = plan
+            .lost_since
+            .is_some_and(|since| now.saturating_sub(since) >= LONG_LOSS);
+        let on_demand = if is_long {
+            plan.initial_engines
+        } else {
+            usual.on_demand
+        };
+        let on_demand = on_demand.min(range.max);
+        let stand_ins = if plan.stands_in(now) {
+            plan.stand_in.engines
         } else {
             0
         };
-        let reclaimable = usual.reclaimable + more;
+        let reclaimable = usual.reclaimable + stand_ins;
         let fixed = |reclaimable| self.fixed.get(&(zone.clone(), reclaimable)).copied();
-        let firm = fixed(false).unwrap_or(firm).min(range.max);
+        let on_demand = fixed(false).unwrap_or(on_demand).min(range.max);
         Count {
-            firm,
-            reclaimable: fixed(true).unwrap_or(reclaimable).min(range.max - firm),
+            on_demand,
+            reclaimable: fixed(true)
+                .unwrap_or(reclaimable)
+                .min(range.max - on_demand),
         }
     }
 
-    fn why(&self, zone: &Zone, reclaimable: bool, now: Moment) -> Reason {
+    fn reason(&self, zone: &Zone, reclaimable: bool, now: Moment) -> Reason {
         let is_fixed = self.fixed.contains_key(&(zone.clone(), reclaimable));
-        match self.sites.get(zone) {
+        match self.zones.get(zone) {
             _ if is_fixed => Reason::Fixed,
-            Some(site) if site.lost.is_some() && !reclaimable => Reason::Missing,
-            Some(site) if site.stands_in(now) && reclaimable => Reason::StandsIn,
+            Some(plan) if plan.lost_since.is_some() && !reclaimable => Reason::Missing,
+            Some(plan) if plan.stands_in(now) && reclaimable => Reason::StandsIn,
             _ => Reason::Usual,
         }
     }
 
     /// The next step from what a data centre has to what it should have. Both kinds count together, and engines that are not reclaimable
     /// go only as far as there are others in their place.
-    fn step(&self, zone: &Zone, wanted: Count, has: Count, range: &Range) -> Count {
-        let room = range.max.saturating_sub(has.firm.max(wanted.firm));
+    fn next_step(&self, zone: &Zone, wanted: Count, has: Count, range: &Range) -> Count {
+        let room = range
+            .max
+            .saturating_sub(has.on_demand.max(wanted.on_demand));
         let reclaimable = wanted.reclaimable.min(room);
-        if has.firm <= wanted.firm {
+        if has.on_demand <= wanted.on_demand {
             return Count {
                 reclaimable,
                 ..wanted
             };
         }
-        let found = self.sites.get(zone).map_or(0, |site| site.found);
-        let found = found.min(range.max);
+        let initial_engines = self.zones.get(zone).map_or(0, |plan| plan.initial_engines);
+        let initial_engines = initial_engines.min(range.max);
         // Where there is no room for more, a few go first.
-        let ahead = if room == 0 { slack(found).max(1) } else { 0 };
-        let needed = found.saturating_sub(has.reclaimable + ahead);
+        let early_leavers = if room == 0 {
+            slack(initial_engines).max(1)
+        } else {
+            0
+        };
+        let needed = initial_engines.saturating_sub(has.reclaimable + early_leavers);
         Count {
-            firm: wanted.firm.max(needed).min(has.firm),
+            on_demand: wanted.on_demand.max(needed).min(has.on_demand),
             reclaimable,
         }
     }
 
-    fn subject(&mut self, zone: &Zone, reclaimable: bool) -> &mut Subject {
+    fn order_state(&mut self, zone: &Zone, reclaimable: bool) -> &mut OrderState {
         let key = (zone.clone(), reclaimable);
-        self.subjects.entry(key).or_default()
+        self.order_states.entry(key).or_default()
     }
 
     /// What is to be ordered of one kind in a data centre.
-    fn look(
+    fn due_order(
         &mut self,
         zone: &Zone,
         reclaimable: bool,
@@ -403,22 +430,22 @@
         now: Moment,
     ) -> Option<Order> {
         let (wanted, has) = (wanted.of(reclaimable), has.of(reclaimable));
-        let why = self.why(zone, reclaimable, now);
-        let subject = self.subject(zone, reclaimable);
-        let rests = |at: Moment| now.saturating_sub(at) < REFUSED;
-        if subject.refused.is_some_and(rests) {
+        let why = self.reason(zone, reclaimable, now);
+        let order_state = self.order_state(zone, reclaimable);
+        let is_backing_off = |at: Moment| now.saturating_sub(at) < REFUSAL_BACKOFF;
+        if order_state.refused_at.is_some_and(is_backing_off) {
             return None;
         }
-        let is_due = match subject.ordered {
+        let is_due = match order_state.ordered {
             Some((ordered, at)) if ordered == wanted => {
                 let is_off = has.abs_diff(wanted) > slack(wanted);
-                let is_over = now.saturating_sub(at) >= range.boot + SHOWS;
+                let is_over = now.saturating_sub(at) >= range.boot + LISTING_DELAY;
                 if !is_off || !is_over {
-                    subject.off_since = None;
+                    order_state.off_since = None;
                     return None;
                 }
-                let since = *subject.off_since.get_or_insert(now);
-                now.saturating_sub(since) >= HOLD
+                let since = *order_state.off_since.get_or_insert(now);
+                now.saturating_sub(since) >= HOLD_TIME
             }
             Some(_) => true,
             None => has != wanted,
@@ -433,13 +460,13 @@
 }
 
 /// Engines that a data centre should have while nothing is lost.
-fn usual(found: u32, range: &Range) -> Count {
-    let firm = part(found, FIRM).clamp(range.min, range.max);
-    let bought = SPENT / range.reclaimable_price.unwrap_or(1.0);
-    let reclaimable = bought.clamp(*RECLAIMABLE.start(), *RECLAIMABLE.end());
+fn usual_count(initial_engines: u32, range: &Range) -> Count {
+    let on_demand = ceil_share(initial_engines, ON_DEMAND_SHARE).clamp(range.min, range.max);
+    let affordable = RECLAIMABLE_BUDGET / range.reclaimable_price.unwrap_or(1.0);
+    let reclaimable = affordable.clamp(*RECLAIMABLE_SHARES.start(), *RECLAIMABLE_SHARES.end());
     Count {
-        firm,
-        reclaimable: part(found, reclaimable).min(range.max - firm),
+        on_demand,
+        reclaimable: ceil_share(initial_engines, reclaimable).min(range.max - on_demand),
     }
 }
 
@@ -450,17 +477,17 @@
         if engine.record.reclaimable {
             count.reclaimable += 1;
         } else {
-            count.firm += 1;
+            count.on_demand += 1;
         }
     }
     counts
 }
 
 fn slack(number: u32) -> u32 {
-    part(number, SLACK)
+    ceil_share(number, SLACK_SHARE)
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn part(number: u32, part: f64) -> u32 {
-    (f64::from(number) * part).ceil() as u32
+fn ceil_share(number: u32, share: f64) -> u32 {
+    (f64::from(number) * share).ceil() as u32
 }
--- a/crates/serving/src/throttle.rs
+++ b/crates/serving/src/throttle.rs
@@ -156,19 +156,19 @@
     }
 
     /// Merges what an engine said into what is known of it. Says whether its limit is another one now.
-    pub fn merge(&mut self, engine: &EngineId, said: Announcement, now: Moment) -> bool {
+    pub fn merge(&mut self, engine: &EngineId, announcement: Announcement, now: Moment) -> bool {
         let before = self.limits.get(engine).map(|limit| limit.last);
-        if before.is_none() && said.limit.is_none()
-            || before.is_some_and(|before| before.at > said.at)
+        if before.is_none() && announcement.limit.is_none()
+            || before.is_some_and(|before| before.at > announcement.at)
         {
             return false;
         }
         let limit = self.limits.entry(engine.clone()).or_insert(Limit {
-            last: said,
+            last: announcement,
             share: None,
         });
-        limit.last = said;
-        let changed = before.and_then(|before| before.limit) != said.limit;
+        limit.last = announcement;
+        let changed = before.and_then(|before| before.limit) != announcement.limit;
         if changed {
             self.update_share(engine, now);
             if !self.changed.contains(engine) {
@@ -231,11 +231,11 @@
     /// What engines said whose limits have changed since the last question.
     pub fn take_changed(&mut self) -> Vec<(EngineId, Announcement)> {
         let changed = std::mem::take(&mut self.changed);
-        let said = changed.into_iter().filter_map(|engine| {
+        let announcements = changed.into_iter().filter_map(|engine| {
             let last = self.limits.get(&engine)?.last;
             Some((engine, last))
         });
-        said.collect()
+        announcements.collect()
     }
 
     /// Announcements that this instance repeats to all others. Each one is repeated by [`REPEATERS`] placers.
@@ -244,11 +244,12 @@
         let Some(own) = own else {
             return Vec::new();
         };
-        let mine = self
+        let own_limits = self
             .limits
             .iter()
             .filter(|(engine, _)| placer::rank(engine, own, &self.placers.others) < REPEATERS);
-        mine.map(|(engine, limit)| (engine.clone(), limit.last))
+        own_limits
+            .map(|(engine, limit)| (engine.clone(), limit.last))
             .collect()
     }
 
@@ -293,16 +294,16 @@
         let others = &self.placers.others;
         let limit = limit.per_second();
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let holders = (limit as usize).saturating_add(MIN_HOLDERS);
+        let max_holders = (limit as usize).saturating_add(MIN_HOLDERS);
         #[allow(clippy::cast_precision_loss)]
         let divided = |holders: usize| limit / holders as f64;
         if self.placers.includes_self {
-            let holders = holders.min(1 + others.len());
+            let holders = max_holders.min(1 + others.len());
             let rank = placer::rank(engine, own, others);
             (rank < holders).then(|| divided(holders))
         } else if others.is_empty() {
             // The others are not known yet; some of them will be.
-            Some(divided(holders))
+            Some(divided(max_holders))
         } else {
             None
         }
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -22,13 +22,13 @@
 
 /// Part of the time until a report is late in which those that have not told their counts are waited for. What is left is for an instance
 /// that takes the report over.
-const WAIT: f64 = 0.65;
+const UPDATE_WAIT_SHARE: f64 = 0.65;
 /// Time after the end of a window in which its last requests are told, if nothing is lost.
-const TELLING: Duration = Duration::from_millis(1_500);
+const UPDATE_DELAY: Duration = Duration::from_millis(1_500);
 /// An instance that has not told for this long may be cut off, or this one is. It spans a few tellings.
-const SILENT: Duration = Duration::from_millis(2_000);
+const PEER_SILENCE: Duration = Duration::from_millis(2_000);
 /// Windows beyond the last that can still be reported for which it is remembered what was: a repeat may be on its way.
-const REMEMBERED: u64 = 12;
+const RETAINED_WINDOWS: u64 = 12;
 
 /// When windows begin and end, and when their reports are due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,11 +55,11 @@
 
     /// Until when those that have not told their counts are waited for.
     fn complete_by(&self, window: Window) -> UnixTime {
-        self.end(window) + self.deadline.mul_f64(WAIT)
+        self.end(window) + self.deadline.mul_f64(UPDATE_WAIT_SHARE)
     }
 
     /// When a report is no longer wanted.
-    fn over(&self, window: Window) -> UnixTime {
+    fn report_deadline(&self, window: Window) -> UnixTime {
         self.end(window) + self.deadline
     }
 }
@@ -86,9 +86,9 @@
 
 /// Another instance that counts.
 #[derive(Clone, Copy, Debug)]
-struct Counter {
-    present: Window,
-    heard: UnixTime,
+struct Peer {
+    current_window: Window,
+    heard_at: UnixTime,
 }
 
 /// What one instance knows of the use.
@@ -96,75 +96,78 @@
 pub struct Ledger {
     schedule: Schedule,
     /// Windows that ended before this may have been fixed before, and are reported only as they were then.
-    since: UnixTime,
+    fixable_since: UnixTime,
     own: BTreeMap<Window, Counts>,
-    told: BTreeMap<Window, HashMap<Source, Counts>>,
-    counters: HashMap<Source, Counter>,
+    peer_counts: BTreeMap<Window, HashMap<Source, Counts>>,
+    peers: HashMap<Source, Peer>,
     fixed: BTreeMap<Window, Report>,
     /// What is to be told: counts that have grown, and windows that have ended.
-    grown: BTreeMap<Window, Counts>,
-    ended: BTreeMap<Window, u8>,
+    unsent_counts: BTreeMap<Window, Counts>,
+    final_updates_left: BTreeMap<Window, u8>,
 }
 
 /// Times that all counts of a window are told once it has ended, so that the loss of a frame before leaves no gap.
-const TELLINGS: u8 = 3;
+const FINAL_UPDATES: u8 = 3;
 
 impl Ledger {
     /// A ledger of an instance that begins to count now.
     pub fn new(schedule: Schedule, now: UnixTime) -> Self {
         Self {
             schedule,
-            since: now,
+            fixable_since: now,
             own: BTreeMap::new(),
-            told: BTreeMap::new(),
-            counters: HashMap::new(),
+            peer_counts: BTreeMap::new(),
+            peers: HashMap::new(),
             fixed: BTreeMap::new(),
-            grown: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            unsent_counts: BTreeMap::new(),
+            final_updates_left: BTreeMap::new(),
         }
     }
 
     /// Counts a request of an organisation that an engine began at a moment.
     pub fn count_request(&mut self, organisation: &Name, at: UnixTime) {
         let window = self.schedule.window(at);
-        let own = self.own.entry(window).or_default();
-        let count = own.entry(organisation.clone()).or_default();
+        let own_counts = self.own.entry(window).or_default();
+        let count = own_counts.entry(organisation.clone()).or_default();
         *count += 1;
-        let grown = self.grown.entry(window).or_default();
+        let grown = self.unsent_counts.entry(window).or_default();
         grown.insert(organisation.clone(), *count);
     }
 
     /// What is to be told now.
     pub fn take_update(&mut self, now: UnixTime) -> CountUpdate {
-        let present = self.schedule.window(now);
-        let mut counts = std::mem::take(&mut self.grown);
-        for (window, own) in self.own.range(..present) {
-            let left = self.ended.entry(*window).or_insert(TELLINGS);
+        let current_window = self.schedule.window(now);
+        let mut counts = std::mem::take(&mut self.unsent_counts);
+        for (window, own) in self.own.range(..current_window) {
+            let left = self
+                .final_updates_left
+                .entry(*window)
+                .or_insert(FINAL_UPDATES);
             if *left > 0 {
                 *left -= 1;
                 counts.insert(*window, own.clone());
             }
         }
         CountUpdate {
-            current_window: present,
+            current_window,
             counts: counts.into_iter().collect(),
         }
     }
 
     /// Merges a peer's counts. Sums only grow, so late and repeated counts change nothing.
-    pub fn merge(&mut self, source: Source, told: CountUpdate, now: UnixTime) {
-        let counter = self.counters.entry(source).or_insert(Counter {
-            present: told.current_window,
-            heard: now,
+    pub fn merge(&mut self, source: Source, update: CountUpdate, now: UnixTime) {
+        let peer = self.peers.entry(source).or_insert(Peer {
+            current_window: update.current_window,
+            heard_at: now,
         });
-        counter.present = counter.present.max(told.current_window);
-        counter.heard = now;
-        let oldest = self.oldest(now);
-        for (window, counts) in told.counts {
-            if window < oldest || window > told.current_window {
+        peer.current_window = peer.current_window.max(update.current_window);
+        peer.heard_at = now;
+        let oldest = self.oldest_open(now);
+        for (window, counts) in update.counts {
+            if window < oldest || window > update.current_window {
                 continue;
             }
-            let known = self.told.entry(window).or_default();
+            let known = self.peer_counts.entry(window).or_default();
             let known = known.entry(source).or_default();
             for (organisation, count) in counts {
                 let sum = known.entry(organisation).or_default();
@@ -206,7 +209,7 @@
     /// Whoever fixed one knows it and sends it as it was. Anybody else would make another one of what it was told, and the
     /// platform would get two for one window. So windows that could have been fixed are left to whoever did.
     pub fn fixed_reports_lost(&mut self, now: UnixTime) {
-        self.since = now;
+        self.fixable_since = now;
     }
 
     /// Whether a report is to be fixed or sent now.
@@ -231,24 +234,27 @@
     /// Reports that are fixed, not taken and not late yet.
     pub fn unsent(&self, now: UnixTime) -> impl Iterator<Item = &Report> {
         let fixed = self.fixed.values();
-        fixed.filter(move |report| !report.taken && now < self.schedule.over(report.window))
+        fixed.filter(move |report| {
+            !report.taken && now < self.schedule.report_deadline(report.window)
+        })
     }
 
     /// Forgets what is over.
     pub fn expire(&mut self, now: UnixTime) {
-        let oldest = self.oldest(now);
+        let oldest = self.oldest_open(now);
         self.own.retain(|window, _| *window >= oldest);
-        self.told.retain(|window, _| *window >= oldest);
-        self.ended.retain(|window, _| *window >= oldest);
+        self.peer_counts.retain(|window, _| *window >= oldest);
+        self.final_updates_left
+            .retain(|window, _| *window >= oldest);
         self.fixed
-            .retain(|window, _| *window + REMEMBERED >= oldest);
-        let (schedule, late) = (self.schedule, self.schedule.deadline);
-        self.counters
-            .retain(|_, counter| now.saturating_sub(counter.heard) < schedule.length * 2 + late);
+            .retain(|window, _| *window + RETAINED_WINDOWS >= oldest);
+        let (schedule, deadline) = (self.schedule, self.schedule.deadline);
+        self.peers
+            .retain(|_, peer| now.saturating_sub(peer.heard_at) < schedule.length * 2 + deadline);
     }
 
     /// The first window whose report can still be wanted.
-    fn oldest(&self, now: UnixTime) -> Window {
+    fn oldest_open(&self, now: UnixTime) -> Window {
         let over = now.saturating_sub(self.schedule.deadline + self.schedule.length);
         self.schedule.window(over)
     }
@@ -256,42 +262,43 @@
     /// Windows whose reports nobody has fixed, and can be now.
     fn fixable(&self, now: UnixTime) -> impl Iterator<Item = Window> {
         let schedule = self.schedule;
-        let windows = self.oldest(now)..schedule.window(now);
-        let windows = windows.filter(move |_| self.is_told(now));
+        let windows = self.oldest_open(now)..schedule.window(now);
+        let windows = windows.filter(move |_| self.hears_most_peers(now));
         windows.filter(move |window| {
             !self.fixed.contains_key(window)
-                && now < schedule.over(*window)
-                && schedule.end(*window) > self.since
+                && now < schedule.report_deadline(*window)
+                && schedule.end(*window) > self.fixable_since
                 && self.is_complete(*window, now)
         })
     }
 
     /// Whether at least half of those that count still tell. An instance that is cut off from the others, but not from the store, would report
     /// what it counted itself.
-    fn is_told(&self, now: UnixTime) -> bool {
-        let mut heard = self.counters.values().map(|counter| counter.heard);
-        let all = heard.len();
-        let fresh = heard.by_ref();
-        let fresh = fresh.filter(|heard| now.saturating_sub(*heard) < SILENT);
+    fn hears_most_peers(&self, now: UnixTime) -> bool {
+        let mut heard_at = self.peers.values().map(|peer| peer.heard_at);
+        let all = heard_at.len();
+        let fresh = heard_at.by_ref();
+        let fresh = fresh.filter(|heard| now.saturating_sub(*heard) < PEER_SILENCE);
         2 * fresh.count() >= all
     }
 
     /// Whether all that count have told their counts of a window, or have been waited for. One that is cut off for a
     /// moment tells them once it is back; of one that was killed what it told is all there is.
     fn is_complete(&self, window: Window, now: UnixTime) -> bool {
-        if now < self.schedule.end(window) + TELLING {
+        if now < self.schedule.end(window) + UPDATE_DELAY {
             return false;
         }
-        let mut counters = self.counters.values();
-        let is_done = |counter: &Counter| counter.present > window || counter.present + 1 < window;
-        counters.all(is_done) || now >= self.schedule.complete_by(window)
+        let mut peers = self.peers.values();
+        let has_final_counts =
+            |peer: &Peer| peer.current_window > window || peer.current_window + 1 < window;
+        peers.all(has_final_counts) || now >= self.schedule.complete_by(window)
     }
 
     /// What all instances counted in a window.
     fn sum(&self, window: Window) -> Counts {
         let mut sum = self.own.get(&window).cloned().unwrap_or_default();
-        let told = self.told.get(&window).into_iter().flatten();
-        for (organisation, count) in told.flat_map(|(_, counts)| counts) {
+        let peer_counts = self.peer_counts.get(&window).into_iter().flatten();
+        for (organisation, count) in peer_counts.flat_map(|(_, counts)| counts) {
             *sum.entry(organisation.clone()).or_default() += count;
         }
         sum
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -12,19 +12,19 @@
 use clock::Moment;
 
 /// Instances that read although all is well. Two, so that the end of one leaves no gap.
-const WATCHERS: u32 = 2;
+const READERS: u32 = 2;
 /// A reader that has read within this time is fresh. It is the longest time from one answer of the
 /// store to the next and on to the frame that tells of it.
 pub const FRESH_AGE: Duration = Duration::from_millis(1_600);
 /// What an instance said longer ago than this says nothing of now. It spans a few frames.
-const HEARD: Duration = Duration::from_millis(1_300);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1_300);
 /// A difference in what is known that lasts for this long is not on its way to be told.
-const DIFFERENCE: Duration = Duration::from_millis(700);
+const DIFFERENCE_GRACE: Duration = Duration::from_millis(700);
 /// How much longer than the one before it an instance waits before it reads as well, where too few are fresh. Others that
 /// live and come before it may be reading now, or are turned away as it would be.
-const STEP: Duration = Duration::from_millis(150);
+const JOIN_STEP: Duration = Duration::from_millis(150);
 /// Pause between two reads for a difference.
-const CORRECTION: Duration = Duration::from_millis(1_000);
+const REREAD_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Whether a read is to be told at once, since its reader was not fresh before.
 ///
@@ -60,7 +60,7 @@
     /// Whether it lives and has read the topic just now.
     pub fn is_fresh(&self, now: Moment) -> bool {
         let is_recent = |at: Moment, age| now.saturating_sub(at) <= age;
-        is_recent(self.heard_at, HEARD)
+        is_recent(self.heard_at, MAX_REPORT_AGE)
             && self.read_at.is_some_and(|read| is_recent(read, FRESH_AGE))
     }
 }
@@ -75,10 +75,10 @@
 /// Whether this instance reads one topic itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Watch {
-    lacks_since: Option<Moment>,
+    short_of_readers_since: Option<Moment>,
     behind: Option<Behind>,
-    gap_since: Option<Moment>,
-    corrected: Option<Moment>,
+    mismatch_since: Option<Moment>,
+    last_reread: Option<Moment>,
 }
 
 impl Watch {
@@ -96,27 +96,27 @@
         own: TopicState,
         now: Moment,
     ) -> bool {
-        let fresh = others.filter(|said| said.is_fresh(now) && said.order < own_order);
-        let mut covered = 0;
+        let fresh = others.filter(|report| report.is_fresh(now) && report.order < own_order);
+        let mut readers = 0;
         let mut newest: Option<TopicState> = None;
-        for said in fresh {
-            covered += 1;
-            let is_more = newest.is_none_or(|newest| said.state.upto > newest.upto);
-            newest = if is_more { Some(said.state) } else { newest };
+        for report in fresh {
+            readers += 1;
+            let is_newer = newest.is_none_or(|newest| report.state.upto > newest.upto);
+            newest = if is_newer { Some(report.state) } else { newest };
         }
         self.compare(own, newest, now);
-        self.is_lacking(covered, rank, now) || self.is_correction_due(now)
+        self.is_short_of_readers(readers, rank, now) || self.is_reread_due(now)
     }
 
-    fn is_lacking(&mut self, covered: u32, rank: u32, now: Moment) -> bool {
-        if covered >= WATCHERS {
-            self.lacks_since = None;
+    fn is_short_of_readers(&mut self, covered: u32, rank: u32, now: Moment) -> bool {
+        if covered >= READERS {
+            self.short_of_readers_since = None;
             return false;
         }
-        let since = *self.lacks_since.get_or_insert(now);
+        let since = *self.short_of_readers_since.get_or_insert(now);
         // Those that come first read anyway, and are among the ones before.
-        let behind = rank.saturating_sub(WATCHERS - 1);
-        now.saturating_sub(since) >= STEP.saturating_mul(behind)
+        let preceding = rank.saturating_sub(READERS - 1);
+        now.saturating_sub(since) >= JOIN_STEP.saturating_mul(preceding)
     }
 
     /// Compares with the reader that knows most. Two that read at different moments differ all the time while engines come and
@@ -124,7 +124,7 @@
     fn compare(&mut self, own: TopicState, newest: Option<TopicState>, now: Moment) {
         let Some(newest) = newest.filter(|newest| newest.digest != own.digest) else {
             self.behind = None;
-            self.gap_since = None;
+            self.mismatch_since = None;
             return;
         };
         if newest.upto <= own.upto {
@@ -137,18 +137,21 @@
             });
         }
         if newest.upto == own.upto {
-            self.gap_since.get_or_insert(now);
+            self.mismatch_since.get_or_insert(now);
         }
     }
 
-    fn is_correction_due(&mut self, now: Moment) -> bool {
-        let since = self.behind.map(|behind| behind.since).or(self.gap_since);
-        let lasts = since.is_some_and(|since| now.saturating_sub(since) >= DIFFERENCE);
-        let rested = self
-            .corrected
-            .is_none_or(|at| now.saturating_sub(at) >= CORRECTION);
-        if lasts && rested {
-            self.corrected = Some(now);
+    fn is_reread_due(&mut self, now: Moment) -> bool {
+        let since = self
+            .behind
+            .map(|behind| behind.since)
+            .or(self.mismatch_since);
+        let is_lasting = since.is_some_and(|since| now.saturating_sub(since) >= DIFFERENCE_GRACE);
+        let may_reread = self
+            .last_reread
+            .is_none_or(|at| now.saturating_sub(at) >= REREAD_INTERVAL);
+        if is_lasting && may_reread {
+            self.last_reread = Some(now);
             return true;
         }
         false
@@ -157,18 +160,18 @@
 
 /// Time after which a reader tells what the one before it does not know yet. Readers read more often than this, and
 /// tell how far they know in the same time.
-const DEFERRED: Duration = Duration::from_millis(450);
+const DEFER_TIME: Duration = Duration::from_millis(450);
 
 /// What a reader leaves to the one before it to tell, which may lose the store before it has read it.
 ///
 /// Then none would tell: every other instance would find itself behind, and read. One would notice it by a call to the
 /// store of each instance in the second in which a reader is cut off.
 #[derive(Clone, Debug)]
-pub struct Deferred<T>(Vec<Left<T>>);
+pub struct Deferred<T>(Vec<DeferredItem<T>>);
 
 #[derive(Clone, Debug)]
-struct Left<T> {
-    what: T,
+struct DeferredItem<T> {
+    item: T,
     upto: u64,
     since: Moment,
 }
@@ -182,8 +185,8 @@
 impl<T> Deferred<T> {
     /// Leaves something to the reader before. Whoever has read it knows the topic up to `upto`.
     pub fn defer(&mut self, what: T, upto: u64, now: Moment) {
-        self.0.push(Left {
-            what,
+        self.0.push(DeferredItem {
+            item: what,
             upto,
             since: now,
         });
@@ -193,11 +196,11 @@
     /// that is fresh and knows most knows the topic of something.
     pub fn take_due(&mut self, knows: impl Fn(&T) -> Option<u64>, now: Moment) -> Vec<T> {
         let mut due = Vec::new();
-        for left in std::mem::take(&mut self.0) {
-            if now.saturating_sub(left.since) < DEFERRED {
-                self.0.push(left);
-            } else if knows(&left.what).is_none_or(|upto| upto < left.upto) {
-                due.push(left.what);
+        for deferred in std::mem::take(&mut self.0) {
+            if now.saturating_sub(deferred.since) < DEFER_TIME {
+                self.0.push(deferred);
+            } else if knows(&deferred.item).is_none_or(|upto| upto < deferred.upto) {
+                due.push(deferred.item);
             }
         }
         due
--- a/crates/serving/tests/told.rs
+++ b/crates/serving/tests/told.rs
@@ -140,5 +140,5 @@
         told.record(7, Outcome::Failed, NOW);
         told.record(7, Outcome::Unreachable, NOW);
     }
-    assert!(told.is_open(NOW));
+    assert!(told.is_available(NOW));
 }
