--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -303,7 +303,7 @@
             .zip(table.as_ref())
             .and_then(|(name, table)| table.service(&name));
         if let Some(model) = service.and_then(|service| service.model) {
-            fleet.record_cached_parts(engine, parts, model.kv_capacity_tokens, now);
+            fleet.cache_parts(engine, parts, model.kv_capacity_tokens, now);
         }
     }
 
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -388,7 +388,7 @@
     }
 
     /// Takes in that an engine reads these parts.
-    pub fn record_cached_parts(
+    pub fn cache_parts(
         &mut self,
         id: &EngineId,
         prompt: &[Part],
--- a/crates/serving/tests/pauses.rs
+++ b/crates/serving/tests/pauses.rs
@@ -21,7 +21,7 @@
 fn learned(alone: Duration, beside: Duration) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     let a = id("a");
-    fleet.record_cached_parts(&a, &prompt(&[(7, 2_000)]), 400_000, ms(0));
+    fleet.cache_parts(&a, &prompt(&[(7, 2_000)]), 400_000, ms(0));
     for _ in 0..STREAMS {
         fleet.begin_call(&a, 0, 1, ms(0));
     }
@@ -70,7 +70,7 @@
 #[test]
 fn nothing_is_avoided_before_pauses_were_seen() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.record_cached_parts(&id("a"), &prompt(&[(7, 2_000)]), 400_000, ms(0));
+    fleet.cache_parts(&id("a"), &prompt(&[(7, 2_000)]), 400_000, ms(0));
     for _ in 0..STREAMS {
         fleet.begin_call(&id("a"), 0, 1, ms(0));
     }
--- a/crates/serving/tests/place.rs
+++ b/crates/serving/tests/place.rs
@@ -29,7 +29,7 @@
             ("b", Stage::Decode),
             ("c", Stage::Decode),
         ]);
-        fleet.record_cached_parts(&id(reader), &prompt(&[(7, 13_000)]), 400_000, NOW);
+        fleet.cache_parts(&id(reader), &prompt(&[(7, 13_000)]), 400_000, NOW);
         let choice = target(&fleet, &[(7, 13_000), (8, 3_000)]);
         assert_matches!(choice, Choice::Direct(t) if &*t.engine == reader && t.prefill_tokens == 3_000);
     }
@@ -38,7 +38,7 @@
 #[test]
 fn a_part_behind_one_that_was_not_read_is_read_again() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    fleet.record_cached_parts(&id("a"), &prompt(&[(7, 1_000)]), 400_000, NOW);
+    fleet.cache_parts(&id("a"), &prompt(&[(7, 1_000)]), 400_000, NOW);
     let choice = target(&fleet, &[(6, 1_000), (7, 1_000)]);
     assert_matches!(choice, Choice::Direct(t) if t.prefill_tokens == 2_000);
 }
@@ -46,10 +46,10 @@
 #[test]
 fn what_was_used_longest_ago_yields_first() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(1));
-    fleet.record_cached_parts(&id("a"), &prompt(&[(2, 300)]), 1_000, ms(2));
-    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(3));
-    fleet.record_cached_parts(&id("a"), &prompt(&[(3, 400)]), 1_000, ms(4));
+    fleet.cache_parts(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(1));
+    fleet.cache_parts(&id("a"), &prompt(&[(2, 300)]), 1_000, ms(2));
+    fleet.cache_parts(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(3));
+    fleet.cache_parts(&id("a"), &prompt(&[(3, 400)]), 1_000, ms(4));
     assert_eq!(
         fleet.parts.cached_tokens(&id("a"), &prompt(&[(1, 300)])),
         300
@@ -112,7 +112,7 @@
 #[test]
 fn an_engine_whose_connections_are_taken_gets_nothing_more() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
+    fleet.cache_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
     let works = |calls| {
         vec![(
             id("a"),
@@ -142,7 +142,7 @@
     let mut leaving = record("a", Some(Stage::Decode));
     leaving.state = State::Draining;
     fleet.put(leaving);
-    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
+    fleet.cache_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
     let choice = target(&fleet, &[(1, 9_000)]);
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b");
 }
@@ -190,7 +190,7 @@
 #[test]
 fn an_engine_that_fails_rests_and_is_taken_back() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
+    fleet.cache_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
     for _ in 0..2 {
         let sent = fleet.begin_call(&id("a"), 0, 0, NOW);
         fleet.end_call(&sent, Some(Outcome::Failed), NOW);
@@ -290,7 +290,7 @@
 /// Engine `a` keeps the first part of a prompt and has so many prompts to read; `b` is idle.
 fn kept_at_a(jobs: usize) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.record_cached_parts(&id("a"), &prompt(&[(7, 9_000)]), 400_000, NOW);
+    fleet.cache_parts(&id("a"), &prompt(&[(7, 9_000)]), 400_000, NOW);
     for _ in 0..jobs {
         fleet.begin_call(&id("a"), 12_000, 0, NOW);
     }
@@ -377,7 +377,7 @@
         ("c", Stage::Prefill),
     ]);
     let parts = prompt(&[(7, 13_000)]);
-    fleet.record_cached_parts(&id("a"), &parts, 400_000, NOW);
+    fleet.cache_parts(&id("a"), &parts, 400_000, NOW);
     fleet.begin_call(&id("a"), 0, 1, NOW);
     let (service, zone) = (service(), zone());
     let together = demand(&service, &zone, Some(generation(&parts)));
--- a/crates/serving/tests/registry.rs
+++ b/crates/serving/tests/registry.rs
@@ -118,7 +118,7 @@
     let (mut registry, mut fleet) = known();
     registry.put(&mut fleet, start("e", 10));
     let sent = fleet.begin_call(&id("e.10"), 5_000, 0, ms(1_200));
-    fleet.record_cached_parts(&id("e.10"), &prompt(&[(7, 900)]), 400_000, ms(1_200));
+    fleet.cache_parts(&id("e.10"), &prompt(&[(7, 900)]), 400_000, ms(1_200));
     fleet.apply_all_work(
         1,
         vec![(
--- a/crates/serving/tests/replay/engine.rs
+++ b/crates/serving/tests/replay/engine.rs
@@ -43,7 +43,7 @@
         let unread = if reads { call.tokens - kept } else { 0 };
         let now_time = Duration::from_micros(now);
         self.memory
-            .record_cached_parts(&self.id, &call.prompt, MODEL.kv_capacity_tokens, now_time);
+            .cache_parts(&self.id, &call.prompt, MODEL.kv_capacity_tokens, now_time);
         self.waiting.push(Waiting {
             call: number,
             at: now,
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -287,7 +287,7 @@
         let unread = if reads { call.tokens - kept } else { 0 };
         let is_new = kept < call.prompt[0].tokens;
         let sent = fleet.begin_call(&id, speed::work(unread, call.tokens), rank, time);
-        fleet.record_cached_parts(&id, &call.prompt, MODEL.kv_capacity_tokens, time);
+        fleet.cache_parts(&id, &call.prompt, MODEL.kv_capacity_tokens, time);
         self.engines[engine].take(number, call, rank, reads, now);
         self.under_way.insert(number, (engine, sent, only_reads));
         match self.way {
@@ -386,13 +386,11 @@
 
     pub(crate) fn hear(&mut self, instance: usize, told: usize, now: Micros) {
         let (from, told) = self.told[told].clone();
-        let time = Duration::from_micros(now);
+        let at = Duration::from_micros(now);
         let fleet = &mut self.fleets[instance];
         match told {
-            Told::Change(change) => fleet.apply_change(from as u64, &change, time),
-            Told::Parts(engine, parts) => {
-                fleet.record_cached_parts(&engine, &parts, MODEL.kv_capacity_tokens, time);
-            }
+            Told::Change(change) => fleet.apply_change(from as u64, &change, at),
+            Told::Parts(id, parts) => fleet.cache_parts(&id, &parts, MODEL.kv_capacity_tokens, at),
         }
     }
 }
--- a/crates/serving/tests/streams.rs
+++ b/crates/serving/tests/streams.rs
@@ -228,7 +228,7 @@
         };
         let now = self.moment();
         self.fleet
-            .record_cached_parts(&target.engine, &call.prompt, MODEL.kv_capacity_tokens, now);
+            .cache_parts(&target.engine, &call.prompt, MODEL.kv_capacity_tokens, now);
         let sent = self
             .fleet
             .begin_call(&target.engine, target.work, target.rank, now);
--- a/crates/serving/tests/throttle.rs
+++ b/crates/serving/tests/throttle.rs
@@ -248,7 +248,7 @@
 #[test]
 fn calls_go_round_an_engine_whose_limit_is_used_up() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    fleet.record_cached_parts(&id("a"), &prompt(&[(1, 100)]), 400_000, NOW);
+    fleet.cache_parts(&id("a"), &prompt(&[(1, 100)]), 400_000, NOW);
     assert_matches!(choose(&fleet, ms(4_000), NOW), Choice::Direct(t) if &*t.engine == "a");
     limited(&mut fleet, "a", 0.5);
     assert_matches!(choose(&fleet, ms(4_000), NOW), Choice::Direct(t) if &*t.engine == "b");
