--- a/crates/serving/src/decaying_rate.rs
+++ b/crates/serving/src/decaying_rate.rs
@@ -1,14 +1,14 @@
-//! How much of something flows, as a mean that fades.
+//! Rate of a quantity as an exponentially decaying mean.
 
 use std::time::Duration;
 
 use clock::Moment;
 
-/// Time constant of the mean: longer than the waves of a mix that swings every 2.8 s, shorter than a change of
-/// engines pays back.
+/// Time constant of the mean: longer than the waves of a mix that alternates every 2.8 s, shorter
+/// than the time in which a role change pays off.
 const TIME_CONSTANT: Duration = Duration::from_secs(4);
 
-/// A flow.
+/// A decaying sum of amounts.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingRate {
     sum: f64,
@@ -22,7 +22,7 @@
         self.updated_at = now;
     }
 
-    /// Amount in a millisecond.
+    /// The rate per millisecond.
     pub(crate) fn rate(&self, now: Moment) -> f64 {
         self.decayed(now) / (TIME_CONSTANT.as_secs_f64() * 1_000.0)
     }
--- a/crates/serving/src/engine.rs
+++ b/crates/serving/src/engine.rs
@@ -1,4 +1,4 @@
-//! What is known of one engine: its record, the work before it, and how fast it is.
+//! State of one engine: its record, its queued work and its speed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,150 +15,150 @@
 use crate::queue;
 use crate::{EngineId, ServiceName, Zone, hash};
 
-/// Which half of a generation an engine does.
+/// The phase of a generation that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// Reads prompts for others.
+    /// Reads prompts for other engines.
     Prefill,
-    /// Generates, and reads prompts at half the speed.
+    /// Generates, and reads prompts at half the speed of a prefill engine.
     Decode,
 }
 
 /// Whether an engine takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Takes work.
+    /// Takes new work.
     Ready,
-    /// Is about to leave.
+    /// Is about to leave and takes no new work.
     Draining,
 }
 
-/// What an engine says of itself where all engines register.
+/// What an engine registers about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its incarnation, which no other engine and no other start of the same one shares.
+    /// Id of this incarnation, unique among all engines and all their starts.
     pub id: EngineId,
-    /// Its name on the platform, which a later start may bear again.
+    /// Its name on the platform, which a later start may have again.
     pub name: Rc<str>,
-    /// Its start, in milliseconds since the Unix epoch, where it says so. Of two incarnations with one name
-    /// the later one counts.
+    /// Its start in milliseconds since the Unix epoch, if known. Of two incarnations with the same
+    /// name the later one is current.
     pub started_ms: Option<u64>,
-    /// What it serves.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its data centre.
     pub zone: Zone,
-    /// Calls at a time.
+    /// Calls that it runs at a time.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: State,
-    /// Set for model engines that have a stage.
+    /// Its stage; set for engines of a model.
     pub stage: Option<Stage>,
-    /// Version of its weights, where it has a model.
+    /// Version of its weights, if it has a model.
     pub weights: Option<u64>,
-    /// Version of its software, where it says so.
+    /// Version of its software, if known.
     pub software: Option<Rc<str>>,
-    /// Whether it may be reclaimed, together with all such engines of its data centre.
+    /// Whether the platform may reclaim it, together with all such engines of its data centre.
     pub reclaimable: bool,
 }
 
 impl Record {
-    /// What it runs: a call that ends one build may run well on the next.
+    /// Hash of software and weights: a call that crashes one build may run well on the next.
     pub fn build(&self) -> Build {
         let software = self.software.as_deref().unwrap_or_default();
         hash::hash32(&format!("{software} {:?}", self.weights))
     }
 }
 
-/// Urgency at an engine; 0 is first.
+/// Scheduling rank at an engine; 0 is the most urgent.
 pub type Rank = u8;
 
-/// Ranks by which a call that cannot be on time yields to calls that can: its answer is worth the same a second
-/// later, and a long prompt that cannot be on time would make ten short ones late.
+/// Added to the rank of a call that cannot be on time, so that it yields to calls that can: its
+/// answer is worth the same a second later, while a long prompt could make ten short ones late.
 pub const LATE_RANK: Rank = 4;
 
-/// Number of a call in the books of the instance that sent it.
+/// Number of a call at the instance that sent it.
 pub type Ticket = u32;
 
-/// A prompt that an engine has been sent and has not read yet.
+/// A prompt that has been sent to an engine and not been read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
     /// Number of the call.
     pub ticket: Ticket,
-    /// When it was sent, on this instance's clock.
+    /// When it was sent, by this instance's clock.
     pub sent_at: Moment,
-    /// Its urgency.
+    /// Its scheduling rank.
     pub rank: Rank,
-    /// Work that it is, in tokens of [`crate::speed::work`].
+    /// Its work, in tokens of [`crate::speed::work`].
     pub work: u32,
 }
 
-/// What one instance has at an engine.
+/// The work of one instance at an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Calls sent and not ended.
+    /// Calls sent and not yet ended.
     pub calls: u32,
-    /// Prompts that are not read yet.
+    /// Prompts sent and not yet read.
     pub jobs: SmallVec<[Job; 4]>,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pending {
     pub job: Job,
-    /// When it was expected to be read, at the speed of its stage.
+    /// Expected time until it is read, at the speed of its stage.
     pub expected_read_time: Duration,
-    /// Whether nothing was known to be before it.
+    /// Whether no earlier prompt was known to be queued.
     pub was_idle: bool,
 }
 
-/// A change that an engine has been ordered to make.
+/// A stage change that an engine has been ordered to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageChange {
-    /// What it will do.
+    /// The new stage.
     pub stage: Stage,
-    /// When it was ordered, or heard of, on this instance's clock.
+    /// When it was ordered or announced, by this instance's clock.
     pub since: Moment,
     /// Whether this instance ordered it.
     pub own: bool,
 }
 
-/// An engine as this instance sees it.
+/// An engine as known to this instance.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// What it says of itself.
+    /// Its latest record.
     pub record: Record,
     /// Outcomes of this instance's calls.
     pub health: Health,
-    /// Outcomes of the calls of others.
+    /// Outcomes of other instances' calls.
     pub peer_reports: PeerReports,
-    /// Whether its record is gone; kept until its last call ends.
+    /// Whether its record is gone. The engine is kept until its last call ends.
     pub record_gone: bool,
-    /// Set while it changes what it does.
+    /// Set while a stage change is in progress.
     pub stage_change: Option<StageChange>,
-    /// Time that work takes here against what the speed of its stage gives; 1 is as expected.
+    /// Ratio of the observed reading time to the time expected from the speed of its stage.
     pub slowdown: f64,
     pub(crate) own_calls: u32,
     pub(crate) pending: SmallVec<[Pending; 8]>,
     pub(crate) peer_work: BTreeMap<PeerId, Work>,
-    /// When the last prompt that is known to be read was read.
+    /// When the last prompt that is known to have been read was finished.
     pub(crate) last_read_at: Moment,
-    /// When it has had prompts to read.
+    /// When it had prompts to read.
     pub(crate) reading: ReadActivity,
 }
 
-/// Weight of one observation in [`Engine::pace`], where nothing was before the call.
+/// Weight of one sample in [`Engine::slowdown`] if the engine was idle before the call.
 const SLOWDOWN_WEIGHT: f64 = 0.15;
-/// Weight where something was: what others sent just before is not known yet, and a wait for it says
-/// little of the engine's pace.
+/// Weight of one sample if prompts were queued: prompts that others sent just before are not known
+/// yet, so the wait says little about the engine's speed.
 const QUEUED_SLOWDOWN_WEIGHT: f64 = 0.04;
-/// Bounds of [`Engine::pace`], so that one odd call does not close an engine.
+/// Bounds of [`Engine::slowdown`], so that a single outlier does not shut an engine out.
 const SLOWDOWN_RANGE: (f64, f64) = (0.25, 12.0);
-/// Bounds of a single observation of the pace, for the same reason.
+/// Bounds of a single sample, for the same reason.
 const SLOWDOWN_SAMPLE_RANGE: (f64, f64) = (0.3, 8.0);
 
 impl Engine {
-    /// An engine without work.
+    /// An engine without calls.
     pub fn new(record: Record) -> Self {
         Self {
             record,
@@ -175,13 +175,14 @@
         }
     }
 
-    /// What it does, or will do once it has changed.
+    /// Its stage once a change in progress has finished.
     pub fn target_stage(&self) -> Option<Stage> {
         self.stage_change
             .map_or(self.record.stage, |change| Some(change.stage))
     }
 
-    /// Whether it takes new calls, or will once it has changed: its record says so, and nothing that it has ended.
+    /// Whether it takes new calls now or after its stage change: its record is ready, and it is not
+    /// known to have ended.
     pub fn is_active(&self) -> bool {
         !self.record_gone && !self.health.has_ended() && self.record.state == State::Ready
     }
@@ -191,7 +192,7 @@
         self.is_active() && self.stage_change.is_none()
     }
 
-    /// Whether nothing that calls came to speaks against one more now.
+    /// Whether the outcomes of recent calls allow one more now.
     pub fn is_available(&self, now: Moment) -> bool {
         self.health.is_available(now) && self.peer_reports.is_available(now)
     }
@@ -203,7 +204,7 @@
             .max(self.peer_reports.failures(now))
     }
 
-    /// This instance's work here.
+    /// This instance's work at the engine.
     pub fn own_work(&self) -> Work {
         Work {
             calls: self.own_calls,
@@ -211,13 +212,13 @@
         }
     }
 
-    /// Calls of all instances here.
+    /// Number of calls of all instances at the engine.
     pub fn running_calls(&self) -> u32 {
         let peer_calls = self.peer_work.values().map(|work| work.calls);
         self.own_calls + peer_calls.sum::<u32>()
     }
 
-    /// Prompts of all instances that are not read yet, the oldest first.
+    /// Unread prompts of all instances, oldest first.
     pub fn pending_jobs(&self) -> SmallVec<[Job; 16]> {
         let own = self.pending.iter().map(|pending| pending.job);
         let peer_jobs = self
@@ -229,7 +230,8 @@
         jobs
     }
 
-    /// Time from now until a new job has been read, if a millisecond reads `rate` tokens of work.
+    /// Time from now until a new job has been read, if the stage reads `rate` tokens of work per
+    /// millisecond.
     pub fn time_until_read(&self, new: Job, rate: f64) -> Duration {
         queue::time_until_read(
             &self.pending_jobs(),
@@ -239,7 +241,7 @@
         )
     }
 
-    /// Takes in whether there are prompts to read from now on.
+    /// Updates whether the engine has prompts to read.
     pub(crate) fn update_reading(&mut self, now: Moment) {
         let own = self.pending.iter().any(|pending| pending.job.work > 0);
         let reads = |work: &Work| work.jobs.iter().any(|job| job.work > 0);
@@ -247,7 +249,8 @@
         self.reading.set(is_reading, now);
     }
 
-    /// Takes in that work took `took` milliseconds where `expected` were expected.
+    /// Updates the slowdown by a prompt that took `took` where `expected` was expected, in the same
+    /// unit.
     pub(crate) fn observe_slowdown(&mut self, expected: f64, took: f64, was_idle: bool) {
         if expected <= 0.0 {
             return;
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All engines, the work at each, and the parts that each has read.
+//! All known engines with the work at each and the prompt parts that each caches.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -27,68 +27,69 @@
 /// Id of another instance.
 pub type PeerId = u64;
 
-/// What other instances said longer ago than this no longer counts. Each tells all once a second,
-/// and two of these may be lost.
+/// Age after which the work that another instance reported is dropped. Each instance reports all of
+/// its work once a second, and two of these frames may be lost.
 const PEER_WORK_AGE: Duration = Duration::from_millis(3_200);
 
-/// Longest time that a change of what an engine does is waited for: its calls in hand end within
-/// some seconds, and the change itself takes three.
+/// Longest time to wait for a stage change: the engine's calls end within some seconds, and the
+/// change itself takes three.
 const STAGE_CHANGE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// A call that was sent to an engine, in the books.
+/// A call that was sent to an engine.
 #[derive(Clone, Debug)]
 pub struct SentCall {
-    /// Where it went.
+    /// The engine that it was sent to.
     pub engine: EngineId,
     ticket: Ticket,
 }
 
-/// The engines as this instance sees them.
+/// The engines as known to this instance.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     engines: BTreeMap<EngineId, Engine>,
     by_short_hash: HashMap<u32, EngineId>,
-    /// Which engine has read what.
+    /// The prompt parts that each engine caches.
     pub parts: CachedParts,
-    /// Rate limits that engines have announced.
+    /// Rate limits announced by engines.
     pub throttles: Throttles,
     next_ticket: Ticket,
     speeds: HashMap<(ServiceName, Stage), Speed>,
-    /// When each other instance was last heard of.
+    /// When each other instance was last heard from.
     peer_heard_at: BTreeMap<PeerId, Moment>,
-    /// Engines at which each other instance has had work since it last told all. Without this every state of
-    /// every instance would cost a look at every engine.
+    /// Engines at which each other instance has had work since it last reported all of it, so that
+    /// a full report does not require a scan of all engines.
     peer_engines: HashMap<PeerId, Vec<EngineId>>,
-    /// Engines at which this instance has calls, since frames tell of these many times a second.
+    /// Engines at which this instance has calls, because frames with these are built many times a
+    /// second.
     busy_engines: BTreeSet<EngineId>,
-    /// Engines that change what they do.
+    /// Engines with a stage change in progress.
     stage_changes: BTreeSet<EngineId>,
-    /// Calls that this instance placed for others, by the numbers that they have there.
+    /// Calls that this instance placed for others, by their ticket there.
     remote_calls: HashMap<PeerId, HashMap<Ticket, RemoteCall>>,
-    /// Work of prompts sent by all instances, by service.
+    /// Rate of prompt work sent by all instances, by service.
     work_rates: HashMap<ServiceName, DecayingRate>,
     changes: Vec<WorkChange>,
-    /// How much longer calls that yield wait, by service.
+    /// How much longer than expected late calls wait, by service.
     overruns: HashMap<ServiceName, WaitOverrun>,
-    /// Pauses of streams, by service.
+    /// Pauses between stream events, by service.
     pauses: HashMap<ServiceName, PauseModel>,
 }
 
-/// Something that changed in this instance's work at the engines.
+/// A change in this instance's work at the engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkChange {
     /// A prompt was sent.
     Started(EngineId, Job),
-    /// A prompt was read, at this moment.
+    /// A prompt was read at this moment.
     Read(EngineId, Ticket, Moment),
-    /// A call ended, with what it tells of the engine.
+    /// A call ended, with its outcome for the engine's health.
     Ended(EngineId, Ticket, Option<Outcome>),
-    /// An engine has ended although its record stands.
+    /// An engine has ended although its record still exists.
     EngineEnded(EngineId),
 }
 
 impl Fleet {
-    /// How fast engines of a stage read, as far as is known.
+    /// The learned reading speed of an engine's stage.
     pub fn speed(&self, engine: &Engine) -> Speed {
         let stage = engine.record.stage.unwrap_or(Stage::Decode);
         let key = (engine.record.service.clone(), stage);
@@ -96,7 +97,7 @@
         known.unwrap_or_else(|| Speed::new(stage))
     }
 
-    /// Takes in an engine's record. Says whether it changed something.
+    /// Adds or updates an engine by its record. Returns whether anything changed.
     pub fn put(&mut self, record: Record) -> bool {
         match self.engines.get_mut(&record.id) {
             Some(engine) => {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Takes in that an engine's record is gone. Says whether it changed something.
+    /// Marks an engine's record as gone. Returns whether anything changed.
     pub fn remove(&mut self, id: &str) -> bool {
         let Some(engine) = self.engines.get_mut(id) else {
             return false;
@@ -127,36 +128,36 @@
         changed
     }
 
-    /// Names of all engines whose records stand.
+    /// Names of all engines with a record.
     pub fn names(&self) -> Vec<Rc<str>> {
         let standing = self.engines.values().filter(|engine| !engine.record_gone);
         standing.map(|engine| engine.record.name.clone()).collect()
     }
 
-    /// An engine by id, also one whose record is gone and that still has calls.
+    /// An engine by id, including one whose record is gone but that still has calls.
     pub fn get(&self, id: &str) -> Option<&Engine> {
         self.engines.get(id)
     }
 
-    /// The engine whose id has this short number.
+    /// The engine whose id has this [`hash::hash32`].
     pub fn by_hash(&self, hash: u32) -> Option<EngineId> {
         self.by_short_hash.get(&hash).cloned()
     }
 
-    /// Engines of a service that take new calls by their record.
+    /// Engines of a service that take new calls now.
     pub fn ready<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Engine> {
         let engines = self.engines.values();
         engines.filter(move |engine| engine.takes_calls() && engine.record.service == *service)
     }
 
-    /// Engines of a service that take new calls, or will once they have changed.
+    /// Engines of a service that take new calls now or after their stage change.
     pub fn active<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Engine> {
         let engines = self.engines.values();
         engines.filter(move |engine| engine.is_active() && engine.record.service == *service)
     }
 
-    /// Takes in that an engine was ordered to change what it does. It gets no calls until its record
-    /// says that it has, or for [`CHANGE`].
+    /// Records that an engine was ordered to change its stage. It gets no calls until its record
+    /// shows the new stage, or for `STAGE_CHANGE_TIMEOUT`.
     pub fn begin_stage_change(&mut self, id: &str, change: StageChange) {
         if let Some(engine) = self.engines.get_mut(id)
             && engine.record.stage != Some(change.stage)
@@ -166,14 +167,14 @@
         }
     }
 
-    /// Takes in that an engine does not change after all.
+    /// Records that an engine does not change its stage after all.
     pub fn cancel_stage_change(&mut self, id: &str) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.stage_change = None;
         }
     }
 
-    /// Engines that this instance has ordered to change what they do.
+    /// Stage changes in progress that this instance ordered.
     pub fn own_stage_changes(&self) -> impl Iterator<Item = (&EngineId, Stage)> {
         self.stage_changes.iter().filter_map(|id| {
             let change = self
@@ -190,7 +191,7 @@
         self.engines.values()
     }
 
-    /// Enters a call that is about to be sent, with the work that its prompt is there.
+    /// Records a call that is about to be sent, with the work that its prompt is at this engine.
     pub fn begin_call(&mut self, id: &EngineId, work: u32, rank: Rank, now: Moment) -> SentCall {
         self.next_ticket = self.next_ticket.wrapping_add(1);
         let ticket = self.next_ticket;
@@ -218,7 +219,7 @@
         }
     }
 
-    /// A prompt at an engine, with when it will be read if the engine keeps the pace of its stage.
+    /// A job at an engine, with its expected reading time at the speed of the engine's stage.
     fn pending_call(&self, id: &EngineId, job: Job) -> Option<Pending> {
         let engine = self.engines.get(id)?;
         let jobs = engine.pending_jobs();
@@ -230,7 +231,7 @@
         })
     }
 
-    /// Takes in that the first answer of a call is there, so that its prompt has been read.
+    /// Records that the first answer of a call has arrived, so its prompt has been read.
     pub fn prompt_read(&mut self, sent: &SentCall, now: Moment) {
         let Some(engine) = self.engines.get_mut(&sent.engine) else {
             return;
@@ -249,7 +250,7 @@
         self.learn(&sent.engine, &pending, now);
     }
 
-    /// Learns from when a prompt was read.
+    /// Learns speed, slowdown and overrun from a prompt that has been read.
     fn learn(&mut self, id: &EngineId, pending: &Pending, at: Moment) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
@@ -272,7 +273,7 @@
         engine.observe_slowdown(expected.as_secs_f64(), took.as_secs_f64(), pending.was_idle);
     }
 
-    /// Takes in that a call has ended.
+    /// Records that a call has ended.
     pub fn end_call(&mut self, sent: &SentCall, outcome: Option<Outcome>, now: Moment) {
         self.learn_from_unread(sent, now);
         if let Some(engine) = self.engines.get_mut(&sent.engine) {
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Takes in how long a call that yields had waited if it ends before its prompt was read.
+    /// Learns from how long a late call had waited if it ends before its prompt was read.
     fn learn_from_unread(&mut self, sent: &SentCall, now: Moment) {
         let Some(engine) = self.engines.get(&sent.engine) else {
             return;
@@ -316,18 +317,18 @@
             .observe_abandoned(took / expected.max(1e-3), now);
     }
 
-    /// How much longer than what is before it a call that yields waits, as a factor.
+    /// The factor by which late calls wait longer than the work queued before them takes.
     pub(crate) fn wait_overrun(&self, service: &ServiceName, now: Moment) -> f64 {
         let overrun = self.overruns.get(service);
         overrun.map_or(1.0, |overrun| overrun.factor(now))
     }
 
-    /// What changed since the last question.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<WorkChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// This instance's prompts that are not read yet and were sent less than `age` ago.
+    /// This instance's unread prompts that were sent less than `age` ago.
     pub fn recent_jobs(&self, age: Duration, now: Moment) -> Vec<(EngineId, Job)> {
         let jobs = self.busy().flat_map(|engine| {
             let id = &engine.record.id;
@@ -337,14 +338,15 @@
             .collect()
     }
 
-    /// Tokens of work that all instances have had read lately, in a millisecond.
+    /// Rate of prompt work sent by all instances lately, in tokens per millisecond.
     pub fn work_rate(&self, service: &ServiceName, now: Moment) -> f64 {
         self.work_rates
             .get(service)
             .map_or(0.0, |flow| flow.rate(now))
     }
 
-    /// Counts a call that limits of a service's engines keep away. Gives the time after which its caller may come back.
+    /// Counts a call that is refused because of rate limits. Returns the time after which its
+    /// caller may retry.
     pub(crate) fn defer(&mut self, service: &ServiceName, now: Moment) -> Duration {
         let limits = self
             .ready(service)
@@ -353,7 +355,7 @@
         self.throttles.defer(service, per_second, now)
     }
 
-    /// Drops what silent instances said, and orders that had no effect.
+    /// Drops the work of silent instances, and stage changes that did not happen in time.
     pub fn expire(&mut self, now: Moment) {
         self.throttles.expire(now);
         let engines = &mut self.engines;
@@ -374,7 +376,7 @@
         }
     }
 
-    /// What this instance has at the engines, for the others.
+    /// This instance's work at each engine, for reports to others.
     pub fn own_work(&self) -> Vec<(EngineId, Work)> {
         self.busy()
             .map(|engine| (engine.record.id.clone(), engine.own_work()))
@@ -387,7 +389,7 @@
             .filter_map(|id| self.engines.get(id))
     }
 
-    /// Takes in that an engine reads these parts.
+    /// Records that an engine reads these parts, and caches them.
     pub fn cache_parts(
         &mut self,
         id: &EngineId,
--- a/crates/serving/src/fleet/peer_work.rs
+++ b/crates/serving/src/fleet/peer_work.rs
@@ -1,4 +1,4 @@
-//! What other instances that place calls tell of those that they placed.
+//! Work that other placing instances report.
 
 use std::collections::btree_map::Entry;
 use std::time::Duration;
@@ -11,10 +11,12 @@
 use crate::health::Outcome;
 
 impl Fleet {
-    /// Applies a peer's frame: changes of its work and, in some frames, all of its work.
+    /// Applies a frame of another instance: changes of its work and, in some frames, all of its
+    /// work.
     ///
-    /// Changes come first: a frame with all work also names calls that have ended, for their outcomes. Applied afterwards, these
-    /// would be subtracted twice and their engines would look idler than they are.
+    /// Changes come first. A frame with all work also names calls that have ended, for their
+    /// outcomes; applied afterwards they would be subtracted twice, and their engines would look
+    /// idler than they are.
     pub fn apply_frame(
         &mut self,
         peer: PeerId,
@@ -30,7 +32,8 @@
         }
     }
 
-    /// Replaces a peer's work at all engines. Engines that are not listed have none of it.
+    /// Replaces another instance's work at all engines. Engines that are not listed have none of
+    /// it.
     pub fn apply_all_work(&mut self, peer: PeerId, works: Vec<(EngineId, Work)>, now: Moment) {
         self.peer_heard_at.insert(peer, now);
         self.clear_peer_work(peer, now);
@@ -45,7 +48,7 @@
         self.peer_engines.insert(peer, engines);
     }
 
-    /// Removes all work of a peer.
+    /// Removes all work of another instance.
     fn clear_peer_work(&mut self, peer: PeerId, now: Moment) {
         for id in self.peer_engines.remove(&peer).unwrap_or_default() {
             if let Some(engine) = self.engines.get_mut(&id) {
@@ -55,7 +58,7 @@
         }
     }
 
-    /// Applies one change of a peer's work.
+    /// Applies one change of another instance's work.
     pub fn apply_change(&mut self, peer: PeerId, change: &WorkChange, now: Moment) {
         self.peer_heard_at.insert(peer, now);
         match change {
@@ -81,7 +84,7 @@
                 new.insert(Work::default())
             }
         };
-        // Starts are told more than once.
+        // Starts are announced more than once.
         if work.jobs.iter().any(|known| known.ticket == job.ticket) {
             return;
         }
@@ -133,7 +136,7 @@
         engine.update_reading(now);
     }
 
-    /// Drops what another instance said, because it has ended.
+    /// Removes an instance that has ended, with its work and the calls placed for it.
     pub fn forget_peer(&mut self, peer: PeerId, now: Moment) {
         self.peer_heard_at.remove(&peer);
         self.clear_peer_work(peer, now);
--- a/crates/serving/src/fleet/remote.rs
+++ b/crates/serving/src/fleet/remote.rs
@@ -1,8 +1,9 @@
-//! Calls that this instance places for others, which know too little to place them.
+//! Calls that this instance places for other instances.
 //!
-//! They stand in the books as its own calls do: the next one is placed with them in mind, the other placers are told of
-//! them, and speed, pace and overrun are learned from them. Whoever sends such a call sees a call or two a second, and
-//! would learn in minutes what a placer learns in seconds. Only outcomes are taken as another instance's word.
+//! They are recorded like its own calls: the next one is placed with them in mind, other placers
+//! are told of them, and speed, slowdown and overrun are learned from them. Their senders see one
+//! or two calls per second and would learn in minutes what a placer learns in seconds. Only their
+//! outcomes are treated as another instance's reports.
 
 use std::time::Duration;
 
@@ -20,12 +21,12 @@
     begun_at: Moment,
 }
 
-/// Time after which a call that its sender does not name among those in hand has ended, and the report of it was lost. It
-/// spans the way of the answer by which the sender learned of its place.
+/// Time after which a call that its sender does not list as open has ended, and the report of its
+/// end was lost. It spans the transit of the answer by which the sender learned of the placement.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
 impl Fleet {
-    /// Enters a call of another instance that is sent at a moment, by the number that it has there.
+    /// Records a call of another instance that is sent at a moment, by its ticket there.
     pub fn begin_remote_call(
         &mut self,
         peer: PeerId,
@@ -44,7 +45,7 @@
             .insert(ticket, remote);
     }
 
-    /// Takes in that the prompt of another instance's call was read at a moment.
+    /// Records that the prompt of another instance's call was read at a moment.
     pub fn remote_prompt_read(&mut self, peer: PeerId, ticket: Ticket, at: Moment) {
         let remote = self
             .remote_calls
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Takes in that another instance's call has ended.
+    /// Records that another instance's call has ended.
     pub fn end_remote_call(
         &mut self,
         peer: PeerId,
@@ -67,7 +68,7 @@
         let Some(RemoteCall { sent, .. }) = remote.and_then(|remote| remote.remove(&ticket)) else {
             return;
         };
-        // That an engine has ended is certain, whoever says it.
+        // The end of an engine is certain, whoever reports it.
         let certain = outcome.filter(|outcome| *outcome == Outcome::Ended);
         self.end_call(&sent, certain, now);
         if let (Some(engine), Some(outcome)) = (self.engines.get_mut(&sent.engine), outcome) {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Takes in all calls that another instance has in hand of those that this one placed for it.
+    /// Ends the calls placed for another instance that are not among those it lists as open.
     pub fn retain_remote_calls(&mut self, peer: PeerId, open: &[Ticket], now: Moment) {
         let Some(remote) = self.remote_calls.get(&peer) else {
             return;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Ends all calls of an instance that has ended or fallen silent.
+    /// Ends all calls of an instance that has ended or is silent.
     pub(super) fn end_remote_calls(&mut self, peer: PeerId, now: Moment) {
         for remote in self.remote_calls.remove(&peer).into_iter().flatten() {
             self.end_call(&remote.1.sent, None, now);
--- a/crates/serving/src/fleet/streams.rs
+++ b/crates/serving/src/fleet/streams.rs
@@ -1,4 +1,4 @@
-//! Streams at engines, and what reading beside them costs them.
+//! Streams at engines, and how reading prompts delays them.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 use crate::pauses::{self, PauseModel, StreamMark};
 
 impl Fleet {
-    /// Where a stream at an engine is now.
+    /// The present mark of a stream at an engine.
     pub fn stream_mark(&self, id: &EngineId, now: Moment) -> Option<StreamMark> {
         let engine = self.engines.get(id)?;
         let read = engine.reading.total(now);
         Some(StreamMark { at: now, read })
     }
 
-    /// Takes in that an event of a stream came, which may pause for `longest`. Gives the time since the last one in which
-    /// the engine had prompts to read.
+    /// Records an event of a stream that may pause for `longest`. Returns the time since the last
+    /// event in which the engine had prompts to read.
     pub fn record_stream_event(
         &mut self,
         id: &EngineId,
@@ -41,7 +41,7 @@
         beside
     }
 
-    /// What each millisecond of reading costs each stream at an engine, in milliseconds.
+    /// Delay of each stream at an engine per millisecond of reading, in milliseconds.
     pub(crate) fn stream_delay_per_ms(&self, engine: &Engine) -> f64 {
         let pauses = self.pauses.get(&engine.record.service);
         let beside = pauses.and_then(PauseModel::pause_while_reading);
--- a/crates/serving/src/health.rs
+++ b/crates/serving/src/health.rs
@@ -1,4 +1,4 @@
-//! Engines judged by the outcomes of calls, because what they say of themselves may be false.
+//! Health of engines, judged by the outcomes of calls, because an engine's own report may be false.
 
 use std::time::Duration;
 
@@ -6,42 +6,42 @@
 
 use crate::fleet::PeerId;
 
-/// How a call ended, as far as it tells something of the engine.
+/// The outcome of a call, as far as it says something about the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An answer of its own, also one that refuses.
+    /// An answer of the engine itself, including one that refuses.
     Success,
-    /// A refusal for want of room.
+    /// A refusal for lack of capacity.
     Overloaded,
-    /// No connection opened.
+    /// The connection could not be opened.
     Unreachable,
-    /// Another incarnation answered at its address, so this one has ended.
+    /// Another incarnation answered at the engine's address, so this one has ended.
     Ended,
-    /// No answer, a broken one, or a failure of the engine's own.
+    /// No answer, a broken one, or an internal failure of the engine.
     Failed,
 }
 
-/// Share of failures that closes an engine, and the calls that must have been seen.
+/// Share of failures above which an engine is backed off.
 ///
-/// An engine that fails part of its calls while its record says that it is well costs each of
-/// these calls its benefit. One notices it by failures that all name one engine. At two failures
-/// within the last five or so calls it rests; a service whose every engine fails a seventh of its
-/// calls stays below that.
+/// An engine that fails part of its calls while its record says it is ready costs each of these
+/// calls its benefit; the sign is failures that all name one engine. The threshold is reached by
+/// two failures within about the last five calls. A service whose every engine fails a seventh of
+/// its calls stays below it.
 const FAILURE_THRESHOLD: f64 = 0.35;
 /// Weight of one outcome.
 const OUTCOME_WEIGHT: f64 = 0.2;
-/// Rest after a refusal for want of room, about as long as a call takes.
+/// Back-off after an overload refusal, about the duration of a call.
 ///
-/// An engine that refuses looks idle to whoever counts only the calls that it has taken. One
-/// notices it by calls that all try it first, each at the price of a repeat.
+/// An engine that refuses calls looks idle to an instance that counts only accepted ones, so that
+/// all calls try it first, each at the cost of a repeat.
 const OVERLOAD_BACKOFF: Duration = Duration::from_millis(50);
 /// Time in which the share of failures halves without any call.
 const HALF_LIFE: Duration = Duration::from_secs(2);
-/// First rest after failures; doubles with each further one in a row.
+/// First back-off after failures; doubles with each further one in a row.
 const MIN_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Longest rest.
+/// Longest back-off.
 const MAX_BACKOFF: Duration = Duration::from_millis(4_000);
-/// Rest after a connection that did not open: the engine is gone, or its queue of connections is
+/// Back-off after a connection that could not be opened: the engine is gone, or its accept queue is
 /// full for a moment.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(1_000);
 
@@ -57,7 +57,7 @@
 }
 
 impl Health {
-    /// Takes in an outcome.
+    /// Records an outcome.
     pub fn record(&mut self, outcome: Outcome, now: Moment) {
         self.failures = self.failures(now);
         self.updated_at = now;
@@ -70,18 +70,18 @@
         }
     }
 
-    /// Whether a call may be sent here.
+    /// Whether a call may be sent to the engine.
     pub fn is_available(&self, now: Moment) -> bool {
         now >= self.retry_at && !self.ended
     }
 
-    /// Whether the engine is known to have ended, although its record stands.
+    /// Whether the engine is known to have ended although its record still exists.
     pub fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// Share of recent calls that failed, from 0 to 1. It fades with time: an engine that gets no calls
-    /// because it failed would never be seen to have recovered.
+    /// Share of recent calls that failed, from 0 to 1. It decays with time, because an engine that
+    /// gets no calls after failures could otherwise never be seen to have recovered.
     pub fn failures(&self, now: Moment) -> f64 {
         let halvings = now.saturating_sub(self.updated_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.failures * 0.5_f64.powf(halvings)
@@ -113,15 +113,15 @@
     }
 }
 
-/// Time within which another instance must tell of a failure as well.
+/// Time within which a second instance must report a failure as well.
 const CORROBORATION_WINDOW: Duration = Duration::from_secs(2);
 
-/// What other instances tell of their calls at one engine.
+/// Outcomes at one engine as reported by other instances.
 ///
-/// An instance that places the calls of many sees few answers itself: an engine that fails part of its calls would be chosen
-/// again for each of them. But an instance whose own link is cut fails everywhere, and would close every engine to all
-/// by its word; one would notice it by refusals while all engines are idle. So a failure counts only behind
-/// one that another instance told of.
+/// A placer sees few answers itself and would choose an engine that fails part of its calls again
+/// for each instance that it places for. But an instance whose own link is down fails everywhere
+/// and could shut all engines out for everyone, which shows as refusals while all engines are idle.
+/// So a failure counts only if another instance has reported one shortly before.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerReports {
     health: Health,
@@ -129,22 +129,22 @@
 }
 
 impl PeerReports {
-    /// Whether a call may be sent here by what others tell.
+    /// Whether a call may be sent to the engine by these reports.
     pub fn is_available(&self, now: Moment) -> bool {
         self.health.is_available(now)
     }
 
-    /// Share of recent calls of others that failed, from 0 to 1.
+    /// Share of recent calls of other instances that failed, from 0 to 1.
     pub fn failures(&self, now: Moment) -> f64 {
         self.health.failures(now)
     }
 
-    /// Takes in an outcome that another instance tells.
+    /// Records an outcome that another instance reported.
     pub fn record(&mut self, peer: PeerId, outcome: Outcome, now: Moment) {
         match outcome {
             Outcome::Success | Outcome::Overloaded => self.health.record(outcome, now),
             Outcome::Failed | Outcome::Unreachable => self.on_failure(peer, now),
-            // Told by itself, and once.
+            // Reported by a change of its own.
             Outcome::Ended => {}
         }
     }
--- a/crates/serving/src/linear_fit.rs
+++ b/crates/serving/src/linear_fit.rs
@@ -1,6 +1,6 @@
-//! A straight line through observations that fade, for what is learned of engines on the way.
+//! Least-squares line through observations whose weight decays.
 
-/// Sums over observations of which earlier ones count less.
+/// Weighted sums over the observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LinearFit {
     weight: f64,
@@ -11,7 +11,7 @@
 }
 
 impl LinearFit {
-    /// Takes an observation in. `kept` is what is left of all earlier ones.
+    /// Adds an observation. `kept` is the factor by which the weight of all earlier ones shrinks.
     pub(crate) fn observe(&mut self, x: f64, y: f64, retained: f64) {
         let accumulate = |sum: &mut f64, value: f64| *sum = *sum * retained + value;
         accumulate(&mut self.weight, 1.0);
@@ -21,13 +21,13 @@
         accumulate(&mut self.xy, x * y);
     }
 
-    /// How many observations count, with faded ones in part.
+    /// Sum of the weights of all observations.
     pub(crate) fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// What the line rises by for each step of one: the line with the least squares of distances, unless the observations lie within `least`, a variance, of
-    /// one place: then any slope would do.
+    /// Slope of the least-squares line. Returns `None` if the variance of `x` is below `least`,
+    /// since the slope is then undetermined.
     pub(crate) fn slope(&self, min_variance: f64) -> Option<f64> {
         let (x, y) = self.mean()?;
         let variance = self.xx / self.weight - x * x;
@@ -37,7 +37,7 @@
         Some((self.xy / self.weight - x * y) / variance)
     }
 
-    /// The middle of the observations.
+    /// Weighted mean of the observations.
     pub(crate) fn mean(&self) -> Option<(f64, f64)> {
         (self.weight > 0.0).then(|| (self.x / self.weight, self.y / self.weight))
     }
--- a/crates/serving/src/overrun.rs
+++ b/crates/serving/src/overrun.rs
@@ -1,11 +1,12 @@
-//! How much longer calls that yield wait than what was before them takes. The load that this answers: peaks in
-//! which engines get more calls that can be on time than they read, so that the others wait to their callers' end.
+//! Learns how much longer late calls wait than the work queued before them takes. In peaks engines
+//! get more calls that can be on time than they can read, so late calls wait until their callers
+//! leave.
 
 use std::time::Duration;
 
 use clock::Moment;
 
-/// How much longer than played forward, as a factor of at least one.
+/// Ratio of observed to simulated waiting time, at least one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WaitOverrun {
     /// Logarithm of the factor.
@@ -13,28 +14,30 @@
     updated_at: Moment,
 }
 
-/// Weight of one observation.
+/// Weight of one sample.
 const WEIGHT: f64 = 0.1;
-/// Time constant in which the factor comes back to one: where every call is refused by it, none tells that the
-/// peak is over. Longer than the pauses between the waves of a peak.
+/// Time constant with which the factor returns to one: if every late call is refused because of it,
+/// no sample shows that the peak is over. Longer than the pauses between the waves of a peak.
 const TIME_CONSTANT: Duration = Duration::from_secs(3);
-/// Largest factor of one observation: a call that was expected at once and waited long says little of others.
+/// Largest factor of one sample: a call that was expected to be read at once and waited long says
+/// little about others.
 const MAX_SAMPLE: f64 = 8.0;
 
 impl WaitOverrun {
-    /// The factor.
+    /// The current factor.
     pub(crate) fn factor(&self, now: Moment) -> f64 {
         self.decayed(now).exp()
     }
 
-    /// Takes in that a call was read after this many times what was expected.
+    /// Records that a call was read after this multiple of the expected time.
     pub(crate) fn observe(&mut self, factor: f64, now: Moment) {
         let log = self.decayed(now);
         self.log = log + WEIGHT * (factor.clamp(1.0, MAX_SAMPLE).ln() - log);
         self.updated_at = now;
     }
 
-    /// Takes in that a call had waited so long when its caller left, and was not read.
+    /// Records that a caller left after this multiple of the expected time, before its prompt was
+    /// read.
     pub(crate) fn observe_abandoned(&mut self, factor: f64, now: Moment) {
         if factor > self.factor(now) {
             self.observe(factor, now);
--- a/crates/serving/src/parts.rs
+++ b/crates/serving/src/parts.rs
@@ -1,5 +1,5 @@
-//! Which engine has read which part of a prompt, from this instance's own calls and from what
-//! other instances tell of theirs.
+//! The prompt parts that each engine caches, from this instance's own calls and from reports of
+//! other instances.
 
 use std::collections::HashMap;
 
@@ -8,12 +8,12 @@
 
 use crate::{EngineId, hash};
 
-/// Identity of a part of a model's prompts.
+/// Id of a prompt part for one model.
 pub type PartId = u32;
 
-/// The id of a part of a model's prompts. The model counts, since another model's memory is of no
-/// use. Short, because instances tell each other of every part of every prompt; two parts that
-/// share an id cost one wrong estimate.
+/// Computes the id of a part of a model's prompts. The model is included, because a KV cache is of
+/// no use to another model. The id is short, because instances exchange the parts of every prompt;
+/// a collision costs one wrong estimate.
 pub fn id(model: &str, part: &str) -> PartId {
     hash::hash32(&format!("{model}\n{part}"))
 }
@@ -21,23 +21,23 @@
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Which part.
+    /// Id of the part.
     pub id: PartId,
-    /// Tokens of this part.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// A prompt's parts, in order.
+/// The parts of a prompt, in order.
 pub type Prompt = SmallVec<[Part; 4]>;
 
-/// Parts that one engine holds, as far as is known.
+/// The parts that one engine is known to cache.
 #[derive(Clone, Debug, Default)]
 struct EngineCache {
     parts: HashMap<PartId, (Moment, u32)>,
     tokens: u64,
 }
 
-/// Share of an engine's memory that is taken to be there for parts; the rest is in running calls.
+/// Share of an engine's KV cache that is assumed to hold parts; running calls occupy the rest.
 const PARTS_SHARE: f64 = 0.9;
 
 impl EngineCache {
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Drops what was used longest ago until a tenth of the room is free, so that the search for
-    /// the oldest is not made for each part.
+    /// Evicts the least recently used parts until a tenth of the capacity is free, so that the sort
+    /// is not needed for each part.
     fn evict(&mut self, capacity: u64) {
         let mut by_age: Vec<(Moment, PartId, u32)> = self
             .parts
@@ -69,14 +69,14 @@
     }
 }
 
-/// The parts of all engines.
+/// The cached parts of all engines.
 #[derive(Clone, Debug, Default)]
 pub struct CachedParts {
     caches: HashMap<EngineId, EngineCache>,
 }
 
 impl CachedParts {
-    /// Takes in that an engine reads these parts.
+    /// Records that an engine reads these parts, and caches them.
     pub fn record(
         &mut self,
         engine: &EngineId,
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Tokens at the beginning of the prompt that the engine need not read again. A part is of use
-    /// only behind all parts before it.
+    /// Tokens at the beginning of the prompt that the engine need not read again. A part is usable
+    /// only if all parts before it are cached too.
     pub fn cached_tokens(&self, engine: &EngineId, prompt: &[Part]) -> u32 {
         let Some(cache) = self.caches.get(engine) else {
             return 0;
@@ -109,7 +109,7 @@
             .sum()
     }
 
-    /// All parts that an engine holds, the one used longest ago first.
+    /// All parts that an engine caches, least recently used first.
     pub fn cached_parts(&self, engine: &EngineId) -> Vec<Part> {
         let Some(cache) = self.caches.get(engine) else {
             return Vec::new();
--- a/crates/serving/src/pauses.rs
+++ b/crates/serving/src/pauses.rs
@@ -1,6 +1,7 @@
-//! What reading a prompt does to the streams beside it. The load that this answers: long prompts in peaks
-//! beside streams of thousands of tokens, whose events hold many tokens each, so that a pause between two of
-//! them grows with every prompt that is read meanwhile. See `docs/design/placement.md`, "Streams".
+//! Models how reading a prompt delays the streams at the same engine. In peaks, long prompts are
+//! read beside streams of thousands of tokens whose events hold many tokens each, so that the pause
+//! between two events grows with every prompt read meanwhile. See `docs/design/placement.md`,
+//! "Streams".
 
 use std::time::Duration;
 
@@ -8,7 +9,7 @@
 
 use crate::linear_fit::LinearFit;
 
-/// When an engine has had prompts to read.
+/// Tracks the time in which an engine has had prompts to read.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReadActivity {
     is_reading: bool,
@@ -17,14 +18,14 @@
 }
 
 impl ReadActivity {
-    /// Takes in whether the engine has a prompt to read from now on.
+    /// Sets whether the engine has a prompt to read from now on.
     pub(crate) fn set(&mut self, is_reading: bool, now: Moment) {
         self.total = self.total(now);
         self.at = self.at.max(now);
         self.is_reading = is_reading;
     }
 
-    /// Time in which it has had some.
+    /// Total time with prompts to read.
     pub(crate) fn total(&self, now: Moment) -> Duration {
         if self.is_reading {
             self.total + now.saturating_sub(self.at)
@@ -34,44 +35,46 @@
     }
 }
 
-/// Where a stream was when its last event came.
+/// State of a stream at its last event.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamMark {
     pub(crate) at: Moment,
     pub(crate) read: Duration,
 }
 
-/// Pauses between events of one service's streams, against the time in which their engine had prompts to read.
+/// Linear model of the pauses between events of one service's streams, by the time in which their
+/// engine had prompts to read.
 ///
-/// All times are shares of the longest pause that the stream may have. A straight line through the pauses
-/// gives the pause of a stream beside which nothing is read, and how much reading adds to it.
+/// All times are shares of the longest pause that the stream may have. The line gives the pause
+/// without reading, and how much reading adds to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PauseModel {
     observations: LinearFit,
 }
 
-/// What is left of earlier pauses with each new one: some hundred count, a second or two of an instance's
-/// streams under load.
+/// Decay of earlier pauses with each new one: the last few hundred count, which is a second or two
+/// of an instance's streams under load.
 const RETAINED: f64 = 1.0 - 1.0 / 400.0;
-/// Pauses that must have been seen before anything is said of them.
+/// Sum of weights below which no estimate is made.
 const MIN_WEIGHT: f64 = 40.0;
-/// Least spread of the reading times through which a line is laid, as a variance.
+/// Least variance of the reading times for which a slope is computed.
 const MIN_VARIANCE: f64 = 1e-4;
-/// A pause that is longer than this tells of an engine that stands still, and not of reading.
+/// A longer pause comes from an engine that stalls, and not from reading.
 const MAX_PAUSE: f64 = 4.0;
-/// Share of a pause by which reading holds a stream up at the most. An engine makes a token after each chunk of a prompt,
-/// so that it never stands still.
+/// Largest share of a pause that reading may add. An engine makes a token after each chunk of a
+/// prompt, so that streams never stop.
 const MAX_ADDED_SHARE: f64 = 0.95;
 
 impl PauseModel {
-    /// Takes in one pause and the reading time in it.
+    /// Records one pause and the reading time within it.
     pub(crate) fn observe(&mut self, read: f64, pause: f64) {
         if pause <= MAX_PAUSE {
             self.observations.observe(read, pause, RETAINED);
         }
     }
 
-    /// The pause of a stream at an engine that never ceases to read, as a share of what it may have.
+    /// The expected pause of a stream at an engine that reads all the time, as a share of the
+    /// longest allowed.
     pub(crate) fn pause_while_reading(&self) -> Option<f64> {
         if self.observations.weight() < MIN_WEIGHT {
             return None;
@@ -80,17 +83,17 @@
         let added = self.observations.slope(MIN_VARIANCE)?;
         let added = added.clamp(0.0, MAX_ADDED_SHARE);
         let alone = (pause - added * read).max(0.0);
-        // Reading goes on through the whole pause: pause = alone + added * pause.
+        // Reading continues through the whole pause: pause = alone + added * pause.
         Some(alone / (1.0 - added))
     }
 }
 
-/// Share of their longest pause up to which streams lose nothing by reading: events come a little later than
-/// usual now and then, which takes the rest.
+/// Share of the longest pause up to which reading does streams no harm. The rest covers events that
+/// come a little later than usual now and then.
 const FREE_SHARE: f64 = 0.5;
 
-/// How much a stream loses by reading, from nothing to a millisecond for each millisecond read, where its
-/// pauses beside reading are this share of what they may be.
+/// Delay of a stream per unit of reading time, from 0 to 1, given the share of its longest pause
+/// that it reaches while the engine reads.
 pub(crate) fn stream_delay(beside_reading: f64) -> f64 {
     ((beside_reading - FREE_SHARE) / (1.0 - FREE_SHARE)).clamp(0.0, 1.0)
 }
--- a/crates/serving/src/queue.rs
+++ b/crates/serving/src/queue.rs
@@ -1,10 +1,10 @@
-//! The line of prompts at one engine, played forward.
+//! Simulation of the queue of prompts at one engine.
 //!
-//! An engine reads one prompt after the other and takes the most urgent one next, but it does not
-//! put a prompt back that it has begun. So a short urgent prompt waits for all the rest of a long one
-//! of any rank that was begun before it, and the sum of the work of its own urgency says nothing of
-//! that. One notices it by calls that wait half a second at an engine that seemed nearly idle. Playing the
-//! line forward gives the wait.
+//! An engine reads one prompt after the other and always takes the most urgent one next, but it
+//! does not preempt a prompt that it has begun. So a short urgent prompt waits for the rest of a
+//! long one of any rank that was begun before it, which the sum of queued work of its own rank does
+//! not show: calls wait half a second at an engine that seems nearly idle. The simulation gives the
+//! actual wait.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 
 use crate::engine::Job;
 
-/// Work that an engine reads in one step. It chooses the next prompt while it reads the last step of
-/// the present one, so a job that comes later than this before the end finds the choice made.
-/// Origin: the size of a step that engines with chunked prefill are usually run with.
+/// Work that an engine reads in one chunk. It chooses the next prompt while it reads the last chunk
+/// of the present one, so a job that arrives later than this before the end finds the choice made.
+/// 2,048 tokens is a usual chunk size of engines with chunked prefill.
 const CHUNK_WORK: u32 = 2_048;
 
-/// Time from the sending of a new job until it has been read. `jobs` are the others, the oldest
-/// first; `freed` is when the engine was last known to have finished one; `rate` is in tokens of work a
+/// Time from sending a new job until it has been read. `jobs` are the other jobs, oldest first;
+/// `freed` is when the engine is last known to have finished one; `rate` is in tokens of work per
 /// millisecond.
 pub fn time_until_read(jobs: &[Job], freed: Moment, new: Job, rate: f64) -> Duration {
     let mut waiting: SmallVec<[Job; 16]> = SmallVec::from_slice(jobs);
@@ -37,8 +37,8 @@
     }
 }
 
-/// The job that the engine begins at a moment: the most urgent one that is there, the oldest of
-/// these; if none is there, the one that comes first.
+/// The job that the engine begins at a moment: the most urgent and then oldest of those that have
+/// arrived, or else the one that arrives first.
 fn next_job(waiting: &[Job], at: Moment) -> Option<usize> {
     let arrived = waiting
         .iter()
