--- a/crates/serving/src/budget.rs
+++ b/crates/serving/src/budget.rs
@@ -1,4 +1,4 @@
-//! How often a service may be sent a call again, over all instances together.
+//! Retry budgets per service, shared by all instances.
 
 use std::collections::HashMap;
 
@@ -6,22 +6,23 @@
 
 use crate::ServiceName;
 
-/// What all instances together may send beyond the first attempts.
+/// The repeats that all instances together may send beyond first attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepeatLimit {
     /// Repeats per call.
     pub ratio: f64,
-    /// Repeats beyond that, for all instances together.
+    /// Further repeats, independent of the number of calls.
     pub slack: f64,
 }
 
-/// Part of the ratio that is used. Instances do not see each other's calls in the same window.
+/// Share of the ratio that is spent, because instances do not see each other's calls in the same
+/// window.
 const RATIO_USED: f64 = 0.7;
-/// Part of the slack that is used, for the same reason and because an instance that was replaced
-/// starts with a full share again.
+/// Share of the slack that is spent, for the same reason and because a replaced instance starts
+/// with a full share again.
 const SLACK_USED: f64 = 0.5;
 
-/// Repeats left to this instance, by service.
+/// Remaining repeats of this instance, by service.
 #[derive(Debug)]
 pub struct RepeatBudgets {
     limit: RepeatLimit,
@@ -30,7 +31,7 @@
 }
 
 impl RepeatBudgets {
-    /// Budgets of one of `instances` instances.
+    /// The budgets of one of `instances` instances.
     pub fn new(limit: RepeatLimit, instances: u32) -> Self {
         Self {
             limit,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes in a changed bound. What was earned under the one before is gone only if it changed.
+    /// Sets the limit. Earned repeats are kept unless the limit changed.
     pub fn set_limit(&mut self, bound: RepeatLimit) {
         if self.limit != bound {
             self.limit = bound;
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Takes in how many instances share the budgets. The share only ever shrinks: an instance that
-    /// is not heard of may still send.
+    /// Sets how many instances share the budgets. The share only ever shrinks, because an instance
+    /// that is not heard from may still send.
     pub fn set_instances(&mut self, instances: u32) {
         if instances > self.instances {
             self.instances = instances;
@@ -61,7 +62,7 @@
         self.budget(service).deposit();
     }
 
-    /// Takes one repeat, if one is left.
+    /// Takes one repeat from the service's budget. Returns false if none is left.
     pub fn take_repeat(&mut self, service: &ServiceName) -> bool {
         self.budget(service).withdraw(1)
     }
--- a/crates/serving/src/cost.rs
+++ b/crates/serving/src/cost.rs
@@ -1,5 +1,6 @@
-//! What it costs to have a call at an engine, in milliseconds: its own waiting, and what it costs the calls and streams
-//! there. See `docs/design/placement.md` for the ways weighed.
+//! The cost of placing a call at an engine, in milliseconds: its own waiting time, and the delay
+//! that it causes to the calls and streams there. See `docs/design/placement.md` for the
+//! alternatives.
 
 use std::time::Duration;
 
@@ -11,30 +12,32 @@
 use crate::place::{self, Demand, Generation, Target};
 use crate::{Fleet, Zone, hash, speed};
 
-/// Fixed time that handing a prompt's memory over takes, besides the bytes.
+/// Fixed overhead of handing a KV cache over to another engine.
 const KV_HANDOVER: Duration = Duration::from_millis(15);
-/// How much a token that is fetched counts, against the time that reading it would take: its copy pushes
-/// other parts out, which are then fetched or read again.
+/// Weight of the time that reading the fetched tokens would take: their copy evicts other parts,
+/// which are then fetched or read again.
 const COPY_WEIGHT: f64 = 1.5;
-/// How much a token that must be read counts beyond the time that this call waits for it: reading
-/// takes engine time from later calls. 1 means as much again.
+/// Weight of reading time on top of this call's own wait: reading takes engine time from later
+/// calls. At 1 it counts as much again.
 const READ_WEIGHT: f64 = 1.5;
-/// What reading counts beyond that by its square, a millisecond: a prompt that is being read holds
-/// up all calls that come meanwhile, of which a few come a second to each engine.
+/// Weight of the squared reading time, per millisecond: a prompt that is being read delays all
+/// calls that arrive meanwhile, a few per second at each engine.
 const BLOCKING_WEIGHT: f64 = 0.001;
-/// Disadvantage of an engine in another data centre: the way there and back, and bytes between
-/// data centres that are paid for.
+/// Cost of an engine in another data centre: the round trip, and bytes between data centres that
+/// are paid for.
 const OTHER_ZONE_COST: Duration = Duration::from_millis(6);
-/// What opening a connection costs: a round trip and the engine's accepting, and a place among the connections that it takes. An instance
-/// with a call or two a second would else open one for nearly every call, to engines that are alike.
+/// Cost of opening a connection: a round trip, the engine's accept, and one of the connections that
+/// it takes. Without it an instance with one or two calls per second would open a connection for
+/// nearly every call, because many engines cost the same.
 const CONNECT_COST: Duration = Duration::from_millis(4);
-/// Weight of a millisecond of waiting for a call that cannot be on time. Not nothing, since its caller leaves in the end.
+/// Weight of a millisecond of waiting for a call that cannot be on time. Not zero, since its caller
+/// leaves eventually.
 const LATE_WAIT_WEIGHT: f64 = 0.2;
-/// Spread of equal places: engines that cost nearly the same are ordered by the prompt, so that
-/// instances that know nothing of each other's calls choose alike.
+/// Range of the tie break: engines of nearly equal cost are ordered by a hash of the prompt, so
+/// that instances that do not know each other's calls choose alike.
 const TIE_BREAK_COST: Duration = Duration::from_millis(10);
 
-/// A place and what it costs.
+/// A target and its cost.
 pub(crate) struct Cost {
     pub total: f64,
     pub target: Target,
@@ -44,12 +47,12 @@
     engine.record.stage == Some(Stage::Prefill)
 }
 
-/// The place that costs the least.
+/// The target with the lowest cost.
 pub(crate) fn cheapest(costs: impl Iterator<Item = Cost>) -> Option<Cost> {
     costs.min_by(|a, b| a.total.total_cmp(&b.total))
 }
 
-/// What it costs to have the prompt read at an engine, in milliseconds.
+/// The cost of having an engine read the prompt, in milliseconds.
 pub(crate) fn prefill_cost(
     fleet: &Fleet,
     engine: &Engine,
@@ -97,11 +100,11 @@
     }
 }
 
-/// How much longer than what is before it a call waits.
+/// The factor by which a late call waits longer than the work queued now suggests.
 ///
-/// Calls that can be on time go before one that cannot, also those which come later. Without these it is expected to be
-/// read as soon as what is there now is read; in a peak that never comes, its caller waits to the end for nothing, and
-/// one notices it by calls that fail while hardly any are refused.
+/// Calls that can be on time are read before a late one, even if they arrive later. Without the
+/// factor a late call is expected to be read as soon as the present queue is; in a peak that never
+/// happens, and its caller waits to the end and fails instead of being refused early.
 fn late_wait_factor(fleet: &Fleet, demand: &Demand, now: Moment) -> f64 {
     if demand.priority < LATE_RANK {
         return 1.0;
@@ -109,7 +112,7 @@
     fleet.wait_overrun(demand.service, now)
 }
 
-/// Time until work that is sent now is done, in milliseconds.
+/// Time until the prompt has been read if it is sent now, in milliseconds.
 fn read_delay(fleet: &Fleet, engine: &Engine, demand: &Demand, work: u32, now: Moment) -> f64 {
     let new = Job {
         ticket: 0,
@@ -120,8 +123,8 @@
     millis(engine.time_until_read(new, fleet.speed(engine).tokens_per_ms))
 }
 
-/// How much a millisecond of waiting counts for a call. One that cannot be on time is worth the same whenever its
-/// answer comes, so that it must not make others late to be there sooner.
+/// Weight of a millisecond of waiting. The answer of a late call is worth the same whenever it
+/// comes, so a late call must not delay others to be read sooner.
 fn wait_weight(demand: &Demand) -> f64 {
     if demand.priority < LATE_RANK {
         1.0
@@ -130,7 +133,7 @@
     }
 }
 
-/// What reading here costs the streams beside it, in milliseconds.
+/// The delay that reading the prompt causes to the streams at the engine, in milliseconds.
 fn stream_cost(fleet: &Fleet, engine: &Engine, reading_ms: f64) -> f64 {
     if is_prefill(engine) {
         return 0.0;
@@ -154,7 +157,8 @@
     }
 }
 
-/// Calls beyond the slots wait for one to end; each is taken to need a tenth of a second.
+/// Wait for a slot. Each call beyond the slots waits for another one to end, which is taken to need
+/// 100 ms.
 fn slot_wait(engine: &Engine) -> f64 {
     let excess = (engine.running_calls() + 1).saturating_sub(engine.record.slots);
     100.0 * f64::from(excess)
@@ -165,7 +169,7 @@
     millis(TIE_BREAK_COST) * hash::unit_interval(&format!("{first}{}", engine.record.id))
 }
 
-/// The engine to which a prompt's memory is handed at least cost.
+/// The cheapest engine to take over a prompt's KV cache and generate.
 pub(crate) fn decode_cost(
     fleet: &Fleet,
     engines: &[&Engine],
--- a/crates/serving/src/fetch.rs
+++ b/crates/serving/src/fetch.rs
@@ -1,6 +1,6 @@
-//! From where an engine may fetch the beginning of a prompt. The load that this answers: peaks in which the engines
-//! that keep a shared part have long lines, while links move it in a fraction of the time that reading it takes. See
-//! `docs/design/placement.md`, "Fetching".
+//! Chooses where an engine may fetch the beginning of a prompt from. In peaks, engines that cache a
+//! shared part have long queues, while links transfer it in a fraction of the time that reading it
+//! takes. See `docs/design/placement.md`, "Fetching".
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use crate::speed::{self, Speed};
 use crate::{EngineId, Fleet};
 
-/// Fixed time that fetching parts of a prompt takes, besides the bytes.
+/// Fixed overhead of a transfer.
 const FETCH_SETUP: Duration = Duration::from_millis(10);
 
-/// An engine that keeps the beginning of the prompt, the one that keeps most of its data centre.
+/// An engine that caches the beginning of the prompt, the longest one cached in its data centre.
 pub(crate) struct Source<'a> {
     engine: &'a Engine,
     cached_tokens: u32,
@@ -24,20 +24,20 @@
 
 pub(crate) type Sources<'a> = SmallVec<[Source<'a>; 4]>;
 
-/// How an engine comes to the prompt.
+/// How an engine obtains the prompt's KV cache.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrefillPlan {
-    /// Engine from which it fetches parts.
+    /// The engine that parts are fetched from.
     pub fetch_from: Option<EngineId>,
-    /// Tokens that it reads.
+    /// Tokens to read.
     pub prefill_tokens: u32,
-    /// Tokens that it fetches.
+    /// Tokens to fetch.
     pub fetched_tokens: u32,
-    /// Time for the transfer, in milliseconds.
+    /// Duration of the transfer, in milliseconds.
     pub transfer_ms: f64,
 }
 
-/// Finds the engine of each data centre that keeps the most of a prompt.
+/// Finds the engine of each data centre that caches the most of a prompt.
 pub(crate) fn sources<'a>(
     fleet: &'a Fleet,
     demand: &'a Demand,
@@ -70,7 +70,8 @@
     sources
 }
 
-/// The quickest way for an engine to come to a prompt: it reads all that it does not keep, or fetches some of it.
+/// The quickest way for an engine to obtain a prompt: it reads all that it does not cache, or
+/// fetches some of it.
 pub(crate) fn quickest_prefill(
     fleet: &Fleet,
     engine: &Engine,
@@ -101,7 +102,7 @@
         .unwrap_or_default()
 }
 
-/// What it takes to fetch from a source, if it keeps more than the engine does.
+/// The plan for fetching from a source, if the source caches more than the engine does.
 fn fetch_plan(
     source: &Source,
     engine: &Engine,
@@ -123,7 +124,7 @@
     })
 }
 
-/// Time that the memory of some tokens takes over the link, in milliseconds.
+/// Time to transfer the KV cache of some tokens over the link, in milliseconds.
 pub(crate) fn transfer_ms(model: &Model, tokens: u32) -> f64 {
     #[allow(clippy::cast_precision_loss)]
     let bits = f64::from(tokens) * model.kv_bytes_per_token as f64 * 8.0;
--- a/crates/serving/src/hash.rs
+++ b/crates/serving/src/hash.rs
@@ -1,21 +1,21 @@
-//! Numbers that every instance computes alike for a text.
+//! Hashes of text that are equal on all instances.
 
-/// A number for a text, evenly spread.
+/// A 64-bit hash.
 pub fn hash64(text: &str) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(text.as_bytes()).as_bytes()[..8]);
     u64::from_le_bytes(first)
 }
 
-/// A short number for a text. Of a thousand engines, two share one once in ten thousand days of
-/// new ids; the work of one is then seen at the other for a while.
+/// A 32-bit hash. Among a thousand engines two collide once in ten thousand days of new ids; the
+/// work of one is then counted at the other for a while.
 pub fn hash32(text: &str) -> u32 {
     #[allow(clippy::cast_possible_truncation)]
     let short = hash64(text) as u32;
     short
 }
 
-/// A number from 0 to 1 for a text.
+/// A hash mapped to the range from 0 to 1.
 pub fn unit_interval(text: &str) -> f64 {
     f64::from(hash32(text)) / f64::from(u32::MAX)
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,11 +1,13 @@
-//! Decisions about calls on a fleet whose engines are told by records: which route a call takes
-//! ([`route`]), what is known of each engine and of the work before it ([`engine`]), which engine has
-//! read which part of a prompt ([`parts`]), where a call goes or why it is refused ([`place`]), how
-//! often a service may be sent a call again ([`budget`]), which calls end the engines that run them
-//! ([`quarantine`]), who calls ([`organisation`]), what they use ([`usage`]), which engines should read and which
-//! generate ([`roles`]), and which instances know enough to place calls ([`placer`]). It stands between the `gateway`
-//! daemon, which carries the bytes, and the platform's adapter, which fills in these types. No I/O
-//! is done here; the moment is an argument. See `docs/design/placement.md`.
+//! Decisions about calls on a fleet of engines: which route a call takes ([`route`]), the state of
+//! each engine and its queued work ([`engine`]), which engine caches which part of a prompt
+//! ([`parts`]), where a call is placed or why it is refused ([`place`]), how often calls to a
+//! service may be repeated ([`budget`]), which calls crash engines ([`quarantine`]), who calls
+//! ([`organisation`]), what callers use ([`usage`]), which engines should prefill and which decode
+//! ([`roles`]), and which instances place calls ([`placer`]).
+//!
+//! The crate sits between the `gateway` daemon, which carries the bytes, and the platform's
+//! adapter, which fills in these types. It performs no I/O, and the current time is an argument.
+//! See `docs/design/placement.md`.
 
 pub mod budget;
 pub mod claim;
--- a/crates/serving/src/place.rs
+++ b/crates/serving/src/place.rs
@@ -1,6 +1,6 @@
-//! Where a call goes. The load that this answers: prompts of which three quarters are shared, so
-//! that an engine that has read the shared part before does a fourth of the work, under mixes that
-//! swing within seconds. See `docs/design/placement.md` for the ways weighed.
+//! Placement of calls on engines. Three quarters of a typical prompt are shared, so an engine that
+//! caches the shared part does a fourth of the work; the mix of prompts changes within seconds. See
+//! `docs/design/placement.md` for the alternatives.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,93 +13,94 @@
 use crate::throttle::Permit;
 use crate::{EngineId, Fleet, ServiceName, Zone, cost, fetch};
 
-/// A call that needs a place.
+/// A call to be placed.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
-    /// The service that it goes to.
+    /// The service that is called.
     pub service: &'a ServiceName,
     /// Set for calls to model engines.
     pub generation: Option<Generation<'a>>,
-    /// Connections that one engine of the service takes, of all instances together.
+    /// Connections that one engine of the service accepts from all instances together.
     pub connections: u32,
-    /// Its rank; 0 is the most urgent.
+    /// Its scheduling rank; 0 is the most urgent.
     pub priority: Rank,
-    /// Time within which its first answer is on time.
+    /// Remaining time within which its first answer is on time.
     pub latency_target: Duration,
-    /// This instance's data centre.
+    /// Data centre of this instance.
     pub zone: &'a Zone,
-    /// Whether its prompt may be read at one engine for another one. A call whose prompt was read and
-    /// then found no engine is not read once more: each further read counts as a repeat.
+    /// Whether the prompt may be read at one engine for another. Not allowed for a call whose
+    /// prompt was read and which then found no engine, because each further read counts as a
+    /// repeat.
     pub may_split: bool,
-    /// Time that sending the prompt to one engine takes this instance's link.
+    /// Time to send the prompt to one engine over this instance's link.
     pub send_time: Duration,
-    /// Engines that it must not go to again.
+    /// Engines that must not be chosen.
     pub excluded: &'a [EngineId],
-    /// Engines to which its sender has a connection that is idle.
+    /// Engines to which the sender has an idle connection.
     pub connected: &'a [EngineId],
-    /// Time that its caller still waits.
+    /// Time until the caller gives up.
     pub time_left: Duration,
-    /// Whether it goes where the fewest calls run, since it may end its engine.
+    /// Whether to place it where the fewest calls run, because it may crash its engine.
     pub isolated: bool,
-    /// Engine with a rate limit at which a request has been counted for it.
+    /// Engine with a rate limit at which a request has already been charged for it.
     pub reserved: Option<&'a EngineId>,
 }
 
-/// The size of a generation.
+/// Prompt of a generation.
 #[derive(Clone, Copy, Debug)]
 pub struct Generation<'a> {
-    /// The service's engines.
+    /// The model of the service.
     pub model: &'a Model,
-    /// Parts of the prompt.
+    /// The prompt's parts.
     pub prompt: &'a [Part],
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub tokens: u32,
 }
 
-/// What is done with a call.
+/// Where a call goes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// It goes to one engine.
+    /// One engine reads the prompt and generates.
     Direct(Target),
-    /// One engine reads its prompt, another one generates.
+    /// One engine reads the prompt, another one generates.
     ///
-    /// The engine that generates is chosen by [`decode`] once the prompt is read: one that is
-    /// chosen before may have said meanwhile that it leaves.
+    /// The generating engine is chosen by [`choose_decode`] once the prompt has been read; one
+    /// chosen earlier may be leaving by then.
     Split {
-        /// Reads the prompt.
+        /// The engine that reads the prompt.
         prefill: Target,
-        /// Engine with a rate limit that is to generate. A request there has been counted already, since what its limit
-        /// allows may be used up once the prompt is read.
+        /// Engine with a rate limit that is to generate. A request is charged to it in advance,
+        /// because its limit may be used up once the prompt has been read.
         reserved: Option<EngineId>,
-        /// Time to the first answer, with the second engine's part.
+        /// Time to the first answer, including the second engine's part.
         expected_latency: Duration,
     },
-    /// No engine can serve it in time.
+    /// No engine can serve the call in time.
     Refuse {
-        /// Time after which there may be room.
+        /// Time after which there may be capacity.
         retry_after: Duration,
-        /// Why.
+        /// Why it is refused.
         reason: Refusal,
-        /// The place that it would have had, for the log.
+        /// The target that it would have had, for the log.
         best_target: Option<Box<Target>>,
     },
 }
 
-/// Why a call finds no place.
+/// Why a call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No engine of the service takes calls.
     NoEngine,
-    /// The work before it takes longer than its caller waits.
+    /// The work queued before it takes longer than its caller waits.
     TooMuchWork,
-    /// It ended the engines that ran it.
+    /// It crashed the engines that ran it, and is held.
     Held,
-    /// The engines take no more requests by the rate limits that they announce.
+    /// The rate limits that the engines announce are used up.
     RateLimited,
 }
 
 impl Choice {
-    /// The engine that the call goes to next.
+    /// The engine that the call is sent to next.
     pub fn target(&self) -> Option<&Target> {
         match self {
             Self::Direct(target)
@@ -112,7 +113,7 @@
 }
 
 impl Refusal {
-    /// What a caller is told.
+    /// The message for the caller.
     pub fn message(self) -> &'static str {
         match self {
             Self::NoEngine => "No engine takes the call.",
@@ -123,37 +124,37 @@
     }
 }
 
-/// A place for a call.
+/// The engine chosen for a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The engine.
+    /// Its id.
     pub engine: EngineId,
-    /// Prompt tokens that it must read.
+    /// Prompt tokens that it has to read.
     pub prefill_tokens: u32,
-    /// Work that the prompt is there, in tokens of [`speed::work`].
+    /// Work that the prompt is there, in tokens of [`crate::speed::work`].
     pub work: u32,
-    /// Its urgency there.
+    /// Scheduling rank there.
     pub rank: Rank,
-    /// Time after which it may be sent there, by the engine's rate limit.
+    /// Time to wait before sending, because of the engine's rate limit.
     pub limit_wait: Duration,
-    /// Time to its first answer, with that wait.
+    /// Time to the first answer, including that wait.
     pub expected_latency: Duration,
-    /// Engine from which it fetches parts of the prompt.
+    /// Engine to fetch parts of the prompt's KV cache from.
     pub fetch_from: Option<EngineId>,
-    /// The instance that placed it, which has it in its books by this number.
+    /// The instance that placed the call and the call's ticket there.
     pub placed_by: Option<(SocketAddr, Ticket)>,
 }
 
-/// Share of a caller's time within which the first answer must be expected.
+/// Share of the caller's remaining time within which the first answer must be expected.
 const MAX_WAIT_SHARE: f64 = 0.9;
-/// Time told to a caller when no engine is known at all.
+/// `Retry-After` if no engine is known.
 const NO_ENGINE_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Share of the time in which a call is on time that it may wait for an engine's rate limit.
+/// Share of the latency target that a call may wait for an engine's rate limit.
 const LIMIT_WAIT_SHARE: f64 = 0.5;
 /// Shortest `Retry-After` of a rejection by rate limits.
 const MIN_RATE_LIMIT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Finds the place for a call.
+/// Chooses the placement of a call.
 pub fn choose(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
     let demand = below_late_rank(demand);
     if demand.isolated {
@@ -165,8 +166,8 @@
     }
 }
 
-/// Charges a placement to the rate limits of its engines. A rejection by rate limits gets its `Retry-After` from the rejections
-/// before it.
+/// Charges a placement to the rate limits of its engines. The `Retry-After` of a refusal by rate
+/// limits grows with the refusals before it.
 pub fn commit(fleet: &mut Fleet, demand: &Demand, choice: &mut Choice, now: Moment) {
     match choice {
         Choice::Direct(target) => charge(fleet, demand, target, now),
@@ -187,14 +188,16 @@
     }
 }
 
-/// Counts a call against the limit of its engine, unless that was done when the engine was reserved for it.
+/// Charges a call to the rate limit of its engine, unless that was done when the engine was
+/// reserved.
 pub fn charge(fleet: &mut Fleet, demand: &Demand, target: &Target, now: Moment) {
     if demand.reserved != Some(&target.engine) {
         fleet.throttles.charge(&target.engine, now);
     }
 }
 
-/// Finds the place of a call that may end its engine: where the fewest calls run, which also reads its prompt.
+/// Places a call that may crash its engine where the fewest calls run; the same engine reads its
+/// prompt.
 fn choose_isolated(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
     let least_busy = {
         let engines = available(fleet, demand, now).filter(|engine| !cost::is_prefill(engine));
@@ -212,8 +215,9 @@
     choose(fleet, &demand, now)
 }
 
-/// The demand at a rank of calls that can be on time. Ranks from [`LATE`] on are for those that cannot: a route whose
-/// calls an operator has put there would be taken for late on an idle fleet, and refused in the next peak.
+/// The demand with its rank capped below [`LATE_RANK`]. Higher ranks are for calls that cannot be
+/// on time; a route that an operator gave such a priority would be treated as late on an idle fleet
+/// and refused in the next peak.
 fn below_late_rank<'a>(demand: &Demand<'a>) -> Demand<'a> {
     Demand {
         priority: demand.priority.min(LATE_RANK - 1),
@@ -231,7 +235,7 @@
         .filter(move |engine| engine.is_available(now) && admits(fleet, engine, demand, now))
 }
 
-/// If every engine rests, the one that rests soonest over is better than none.
+/// Engines to fall back to if all are backed off; the best of them is better than none.
 fn admitting<'a>(
     fleet: &'a Fleet,
     demand: &'a Demand,
@@ -242,17 +246,17 @@
         .filter(move |engine| admits(fleet, engine, demand, now))
 }
 
-/// Whether an engine may get a call, however it is.
+/// Whether an engine may get a call, regardless of its health.
 ///
-/// An engine resets connections beyond those it takes from all instances, and a call that had been sent on
-/// one may have run. One notices it by resets of calls at the fullest engines of a burst.
+/// An engine resets connections beyond those it accepts, and a call already sent on one may have
+/// run. The sign is resets at the fullest engines of a burst.
 fn admits(fleet: &Fleet, engine: &Engine, demand: &Demand, now: Moment) -> bool {
     engine.running_calls() < demand.connections
         && !demand.excluded.contains(&engine.record.id)
         && limit_wait(fleet, engine, demand, now).is_some()
 }
 
-/// Time until an engine's rate limit lets a call go there, if that is soon enough for its caller.
+/// Time until an engine's rate limit admits the call, or `None` if that is too late for it.
 pub(crate) fn limit_wait(
     fleet: &Fleet,
     engine: &Engine,
@@ -265,8 +269,8 @@
     }
 }
 
-/// A queue longer than this would make every call late in it, and serve no more of them. One that is late anyway takes what no
-/// other waits for.
+/// Longest wait for a rate limit. A longer queue would make every call in it late and serve no more
+/// of them. A call that is late anyway takes only requests that no other call waits for.
 fn max_limit_wait(demand: &Demand) -> Duration {
     if demand.priority >= LATE_RANK {
         return Duration::ZERO;
@@ -275,7 +279,7 @@
     by_target.min(demand.time_left.mul_f64(MAX_WAIT_SHARE))
 }
 
-/// The refusal of a call that no engine takes.
+/// The refusal of a call that no engine admits.
 fn refuse(fleet: &Fleet, demand: &Demand, now: Moment) -> Choice {
     let engines = fleet
         .ready(demand.service)
@@ -318,10 +322,11 @@
     }
 }
 
-/// Against which a wait is weighed for a call that is late already.
+/// Lower bound of the latency target that a wait is compared with, for calls that are already late.
 const MIN_LATENCY_TARGET: Duration = Duration::from_millis(10);
 
-/// Calls before this one, in units of the engine's slots, and what speaks against the engine.
+/// The load of an engine in units of its slots, plus penalties for distance, rate-limit wait and
+/// failures.
 fn plain_cost(fleet: &Fleet, engine: &Engine, demand: &Demand, now: Moment) -> f64 {
     let load = f64::from(engine.running_calls() + 1) / f64::from(engine.record.slots.max(1));
     let distance = if engine.record.zone == *demand.zone {
@@ -415,8 +420,8 @@
     }
 }
 
-/// Finds the engine that takes over the memory of a prompt that was read in a data centre: the one that was reserved, else the best
-/// one now.
+/// Chooses the engine that takes over a prompt's KV cache from data centre `source`: the reserved
+/// engine, or else the cheapest.
 pub fn choose_decode(fleet: &Fleet, demand: &Demand, source: &Zone, now: Moment) -> Option<Target> {
     let demand = below_late_rank(demand);
     let generation = demand.generation.as_ref()?;
@@ -430,7 +435,7 @@
     cost::decode_cost(fleet, &engines, &demand, generation, source, now).map(|cost| cost.target)
 }
 
-/// The engine that was reserved for a call, if it still takes calls.
+/// The engine reserved for a call, if it still takes calls.
 fn reserved(fleet: &Fleet, demand: &Demand) -> Option<Target> {
     let reserved = demand.reserved.filter(|id| !demand.excluded.contains(id))?;
     let engine = fleet.get(reserved).filter(|engine| engine.takes_calls())?;
--- a/crates/serving/src/placer.rs
+++ b/crates/serving/src/placer.rs
@@ -1,13 +1,13 @@
-//! Which instances place calls, and who is asked.
+//! Chooses the instances that place calls, and which of them an instance asks.
 //!
-//! A place is good only if whoever chooses it knows what others have sent to the engine a moment ago. The load that
-//! this answers: hundreds of instances with a call or two a second each, most of whose prompts share parts. If
-//! each told all others of each of its calls, taking that in would cost it more with every other instance, until it takes the
-//! link and the processor from the calls; if each knew only a part of the fleet, the same shared parts would be read
-//! in every part of it. So few instances of each data centre know all engines and place, and the others ask one of
-//! them before they send. Nothing is agreed on and nothing is held: who places follows from who lives, in one
-//! order that all share, and a placer that is wrong, doubled or missing costs time and no call. See
-//! `docs/design/knowledge.md`.
+//! A good placement requires knowing what other instances sent to the engine a moment ago. Consider
+//! hundreds of instances with one or two calls per second each, most of whose prompts share parts.
+//! If every instance told all others about each call, the cost of receiving would grow with the
+//! fleet until it crowds out the calls; if each knew only a part of the fleet, the same shared
+//! parts would be read again in every part. So a few instances per data centre know all engines and
+//! place calls, and the others ask one of them before they send. No agreement is needed and no
+//! lease is held: the placers follow from the live instances in an order common to all, and a
+//! wrong, duplicate or missing placer costs time but no call. See `docs/design/knowledge.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,39 +16,39 @@
 
 use crate::{EngineId, hash};
 
-/// Instances of a data centre that place calls. Two, so that the end of one leaves one that knows; each one more is told of
-/// every call as well, and may place a call in the moment before it hears of another one.
+/// Placers per data centre. Two, so that one remains when the other ends. Each further placer has
+/// to be told of every call, and may place calls before it hears of those of the others.
 pub const PLACERS_PER_ZONE: usize = 2;
-/// How much longer than the one before it an instance waits before it fills a vacancy, where it cannot know
-/// whether the one before it lives. A new placer makes itself known in less.
+/// Additional delay per preceding instance before an instance fills a vacancy, if it cannot know
+/// whether the preceding ones are alive. A new placer announces itself in less.
 const VACANCY_STEP: Duration = Duration::from_millis(150);
 
 /// Hash of a data centre's name.
 pub type ZoneHash = u32;
 
-/// An instance, as another one knows it.
+/// An instance as known to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Where it listens for others.
+    /// Its address for other instances.
     pub address: SocketAddr,
     /// Its data centre.
     pub zone: ZoneHash,
-    /// Its place in the common order; lower ones place first.
+    /// Its position in the common order; lower ones place first.
     pub order: u64,
-    /// Whether it was heard of lately, or may have just started.
+    /// Whether it was heard from lately, or may have just started.
     pub alive: bool,
 }
 
-/// Who places, as one instance sees it.
+/// The current placers, as seen by one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Placers {
-    /// Whether the instance itself does.
+    /// Whether the instance itself is one.
     pub includes_self: bool,
-    /// Other instances that do.
+    /// The other placers.
     pub others: Vec<(SocketAddr, ZoneHash)>,
 }
 
-/// How an instance follows who places.
+/// Tracks whether an instance is a placer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Election {
     vacant_since: Option<Moment>,
@@ -56,11 +56,11 @@
 }
 
 impl Election {
-    /// Who places now. `others` are all that are registered and may live, in any order.
+    /// Determines the current placers. `others` are all registered instances, in any order.
     ///
-    /// An instance hears of placers only, so that of those before itself it mostly does not know whether they live. If
-    /// all filled a vacancy at once, a data centre would have as many placers as instances for a moment, and each
-    /// call would be told to all of them. So each waits for as long as those before it need.
+    /// An instance hears only from placers, so it mostly does not know whether the instances before
+    /// it are alive. If all filled a vacancy at once, every call would be announced to all of them
+    /// for a moment. So each one waits for as long as the instances before it need.
     pub fn update(&mut self, own: &Member, others: &[Member], now: Moment) -> Placers {
         let mut live: Vec<&Member> = others.iter().filter(|other| other.alive).collect();
         live.sort_unstable_by_key(|other| (other.zone, other.order));
@@ -97,8 +97,8 @@
     }
 }
 
-/// Placers that come before one in the order of an engine. All compute it alike from those that they know, so that what is
-/// divided among placers needs no word between them.
+/// Number of placers that precede `own` in the order specific to an engine. All placers compute the
+/// same order, so work can be divided among them without communication.
 pub fn rank(engine: &EngineId, own: SocketAddr, others: &[(SocketAddr, ZoneHash)]) -> usize {
     let weight = |address: SocketAddr| hash::hash64(&format!("{address} {engine}"));
     let own = weight(own);
@@ -106,8 +106,9 @@
     before.count()
 }
 
-/// In which order placers are asked for a call: those of the own data centre first, calls with one beginning the same one
-/// first, so that two that come at once are placed with each other in mind.
+/// The order in which placers are asked for a call: those of the own data centre first. Calls with
+/// the same beginning ask the same one first, so that two simultaneous ones are placed with
+/// knowledge of each other.
 pub fn ask_order(
     placers: &[(SocketAddr, ZoneHash)],
     own: ZoneHash,
--- a/crates/serving/src/prior_wait.rs
+++ b/crates/serving/src/prior_wait.rs
@@ -1,5 +1,5 @@
-//! How long a caller has waited before it came here. The load that this answers: callers that come back
-//! together after an outage or a refusal, among new ones whose patience differs. See
+//! Estimates how long a caller has already waited before its call arrives. After an outage or a
+//! refusal callers come back together, among new ones whose patience differs. See
 //! `docs/design/placement.md`.
 
 use std::collections::HashMap;
@@ -7,41 +7,41 @@
 
 use clock::Moment;
 
-/// A longest time that was not seen again for this long is forgotten: callers may have been given
-/// another one.
+/// Age at which the longest time is forgotten if it was not seen again: callers may have been given
+/// another timeout.
 const LONGEST_MAX_AGE: Duration = Duration::from_secs(60);
-/// Parts into which times up to the longest are counted. Of 1/80 of a caller's time it matters little whether it
-/// has passed.
+/// Buckets for times up to the longest. A resolution of 1/80 of a caller's time is sufficient.
 const BUCKETS: usize = 80;
-/// What is left of earlier callers with each new one: some hundred count, so that those who come back together after
-/// an outage stay the fewer.
+/// Decay of earlier callers with each new one: the last few hundred count, so that those who come
+/// back after an outage remain the minority.
 const RETAINED: f64 = 1.0 - 1.0 / 500.0;
 
-/// The times that callers of each route wait.
+/// The remaining times of callers, by route.
 #[derive(Clone, Debug, Default)]
 pub struct PriorWaits {
     routes: HashMap<String, RouteWaits>,
 }
 
-/// The times that callers of one route wait.
+/// The remaining times of callers of one route.
 #[derive(Clone, Debug)]
 struct RouteWaits {
     longest: Duration,
     /// When the longest was last seen.
     longest_seen_at: Moment,
-    /// Callers by their time, in parts of the longest.
+    /// Weighted number of callers per bucket, as a share of the longest.
     counts: [f64; BUCKETS],
 }
 
 impl PriorWaits {
-    /// Takes in that a caller of a route waits for `left` more. Gives the time that it has waited
-    /// before.
+    /// Records that a caller of a route still waits for `left`, and estimates how long it has
+    /// waited already.
     ///
-    /// A caller that comes back has a new id and nothing that names its first try, but says how long it still
-    /// waits. Taken for a new one it would keep its rank although it cannot be on time any more, and
-    /// make new calls late as well; one would notice it by late calls long after an outage. New ones differ, too, where each
-    /// has a patience of its own: taken for ones that have waited, most would yield from the beginning, and one
-    /// would notice it by ranks that say nothing. So a caller has waited only if it waits less than new ones do.
+    /// A caller that comes back has a new id and nothing that links it to its first attempt, but it
+    /// states how long it still waits. Treated as new, it would keep its rank although it cannot be
+    /// on time any more, and make new calls late as well, long after an outage. On the other hand
+    /// new callers may differ in patience; if shorter ones were treated as returning, most calls
+    /// would yield from the start and ranks would mean nothing. So a caller has waited only if it
+    /// waits less than new callers do.
     pub fn estimate(&mut self, route: &str, left: Duration, now: Moment) -> Duration {
         let Some(waits) = self.routes.get_mut(route) else {
             self.routes
@@ -71,8 +71,8 @@
         if left == self.longest {
             self.longest_seen_at = now;
         }
-        // Most callers are new ones, and their times spread evenly up to the longest: their middle is the middle of all,
-        // and their least lies as far below it as the longest above.
+        // Most callers are new, and their times are spread evenly up to the longest: the median of
+        // all is theirs, and their least lies as far below it as the longest lies above.
         let median = self.median();
         let least = median.saturating_sub(self.longest - median);
         self.count(left);
@@ -96,13 +96,13 @@
         self.counts[bucket.min(BUCKETS - 1)] += 1.0;
     }
 
-    /// By how much the least time may be too long: the middle is rounded up, and counts twice.
+    /// Possible error of the least time: the median is rounded up, and counts twice.
     #[allow(clippy::cast_possible_truncation)]
     fn bucket_error(&self) -> Duration {
         self.longest / (BUCKETS / 2) as u32
     }
 
-    /// The time that half of the callers exceed, rounded up to a step.
+    /// Median of the remaining times, rounded up to a bucket.
     fn median(&self) -> Duration {
         let half = self.counts.iter().sum::<f64>() / 2.0;
         let mut above = 0.0;
--- a/crates/serving/src/route.rs
+++ b/crates/serving/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes and services of one version of the configuration.
+//! Routes, services and limits of one version of the configuration.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,19 +10,19 @@
 use crate::organisation::Directory;
 use crate::scaling::Range;
 
-/// Version of a configuration; a newer one is larger.
+/// Version of a configuration; newer versions are larger.
 pub type Version = u64;
 
-/// What may be repeated of the calls of a route.
+/// The repetition semantics of a route's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// May run any number of times.
     Safe,
-    /// May run once.
+    /// May run at most once.
     Unsafe,
-    /// Answers in events.
+    /// Answers in a stream of events.
     Stream {
-        /// Whether another engine may go on after the last event.
+        /// Whether another engine may continue after the last event.
         resumable: bool,
     },
 }
@@ -33,39 +33,39 @@
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Whether answers come in events.
+    /// Whether answers are streams of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A service's part of a route's calls.
+/// A service's share of a route's calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// Where the calls go.
+    /// The service.
     pub service: ServiceName,
-    /// In proportion to the other shares.
+    /// Weight relative to the other shares.
     pub weight: u32,
 }
 
-/// Where calls with a certain host and path go.
+/// The calls with a certain host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// For logs.
+    /// Its name, for logs.
     pub name: String,
-    /// Begins the path; ends with a slash.
+    /// Prefix of the path; ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Repetition semantics.
     pub kind: Kind,
-    /// The longest that a caller is kept waiting.
+    /// Longest time that a caller waits.
     pub timeout: Duration,
-    /// The first answer earns its full benefit within this time.
+    /// Time within which the first answer earns its full benefit.
     pub latency_target: Duration,
-    /// The longest pause between events that is still on time.
+    /// Longest pause between events that is on time.
     pub max_gap: Option<Duration>,
-    /// Engines on which one call may run.
+    /// Number of engines on which one call may run.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Scheduling rank; 0 is the most urgent.
     pub priority: u8,
     /// Whether callers need no key.
     pub public: bool,
@@ -73,23 +73,23 @@
     pub shares: SmallVec<[Share; 2]>,
 }
 
-/// Shortest time that callers of a stream wait for an event.
+/// Least timeout for an event of a stream.
 const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Callers of a stream wait this many times the target for an event, if that is longer.
+/// Timeout for an event as a multiple of the latency target, if that is longer.
 const EVENT_TIMEOUT_TARGETS: u32 = 4;
-/// Or this many times the longest pause that is on time.
+/// Timeout for an event as a multiple of the longest allowed pause, if that is longer.
 const EVENT_TIMEOUT_GAPS: u32 = 8;
 
 impl Route {
-    /// How long callers wait for the first event of a stream, or for the next one. Origin: the
-    /// users' page on streams; a call whose first event comes later is work for nobody.
+    /// How long callers wait for the first or next event of a stream, by the users' page on
+    /// streams; a call whose first event comes later is work for nobody.
     pub fn event_timeout(&self) -> Duration {
         let by_target = self.latency_target * EVENT_TIMEOUT_TARGETS;
         let by_gap = self.max_gap.unwrap_or_default() * EVENT_TIMEOUT_GAPS;
         MIN_EVENT_TIMEOUT.max(by_target).max(by_gap)
     }
 
-    /// The service for a call, by a number drawn evenly from 0 to 1.
+    /// The service for a call, by a random number from 0 to 1.
     pub fn service(&self, drawn: f64) -> &ServiceName {
         let sum: u32 = self.shares.iter().map(|share| share.weight).sum();
         let mut remaining = drawn * f64::from(sum);
@@ -103,31 +103,31 @@
     }
 }
 
-/// What a service's engines can do beyond answering calls.
+/// Properties of a service whose engines run a model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Model {
-    /// Tokens that an engine's memory holds.
+    /// Capacity of an engine's KV cache in tokens.
     pub kv_capacity_tokens: u64,
-    /// Bytes of memory a token takes.
+    /// Bytes of KV cache per token.
     pub kv_bytes_per_token: u64,
-    /// Rate of the link that moves memory, in megabits a second.
+    /// Rate of the link that transfers KV caches, in megabits per second.
     pub link_mbps: f64,
     /// How long a prompt that was read for another engine is kept.
     pub handle_ttl: Duration,
-    /// Whether a run's memory can be copied to another engine while it runs.
+    /// Whether the KV cache of a running call can be copied to another engine.
     pub backups: bool,
 }
 
-/// Engines that do the same work.
+/// A group of engines that do the same work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Connections that one engine takes from all callers.
+    /// Connections that one engine accepts from all callers.
     pub connections: usize,
-    /// Set where its engines are model engines.
+    /// Set if its engines run a model.
     pub model: Option<Model>,
-    /// Set where the number of its engines is ordered.
+    /// Set if the number of its engines is ordered.
     pub range: Option<Range>,
 }
 
@@ -138,14 +138,14 @@
     pub head_bytes: usize,
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head.
+    /// Longest time to send a head.
     pub head_timeout: Duration,
     /// Longest silence between two requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Values in force until a configuration names others.
+    /// The limits in force until a configuration names others.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -156,14 +156,14 @@
     }
 }
 
-/// One version of the configuration, ready for look-ups.
+/// One version of the configuration, indexed for look-ups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
     /// Its version.
     pub version: Version,
-    /// What callers may send.
+    /// Limits of what callers may send.
     pub limits: Limits,
-    /// Who may call; missing where callers need no keys.
+    /// Organisations that may call; `None` if callers need no keys.
     pub organisations: Option<Directory>,
     hosts: HashMap<String, Vec<Rc<Route>>>,
     services: HashMap<ServiceName, Service>,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The table with organisations, whose keys callers need on all routes that are not public.
+    /// The table with the organisations whose keys callers need on all routes that are not public.
     pub fn with_organisations(self, organisations: Option<Directory>) -> Self {
         Self {
             organisations,
@@ -205,7 +205,7 @@
         }
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// The route with the longest prefix of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         self.hosts
             .get(host)?
@@ -213,7 +213,7 @@
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Connections that an engine of the service with the fewest takes.
+    /// The smallest number of connections that an engine of any service accepts.
     pub fn fewest_connections(&self) -> Option<usize> {
         self.services
             .values()
@@ -221,7 +221,7 @@
             .min()
     }
 
-    /// Services whose numbers of engines are ordered.
+    /// Services whose number of engines is ordered.
     pub fn ranges(&self) -> impl Iterator<Item = (&ServiceName, &Range)> {
         let services = self.services.values();
         services.filter_map(|service| Some((&service.name, service.range.as_ref()?)))
