--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -1,50 +1,51 @@
-//! Whose turn it is to give engines orders. An instance that wants to appends a claim to a log on the
-//! condition that the log ends where it read to; the claim's offset is the fencing token of the
-//! orders that follow at once. Nobody holds a turn beyond that, so there is nothing to renew. See
-//! `docs/design/platform.md`, "Roles".
+//! Decides when an instance may claim the right to give orders to engines. An instance appends a
+//! claim to a log on the condition that the log still ends where the instance read it; the offset
+//! of the claim is the fencing token of the orders that follow at once. A claim is valid for these
+//! orders only, so nothing has to be renewed. See `docs/design/platform.md`, "Roles".
 
 use std::time::Duration;
 
 use clock::Moment;
 
-/// Place of a claim in the log; the fencing token of its orders.
+/// Offset of a claim in the log, used as the fencing token of its orders.
 pub type Fence = u64;
 
-/// How often the log has come back from an older copy.
+/// Number of times that the log was restored from an older copy.
 pub type Era = u64;
 
-/// Orders leave within this time of the moment before their claim was sent, as measured by a clock that
-/// also runs while the machine is suspended. Some orders and the store's answer fit.
+/// Orders must be sent within this time from just before their claim was sent, by a clock that also
+/// runs while the machine is suspended. It leaves room for the store's answer and a few orders.
 pub const ORDER_WINDOW: Duration = Duration::from_millis(700);
 
-/// Time that an order may be on its way after it left: to open a connection, and until the kernel gives
-/// an unacknowledged one up.
+/// Longest time between sending an order and its arrival: opening a connection, and until the
+/// kernel gives up an unacknowledged one.
 const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(800);
 
-/// A claim as it was read.
+/// A claim as read from the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim<'a> {
-    /// Where it stands.
+    /// Its offset.
     pub fence: Fence,
-    /// The instance that made it.
+    /// The instance that appended it.
     pub holder: &'a str,
 }
 
-/// What one instance knows of the turns.
+/// The state of one instance that may want to claim.
 #[derive(Clone, Debug)]
 pub struct Claimant {
     takeover_delay: Duration,
     is_first_start: bool,
     newest_seen: Option<(Fence, Moment)>,
-    /// Whether that claim is this instance's own.
+    /// Whether the newest claim seen is this instance's own.
     newest_is_own: bool,
-    /// Era of the log, and since when it is another one than this instance knew before.
+    /// The newest era seen.
     era: Option<Era>,
     rolled_back_at: Option<Moment>,
 }
 
 impl Claimant {
-    /// Turns of different instances that must be `lease` apart. `is_first_start` says that nobody can have claimed before this process began.
+    /// Keeps the orders of different instances at least `lease` apart. `is_first_start` says that
+    /// nobody can have claimed before this process began.
     pub fn new(lease: Duration, is_first_start: bool) -> Self {
         Self {
             is_first_start,
@@ -56,11 +57,12 @@
         }
     }
 
-    /// Takes in how often the log has come back from an older copy.
+    /// Records the era of the log.
     ///
-    /// A claim of another instance may be gone with what was written since, and its orders may still be on their way, so that nobody may claim
-    /// by what the log says then until every such turn is over. Two instances that order within one lease would show it. Whoever has just
-    /// started cannot know whether the log went back a moment ago.
+    /// A restore may remove claims of other instances whose orders are still in flight, so nobody
+    /// may claim until every such claim has expired. Otherwise two instances could order within one
+    /// lease. An instance that has just started cannot know whether the log was restored a moment
+    /// ago, and waits as well.
     pub fn observe_era(&mut self, era: Era, now: Moment) {
         let may_be_restored = match self.era {
             Some(known) => known < era,
@@ -72,7 +74,7 @@
         self.era = self.era.max(Some(era));
     }
 
-    /// Takes in a claim of another instance, of which that one told.
+    /// Records a claim that another instance announced.
     pub fn observe_claim(&mut self, fence: Fence, now: Moment) {
         if self.newest_seen.is_none_or(|(known, _)| known < fence) {
             self.newest_seen = Some((fence, now));
@@ -80,18 +82,19 @@
         }
     }
 
-    /// How long it is of no use to look whether this instance may claim: another one did a moment ago, as it told. Looking costs a call.
+    /// Time until it is worth reading the log to claim, given the claims that other instances
+    /// announced. Each read is a call that is paid for.
     pub fn time_to_wait(&self, now: Moment) -> Duration {
         let announced = self.newest_seen.filter(|_| !self.newest_is_own);
         let until = announced.map_or(Duration::ZERO, |(_, at)| at + self.takeover_delay);
         until.saturating_sub(now)
     }
 
-    /// Whether the instance `me` may claim after a read that showed `newest`.
+    /// Whether the instance `me` may claim after a read that returned `newest`.
     ///
-    /// Two instances that order within one lease would each undo what the other one did, and one would
-    /// notice it by engines that change back and forth. The newest claim's own instance may claim
-    /// again at once; others wait from when they first saw it, which is never before it was made.
+    /// Two instances that order within one lease would undo each other's orders, which shows as
+    /// engines that change back and forth. The holder of the newest claim may claim again at once;
+    /// others wait from when they first saw that claim, which is never before it was appended.
     pub fn may_claim(&mut self, newest: Option<Claim>, me: &str, now: Moment) -> bool {
         if self
             .rolled_back_at
--- a/crates/serving/src/fingerprint.rs
+++ b/crates/serving/src/fingerprint.rs
@@ -1,29 +1,31 @@
-//! What tells two requests of a caller to be the same one, sent again under another id.
+//! Identifies repeats of the same request of a caller, which arrive under new ids.
 
-/// Number that all repeats of a request share, at every instance and at every start of one.
+/// Value shared by all repeats of a request, at every instance and after restarts.
 pub type Fingerprint = u128;
 
-/// What a fingerprint is made of. Ids, deadlines and sizes that a caller estimates differ between repeats, and stay out.
+/// The fields that make up a fingerprint. Ids, deadlines and sizes that a caller estimates differ
+/// between repeats and are left out.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// By what its caller shows who it is, a key or an authorisation; empty where callers show nothing, who then share the fingerprints of equal requests.
-    /// The address of a connection does not tell: one caller has several, and they change.
+    /// The credentials that the caller presents, a key or an authorisation header; empty if callers
+    /// present none, who then share the fingerprints of equal requests. The address of the
+    /// connection is not used: a caller has several, and they change.
     pub credentials: [&'a [u8]; 2],
-    /// Method of the request.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host without its port.
+    /// Host without the port.
     pub host: &'a str,
-    /// Path with its query.
+    /// Path with the query.
     pub path: &'a str,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
-/// The fingerprint of a request.
+/// Computes the fingerprint of a request.
 ///
-/// A caller that could make two requests share one would have the one judged by what the other does. 128 bits of
-/// a cryptographic hash leave 2^64 tries for that. Each field goes in behind its length, so that none can be continued by the
-/// next.
+/// A caller that can make two requests collide gets one of them judged by what the other does; with
+/// 128 bits of a cryptographic hash that takes 2^64 tries. Each field is preceded by its length, so
+/// that bytes cannot move from one field to the next.
 pub fn of(request: &Request) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     let fields = [request.method, request.host, request.path].map(str::as_bytes);
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -1,11 +1,12 @@
-//! Which calls end the engines that run them, and are kept from engines for a while.
+//! Detects calls that crash the engines that run them, and keeps them from engines for a while.
 //!
-//! The load that this answers: a caller repeats, under new ids and at any instance, a call that ends each engine which begins to
-//! run it. Each time the engine's other calls are cut too, and it is away for seconds. One notices it by engines that end one
-//! after the other, each with one call in hand that had no event yet. An engine that ends does not say which of its calls ended
-//! it, so every call that it had in hand is noted; calls that only ran beside the fatal one run well the next time, which
-//! clears them. Nothing is agreed on: each instance tells all others what it saw, and what two know joins in any order. See
-//! `docs/design/quarantine.md`.
+//! A caller may repeat, under new ids and at any instance, a call that crashes every engine that
+//! begins to run it. Each crash also cuts the engine's other calls and takes it away for seconds;
+//! the sign is engines that end one after the other, each with a call in progress that had no event
+//! yet. A crashed engine does not say which call ended it, so every call in progress is recorded;
+//! calls that only ran beside the fatal one run well the next time, which clears them. No agreement
+//! is needed: each instance reports what it saw to all others, and the entries merge in any order.
+//! See `docs/design/quarantine.md`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,138 +17,143 @@
 use crate::fingerprint::Fingerprint;
 use crate::hash;
 
-/// Hash of the software and the weights that an engine runs, as [`crate::engine::Record::build`] gives it.
+/// Hash of the software and weights of an engine, see [`crate::engine::Record::build`].
 pub type Build = u32;
 
 /// Hash of a caller's address.
 pub type Caller = u32;
 
-/// Builds of engines; mostly one.
+/// Builds of engines; usually one.
 pub type Builds = SmallVec<[Build; 2]>;
 
-/// The end of an engine that had a call in hand.
+/// The end of an engine with a call in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// Hash of the engine's id, by which ends of several engines are told apart.
+    /// Hash of the engine's id, to tell the ends of several engines apart.
     pub engine: u32,
-    /// What it ran.
+    /// Build of the engine.
     pub build: Build,
-    /// When it ended.
+    /// When the engine ended.
     pub at: Moment,
 }
 
-/// A run of a call that its engine outlived.
+/// A run of a call that its engine survived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GoodRun {
-    /// What the engine ran.
+    /// Build of the engine.
     pub build: Build,
-    /// When it ended.
+    /// When the run ended.
     pub at: Moment,
 }
 
 /// What is known of one call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entry {
-    /// Who sends it.
+    /// The caller that sends it.
     pub caller: Caller,
-    /// Ends of engines with it in hand.
+    /// Engines that ended with the call in progress.
     pub crashes: SmallVec<[Crash; 4]>,
-    /// The last good run at each build.
+    /// The last good run on each build.
     pub good_runs: SmallVec<[GoodRun; 1]>,
-    /// When an operator let it go.
+    /// When an operator released it.
     pub released: Option<Moment>,
-    /// Trials begun while it was held.
+    /// Trials begun so far.
     pub trials: u32,
     /// When the last trial began.
     pub last_trial: Option<Moment>,
-    /// Trials under which one more engine ended.
+    /// Trials during which one more engine ended.
     pub failed_trials: u32,
 }
 
-/// What may be done with a call.
+/// How a call may be placed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes where any call goes.
+    /// Like any other call.
     Clear,
-    /// It may have ended engines: it goes alone, where fewest calls are cut if it does so again.
+    /// It may have crashed engines: isolated, where the fewest calls are cut if it does so again.
     Suspected,
-    /// It is kept from engines, but from those of builds on which it ran well.
+    /// Not at all, except on builds on which it ran well.
     Held {
-        /// Time until it may be tried.
+        /// Time until its next trial.
         after: Duration,
         /// Builds on which it ran well.
         good_builds: Builds,
     },
-    /// It may be tried, once and by one instance.
+    /// As a trial, once and by one instance.
     TrialDue,
 }
 
-/// Engines that end with a call in hand, without a good run in between, until it is held.
+/// Uncleared crashes after which a call is held.
 ///
-/// At the first, a call is one of all that the engine had in hand. Of a replay of calls of half a second on eleven engines, one
-/// of which ends each 1.2 s for reasons of its own, 4 in 100 innocent calls that broke break again, and 2 in 1,000 a third time. Each further
-/// end of a fatal call costs an engine for seconds and its neighbours' calls.
+/// At the first crash, a call is one of all that the engine was running. In a replay of half-second
+/// calls on eleven engines, one of which ends every 1.2 s for reasons of its own, 4 in 100 innocent
+/// calls that broke break again, and 2 in 1,000 a third time. Each further crash by a fatal call
+/// costs an engine for seconds, and its neighbours' calls.
 pub const HOLD_CRASHES: usize = 3;
-/// Crashes from which on a call goes alone.
+/// Uncleared crashes after which a call is isolated.
 const ISOLATE_CRASHES: usize = 2;
-/// Trials of a held call. Each may end one more engine, and three calls in all may reach engines; the third is left for one that
-/// was on its way.
+/// Trials of a held call. Each may crash one more engine, and three calls in all may reach engines;
+/// the third is left for one that was on its way.
 const MAX_TRIALS: usize = 2;
-/// Trials that may come to nothing: their caller leaves, their engine refuses the call or breaks off and lives, their instance
-/// is killed. Further ones count as failed, so that a call whose outcome is never seen ends a bounded number of engines.
+/// Inconclusive trials that are tolerated: the caller leaves, the engine refuses the call or breaks
+/// off and survives, or the instance is killed. Further ones count as failed, so that a call whose
+/// outcome is never seen crashes a bounded number of engines.
 const MAX_INCONCLUSIVE: u32 = 8;
-/// How long a call is held before each trial, and after the last one. The first is longer than engines take to be back and
-/// bounds how long an innocent call is kept from engines; the last is the time in which operators see to it.
+/// How long a call is held before each trial, and after the last one. The first is longer than
+/// engines take to return, and bounds how long an innocent call is kept from engines; the last
+/// leaves operators time to act.
 const HOLD_DURATIONS: [Duration; MAX_TRIALS + 1] = [
     Duration::from_secs(30),
     Duration::from_secs(10 * 60),
     Duration::from_secs(24 * 60 * 60),
 ];
-/// How long a call is held before its first trial where others had the same engines end: one of them is to blame at the most, and
-/// the rest would be kept from engines for nothing. They are tried one after the other, this far apart, each for longer than most calls
-/// run.
+/// How long a call is held before its first trial if other calls saw the same engines crash: at
+/// most one of them is to blame, and the rest would be held for nothing. They are tried one after
+/// the other, this far apart, which is longer than most calls run.
 ///
-/// A call that many callers send runs at all engines at once. Where a fatal one ends three engines within a tenth of a second, none of its
-/// runs ends well in between; one would notice it by a route that is refused altogether for as long as the hold lasts.
+/// A call that many callers send runs on all engines at once. If a fatal one ends three engines
+/// within a tenth of a second, no run ends well in between, and a whole route would be refused for
+/// as long as the hold lasts.
 const SHARED_CRASH_HOLD: Duration = Duration::from_secs(1);
-/// How long a call is remembered that is not held. Callers that repeat a call later do so by hand.
+/// How long a call that is not held is remembered. Later repeats are made by hand.
 const RETENTION: Duration = Duration::from_secs(10 * 60);
-/// A good run that another instance tells of is a later one if it ended this much after the one known, or speaks against an end. What
-/// instances tell each other seems later by its way; without this bound one run would clear ever later ends.
+/// Least time by which a reported good run must be later than the known one to count as new, unless
+/// it clears a crash. Times shift later with each report between instances; without this bound one
+/// run would clear ever later crashes.
 const MIN_LATER: Duration = Duration::from_secs(1);
-/// Crashes kept of one call; more add nothing.
+/// Crashes kept per call; more add nothing.
 const MAX_CRASHES: usize = 8;
-/// Calls remembered at the most, with some hundred bytes each.
+/// Calls remembered in total, at some hundred bytes each.
 const MAX_CALLS: usize = 1_024;
-/// Calls remembered of one caller at the most, so that none can have those of others forgotten.
+/// Calls remembered per caller, so that one caller cannot evict those of others.
 const MAX_CALLS_PER_CALLER: usize = 64;
 
 impl Entry {
-    /// Crashes that nothing speaks against.
+    /// Number of crashes that have not been cleared.
     pub fn uncleared_crashes(&self) -> usize {
         let uncleared = self.crashes.iter().filter(|crash| self.is_uncleared(crash));
         uncleared.count()
     }
 
-    /// When the last engine ended with it in hand.
+    /// When the last engine ended with the call in progress.
     pub fn last_crash(&self) -> Option<Moment> {
         self.crashes.iter().map(|crash| crash.at).max()
     }
 
-    /// Whether it is kept from engines, or was until its trial is due.
+    /// Whether it is held, or was until its trial became due.
     pub fn is_held(&self) -> bool {
         self.uncleared_crashes() >= HOLD_CRASHES
     }
 
-    /// A run that ended well at the same build, or an operator's word, speaks against all crashes before it. A build that runs a call
-    /// well says nothing of another one that it ends.
+    /// Whether a crash stands. A good run on the same build, or a release by an operator, clears
+    /// all crashes before it; a good run on one build says nothing about another.
     fn is_uncleared(&self, crash: &Crash) -> bool {
         let clears = |good: &GoodRun| good.build == crash.build && good.at >= crash.at;
         let is_released = self.released.is_some_and(|at| at >= crash.at);
         !is_released && !self.good_runs.iter().any(clears)
     }
 
-    /// What may be done with it if it is held for `hold` from its last crash or trial on.
+    /// The verdict if it is held for `hold` after its last crash or trial.
     fn verdict(&self, hold: Duration, now: Moment) -> Verdict {
         let crashes = self.uncleared_crashes();
         if crashes < HOLD_CRASHES {
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Trials that count: one that comes to nothing says nothing of the call, and is made again.
+    /// Number of trials that count: inconclusive ones are repeated.
     fn counted_trials(&self) -> usize {
         let inconclusive = self.trials.saturating_sub(self.failed_trials);
         let counted = inconclusive.saturating_sub(MAX_INCONCLUSIVE);
@@ -188,7 +194,7 @@
         self.last_crash().max(self.last_trial).unwrap_or_default()
     }
 
-    /// Whether it is held for ends of the same engines as another one.
+    /// Whether it is held for crashes of the same engines as another call.
     fn shares_crashes(&self, other: &Self) -> bool {
         let crashed_there = |engine: u32| other.crashes.iter().any(|crash| crash.engine == engine);
         let standing = self.crashes.iter().filter(|crash| self.is_uncleared(crash));
@@ -216,7 +222,7 @@
             .iter_mut()
             .find(|known| known.engine == crash.engine);
         if let Some(known) = known {
-            // It is told later than it was seen.
+            // Reports shift a crash to a later time.
             known.at = known.at.min(crash.at);
             return false;
         }
@@ -227,7 +233,7 @@
         true
     }
 
-    /// Takes in a good run. Says whether it speaks against a crash.
+    /// Adds a good run. Returns whether it clears a crash.
     fn add_good_run(&mut self, good: GoodRun) -> bool {
         let before = self.uncleared_crashes();
         match self
@@ -241,7 +247,7 @@
         self.uncleared_crashes() < before
     }
 
-    /// Takes in a good run that another instance tells of.
+    /// Merges a good run that another instance reported. Returns whether it is news.
     fn merge_good_run(&mut self, good: GoodRun) -> bool {
         let known = self
             .good_runs
@@ -285,14 +291,14 @@
     }
 }
 
-/// Calls that had engines end under them.
+/// The calls during which engines ended.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     entries: BTreeMap<Fingerprint, Entry>,
 }
 
 impl Quarantine {
-    /// Whether no call is remembered, so that none needs a fingerprint.
+    /// Whether no call is remembered, so that no fingerprint has to be computed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -302,7 +308,7 @@
         self.entries.get(&call)
     }
 
-    /// What may be done with a call.
+    /// How a call may be placed now.
     pub fn verdict(&self, call: Fingerprint, now: Moment) -> Verdict {
         let Some(entry) = self.get(call) else {
             return Verdict::Clear;
@@ -310,7 +316,7 @@
         entry.verdict(self.hold(call, entry), now)
     }
 
-    /// Takes in that an engine ended with a call in hand. Says whether this is new.
+    /// Records that an engine ended with a call in progress. Returns whether this is new.
     pub fn record_crash(&mut self, call: Fingerprint, caller: Caller, crash: Crash) -> bool {
         let entry = self.entry(call, caller);
         let is_trial_failed =
@@ -322,14 +328,16 @@
         is_new
     }
 
-    /// Takes in that an engine outlived a run of a call. Says whether others should hear of it.
+    /// Records that an engine survived a run of a call. Returns whether other instances should be
+    /// told.
     pub fn record_good_run(&mut self, call: Fingerprint, good: GoodRun) -> bool {
         let entry = self.entries.get_mut(&call);
         entry.is_some_and(|entry| entry.add_good_run(good))
     }
 
-    /// What is known of a call once it is tried from now on, if its trial is due. Nothing is noted yet: a claim of the trial that does not stand
-    /// would have the call wait for the next one, twenty times as long.
+    /// The entry of a call as it will be once the trial that is due now has begun. Nothing is
+    /// recorded yet: if a claim of the trial fails, a recorded trial would hold the call until the
+    /// next one, twenty times as long.
     pub fn next_trial(&self, call: Fingerprint, now: Moment) -> Option<Entry> {
         if self.verdict(call, now) != Verdict::TrialDue {
             return None;
@@ -340,30 +348,31 @@
         Some(entry)
     }
 
-    /// Takes in that a call is tried from now on. Says whether its trial is due, so that the one who asks may try it.
+    /// Records that a trial of a call begins, if one is due. Returns whether the caller of this
+    /// function may run it.
     pub fn begin_trial(&mut self, call: Fingerprint, now: Moment) -> bool {
         let entry = self.next_trial(call, now);
         entry.is_some_and(|entry| self.merge(call, &entry))
     }
 
-    /// Takes in that an operator lets a call go.
+    /// Records that an operator released a call. Returns whether the call is known.
     pub fn release(&mut self, call: Fingerprint, now: Moment) -> bool {
         let entry = self.entries.get_mut(&call);
         entry.map(|entry| entry.released = Some(now)).is_some()
     }
 
-    /// Takes in what another instance knows of a call. Says whether something of it is new.
+    /// Merges what another instance knows of a call. Returns whether anything is new.
     pub fn merge(&mut self, call: Fingerprint, other: &Entry) -> bool {
         self.entry(call, other.caller).merge(other)
     }
 
-    /// Calls that all must know: held ones, and those that are one crash short of it.
+    /// Calls that all instances must know: held ones, and those one crash short of it.
     pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, &Entry)> {
         let entries = self.entries.iter().map(|(call, entry)| (*call, entry));
         entries.filter(|(_, entry)| entry.uncleared_crashes() >= ISOLATE_CRASHES)
     }
 
-    /// Digest of what all must know. Two instances with the same one would judge all calls alike.
+    /// Digest of the suspects. Two instances with the same digest judge all calls alike.
     pub fn digest(&self) -> u64 {
         self.suspects().fold(0, |digest, (call, entry)| {
             let standing = entry.uncleared_crashes().min(HOLD_CRASHES);
@@ -375,12 +384,13 @@
         })
     }
 
-    /// Forgets calls whose time is over.
+    /// Drops expired entries.
     pub fn expire(&mut self, now: Moment) {
         self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
-    /// How long a held call is held. Those that are alike come one after the other, in an order that all instances share.
+    /// How long a held call is held. Calls that share crashes are tried one after the other, in an
+    /// order common to all instances.
     fn hold(&self, call: Fingerprint, entry: &Entry) -> Duration {
         if entry.counted_trials() > 0 || !entry.is_held() {
             return entry.hold();
@@ -395,14 +405,15 @@
         if count == 0 {
             return entry.hold();
         }
-        // A trial may still run, so further ones come at growing distances.
+        // Earlier trials may still be running, so further ones are spaced by growing intervals.
         let backoff = 2u32.saturating_pow(entry.trials);
         let hold = SHARED_CRASH_HOLD.saturating_mul((preceding + 1).saturating_mul(backoff));
         hold.min(entry.hold())
     }
 
-    /// The entry of a call, a new one if need be. What makes room for it is the least of the same caller's if that one has many,
-    /// else the least of all.
+    /// The entry of a call, created if missing. If there is no room, the least relevant entry of
+    /// the same caller is evicted if that caller is at its limit, or else the least relevant of
+    /// all.
     fn entry(&mut self, call: Fingerprint, caller: Caller) -> &mut Entry {
         if !self.entries.contains_key(&call) {
             let same_caller = self.entries.values().filter(|entry| entry.caller == caller);
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -1,4 +1,4 @@
-//! Which engines are registered, from records that come, change and lapse.
+//! Registered engines, from records that are written, change and lapse.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,39 +12,39 @@
 
 /// Silence of the store after which lapsed records are doubted.
 const OUTAGE_SILENCE: Duration = Duration::from_millis(1_200);
-/// Time after the store's return within which engines that live are back.
+/// Time after the store's return within which engines that are alive have registered again.
 const RECOVERY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Time after the store has come back from an older copy within which records there may be of before: engines renew theirs
-/// within it, and those of engines that have ended lapse.
+/// Time after the store was restored from an older copy during which its records may be outdated:
+/// engines renew theirs within it, and those of engines that have ended lapse.
 const ROLLBACK_GRACE: Duration = Duration::from_secs(5);
-/// Time for which it is remembered that an engine's record is gone. A copy is some seconds old.
+/// Time for which a removed record is remembered. A restored copy is some seconds old.
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Takes records over into the fleet.
+/// Applies records to the fleet.
 ///
 /// While the store is away, engines cannot renew their records, and all of them may lapse. An
-/// instance that believed this at the store's return would refuse every call for want of engines;
-/// one would notice it by refusals on all instances in the second after an outage. So records that
-/// lapse within two seconds of a return are doubted: their engines stay until the time is over.
-/// Engines that had said that they are leaving are believed.
+/// instance that believed this when the store returns would refuse every call for lack of engines
+/// for a second after the outage. So lapses within two seconds of a return are doubted, and their
+/// engines stay until that time is over. Engines that had announced that they leave are removed at
+/// once.
 #[derive(Debug, Default)]
 pub struct Registry {
     store_heard_at: Moment,
     doubt_until: Moment,
     doubted: BTreeMap<EngineId, Moment>,
-    /// Digests of the records that stand, by name.
+    /// Digests of the current records, by name.
     digests: BTreeMap<Name, u64>,
     offsets: BTreeMap<Name, u64>,
     /// Offset of the newest record that changed something.
     upto: u64,
-    /// The last incarnation of each name, also once its record is gone.
+    /// The last incarnation of each name, also after its record is gone.
     incarnations: BTreeMap<Name, Incarnation>,
-    /// Names whose records cannot be read.
+    /// Names whose newest entry cannot be read.
     unreadable: BTreeSet<Name>,
     /// Engines whose records are gone, and since when.
     removed: BTreeMap<EngineId, Moment>,
-    /// Until when records may be of before what is known, since the store came back from an older copy.
+    /// Until when records may be outdated because the store was restored from an older copy.
     stale_until: Moment,
 }
 
@@ -58,21 +58,21 @@
     started_ms: Option<u64>,
 }
 
-/// What a change of the registry was.
+/// The effect of a record on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that matters.
+    /// No relevant change.
     None,
-    /// A record came or changed.
+    /// An engine was added or changed.
     Put,
-    /// A record is gone.
+    /// An engine was removed.
     Removed,
-    /// A record lapsed and its engine stays for a while.
+    /// A record lapsed, but its engine stays for a while.
     Doubted,
 }
 
 impl Registry {
-    /// Notes that the store answered this instance, or a peer that announces it.
+    /// Records that the store answered this instance, or another instance that says so.
     pub fn store_answered(&mut self, now: Moment) {
         if now <= self.store_heard_at {
             return;
@@ -85,23 +85,24 @@
         self.store_heard_at = now;
     }
 
-    /// Takes in that the store has come back from an older copy.
+    /// Records that the store was restored from an older copy.
     ///
-    /// What engines said since that copy was made is gone until they say it again: one that leaves stands there as ready, one that has
-    /// ended is back, and one that has just started is missing. An instance that believed the copy would send calls to the
-    /// first two and none to the third; one would notice it by calls at engines that had said they leave.
+    /// All that engines registered after that copy was made is missing until they register it
+    /// again: an engine that leaves is listed as ready, one that has ended is listed again, and one
+    /// that has just started is missing. An instance that believed the copy would send calls to the
+    /// first two and none to the third.
     pub fn store_rolled_back(&mut self, now: Moment) {
         self.doubt_until = now + RECOVERY_GRACE;
         self.stale_until = now + ROLLBACK_GRACE;
     }
 
-    /// Whether a record may be of before what is known.
+    /// Whether a record may be older than what is known.
     fn may_be_stale(&self) -> bool {
         self.store_heard_at < self.stale_until
     }
 
-    /// Whether news of a key are newer than what is known. The same record comes from the store
-    /// and from several instances, in any order.
+    /// Whether a record's offset is newer than the known one. The same record arrives from the
+    /// store and from several instances, in any order.
     pub fn is_newer(&mut self, name: &str, offset: u64) -> bool {
         match self.offsets.get_mut(name) {
             Some(known) if *known >= offset => false,
@@ -116,7 +117,8 @@
         }
     }
 
-    /// How far the records are known. Two instances share the digest if they know the same ones.
+    /// How far the records are known. Two instances that know the same records have the same
+    /// digest.
     pub fn topic_state(&self) -> TopicState {
         let records = self.digests.values();
         TopicState {
@@ -125,17 +127,18 @@
         }
     }
 
-    /// Takes in that the record at an offset changed something, or that all up to there have been read.
+    /// Records that the record at an offset changed something, or that all records up to there have
+    /// been read.
     pub fn advance_to(&mut self, offset: u64) {
         self.upto = self.upto.max(offset);
     }
 
-    /// Takes in a record.
+    /// Applies a record.
     ///
-    /// An engine may start again under its name. It holds and runs nothing then, while all that was said of the start
-    /// before would still count: handles and parts that are not there, calls that nobody runs, a health of its
-    /// own. One notices it by calls to a new engine that wait for work which nobody does. So the start before is another engine,
-    /// which is gone, and a record of it that comes late changes nothing.
+    /// An engine that starts again under its name caches and runs nothing, so the parts, calls and
+    /// health of its previous start must not count for it; otherwise calls to the new engine would
+    /// wait for work that nobody does. The previous start is therefore a different engine, which is
+    /// gone, and a late record of it is ignored.
     pub fn put(&mut self, fleet: &mut Fleet, mut record: Record) -> Change {
         self.unreadable.remove(&record.name);
         if self.may_be_stale() {
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Takes in that a record is gone.
+    /// Applies the removal of a record.
     pub fn remove(&mut self, fleet: &mut Fleet, name: &str, now: Moment) -> Change {
         self.digests.remove(name);
         self.unreadable.remove(name);
@@ -199,10 +202,10 @@
         }
     }
 
-    /// Takes in that an entry names no engine. Says whether this is new.
+    /// Records that the newest entry of a name cannot be read. Returns whether this is new.
     ///
-    /// What it overwrote may be the record of an engine that lives, and that writes it again within seconds; until then
-    /// nobody says that it is still there.
+    /// The entry may have overwritten the record of an engine that is alive and writes it again
+    /// within seconds; until then nothing says that the engine still exists.
     pub fn mark_unreadable(&mut self, fleet: &mut Fleet, name: &str) -> bool {
         self.digests.remove(name);
         if let Some(known) = self.incarnations.get(name) {
@@ -212,12 +215,12 @@
         self.unreadable.insert(Name::from(name))
     }
 
-    /// Whether the newest entry of a name names no engine.
+    /// Whether the newest entry of a name cannot be read.
     pub fn is_unreadable(&self, name: &str) -> bool {
         self.unreadable.contains(name)
     }
 
-    /// Takes in all records at once; what is missing is gone.
+    /// Replaces all records; engines that are not listed are removed.
     pub fn replace(&mut self, fleet: &mut Fleet, records: Vec<Record>, now: Moment) -> usize {
         let listed: BTreeSet<Name> = records.iter().map(|record| record.name.clone()).collect();
         let mut changes = 0;
@@ -232,14 +235,15 @@
                 changes += usize::from(self.remove(fleet, &name, now) != Change::None);
             }
         }
-        // What is remembered of names that are gone guards against records that come late, and must not grow for ever.
+        // Incarnations of removed names guard against late records, but must not accumulate for
+        // ever.
         self.incarnations.retain(|name, incarnation| {
             listed.contains(name) || fleet.get(&incarnation.id).is_some()
         });
         changes
     }
 
-    /// Removes engines whose time of doubt is over. Gives their ids.
+    /// Removes doubted engines whose time is over. Returns their ids.
     pub fn expire(&mut self, fleet: &mut Fleet, now: Moment) -> Vec<EngineId> {
         self.removed
             .retain(|_, since| now.saturating_sub(*since) < REMOVED_RETENTION);
--- a/crates/serving/src/watch.rs
+++ b/crates/serving/src/watch.rs
@@ -1,63 +1,64 @@
-//! Who reads the store: a few instances do and tell the others, all others only if too few do.
+//! Decides which instances read the store: a few do and tell the others; the rest read only if too
+//! few do.
 //!
-//! Calls to the store are paid for, and all instances read the same. But an instance that trusted
-//! another one blindly would keep an old configuration when that one is cut off. One would notice it
-//! by requests that are handled by a version that was replaced seconds ago. So each instance
-//! that reads says how long ago it last did so itself; whoever does not hear of two that are fresh and
-//! come before itself in one order that all share, reads. What two instances know is
-//! compared by version and digest, so that lost news is noticed.
+//! Calls to the store are paid for, and all instances read the same records. But an instance that
+//! trusted a reader blindly would keep an old configuration if that reader is cut off, and handle
+//! requests by a version replaced seconds ago. So each reader announces how long ago it last read;
+//! an instance that does not hear of two fresh readers before itself, in an order common to all,
+//! reads. Known records are compared by version and digest, so that lost news is detected.
 
 use std::time::Duration;
 
 use clock::Moment;
 
-/// Instances that read although all is well. Two, so that the end of one leaves no gap.
+/// Instances that read while all is well. Two, so that the end of one leaves no gap.
 const READERS: u32 = 2;
-/// A reader that has read within this time is fresh. It is the longest time from one answer of the
-/// store to the next and on to the frame that tells of it.
+/// Age up to which a read is fresh: the longest time from one answer of the store to the next, and
+/// on to the frame that announces it.
 pub const FRESH_AGE: Duration = Duration::from_millis(1_600);
-/// What an instance said longer ago than this says nothing of now. It spans a few frames.
+/// Age up to which a report counts. It spans a few frames.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1_300);
-/// A difference in what is known that lasts for this long is not on its way to be told.
+/// Time after which a difference is not merely news in transit.
 const DIFFERENCE_GRACE: Duration = Duration::from_millis(700);
-/// How much longer than the one before it an instance waits before it reads as well, where too few are fresh. Others that
-/// live and come before it may be reading now, or are turned away as it would be.
+/// Additional delay per preceding instance before an instance reads as well if too few readers are
+/// fresh. The preceding ones may be reading now, or may be turned away as it would be.
 const JOIN_STEP: Duration = Duration::from_millis(150);
-/// Pause between two reads for a difference.
+/// Least interval between two reads because of a difference.
 const REREAD_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Whether a read is to be told at once, since its reader was not fresh before.
+/// Whether a read is to be announced at once, because its reader was not fresh before.
 ///
-/// As long as the others hear of no fresh reader they take the store for away, and doubt that an engine has gone whose record lapses.
-/// Where it only turned the readers away, engines that left would get calls for seconds more.
+/// While the others hear of no fresh reader they assume that the store is away, and doubt that
+/// engines whose records lapse have gone. If the store had only turned the readers away, engines
+/// that left would get calls for seconds more.
 pub fn is_resumption(before: Option<Moment>, now: Moment) -> bool {
     before.is_none_or(|before| now.saturating_sub(before) > FRESH_AGE)
 }
 
-/// How far an instance knows a topic.
+/// How far an instance knows the records of a topic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TopicState {
-    /// The newest record that changed something.
+    /// Offset of the newest record that changed something.
     pub upto: u64,
-    /// Of all that it knows; equal ones know the same.
+    /// Digest of all known records; equal digests mean equal knowledge.
     pub digest: u64,
 }
 
-/// What another instance said of its reading of one topic.
+/// What another instance reported about its reading of a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReaderReport {
-    /// Its place in the order; lower ones read first.
+    /// Its position in the common order; lower ones read first.
     pub order: u64,
-    /// When it was heard.
+    /// When the report arrived.
     pub heard_at: Moment,
-    /// When it last read the topic itself, on this instance's clock.
+    /// When it last read the topic itself, by this instance's clock.
     pub read_at: Option<Moment>,
     /// What it knows.
     pub state: TopicState,
 }
 
 impl ReaderReport {
-    /// Whether it lives and has read the topic just now.
+    /// Whether the instance is alive and has read the topic lately.
     pub fn is_fresh(&self, now: Moment) -> bool {
         let is_recent = |at: Moment, age| now.saturating_sub(at) <= age;
         is_recent(self.heard_at, MAX_REPORT_AGE)
@@ -65,14 +66,14 @@
     }
 }
 
-/// Since when an instance has known no more than this, while a reader knows more.
+/// Since when this instance has known no more than `upto` while a reader knows more.
 #[derive(Clone, Copy, Debug)]
 struct Behind {
     upto: u64,
     since: Moment,
 }
 
-/// Whether this instance reads one topic itself.
+/// Tracks whether this instance reads one topic itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Watch {
     short_of_readers_since: Option<Moment>,
@@ -82,12 +83,12 @@
 }
 
 impl Watch {
-    /// Whether the topic is to be read now. `rank` is how many instances come before this one and may live, `own` is what this
-    /// one knows.
+    /// Whether the topic is to be read now. `rank` is the number of preceding instances that may be
+    /// alive, `own` is what this instance knows.
     ///
-    /// A store that is away makes all readers stale at once. If all instances read then, a large fleet would send
-    /// hundreds of calls a second to a store that comes back, each of them paid for. So one after the other joins, and
-    /// the first whose read succeeds tells all.
+    /// A store that is away makes all readers stale at once. If all instances read then, a large
+    /// fleet would send hundreds of calls per second to a returning store, each of them paid for.
+    /// So one after the other joins, and the first whose read succeeds tells all.
     pub fn is_due(
         &mut self,
         own_order: u64,
@@ -114,13 +115,14 @@
             return false;
         }
         let since = *self.short_of_readers_since.get_or_insert(now);
-        // Those that come first read anyway, and are among the ones before.
+        // The first of them read in any case, and are among the preceding ones.
         let preceding = rank.saturating_sub(READERS - 1);
         now.saturating_sub(since) >= JOIN_STEP.saturating_mul(preceding)
     }
 
-    /// Compares with the reader that knows most. Two that read at different moments differ all the time while engines come and
-    /// go, and so does whoever has had news of the one and a state of the other: what is on its way is no difference.
+    /// Compares with the reader that knows most. Readers that read at different moments differ all
+    /// the time while engines come and go, and so does an instance that has news of one and a
+    /// snapshot of the other; news in transit is not a difference.
     fn compare(&mut self, own: TopicState, newest: Option<TopicState>, now: Moment) {
         let Some(newest) = newest.filter(|newest| newest.digest != own.digest) else {
             self.behind = None;
@@ -130,7 +132,7 @@
         if newest.upto <= own.upto {
             self.behind = None;
         } else if self.behind.is_none_or(|behind| behind.upto != own.upto) {
-            // As long as more comes, the rest is on its way.
+            // As long as more arrives, the rest is in transit.
             self.behind = Some(Behind {
                 upto: own.upto,
                 since: now,
@@ -158,14 +160,15 @@
     }
 }
 
-/// Time after which a reader tells what the one before it does not know yet. Readers read more often than this, and
-/// tell how far they know in the same time.
+/// Time after which a reader tells what the preceding one does not know yet. Readers read more
+/// often than this, and announce how far they know within the same time.
 const DEFER_TIME: Duration = Duration::from_millis(450);
 
-/// What a reader leaves to the one before it to tell, which may lose the store before it has read it.
+/// News that a reader leaves to the preceding reader to tell.
 ///
-/// Then none would tell: every other instance would find itself behind, and read. One would notice it by a call to the
-/// store of each instance in the second in which a reader is cut off.
+/// The preceding reader may lose the store before it reads the news. Then nobody would tell it, and
+/// every other instance would find itself behind and read, all in the second in which a reader is
+/// cut off.
 #[derive(Clone, Debug)]
 pub struct Deferred<T>(Vec<DeferredItem<T>>);
 
@@ -183,7 +186,8 @@
 }
 
 impl<T> Deferred<T> {
-    /// Leaves something to the reader before. Whoever has read it knows the topic up to `upto`.
+    /// Leaves an item to the preceding reader, which has read it once it knows the topic up to
+    /// `upto`.
     pub fn defer(&mut self, what: T, upto: u64, now: Moment) {
         self.0.push(DeferredItem {
             item: what,
@@ -192,8 +196,9 @@
         });
     }
 
-    /// What is to be told after all, since none of the readers before has read it in time. `knows` says how far the one of them
-    /// that is fresh and knows most knows the topic of something.
+    /// Takes the items to tell after all, because no preceding reader has read them in time.
+    /// `knows` returns how far the fresh preceding reader that knows most knows the topic of an
+    /// item.
     pub fn take_due(&mut self, knows: impl Fn(&T) -> Option<u64>, now: Moment) -> Vec<T> {
         let mut due = Vec::new();
         for deferred in std::mem::take(&mut self.0) {
