--- a/crates/serving/src/organisation.rs
+++ b/crates/serving/src/organisation.rs
@@ -1,6 +1,6 @@
-//! Who calls: organisations and the keys by which their callers show it. A key is a secret, so that this module and all that
-//! builds on it know keys by their digests only, which a key makes under the salt of one reading of the configuration. See
-//! `docs/design/organisations.md`.
+//! Organisations and the keys by which their callers identify themselves. Keys are secrets, so this
+//! module and all that builds on it see only their digests, salted for one reading of the
+//! configuration. See `docs/design/organisations.md`.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -14,17 +14,18 @@
 /// Bytes of a [`Salt`].
 pub const SALT_BYTES: usize = 32;
 
-/// What digests of keys are made with, drawn anew for each reading of a configuration: equal keys of two configurations have
-/// nothing in common then.
+/// The salt of key digests, drawn anew for each reading of a configuration, so that equal keys in
+/// two configurations have unrelated digests.
 pub type Salt = [u8; SALT_BYTES];
 
-/// Bytes of a [`Digest`]. A key that is guessed meets one of 10,000 digests of this length by a chance of 1 in 2^114.
+/// Bytes of a [`Digest`]. At this length a guessed key matches one of 10,000 digests with a chance
+/// of 1 in 2^114.
 pub const DIGEST_BYTES: usize = 16;
 
-/// What is known of a key.
+/// The digest of a key.
 pub type Digest = [u8; DIGEST_BYTES];
 
-/// The digest of a key.
+/// Computes the digest of a key.
 pub fn digest(salt: &Salt, key: &[u8]) -> Digest {
     let mut digest = [0; DIGEST_BYTES];
     digest.copy_from_slice(&blake3::keyed_hash(salt, key).as_bytes()[..DIGEST_BYTES]);
@@ -34,18 +35,18 @@
 /// One organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name, which upstreams are told.
+    /// Its name, which is forwarded to upstreams.
     pub name: Name,
-    /// Rank of its calls, where it goes before that of their routes.
+    /// Rank of its calls; if set, it takes precedence over the rank of the route.
     pub priority: Option<Rank>,
 }
 
-/// What is wrong with a list of organisations.
+/// A fault in a list of organisations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// Two organisations hold one key, so that it does not tell who calls.
+    /// Two organisations hold the same key, which then identifies neither.
     SharedKey(Name, Name),
-    /// Two organisations have one name.
+    /// Two organisations have the same name.
     SharedName(Name),
     /// An organisation without a name.
     NoName,
@@ -61,7 +62,7 @@
     }
 }
 
-/// All organisations of one version of the configuration.
+/// The organisations of one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Directory {
     salt: Salt,
@@ -70,11 +71,12 @@
 }
 
 impl Directory {
-    /// Organisations with the digests of their keys under `salt`. One without keys is none that may call.
+    /// A directory of organisations with the digests of their keys under `salt`. An organisation
+    /// without keys cannot call.
     ///
     /// # Errors
     ///
-    /// All that is wrong.
+    /// Returns all faults found.
     pub fn new(
         salt: Salt,
         organisations: Vec<(Organisation, Vec<Digest>)>,
@@ -119,8 +121,8 @@
         self.organisations == 0
     }
 
-    /// The organisation that holds a key. It is looked up by its digest, so that how long this takes says nothing of how much of a wrong
-    /// key is right.
+    /// The organisation that holds a key. The look-up is by digest, so that its duration does not
+    /// reveal how much of a wrong key is right.
     pub fn holder(&self, key: &[u8]) -> Option<&Rc<Organisation>> {
         self.by_key.get(&digest(&self.salt, key))
     }
--- a/crates/serving/src/roles.rs
+++ b/crates/serving/src/roles.rs
@@ -1,7 +1,7 @@
-//! Which engines should read prompts and which should generate. The load that this answers: prompts of
-//! thousands of tokens with answers of some tens, so that engines which generate have most of their
-//! slots free while calls wait to be read. An engine that only reads is twice as fast at it, and the
-//! others then generate undisturbed. See `docs/design/platform.md`, "Roles".
+//! Plans which engines read prompts and which generate. With prompts of thousands of tokens and
+//! answers of some tens, generating engines have most of their slots free while calls wait to be
+//! read. An engine that only reads is twice as fast at it, and the others then generate
+//! undisturbed. See `docs/design/platform.md`, "Roles".
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,55 +12,55 @@
 use crate::engine::{Engine, Stage};
 use crate::{EngineId, Fleet, ServiceName, Zone};
 
-/// One engine that should change.
+/// A change of one engine's stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleChange {
     /// The engine.
     pub engine: EngineId,
-    /// What it should do.
+    /// Its new stage.
     pub stage: Stage,
 }
 
-/// What is changed at once.
+/// Changes that are made together.
 pub type RoleChanges = SmallVec<[RoleChange; 4]>;
 
-/// Engines that generate, at the least, of all. The fewer they are, the more streams each failing one
-/// takes along and the sooner the rest of them is full. Origin: measured on both of the users'
-/// deployments between 20 and 65 in 100, see `docs/MEASUREMENTS.md`.
+/// Least share of engines that generate. The fewer there are, the more streams each failing one
+/// cuts, and the sooner the rest is full. See `docs/MEASUREMENTS.md` for shares between 0.2 and
+/// 0.65 on both of the users' deployments.
 const MIN_DECODE_SHARE: f64 = 0.45;
-/// Engines that read, at the least, of all: the split that deployments start with.
+/// Least share of engines that read: the split that deployments start with.
 const MIN_PREFILL_SHARE: f64 = 0.35;
-/// Share of the slots of engines that generate up to which nothing speaks for more of them. Origin:
-/// measured; at 0.25 and 0.45 engines change back and forth with the mix, at a loss.
+/// Share of filled slots of generating engines up to which no more of them are needed. At 0.25 and
+/// 0.45 engines change back and forth with the mix, at a loss.
 const TARGET_FILL: f64 = 0.7;
-/// The peak of the filled share is forgotten by half in this time. Mixes swing within seconds, and a
-/// change takes three.
+/// Half-life of the recorded peaks. Mixes change within seconds, and a stage change takes three.
 const HALF_LIFE: Duration = Duration::from_secs(5);
-/// Fewest engines that are worth a plan: of fewer, one that changes is too large a part.
+/// Least number of engines for which changes are planned: of fewer, one changing engine is too
+/// large a part.
 const MIN_ENGINES: usize = 6;
-/// Engines that a split may be off before it is changed, as a share of all; two at least. A change
-/// takes an engine away for seconds, so that chasing the last one costs more than it gains.
+/// Tolerated deviation of the split as a share of all engines, at least two. A change takes an
+/// engine away for seconds, so correcting the last one costs more than it gains.
 const SLACK_SHARE: f64 = 0.1;
-/// Engines that change at once under load, as a share of all; one at least.
+/// Share of all engines that change at the same time under load, at least one.
 const CONCURRENT_SHARE: f64 = 0.08;
-/// Time for which a split must be off before it is changed. What others have at engines is known a
-/// second after a start, and engines that are replaced come one after the other.
+/// Time for which a split must be off before it is changed. The work of other instances is known a
+/// second after a start, and engines are replaced one after the other.
 const HOLD_TIME: Duration = Duration::from_secs(2);
 
-/// Share of what all engines could read at which reading is scarce. Below it calls hardly wait for each other, and
-/// every order is paid for.
+/// Share of the total reading capacity above which reading is scarce. Below it calls hardly wait
+/// for each other, and every order is paid for.
 const SCARCE_READ_SHARE: f64 = 0.2;
-/// Engines that change before any load is known. On a small deployment these are all, and none changes under the
-/// first load; on a large one they cost little if the load never comes.
+/// Engines that change before any load is known. On a small deployment these are all, so none
+/// changes under the first load; on a large one they cost little if the load never comes.
 const MAX_BLIND_CHANGES: usize = 16;
 
-/// The plan for one service's engines.
+/// Planner for the engines of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    /// Peak of the share of slots filled at engines that generate, and when it was looked at.
+    /// Decaying peak of the share of filled slots on generating engines.
     peak_fill: f64,
     updated_at: Option<Moment>,
-    /// Peak of what is read, as a share of what all engines could read.
+    /// Decaying peak of the prompt work, as a share of the total reading capacity.
     peak_read: f64,
     /// Since when the split has been off.
     off_since: Option<Moment>,
@@ -68,7 +68,7 @@
     blind: BTreeSet<EngineId>,
 }
 
-/// Engines of a service as the plan sees them.
+/// The engines of a service by target stage.
 struct Split<'a> {
     decode: Vec<&'a Engine>,
     prefill: Vec<&'a Engine>,
@@ -97,13 +97,13 @@
         self.decode.len() + self.prefill.len()
     }
 
-    /// Tokens of work that the engines of a data centre, or all, read in a millisecond.
+    /// Reading speed of all engines together, in tokens of work per millisecond.
     fn speed(&self, fleet: &Fleet) -> f64 {
         let all = self.decode.iter().chain(&self.prefill);
         all.map(|engine| fleet.speed(engine).tokens_per_ms).sum()
     }
 
-    /// Share of the slots that are taken at engines that generate.
+    /// Share of filled slots on generating engines.
     fn fill(&self) -> f64 {
         let (mut running, mut slots) = (0, 0);
         for engine in &self.decode {
@@ -115,9 +115,10 @@
 }
 
 impl Planner {
-    /// What should change now.
+    /// The changes to order now.
     ///
-    /// Without any load up to [`BLIND`] engines change at once, since nobody waits for them.
+    /// Without any load up to `MAX_BLIND_CHANGES` engines change at once, since no call waits for
+    /// them.
     pub fn plan(&mut self, fleet: &Fleet, service: &ServiceName, now: Moment) -> RoleChanges {
         let split = Split::new(fleet, service);
         let read_share = fleet.work_rate(service, now) / split.speed(fleet).max(1.0);
@@ -158,8 +159,9 @@
         changes
     }
 
-    /// Engines that were to change before any load was known and do, whoever ordered them. What was only
-    /// planned does not count: an instance that cannot claim, or waits for another one, would use it up.
+    /// Engines planned without load whose change was ordered, by any instance. Changes that were
+    /// only planned do not count: an instance that cannot claim, or waits for another one, would
+    /// use them up.
     fn blind_changes(&self, fleet: &Fleet) -> usize {
         let is_reading = |id: &&EngineId| {
             let engine = fleet.get(id);
@@ -178,7 +180,8 @@
         self.updated_at = Some(now);
     }
 
-    /// Engines that should read beyond those that do, below zero if fewer; zero within the slack.
+    /// Number of further engines that should read; negative if fewer should, zero within the
+    /// tolerated deviation.
     fn more_prefill(&self, split: &Split) -> isize {
         let count = split.count();
         let by_load = ceil_share(split.decode.len(), self.peak_fill / TARGET_FILL);
@@ -196,7 +199,7 @@
     }
 }
 
-/// What is left of a peak, or what is there now. Very little counts as none.
+/// The larger of the decayed peak and the current value. Very small values count as zero.
 fn peak(decayed: f64, current: f64) -> f64 {
     let peak = decayed.max(current);
     if peak < 1e-3 { 0.0 } else { peak }
@@ -212,8 +215,8 @@
     rounded
 }
 
-/// The engines with the least to do, from the data centres that have the most of them, so that each
-/// keeps some of both.
+/// Chooses the engines with the fewest running calls, from the data centres that have the most
+/// engines of that stage, so that each keeps some of both.
 fn pick(mut candidates: Vec<&Engine>, most: usize, stage: Stage) -> RoleChanges {
     let mut remaining: BTreeMap<Zone, usize> = BTreeMap::new();
     for engine in &candidates {
--- a/crates/serving/src/scaling.rs
+++ b/crates/serving/src/scaling.rs
@@ -1,5 +1,6 @@
-//! How many engines of which kind a service should have in each data centre. The load that this answers: a fleet that is paid by the second,
-//! whose engines cost a fifth where they may be reclaimed, all of a data centre at once. See `docs/design/engines-ordered.md`.
+//! Plans how many engines of each kind a service should have in each data centre. Engines are paid
+//! for by the second, and cost a fifth if they may be reclaimed, all of a data centre at once. See
+//! `docs/design/engines-ordered.md`.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -11,36 +12,36 @@
 use crate::engine::Engine;
 use crate::{Fleet, ServiceName, Zone};
 
-/// What a service may have, and what it costs.
+/// Bounds on the number of a service's engines, and their price.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Range {
-    /// Fewest engines of both kinds in a data centre.
+    /// Least number of engines of both kinds in a data centre.
     pub min: u32,
-    /// Most of them.
+    /// Largest number of engines of both kinds in a data centre.
     pub max: u32,
     /// Time from an order until an engine serves.
     pub boot: Duration,
-    /// Price of an engine that may be reclaimed, as a part of another one's; missing where there are none.
+    /// Price of a reclaimable engine relative to another one; `None` if there are none.
     pub reclaimable_price: Option<f64>,
 }
 
-/// A number of engines of one kind in a data centre.
+/// The number of engines of one kind that a data centre should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Where.
+    /// The data centre.
     pub zone: Zone,
-    /// Of which kind.
+    /// Whether it is for reclaimable engines.
     pub reclaimable: bool,
-    /// How many there should be.
+    /// The number of engines.
     pub engines: u32,
-    /// For what reason.
+    /// Why it is ordered.
     pub reason: Reason,
 }
 
-/// Why a number is ordered.
+/// The reason for an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It is what a data centre should have while nothing is lost.
+    /// The regular number of the data centre.
     Usual,
     /// Other data centres have lost their reclaimable engines.
     StandsIn,
@@ -50,55 +51,59 @@
     Fixed,
 }
 
-/// What is known of a data centre, for whoever orders next.
+/// The state of one data centre that the next instance to order needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneState {
     /// The data centre.
     pub zone: Zone,
-    /// Engines that it started with.
+    /// Number of engines that it started with.
     pub initial_engines: u32,
-    /// What was ordered last of those that are not reclaimable.
+    /// The last ordered number of on-demand engines.
     pub on_demand: Option<u32>,
-    /// What was ordered last of those that are.
+    /// The last ordered number of reclaimable engines.
     pub reclaimable: Option<u32>,
 }
 
 /// Orders that are due together.
 pub type Orders = SmallVec<[Order; 4]>;
 
-/// Engines that are not reclaimable, as a part of what a data centre had when it was first seen. When all others are reclaimed
-/// everywhere, these go on.
+/// On-demand engines as a share of the initial number. They keep the service running when all
+/// reclaimable engines are taken everywhere.
 const ON_DEMAND_SHARE: f64 = 0.1;
-/// What is spent on engines that are, as a part of the price of what a data centre had. The cheaper they are the more there are, and the more
-/// are left when those of one or two data centres go.
+/// Spending on reclaimable engines as a share of the price of the initial engines. The cheaper they
+/// are, the more are ordered, and the more remain when those of one or two data centres are
+/// reclaimed.
 const RECLAIMABLE_BUDGET: f64 = 0.3;
-/// Fewest and most of them that this may buy, as a part of how many there were. Fewer would not replace the others; more have little to
-/// do, and each holds parts of prompts that others hold as well.
+/// Bounds on the number of reclaimable engines as a share of the initial number. Fewer would not
+/// replace the others; more have little to do, and cache parts that others cache as well.
 const RECLAIMABLE_SHARES: RangeInclusive<f64> = 1.1..=2.0;
-/// Price up to which reclaimable engines are used at all: dearer ones do not pay for what they lose.
+/// Price up to which reclaimable engines are used at all; dearer ones do not pay for the losses.
 const MAX_RECLAIMABLE_PRICE: f64 = 0.7;
-/// Time without a further engine after which all that a deployment started with are known: some heartbeats.
+/// Time without a further engine after which all initial engines are assumed to be known. It spans
+/// several heartbeats.
 const SETTLE_TIME: Duration = Duration::from_millis(3_000);
-/// Time for which a number must be off before it is ordered again. Engines are replaced, and new ones start before old ones leave.
+/// Time for which a number must be off before it is ordered again. Engines are replaced, and new
+/// ones start before old ones leave.
 const HOLD_TIME: Duration = Duration::from_secs(2);
 /// Time beyond an engine's boot until an order shows in the list.
 const LISTING_DELAY: Duration = Duration::from_secs(3);
-/// Pause before what was not to be had is ordered again.
+/// Pause before a refused order is repeated.
 const REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
-/// Engines that are let go at once, in all data centres together. Each one that leaves is told to all instances, and gets no calls once they
-/// know; news of hundreds take seconds.
+/// Largest number of engines that leave at the same time, in all data centres together. Each
+/// departure is announced to all instances, and calls stop only once they know; announcing hundreds
+/// takes seconds.
 const MAX_LEAVING: u32 = 60;
-/// Part of a number by which it may be off without an order.
+/// Tolerated deviation as a share of the ordered number.
 const SLACK_SHARE: f64 = 0.15;
-/// Part of its reclaimable engines below which a data centre has lost them.
+/// Share of its reclaimable engines below which a data centre has lost them.
 const LOST_SHARE: f64 = 0.5;
-/// Time for which engines that stand in for lost ones stay once those are back, which have read nothing yet.
+/// Time for which stand-in engines stay after the lost ones are back, whose caches are still empty.
 const STAND_IN_TIME: Duration = Duration::from_secs(8);
-/// Time for which reclaimable engines must be missing before others are paid for in their place: mostly they are back sooner than those
-/// would be of use.
+/// Time for which reclaimable engines must be missing before on-demand ones replace them: usually
+/// they are back before replacements would be of use.
 const LONG_LOSS: Duration = Duration::from_secs(20);
 
-/// What was ordered of one kind in a data centre, and what came of it.
+/// The last order for one kind in a data centre, and its outcome.
 #[derive(Clone, Copy, Debug, Default)]
 struct OrderState {
     ordered: Option<(u32, Moment)>,
@@ -106,17 +111,17 @@
     off_since: Option<Moment>,
 }
 
-/// Engines beyond the usual that a data centre has for others.
+/// Additional engines that a data centre has to stand in for others.
 #[derive(Clone, Copy, Debug, Default)]
 struct StandIn {
     engines: u32,
     until: Moment,
 }
 
-/// A data centre as the plan sees it.
+/// The planner's state of one data centre.
 #[derive(Clone, Debug, Default)]
 struct ZonePlan {
-    /// Most engines that it had before the first were taken away.
+    /// Largest number of engines seen before the first were ordered away.
     initial_engines: u32,
     /// Since when its reclaimable engines have been missing.
     lost_since: Option<Moment>,
@@ -124,26 +129,26 @@
 }
 
 impl ZonePlan {
-    /// Whether it has engines for others.
+    /// Whether it has engines that stand in for others.
     fn stands_in(&self, now: Moment) -> bool {
         self.lost_since.is_none() && now < self.stand_in.until
     }
 }
 
-/// The plan for one service.
+/// Planner for one service.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     zones: BTreeMap<Zone, ZonePlan>,
-    /// When a further engine was last found.
+    /// When the initial number last grew.
     last_growth: Moment,
-    /// Whether engines that the deployment started with were taken away.
+    /// Whether any on-demand engines have been ordered away.
     has_begun: bool,
-    /// Numbers that an operator fixed.
+    /// Numbers fixed by an operator.
     fixed: BTreeMap<(Zone, bool), u32>,
     order_states: BTreeMap<(Zone, bool), OrderState>,
 }
 
-/// Engines that a data centre has, or should have.
+/// The number of engines that a data centre has or should have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Count {
     on_demand: u32,
@@ -161,10 +166,11 @@
 }
 
 impl Planner {
-    /// What should be ordered now.
+    /// The orders to give now.
     ///
-    /// Reclaimable engines are ordered first, and the others let go once those are there, so that there are never fewer than before. A data centre
-    /// that starts with more than it may have is left alone: every order would take engines away that nobody asked to go.
+    /// Reclaimable engines are ordered first, and on-demand ones leave once those have arrived, so
+    /// that there are never fewer than before. A data centre that starts with more engines than its
+    /// maximum is left alone, since any order would remove engines that nobody asked to remove.
     pub fn plan(
         &mut self,
         fleet: &Fleet,
@@ -190,7 +196,7 @@
             let has = counts.get(&zone).copied().unwrap_or_default();
             let wanted = self.wanted(&zone, range, now);
             let mut wanted = self.next_step(&zone, wanted, has, range);
-            // What was ordered to go already goes.
+            // Engines that were ordered away are leaving already.
             let staying = self
                 .ordered_on_demand(&zone)
                 .unwrap_or(has.on_demand)
@@ -211,7 +217,7 @@
         orders
     }
 
-    /// Engines that are still there though they were ordered away.
+    /// On-demand engines that were ordered away and have not left yet.
     fn leaving(&self, counts: &BTreeMap<Zone, Count>) -> u32 {
         let leaving = counts.iter().map(|(zone, count)| {
             let ordered = self.ordered_on_demand(zone);
@@ -220,18 +226,18 @@
         leaving.sum()
     }
 
-    /// Engines that are not reclaimable, as they were ordered last.
+    /// The last ordered number of on-demand engines.
     fn ordered_on_demand(&self, zone: &Zone) -> Option<u32> {
         let order_state = self.order_states.get(&(zone.clone(), false))?;
         Some(order_state.ordered?.0)
     }
 
-    /// Takes in the numbers that an operator fixed, in place of those before.
+    /// Replaces the numbers fixed by an operator.
     pub fn set_fixed(&mut self, fixed: BTreeMap<(Zone, bool), u32>) {
         self.fixed = fixed;
     }
 
-    /// Takes in that a number was ordered.
+    /// Records that a number was ordered.
     pub fn record_order(&mut self, order: &Order, now: Moment) {
         self.has_begun |= !order.reclaimable;
         let order_state = self.order_state(&order.zone, order.reclaimable);
@@ -241,14 +247,14 @@
         };
     }
 
-    /// Takes in that a number is not to be had, or that it is not known whether it was ordered.
+    /// Records that an order was refused, or that its outcome is unknown.
     pub fn record_refusal(&mut self, order: &Order, now: Moment) {
         let order_state = self.order_state(&order.zone, order.reclaimable);
         order_state.refused_at = Some(now);
         order_state.off_since = None;
     }
 
-    /// What whoever orders next has to know.
+    /// The state to hand over to the next instance to order.
     pub fn zone_states(&self) -> Vec<ZoneState> {
         let ordered = |zone: &Zone, reclaimable| {
             let order_state = self.order_states.get(&(zone.clone(), reclaimable))?;
@@ -264,8 +270,8 @@
         states.collect()
     }
 
-    /// Takes in what another instance knows that ordered later than this one. Without it this one would take what it finds for what
-    /// the deployment started with, and order all anew.
+    /// Adopts the state of an instance that ordered later than this one. Otherwise this one would
+    /// take the present engines for the initial ones and order everything anew.
     pub fn adopt(&mut self, states: &[ZoneState], now: Moment) {
         for state in states {
             self.zones
@@ -283,7 +289,7 @@
         }
     }
 
-    /// Finds how many engines the deployment starts with.
+    /// Updates the number of engines that the deployment starts with.
     fn update_initial_engines(&mut self, counts: &BTreeMap<Zone, Count>, now: Moment) {
         if self.has_begun {
             return;
@@ -301,7 +307,7 @@
         }
     }
 
-    /// Notes which data centres have lost their reclaimable engines, and has the others stand in.
+    /// Updates which data centres have lost their reclaimable engines, and has the others stand in.
     fn update_lost(&mut self, counts: &BTreeMap<Zone, Count>, range: &Range, now: Moment) {
         let mut missing = 0;
         for (zone, plan) in &mut self.zones {
@@ -386,8 +392,8 @@
         }
     }
 
-    /// The next step from what a data centre has to what it should have. Both kinds count together, and engines that are not reclaimable
-    /// go only as far as there are others in their place.
+    /// The next step from the present to the wanted number. Both kinds count against the maximum,
+    /// and on-demand engines leave only as far as others have taken their place.
     fn next_step(&self, zone: &Zone, wanted: Count, has: Count, range: &Range) -> Count {
         let room = range
             .max
@@ -401,7 +407,7 @@
         }
         let initial_engines = self.zones.get(zone).map_or(0, |plan| plan.initial_engines);
         let initial_engines = initial_engines.min(range.max);
-        // Where there is no room for more, a few go first.
+        // If there is no room for more, a few leave first.
         let early_leavers = if room == 0 {
             slack(initial_engines).max(1)
         } else {
@@ -419,7 +425,7 @@
         self.order_states.entry(key).or_default()
     }
 
-    /// What is to be ordered of one kind in a data centre.
+    /// The order that is due for one kind in a data centre, if any.
     fn due_order(
         &mut self,
         zone: &Zone,
@@ -459,7 +465,7 @@
     }
 }
 
-/// Engines that a data centre should have while nothing is lost.
+/// The number of engines that a data centre should have if nothing is lost.
 fn usual_count(initial_engines: u32, range: &Range) -> Count {
     let on_demand = ceil_share(initial_engines, ON_DEMAND_SHARE).clamp(range.min, range.max);
     let affordable = RECLAIMABLE_BUDGET / range.reclaimable_price.unwrap_or(1.0);
--- a/crates/serving/src/throttle.rs
+++ b/crates/serving/src/throttle.rs
@@ -1,9 +1,10 @@
 //! Rate limits that engines announce, divided among the instances that place calls.
 //!
-//! A limit binds all instances together, and nobody counts for all. So each limit is divided among a few of the placers, which every
-//! instance computes alike from who lives, as [`crate::placer`] does; an instance without a part leaves the engine to those that
-//! have one. Nothing is counted in common: a lost frame costs a moment of an old limit, and no requests beyond the new one.
-//! See `docs/design/rate-limits.md`.
+//! A limit applies to all instances together, and no instance counts for all. Each limit is
+//! therefore divided among a few of the placers, which every instance determines alike from the
+//! live ones, as [`crate::placer`] does; an instance without a share leaves the engine to those
+//! that have one. There is no shared counter: a lost frame leaves an old limit in force for a
+//! moment, but causes no requests beyond the new one. See `docs/design/rate-limits.md`.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,11 +16,11 @@
 use crate::placer::{self, Placers, ZoneHash};
 use crate::{EngineId, ServiceName};
 
-/// Requests a second that an engine takes from all instances together.
+/// Requests per second that an engine accepts from all instances together.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
-/// A number that is no rate.
+/// A number that is not a valid rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InvalidRate(pub f64);
 
@@ -36,7 +37,7 @@
 }
 
 impl Rate {
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -48,32 +49,36 @@
     }
 }
 
-/// What an engine said of its limit, and when.
+/// A rate limit that an engine announced, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Announcement {
-    /// Its limit; nothing if it has none any more.
+    /// The limit; `None` if it was lifted.
     pub limit: Option<Rate>,
-    /// When it said so, on this instance's clock: the arrival of an answer that names a limit, the sending of a request whose answer
-    /// names none. Answers overtake each other, and one that left before the limit was set must not lift it.
+    /// When it was announced, by this instance's clock: the arrival of an answer that names a
+    /// limit, or the sending of a request whose answer names none. Answers may overtake each other,
+    /// and one that left before the limit was set must not lift it.
     pub at: Moment,
 }
 
-/// Instances that divide a limit of less than one request a second. More of them would leave each with a request in a minute, fewer
-/// would leave a service whose engines are all limited to one instance.
+/// Number of instances that share a limit below one request per second. More would leave each with
+/// a request per minute; fewer would leave a service whose engines are all limited to one instance.
 const MIN_HOLDERS: usize = 2;
-/// Placers that repeat a limit to all others. Two, so that the end of one, or one that is new, leaves one that knows.
+/// Placers that repeat a limit to all others. Two, so that one that knows it remains if the other
+/// ends or is new.
 const REPEATERS: usize = 2;
-/// Time for which an unused part of a limit is kept, beyond one request, so that calls which come unevenly can use it.
+/// Time for which an unused share is kept, beyond one request, so that unevenly spaced calls can
+/// use it.
 const BURST: Duration = Duration::from_millis(500);
-/// Longest time between two requests of one instance. An engine that takes next to nothing says only in an answer that it takes
-/// more again.
+/// Longest time between two requests of one instance. An engine that accepts next to nothing can
+/// raise its limit only in an answer.
 const MAX_INTERVAL: Duration = Duration::from_secs(10);
-/// Longest `Retry-After` of a rejection by rate limits. What engines announce may change in less.
+/// Longest `Retry-After` of a refusal by rate limits. Announced limits may change in less.
 const MAX_DEFERRAL: Duration = Duration::from_secs(10);
-/// Time for which a lifted limit is remembered, so that an older announcement which arrives late does not bring it back.
+/// Time for which a lifted limit is remembered, so that a late older announcement does not restore
+/// it.
 const LIFTED_MEMORY: Duration = Duration::from_secs(10);
 
-/// One instance's part of a limit, as a token bucket that is kept as the time of the next request.
+/// One instance's share of a limit: a token bucket, stored as the time of the next request.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     interval: Duration,
@@ -90,7 +95,7 @@
         }
     }
 
-    /// Time until one more request may leave.
+    /// Time until one more request may be sent.
     fn wait(&self, now: Moment) -> Duration {
         let burst = BURST.saturating_sub(self.interval);
         self.next.saturating_sub(now + burst)
@@ -109,33 +114,35 @@
 #[derive(Clone, Debug)]
 struct Limit {
     last: Announcement,
-    /// This instance's part, if it has one.
+    /// This instance's share, if it has one.
     share: Option<Share>,
 }
 
-/// Whether a request may go to an engine, by the engine's limit.
+/// Whether the rate limit of an engine admits a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// After this time, which is zero if it may go at once.
+    /// After this time; zero if at once.
     After(Duration),
-    /// Not from this instance, which has no part of the limit. The engine takes one request in this time.
+    /// Not from this instance, which has no share of the limit. The engine accepts one request in
+    /// this time.
     Elsewhere(Duration),
 }
 
-/// The limits of all engines.
+/// The rate limits of all engines.
 #[derive(Clone, Debug, Default)]
 pub struct Throttles {
     limits: BTreeMap<EngineId, Limit>,
-    /// By service, when its engines will have taken what this instance has refused for their limits.
+    /// When the engines of each service will have accepted the calls that this instance refused for
+    /// their limits.
     refused_until: BTreeMap<ServiceName, Moment>,
     own: Option<SocketAddr>,
     placers: Placers,
-    /// Engines whose limits have changed since the last question.
+    /// Engines whose limits have changed since they were last taken.
     changed: Vec<EngineId>,
 }
 
 impl Throttles {
-    /// Divides all limits anew among those that place calls.
+    /// Sets who places calls, and divides all limits anew.
     pub fn set_placers(&mut self, own: SocketAddr, placers: &Placers, now: Moment) {
         if self.own == Some(own) && self.placers == *placers {
             return;
@@ -149,13 +156,13 @@
         for engine in &engines {
             self.update_share(engine, now);
         }
-        // A new placer knows no limits, and may be the one that is to repeat them.
+        // A new placer knows no limits, and may be the one to repeat them.
         if has_new && placers.includes_self {
             self.changed = engines;
         }
     }
 
-    /// Merges what an engine said into what is known of it. Says whether its limit is another one now.
+    /// Merges an announcement. Returns whether the engine's limit changed.
     pub fn merge(&mut self, engine: &EngineId, announcement: Announcement, now: Moment) -> bool {
         let before = self.limits.get(engine).map(|limit| limit.last);
         if before.is_none() && announcement.limit.is_none()
@@ -178,7 +185,7 @@
         changed
     }
 
-    /// Whether a request may go to an engine now.
+    /// Whether a request may be sent to an engine.
     pub fn permit(&self, engine: &str, now: Moment) -> Permit {
         let Some((limit, rate)) = self.in_force(engine) else {
             return Permit::After(Duration::ZERO);
@@ -189,7 +196,7 @@
         }
     }
 
-    /// Counts a request that is sent to an engine once [`Throttles::permit`] lets it go, or without its leave.
+    /// Charges a request that is sent to an engine, with or without [`Throttles::permit`].
     pub fn charge(&mut self, engine: &str, now: Moment) {
         let limit = self.limits.get_mut(engine);
         if let Some(share) = limit.and_then(|limit| limit.share.as_mut()) {
@@ -197,9 +204,10 @@
         }
     }
 
-    /// Counts a call that is refused since engines of a service are limited. Gives the time in which they take as many calls as
-    /// were refused before it, so that callers come back one after the other, and not at all where they would be refused again.
-    /// `per_second` is what these engines take together.
+    /// Counts a call that is refused because engines of a service are limited. Returns the time in
+    /// which they accept as many calls as were refused before it, so that callers come back one
+    /// after the other, and not while they would be refused again. `per_second` is the sum of the
+    /// engines' limits.
     pub fn defer(&mut self, service: &ServiceName, per_second: f64, now: Moment) -> Duration {
         let instances = 1 + self.placers.others.len();
         #[allow(clippy::cast_precision_loss)]
@@ -210,7 +218,7 @@
         *until - now
     }
 
-    /// Requests a second that this instance may send to an engine, if the engine is limited.
+    /// Requests per second that this instance may send to an engine, if the engine is limited.
     pub fn share(&self, engine: &str) -> Option<f64> {
         let (limit, _) = self.in_force(engine)?;
         let share = limit.share.as_ref();
@@ -222,13 +230,13 @@
         Some(self.in_force(engine)?.1)
     }
 
-    /// Engines that are limited.
+    /// Number of engines with a limit.
     pub fn count(&self) -> usize {
         let limits = self.limits.values();
         limits.filter(|limit| limit.last.limit.is_some()).count()
     }
 
-    /// What engines said whose limits have changed since the last question.
+    /// The latest announcements of engines whose limits have changed since the last call.
     pub fn take_changed(&mut self) -> Vec<(EngineId, Announcement)> {
         let changed = std::mem::take(&mut self.changed);
         let announcements = changed.into_iter().filter_map(|engine| {
@@ -238,7 +246,8 @@
         announcements.collect()
     }
 
-    /// Announcements that this instance repeats to all others. Each one is repeated by [`REPEATERS`] placers.
+    /// Announcements that this instance repeats to all others; each is repeated by `REPEATERS`
+    /// placers.
     pub fn to_repeat(&self) -> Vec<(EngineId, Announcement)> {
         let own = self.own.filter(|_| self.placers.includes_self);
         let Some(own) = own else {
@@ -279,7 +288,7 @@
         let before = limit.share;
         let share = per_second.map(|per_second| {
             let empty = Share::new(per_second, now);
-            // What has left under the limit before counts under the new one, up to an empty bucket.
+            // Requests sent under the old limit count under the new one, up to an empty bucket.
             let next = before.map_or(empty.next, |before| before.next.min(empty.next));
             Share { next, ..empty }
         });
@@ -288,7 +297,7 @@
         }
     }
 
-    /// Requests a second of a limit that are this instance's.
+    /// This instance's share of a limit, in requests per second.
     fn own_rate(&self, engine: &EngineId, limit: Rate) -> Option<f64> {
         let own = self.own?;
         let others = &self.placers.others;
@@ -302,7 +311,7 @@
             let rank = placer::rank(engine, own, others);
             (rank < holders).then(|| divided(holders))
         } else if others.is_empty() {
-            // The others are not known yet; some of them will be.
+            // The other placers are not known yet, but some will be.
             Some(divided(max_holders))
         } else {
             None
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -1,14 +1,14 @@
-//! What organisations use: how many of their requests engines began, by windows of true time, of which each is reported once and for
-//! ever. Every instance counts what it sent; what all have counted is told to those that may report it, as sums that grow, so that a frame
-//! that is lost or comes twice changes nothing. What is to be reported of a window is fixed where a successor finds it before it is
-//! sent. See `docs/design/duties.md`.
+//! Counts the requests of each organisation that engines began, by windows of wall-clock time, each
+//! of which is reported exactly once. Every instance counts what it sent and sends its counts to
+//! those that may report. Counts only grow, so lost or duplicate frames change nothing. Before a
+//! report is sent it is fixed where a successor finds it. See `docs/design/duties.md`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 use crate::organisation::Name;
 
-/// Number of a window: it begins so many times its length after the Unix epoch.
+/// Number of a window: its start in multiples of its length since the Unix epoch.
 pub type Window = u64;
 
 /// Time since the Unix epoch.
@@ -17,70 +17,71 @@
 /// One start of an instance that counts.
 pub type Source = u64;
 
-/// Requests of each organisation.
+/// Requests by organisation.
 pub type Counts = BTreeMap<Name, u32>;
 
-/// Part of the time until a report is late in which those that have not told their counts are waited for. What is left is for an instance
-/// that takes the report over.
+/// Share of the time until a report's deadline for which missing counts are waited for. The rest is
+/// for an instance that takes the report over.
 const UPDATE_WAIT_SHARE: f64 = 0.65;
-/// Time after the end of a window in which its last requests are told, if nothing is lost.
+/// Time after the end of a window in which its last counts arrive, if no frame is lost.
 const UPDATE_DELAY: Duration = Duration::from_millis(1_500);
-/// An instance that has not told for this long may be cut off, or this one is. It spans a few tellings.
+/// Silence after which an instance may be cut off, or this one is. It spans a few updates.
 const PEER_SILENCE: Duration = Duration::from_millis(2_000);
-/// Windows beyond the last that can still be reported for which it is remembered what was: a repeat may be on its way.
+/// Windows for which reports are remembered after their deadline, because a repeat may be on its
+/// way.
 const RETAINED_WINDOWS: u64 = 12;
 
-/// When windows begin and end, and when their reports are due.
+/// Windows, and deadlines of their reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
     /// Length of a window.
     pub length: Duration,
-    /// Time after a window's end within which its report must have come.
+    /// Time after a window's end within which its report must arrive.
     pub deadline: Duration,
 }
 
 impl Schedule {
-    /// The window of a moment.
+    /// The window that contains a time.
     pub fn window(&self, at: UnixTime) -> Window {
         let length = self.length.as_nanos().max(1);
         Window::try_from(at.as_nanos() / length).unwrap_or(Window::MAX)
     }
 
-    /// When a window ends.
+    /// The end of a window.
     pub fn end(&self, window: Window) -> UnixTime {
         let length = self.length.as_nanos();
         let nanos = length.saturating_mul(u128::from(window) + 1);
         Duration::from_nanos_u128(nanos.min(u128::from(u64::MAX)))
     }
 
-    /// Until when those that have not told their counts are waited for.
+    /// Until when missing counts of a window are waited for.
     fn complete_by(&self, window: Window) -> UnixTime {
         self.end(window) + self.deadline.mul_f64(UPDATE_WAIT_SHARE)
     }
 
-    /// When a report is no longer wanted.
+    /// The deadline of a window's report.
     fn report_deadline(&self, window: Window) -> UnixTime {
         self.end(window) + self.deadline
     }
 }
 
-/// A report as it was fixed.
+/// A report with its fixed content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Of this window.
+    /// The window that it covers.
     pub window: Window,
-    /// What it says. Empty once it has been taken.
+    /// The reported counts; empty once the report has been taken.
     pub counts: Counts,
     /// Whether the platform has taken it.
     pub taken: bool,
 }
 
-/// What an instance tells of what it counted.
+/// An update of one instance's counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CountUpdate {
-    /// The window in which it counts now; what it tells of those before is all.
+    /// The window that the instance counts in now. Counts of earlier windows are final.
     pub current_window: Window,
-    /// Its counts of some windows.
+    /// Its counts for some windows.
     pub counts: Vec<(Window, Counts)>,
 }
 
@@ -91,26 +92,28 @@
     heard_at: UnixTime,
 }
 
-/// What one instance knows of the use.
+/// The counts and reports known to one instance.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     schedule: Schedule,
-    /// Windows that ended before this may have been fixed before, and are reported only as they were then.
+    /// Windows that ended before this may have been fixed already, and are reported only as fixed
+    /// then.
     fixable_since: UnixTime,
     own: BTreeMap<Window, Counts>,
     peer_counts: BTreeMap<Window, HashMap<Source, Counts>>,
     peers: HashMap<Source, Peer>,
     fixed: BTreeMap<Window, Report>,
-    /// What is to be told: counts that have grown, and windows that have ended.
+    /// Counts that have grown and are not sent yet.
     unsent_counts: BTreeMap<Window, Counts>,
     final_updates_left: BTreeMap<Window, u8>,
 }
 
-/// Times that all counts of a window are told once it has ended, so that the loss of a frame before leaves no gap.
+/// Number of times that the final counts of a window are sent, so that an earlier lost frame leaves
+/// no gap.
 const FINAL_UPDATES: u8 = 3;
 
 impl Ledger {
-    /// A ledger of an instance that begins to count now.
+    /// A ledger of an instance that starts to count now.
     pub fn new(schedule: Schedule, now: UnixTime) -> Self {
         Self {
             schedule,
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Counts a request of an organisation that an engine began at a moment.
+    /// Counts a request of an organisation that an engine began.
     pub fn count_request(&mut self, organisation: &Name, at: UnixTime) {
         let window = self.schedule.window(at);
         let own_counts = self.own.entry(window).or_default();
@@ -134,7 +137,7 @@
         grown.insert(organisation.clone(), *count);
     }
 
-    /// What is to be told now.
+    /// Takes the counts to send now.
     pub fn take_update(&mut self, now: UnixTime) -> CountUpdate {
         let current_window = self.schedule.window(now);
         let mut counts = std::mem::take(&mut self.unsent_counts);
@@ -154,7 +157,8 @@
         }
     }
 
-    /// Merges a peer's counts. Sums only grow, so late and repeated counts change nothing.
+    /// Merges another instance's counts. They only grow, so late and repeated updates change
+    /// nothing.
     pub fn merge(&mut self, source: Source, update: CountUpdate, now: UnixTime) {
         let peer = self.peers.entry(source).or_insert(Peer {
             current_window: update.current_window,
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Takes in reports that were fixed, as the log of claims has them, or a claim of this instance's own that stands.
+    /// Merges fixed reports, from the log of claims or from this instance's own successful claim.
     pub fn merge_fixed(&mut self, reports: Vec<Report>) {
         for report in reports {
             match self.fixed.get_mut(&report.window) {
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Takes in that the platform has taken the report of a window.
+    /// Records that the platform has taken the report of a window.
     pub fn mark_taken(&mut self, window: Window) {
         let report = Report {
             window,
@@ -197,17 +201,18 @@
         self.fixed.insert(window, report);
     }
 
-    /// Windows whose reports the platform has taken.
+    /// Windows whose report the platform has taken.
     pub fn taken_windows(&self) -> impl Iterator<Item = Window> {
         let taken = self.fixed.values().filter(|report| report.taken);
         taken.map(|report| report.window)
     }
 
-    /// Takes in that reports may have been fixed that cannot be read any more: the store has come back from an older copy, or the newest claim
-    /// is no claim.
+    /// Records that fixed reports may have been lost: the store was restored from an older copy, or
+    /// the newest claim cannot be read.
     ///
-    /// Whoever fixed one knows it and sends it as it was. Anybody else would make another one of what it was told, and the
-    /// platform would get two for one window. So windows that could have been fixed are left to whoever did.
+    /// The instance that fixed such a report still knows and sends it. Any other instance would
+    /// make a second report for the same window from its own counts, so windows that may have been
+    /// fixed are left to the instance that fixed them.
     pub fn fixed_reports_lost(&mut self, now: UnixTime) {
         self.fixable_since = now;
     }
@@ -217,10 +222,10 @@
         self.unsent(now).next().is_some() || self.fixable(now).next().is_some()
     }
 
-    /// Reports for the next claim: those that are fixed, and those that it would fix.
+    /// The reports for the next claim: those already fixed and those that it would fix.
     ///
-    /// Nothing is fixed before the claim stands. If it does not, another instance may have fixed a report of the same window, and two would reach the
-    /// platform.
+    /// Nothing counts as fixed before the claim succeeds. If it fails, another instance may have
+    /// fixed a report of the same window, and the platform would get two.
     pub fn propose(&self, now: UnixTime) -> Vec<Report> {
         let fixed = self.fixed.values().cloned();
         let new = self.fixable(now).map(|window| Report {
@@ -231,7 +236,7 @@
         fixed.chain(new).collect()
     }
 
-    /// Reports that are fixed, not taken and not late yet.
+    /// Reports that are fixed, not taken and not past their deadline.
     pub fn unsent(&self, now: UnixTime) -> impl Iterator<Item = &Report> {
         let fixed = self.fixed.values();
         fixed.filter(move |report| {
@@ -239,7 +244,7 @@
         })
     }
 
-    /// Forgets what is over.
+    /// Drops state of windows and instances that are no longer needed.
     pub fn expire(&mut self, now: UnixTime) {
         let oldest = self.oldest_open(now);
         self.own.retain(|window, _| *window >= oldest);
@@ -253,13 +258,13 @@
             .retain(|_, peer| now.saturating_sub(peer.heard_at) < schedule.length * 2 + deadline);
     }
 
-    /// The first window whose report can still be wanted.
+    /// The first window whose report may still be due.
     fn oldest_open(&self, now: UnixTime) -> Window {
         let over = now.saturating_sub(self.schedule.deadline + self.schedule.length);
         self.schedule.window(over)
     }
 
-    /// Windows whose reports nobody has fixed, and can be now.
+    /// Windows that nobody has fixed and that can be fixed now.
     fn fixable(&self, now: UnixTime) -> impl Iterator<Item = Window> {
         let schedule = self.schedule;
         let windows = self.oldest_open(now)..schedule.window(now);
@@ -272,8 +277,8 @@
         })
     }
 
-    /// Whether at least half of those that count still tell. An instance that is cut off from the others, but not from the store, would report
-    /// what it counted itself.
+    /// Whether at least half of the counting instances still send updates. An instance that is cut
+    /// off from the others, but not from the store, would report only its own counts.
     fn hears_most_peers(&self, now: UnixTime) -> bool {
         let mut heard_at = self.peers.values().map(|peer| peer.heard_at);
         let all = heard_at.len();
@@ -282,8 +287,9 @@
         2 * fresh.count() >= all
     }
 
-    /// Whether all that count have told their counts of a window, or have been waited for. One that is cut off for a
-    /// moment tells them once it is back; of one that was killed what it told is all there is.
+    /// Whether all instances have sent their counts of a window, or the wait for them is over. An
+    /// instance that is cut off for a moment sends them once it is back; of one that was killed
+    /// there are no further counts.
     fn is_complete(&self, window: Window, now: UnixTime) -> bool {
         if now < self.schedule.end(window) + UPDATE_DELAY {
             return false;
@@ -294,7 +300,7 @@
         peers.all(has_final_counts) || now >= self.schedule.complete_by(window)
     }
 
-    /// What all instances counted in a window.
+    /// The counts of all instances in a window.
     fn sum(&self, window: Window) -> Counts {
         let mut sum = self.own.get(&window).cloned().unwrap_or_default();
         let peer_counts = self.peer_counts.get(&window).into_iter().flatten();
