--- a/crates/serving/tests/turn.rs
+++ b/crates/serving/tests/claim.rs
@@ -15,58 +15,60 @@
 
 const LEASE: Millis = 3_000;
 /// Time that an order may be on its way, as the connection's limits have it.
-const ON_THE_WAY: Millis = 800;
+const MAX_ORDER_TRANSIT: Millis = 800;
 /// Longest time for an answer of the store, after which an instance gives the claim up.
-const ANSWER: Millis = 1_500;
+const MAX_ANSWER_TIME: Millis = 1_500;
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 /// One try of an instance to give orders.
 #[derive(Clone, Debug)]
-struct Try {
-    who: usize,
+struct Attempt {
+    instance: usize,
     /// Pause before it, after the end of the instance's try before.
     pause: Millis,
     /// How far its read lags behind.
     lag: Millis,
     /// From the read to the moment before the append is sent.
-    thinks: Millis,
+    think_time: Millis,
     /// From there until the append is carried out, if its condition still holds.
-    append: Millis,
+    append_delay: Millis,
     /// From there until the answer is there; none if it is lost.
-    answer: Option<Millis>,
+    answer_delay: Option<Millis>,
     /// Time for which the machine is suspended before the order.
     suspended: Millis,
     /// From the order's leaving to its arrival.
-    on_the_way: Millis,
+    order_transit: Millis,
 }
 
-fn a_try(who: usize, pause: Range<Millis>) -> impl Strategy<Value = Try> {
-    let answer = prop_oneof![
+fn attempt(instance: usize, pause: Range<Millis>) -> impl Strategy<Value = Attempt> {
+    let answer_delay = prop_oneof![
         3 => (0..400_u64).prop_map(Some),
         1 => Just(None),
     ];
     let lag = prop_oneof![2 => Just(0), 1 => 0..3_000_u64];
-    let append = prop_oneof![3 => 0..300_u64, 1 => 1_000..6_000_u64];
+    let append_delay = prop_oneof![3 => 0..300_u64, 1 => 1_000..6_000_u64];
     let suspended = prop_oneof![3 => Just(0), 1 => 0..9_000_u64];
-    let times = (pause, lag, 0..200_u64, append, answer);
-    (times, suspended, 0..=ON_THE_WAY).prop_map(
-        move |((pause, lag, thinks, append, answer), suspended, on_the_way)| Try {
-            who,
-            pause,
-            lag,
-            thinks,
-            append,
-            answer,
-            suspended,
-            on_the_way,
+    let times = (pause, lag, 0..200_u64, append_delay, answer_delay);
+    (times, suspended, 0..=MAX_ORDER_TRANSIT).prop_map(
+        move |((pause, lag, think_time, append_delay, answer_delay), suspended, order_transit)| {
+            Attempt {
+                instance,
+                pause,
+                lag,
+                think_time,
+                append_delay,
+                answer_delay,
+                suspended,
+                order_transit,
+            }
         },
     )
 }
 
 /// Two instances that order now and then, and one that looks often and takes over when it may.
-fn tries() -> impl Strategy<Value = Vec<Try>> {
-    let seldom = |who| prop::collection::vec(a_try(who, 0..9_000), 1..4);
-    let often = prop::collection::vec(a_try(2, 20..300), 10..60);
+fn attempts() -> impl Strategy<Value = Vec<Attempt>> {
+    let seldom = |instance| prop::collection::vec(attempt(instance, 0..9_000), 1..4);
+    let often = prop::collection::vec(attempt(2, 20..300), 10..60);
     (seldom(0), seldom(1), often).prop_map(|(a, b, c)| [a, b, c].concat())
 }
 
@@ -85,13 +87,13 @@
         sent: Millis,
     },
     /// The log comes back from a copy without its last claims.
-    GoesBack(usize),
+    Restore(usize),
 }
 
 struct Instance {
-    turns: Claimant,
+    claimant: Claimant,
     /// Time that its steady clock did not count.
-    asleep: Millis,
+    suspended_total: Millis,
 }
 
 /// The fencing token of a claim: offsets are given out again, eras are not.
@@ -103,7 +105,7 @@
 type Arrival = (Millis, Fence, usize);
 
 struct World<'a> {
-    tries: &'a [Try],
+    attempts: &'a [Attempt],
     instances: Vec<Instance>,
     /// When each claim was appended, and by whom.
     log: Vec<(Millis, usize)>,
@@ -113,34 +115,38 @@
 }
 
 impl<'a> World<'a> {
-    fn new(tries: &'a [Try], restores: &[(Millis, usize)]) -> Self {
+    fn new(attempts: &'a [Attempt], restores: &[(Millis, usize)]) -> Self {
         let instance = |_: &&str| {
-            let mut turns = Claimant::new(Duration::from_millis(LEASE), true);
-            turns.observe_era(0, Duration::ZERO);
-            Instance { turns, asleep: 0 }
+            let mut claimant = Claimant::new(Duration::from_millis(LEASE), true);
+            claimant.observe_era(0, Duration::ZERO);
+            Instance {
+                claimant,
+                suspended_total: 0,
+            }
         };
         let mut world = Self {
-            tries,
+            attempts,
             instances: NAMES.iter().map(instance).collect(),
             log: Vec::new(),
             era: 0,
             events: BinaryHeap::new(),
             arrivals: Vec::new(),
         };
-        for who in 0..NAMES.len() {
-            world.next_try(who, 0, 0);
+        for instance in 0..NAMES.len() {
+            world.next_attempt(instance, 0, 0);
         }
         let restores = restores.iter();
-        let restores = restores.map(|(at, lost)| Reverse((*at, Event::GoesBack(*lost))));
+        let restores = restores.map(|(at, lost)| Reverse((*at, Event::Restore(*lost))));
         world.events.extend(restores);
         world
     }
 
     /// Plans an instance's next try from `from` on.
-    fn next_try(&mut self, who: usize, from: usize, now: Millis) {
-        let next = (from..self.tries.len()).find(|number| self.tries[*number].who == who);
+    fn next_attempt(&mut self, instance: usize, from: usize, now: Millis) {
+        let next =
+            (from..self.attempts.len()).find(|number| self.attempts[*number].instance == instance);
         if let Some(number) = next {
-            let at = now + self.tries[number].pause;
+            let at = now + self.attempts[number].pause;
             self.events.push(Reverse((at, Event::Read(number))));
         }
     }
@@ -155,7 +161,7 @@
                     era,
                     sent,
                 } => self.append(number, at, era, sent, now),
-                Event::GoesBack(lost) => {
+                Event::Restore(lost) => {
                     self.era += 1;
                     self.log.truncate(self.log.len().saturating_sub(lost));
                 }
@@ -171,61 +177,70 @@
     }
 
     fn read(&mut self, number: usize, now: Millis) {
-        let one = &self.tries[number];
-        let seen = now.saturating_sub(one.lag);
+        let attempt = &self.attempts[number];
+        let seen = now.saturating_sub(attempt.lag);
         let end = self.log.partition_point(|(at, _)| *at <= seen);
         let era = self.era;
         let newest = end.checked_sub(1).map(|last| Claim {
             fence: token(era, last as u64),
             holder: NAMES[self.log[last].1],
         });
-        let instance = &mut self.instances[one.who];
-        let steady = Duration::from_millis(now - instance.asleep);
-        instance.turns.observe_era(era, steady);
-        if !instance.turns.may_claim(newest, NAMES[one.who], steady) {
-            return self.next_try(one.who, number + 1, now);
+        let instance = &mut self.instances[attempt.instance];
+        let steady = Duration::from_millis(now - instance.suspended_total);
+        instance.claimant.observe_era(era, steady);
+        if !instance
+            .claimant
+            .may_claim(newest, NAMES[attempt.instance], steady)
+        {
+            return self.next_attempt(attempt.instance, number + 1, now);
         }
-        let sent = now + one.thinks;
+        let sent = now + attempt.think_time;
         let event = Event::Append {
             number,
             at: end as u64,
             era,
             sent,
         };
-        self.events.push(Reverse((sent + one.append, event)));
+        self.events
+            .push(Reverse((sent + attempt.append_delay, event)));
     }
 
     fn append(&mut self, number: usize, at: u64, era: Era, sent: Millis, now: Millis) {
-        let one = &self.tries[number];
-        let stands = self.log.len() as u64 == at;
-        if stands {
-            self.log.push((now, one.who));
+        let attempt = &self.attempts[number];
+        let succeeds = self.log.len() as u64 == at;
+        if succeeds {
+            self.log.push((now, attempt.instance));
         }
         // An append may stand behind other claims than were meant; its answer tells by the era.
-        let is_meant = stands && self.era == era;
-        match one.answer {
-            Some(answer) if is_meant && now + answer <= sent + ANSWER => {
+        let is_expected_claim = succeeds && self.era == era;
+        match attempt.answer_delay {
+            Some(answer) if is_expected_claim && now + answer <= sent + MAX_ANSWER_TIME => {
                 let fence = token(era, at);
                 let event = Event::Order {
                     number,
                     fence,
                     sent,
                 };
-                let at = now + answer + one.suspended;
-                self.instances[one.who].asleep += one.suspended;
+                let at = now + answer + attempt.suspended;
+                self.instances[attempt.instance].suspended_total += attempt.suspended;
                 self.events.push(Reverse((at, event)));
             }
-            _ => self.next_try(one.who, number + 1, now.max(sent + ANSWER)),
+            _ => self.next_attempt(
+                attempt.instance,
+                number + 1,
+                now.max(sent + MAX_ANSWER_TIME),
+            ),
         }
     }
 
     fn order(&mut self, number: usize, fence: Fence, sent: Millis, now: Millis) {
-        let one = &self.tries[number];
+        let attempt = &self.attempts[number];
         // The clock that also runs while the machine is suspended.
         if now - sent < u64::try_from(ORDER_WINDOW.as_millis()).expect("it is short") {
-            self.arrivals.push((now + one.on_the_way, fence, one.who));
+            self.arrivals
+                .push((now + attempt.order_transit, fence, attempt.instance));
         }
-        self.next_try(one.who, number + 1, now);
+        self.next_attempt(attempt.instance, number + 1, now);
     }
 }
 
@@ -240,11 +255,11 @@
         ..ProptestConfig::default()
     });
     let restores = prop::collection::vec((0..40_000_u64, 1..4_usize), 0..4);
-    let checked = runner.run(&(tries(), restores), |(tries, restores)| {
-        let arrivals = World::new(&tries, &restores).run();
+    let checked = runner.run(&(attempts(), restores), |(attempts, restores)| {
+        let arrivals = World::new(&attempts, &restores).run();
         for pair in arrivals.windows(2) {
-            let ((first, lower, one), (second, higher, other)) = (pair[0], pair[1]);
-            if one != other {
+            let ((first, lower, holder), (second, higher, other)) = (pair[0], pair[1]);
+            if holder != other {
                 prop_assert!(second - first >= LEASE, "{arrivals:?}");
                 prop_assert!(lower < higher, "{arrivals:?}");
             }
@@ -256,18 +271,18 @@
 
 /// The schedules do reach orders of different instances.
 #[test]
-fn turns_do_change() {
-    let simple = |who, pause| Try {
-        who,
+fn claims_pass_between_instances() {
+    let simple = |instance, pause| Attempt {
+        instance,
         pause,
         lag: 0,
-        thinks: 0,
-        append: 5,
-        answer: Some(5),
+        think_time: 0,
+        append_delay: 5,
+        answer_delay: Some(5),
         suspended: 0,
-        on_the_way: 10,
+        order_transit: 10,
     };
-    let tries = [
+    let attempts = [
         simple(0, 0),
         simple(1, 100),
         simple(1, 5_000),
@@ -275,7 +290,7 @@
         simple(0, 9_000),
         simple(0, 6_000),
     ];
-    let holders: Vec<usize> = World::new(&tries, &[])
+    let holders: Vec<usize> = World::new(&attempts, &[])
         .run()
         .iter()
         .map(|arrival| arrival.2)
--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -60,7 +60,7 @@
 }
 
 /// The most of these moments, in order, that lie within one window.
-pub(crate) fn most_within(at: &[Duration], window: Duration) -> usize {
+pub(crate) fn max_within_window(at: &[Duration], window: Duration) -> usize {
     let windows = at.iter().enumerate().map(|(first, from)| {
         let within = at[first..].iter().take_while(|at| **at < *from + window);
         within.count()
--- a/crates/serving/tests/organisation.rs
+++ b/crates/serving/tests/organisation.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn each_key_of_an_organisation_tells_it() {
+fn every_key_identifies_its_organisation() {
     let all = vec![
         organisation("a", &["k1", "k2"]),
         organisation("b", &["k3"]),
@@ -43,7 +43,7 @@
 /// Symptom: callers of one organisation are served as another one, as the order of a map has it. Sequence: an operator gives a
 /// key out twice. Cause: the later one won, and nobody was told.
 #[test]
-fn a_key_of_two_organisations_is_found_with_all_else_that_is_wrong() {
+fn all_faults_of_a_directory_are_reported() {
     let all = vec![
         organisation("a", &["k1"]),
         organisation("b", &["k1"]),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_key_that_is_named_twice_by_its_organisation_is_one_key() {
+fn a_key_listed_twice_by_one_organisation_is_valid() {
     let all = vec![organisation("a", &["k1", "k1"])];
     let directory = Directory::new(SALT, all).unwrap();
     assert_eq!(holder(&directory, "k1"), Some("a"));
@@ -70,7 +70,7 @@
 
 /// 10,000 keys, a tenth of which belong to one organisation.
 #[test]
-fn ten_thousand_keys_are_told_apart() {
+fn ten_thousand_keys_are_distinguished() {
     let key = |number: usize| format!("key-{number}");
     let of = |name: usize, numbers: std::ops::Range<usize>| {
         let keys: Vec<String> = numbers.map(key).collect();
@@ -90,7 +90,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(SEED), failure_persistence: None, ..ProptestConfig::default() })]
     /// Nobody is taken for an organisation by a part of its key, or by more than it.
     #[test]
-    fn a_key_that_differs_tells_nobody(key in "[a-z0-9]{8,24}", other in "[a-z0-9]{0,25}") {
+    fn a_different_key_identifies_nobody(key in "[a-z0-9]{8,24}", other in "[a-z0-9]{0,25}") {
         let directory = Directory::new(SALT, vec![organisation("a", &[&key])]).unwrap();
         prop_assert_eq!(holder(&directory, &other).is_some(), key == other);
         prop_assert_eq!(holder(&directory, &key[..key.len() - 1]), None);
--- a/crates/serving/tests/overrun.rs
+++ b/crates/serving/tests/overrun.rs
@@ -15,7 +15,7 @@
 /// Rank of calls that can be on time.
 const URGENT: Rank = 0;
 
-fn reads() -> Fleet {
+fn prefill_fleet() -> Fleet {
     fleet(&[("r", Stage::Prefill), ("d", Stage::Decode)])
 }
 
@@ -57,8 +57,8 @@
 /// a call that cannot be on time yields; it is expected after what is before it now; calls that can be on
 /// time keep coming and go first. Cause: what comes later was not expected.
 #[test]
-fn a_call_that_would_wait_to_the_end_is_refused_at_once() {
-    let mut fleet = reads();
+fn a_call_that_would_outlast_its_caller_is_refused_at_once() {
+    let mut fleet = prefill_fleet();
     assert_matches!(late_call(&mut fleet, ms(900)), Choice::Split { .. });
     for second in 0..5 {
         peak(&mut fleet, ms(1_000 + second * 2_000));
@@ -73,8 +73,8 @@
 /// Symptom: after a peak every late call is refused although engines stand idle. Cause: only calls that are
 /// taken tell how long others wait, and none was taken.
 #[test]
-fn after_a_peak_calls_that_yield_are_taken_again() {
-    let mut fleet = reads();
+fn late_calls_are_accepted_again_after_a_peak() {
+    let mut fleet = prefill_fleet();
     for second in 0..5 {
         peak(&mut fleet, ms(1_000 + second * 2_000));
     }
--- a/crates/serving/tests/place.rs
+++ b/crates/serving/tests/place.rs
@@ -11,7 +11,7 @@
 
 const NOW: std::time::Duration = std::time::Duration::from_secs(10);
 
-fn target(fleet: &Fleet, parts: &[(u32, u32)]) -> Choice {
+fn placement(fleet: &Fleet, parts: &[(u32, u32)]) -> Choice {
     let parts = prompt(parts);
     let (service, zone) = (service(), zone());
     choose(
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_its_shared_part_was_read() {
+fn a_prompt_goes_to_the_engine_that_caches_its_shared_part() {
     for reader in ["a", "b", "c"] {
         let mut fleet = fleet(&[
             ("a", Stage::Decode),
@@ -30,21 +30,21 @@
             ("c", Stage::Decode),
         ]);
         fleet.cache_parts(&id(reader), &prompt(&[(7, 13_000)]), 400_000, NOW);
-        let choice = target(&fleet, &[(7, 13_000), (8, 3_000)]);
+        let choice = placement(&fleet, &[(7, 13_000), (8, 3_000)]);
         assert_matches!(choice, Choice::Direct(t) if &*t.engine == reader && t.prefill_tokens == 3_000);
     }
 }
 
 #[test]
-fn a_part_behind_one_that_was_not_read_is_read_again() {
+fn a_part_after_an_uncached_one_is_read_again() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     fleet.cache_parts(&id("a"), &prompt(&[(7, 1_000)]), 400_000, NOW);
-    let choice = target(&fleet, &[(6, 1_000), (7, 1_000)]);
+    let choice = placement(&fleet, &[(6, 1_000), (7, 1_000)]);
     assert_matches!(choice, Choice::Direct(t) if t.prefill_tokens == 2_000);
 }
 
 #[test]
-fn what_was_used_longest_ago_yields_first() {
+fn the_least_recently_used_part_is_evicted_first() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     fleet.cache_parts(&id("a"), &prompt(&[(1, 300)]), 1_000, ms(1));
     fleet.cache_parts(&id("a"), &prompt(&[(2, 300)]), 1_000, ms(2));
@@ -61,18 +61,18 @@
 /// that cannot be on time are queued at the rank of their class; short ones of less urgent classes
 /// wait behind each. Cause: nothing told the engine that the long ones have no time to lose.
 #[test]
-fn a_call_that_cannot_be_on_time_yields() {
+fn a_call_that_cannot_be_on_time_gets_a_late_rank() {
     let fleet = fleet(&[("a", Stage::Decode)]);
-    let choice = target(&fleet, &[(1, 30_000)]);
+    let choice = placement(&fleet, &[(1, 30_000)]);
     assert_matches!(choice, Choice::Direct(t) if t.rank > 1 && t.expected_latency > ms(600));
-    let choice = target(&fleet, &[(1, 3_000)]);
+    let choice = placement(&fleet, &[(1, 3_000)]);
     assert_matches!(choice, Choice::Direct(t) if t.rank == 1);
 }
 
 #[test]
-fn a_call_whose_caller_will_have_left_is_refused_with_a_time() {
+fn a_call_that_would_outlast_its_caller_gets_a_retry_time() {
     let fleet = fleet(&[("a", Stage::Decode)]);
-    let choice = target(&fleet, &[(1, 200_000)]);
+    let choice = placement(&fleet, &[(1, 200_000)]);
     assert_matches!(
         choice,
         Choice::Refuse { retry_after, reason: Refusal::TooMuchWork, best_target: Some(_) } if retry_after > ms(0)
@@ -82,12 +82,12 @@
 /// Symptom: on-call engineers read of calls that were refused for want of time though they were expected in 34 ms and had 1,717 left. Sequence: the engine that reads is
 /// idle, those that generate are full. Cause: the refusal told of the reading only.
 #[test]
-fn a_refusal_tells_of_both_halves() {
+fn a_refusal_reports_the_latency_of_both_stages() {
     let mut fleet = fleet(&[("reads", Stage::Prefill), ("full", Stage::Decode)]);
     for _ in 0..64 + 50 {
         fleet.begin_call(&id("full"), 0, 1, NOW);
     }
-    let choice = target(&fleet, &[(1, 60_000)]);
+    let choice = placement(&fleet, &[(1, 60_000)]);
     assert_matches!(
         choice,
         Choice::Refuse { best_target: Some(best), .. }
@@ -97,7 +97,7 @@
 
 #[test]
 fn without_an_engine_a_call_is_refused() {
-    let choice = target(&Fleet::default(), &[(1, 100)]);
+    let choice = placement(&Fleet::default(), &[(1, 100)]);
     assert_matches!(
         choice,
         Choice::Refuse {
@@ -110,7 +110,7 @@
 /// Symptom: in a burst calls are reset at engines that are up. Sequence: several instances send to one engine
 /// until it has all the connections that it takes. Cause: each instance looked at its own connections only.
 #[test]
-fn an_engine_whose_connections_are_taken_gets_nothing_more() {
+fn an_engine_at_its_connection_limit_gets_no_calls() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     fleet.cache_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
     let works = |calls| {
@@ -123,7 +123,7 @@
         )]
     };
     fleet.apply_all_work(1, works(359), NOW);
-    let choice = target(&fleet, &[(1, 9_000)]);
+    let choice = placement(&fleet, &[(1, 9_000)]);
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b");
     fleet.begin_call(&id("a"), 0, 1, NOW);
     let (service, zone) = (service(), zone());
@@ -137,13 +137,13 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing() {
+fn a_draining_engine_gets_no_calls() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     let mut leaving = record("a", Some(Stage::Decode));
     leaving.state = State::Draining;
     fleet.put(leaving);
     fleet.cache_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
-    let choice = target(&fleet, &[(1, 9_000)]);
+    let choice = placement(&fleet, &[(1, 9_000)]);
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b");
 }
 
@@ -151,7 +151,7 @@
 /// engine that is to generate is chosen, the prompt is read elsewhere for two seconds, meanwhile the
 /// chosen one leaves. Cause: the choice was made before the read and not looked at again.
 #[test]
-fn the_engine_that_generates_is_chosen_when_the_prompt_is_read() {
+fn the_decode_engine_is_chosen_after_the_prompt_is_read() {
     let mut fleet = fleet(&[
         ("p", Stage::Prefill),
         ("a", Stage::Decode),
@@ -173,11 +173,11 @@
 /// ends, another incarnation listens at its address and answers for the first that it is another one;
 /// the answer counted as a refusal for want of room. Cause: the old record stood for seconds.
 #[test]
-fn an_engine_that_has_ended_gets_nothing_although_its_record_stands() {
+fn an_ended_engine_gets_no_calls_although_its_record_exists() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     let sent = fleet.begin_call(&id("a"), 100, 0, NOW);
     fleet.end_call(&sent, Some(Outcome::Ended), NOW);
-    let choice = target(&fleet, &[(1, 100)]);
+    let choice = placement(&fleet, &[(1, 100)]);
     assert_matches!(
         choice,
         Choice::Refuse {
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn an_engine_that_fails_rests_and_is_taken_back() {
+fn a_failing_engine_is_backed_off_and_recovers() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     fleet.cache_parts(&id("a"), &prompt(&[(1, 9_000)]), 400_000, NOW);
     for _ in 0..2 {
@@ -197,14 +197,14 @@
     }
     let sent = fleet.begin_call(&id("a"), 0, 0, NOW);
     fleet.end_call(&sent, Some(Outcome::Failed), NOW);
-    assert_matches!(target(&fleet, &[(1, 9_000)]), Choice::Direct(t) if &*t.engine == "b");
+    assert_matches!(placement(&fleet, &[(1, 9_000)]), Choice::Direct(t) if &*t.engine == "b");
     assert!(fleet.get("a").unwrap().health.is_available(NOW + ms(5_000)));
 }
 
 #[test]
 fn other_instances_prompts_count_as_work() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    let free = target(&fleet, &[(1, 2_000)]);
+    let free = placement(&fleet, &[(1, 2_000)]);
     let Choice::Direct(free) = free else {
         panic!("there are no engines of stage prefill")
     };
@@ -219,14 +219,14 @@
     // Told again, as every frame tells recent prompts.
     fleet.apply_change(9, &change, NOW);
     assert_eq!(fleet.get(&free.engine).unwrap().pending_jobs().len(), 1);
-    assert_matches!(target(&fleet, &[(1, 2_000)]), Choice::Direct(t) if t.engine != free.engine);
+    assert_matches!(placement(&fleet, &[(1, 2_000)]), Choice::Direct(t) if t.engine != free.engine);
     let read = serving::fleet::WorkChange::Read(free.engine.clone(), 1, NOW);
     fleet.apply_change(9, &read, NOW);
     assert_eq!(fleet.get(&free.engine).unwrap().pending_jobs().len(), 0);
 }
 
 #[test]
-fn what_a_silent_instance_said_fades() {
+fn work_of_a_silent_instance_expires() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     let work = serving::engine::Work {
         calls: 5,
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn an_engine_that_is_full_is_passed_over_for_a_moment() {
+fn an_overloaded_engine_is_avoided_briefly() {
     let mut fleet = Fleet::default();
     for name in ["a", "b"] {
         fleet.put(record(name, None));
@@ -288,7 +288,7 @@
 }
 
 /// Engine `a` keeps the first part of a prompt and has so many prompts to read; `b` is idle.
-fn kept_at_a(jobs: usize) -> Fleet {
+fn cached_at_a(jobs: usize) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     fleet.cache_parts(&id("a"), &prompt(&[(7, 9_000)]), 400_000, NOW);
     for _ in 0..jobs {
@@ -301,9 +301,9 @@
 /// calls are late. Sequence: the engines that keep a part have long lines; a call goes to another one, which reads the
 /// part again. Cause: parts were had only where they were read, although links move them in a tenth of the time.
 #[test]
-fn an_idle_engine_fetches_what_a_busy_one_keeps() {
-    let fleet = kept_at_a(3);
-    let choice = target(&fleet, &[(7, 9_000), (8, 3_000)]);
+fn an_idle_engine_fetches_what_a_busy_one_caches() {
+    let fleet = cached_at_a(3);
+    let choice = placement(&fleet, &[(7, 9_000), (8, 3_000)]);
     assert_matches!(
         choice,
         Choice::Direct(t) if &*t.engine == "b" && t.prefill_tokens == 3_000 && t.fetch_from == Some(id("a"))
@@ -313,27 +313,27 @@
 /// Symptom: with parts fetched wherever it saves a little time all engines keep the same ones, and what they push out is
 /// read again. Cause: a copy cost nothing but its transfer.
 #[test]
-fn a_part_is_not_copied_where_its_engine_has_time() {
-    let fleet = kept_at_a(0);
-    let choice = target(&fleet, &[(7, 9_000), (8, 3_000)]);
+fn a_part_is_not_copied_from_an_idle_engine() {
+    let fleet = cached_at_a(0);
+    let choice = placement(&fleet, &[(7, 9_000), (8, 3_000)]);
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "a" && t.fetch_from.is_none());
 }
 
 #[test]
-fn nothing_is_fetched_from_an_engine_that_leaves() {
-    let mut fleet = kept_at_a(3);
+fn nothing_is_fetched_from_a_draining_engine() {
+    let mut fleet = cached_at_a(3);
     fleet.put(serving::Record {
         state: State::Draining,
         ..record("a", Some(Stage::Decode))
     });
-    let choice = target(&fleet, &[(7, 9_000), (8, 3_000)]);
+    let choice = placement(&fleet, &[(7, 9_000), (8, 3_000)]);
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b" && t.fetch_from.is_none());
 }
 
 /// Symptom: calls of the least urgent routes are refused in a peak in which they would be on time. Sequence: an operator
 /// gives a route a rank that late calls have. Cause: its calls were taken for late ones.
 #[test]
-fn the_least_urgent_calls_are_not_late_ones() {
+fn the_lowest_priority_is_not_a_late_rank() {
     let fleet = fleet(&[("a", Stage::Decode)]);
     let parts = prompt(&[(1, 3_000)]);
     let (service, zone) = (service(), zone());
@@ -350,7 +350,7 @@
 /// Symptom: each call opens a connection of its own, and engines reset what is beyond those that they take. Sequence: a large
 /// fleet; each instance has a call a second. Cause: engines that are alike were told apart by a hash of the prompt only.
 #[test]
-fn of_engines_that_are_alike_one_with_a_connection_is_taken() {
+fn among_equal_engines_one_with_a_connection_is_chosen() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let fleet = fleet(&names.map(|name| (name, Stage::Decode)));
     let (service, zone, parts) = (service(), zone(), prompt(&[(7, 100)]));
@@ -370,7 +370,7 @@
 /// A call that may end its engine was placed where its prompt had been read, which is where most of its kind run: each end
 /// cut all of these. Alone, it goes to the engine with the fewest calls, though that one must read the whole prompt.
 #[test]
-fn a_call_that_may_end_its_engine_goes_where_the_fewest_run() {
+fn an_isolated_call_goes_to_the_engine_with_the_fewest_calls() {
     let mut fleet = fleet(&[
         ("a", Stage::Decode),
         ("b", Stage::Decode),
--- a/crates/serving/tests/placer.rs
+++ b/crates/serving/tests/placer.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn look(own: u16, others: &[Member]) -> Placers {
+fn placers_seen_by(own: u16, others: &[Member]) -> Placers {
     Election::default().update(&member(own, 1, true), others, NOW)
 }
 
@@ -36,18 +36,18 @@
 }
 
 #[test]
-fn two_of_each_data_centre_place() {
+fn two_instances_of_each_data_centre_place() {
     let others = [1, 2, 3].map(|n| member(n, 1, true));
     let far = [11, 12, 13].map(|n| member(n, 2, true));
-    let placers = look(9, &[&others[..], &far].concat());
+    let placers = placers_seen_by(9, &[&others[..], &far].concat());
     assert!(!placers.includes_self);
     assert_eq!(numbers(&placers), [1, 2, 11, 12]);
 }
 
 /// A fleet of two instances a data centre is the one in which each places its own calls.
 #[test]
-fn in_a_small_fleet_all_place() {
-    let placers = look(
+fn in_a_small_fleet_all_instances_place() {
+    let placers = placers_seen_by(
         2,
         &[member(1, 1, true), member(11, 2, true), member(12, 2, true)],
     );
@@ -58,7 +58,7 @@
 /// Symptom: each call is told to half of the fleet, for a second, whenever an instance ends. Sequence: a placer ends; of
 /// fifty others none hears of the rest. Cause: all filled the vacancy at once.
 #[test]
-fn a_vacancy_is_filled_by_one_after_the_other() {
+fn instances_fill_a_vacancy_one_after_the_other() {
     let others: Vec<Member> = (2..50).map(|n| member(n, 1, false)).collect();
     let with_one = [vec![member(1, 1, true)], others].concat();
     let begins_after = |own: u16| {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn whoever_hears_of_better_ones_ceases() {
+fn a_placer_stops_when_it_hears_of_preceding_ones() {
     let mut election = Election::default();
     let own = member(9, 1, true);
     assert!(election.update(&own, &[], NOW).includes_self);
@@ -94,7 +94,7 @@
 /// Symptom: calls of one data centre are placed blindly although all links are well. Sequence: both of its placers end at
 /// once. Cause: only those of the own data centre were asked.
 #[test]
-fn placers_of_other_data_centres_are_asked_after_the_own_ones() {
+fn placers_of_the_own_data_centre_are_asked_first() {
     let placers = [
         (address(1), 1),
         (address(2), 1),
--- a/crates/serving/tests/usual.rs
+++ b/crates/serving/tests/prior_wait.rs
@@ -19,7 +19,7 @@
 /// Symptom: after a start all callers that come back count as new for good. Sequence: the first caller after an
 /// outage has waited; new ones follow. Cause: the first time seen was kept.
 #[test]
-fn the_most_patient_caller_sets_what_is_usual() {
+fn the_longest_remaining_time_is_the_reference() {
     let mut usual = PriorWaits::default();
     usual.estimate("r", ms(2_700), ms(0));
     usual.estimate("r", ms(4_000), ms(10));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_time_that_nobody_has_any_more_is_forgotten() {
+fn an_unused_longest_time_expires() {
     let mut usual = PriorWaits::default();
     usual.estimate("r", ms(8_000), ms(0));
     assert_eq!(usual.estimate("r", ms(4_000), ms(59_000)), ms(4_000));
@@ -39,7 +39,7 @@
 /// for between 85 and 100 in 100 of a common time, none has come before. Cause: whoever waited less than the most patient
 /// one was taken to have waited already, by more than the target of the call.
 #[test]
-fn callers_whose_patience_differs_have_not_waited() {
+fn new_callers_with_different_patience_have_not_waited() {
     let mut usual = PriorWaits::default();
     let patience = |n: u64| ms(1_700 + n * 37 % 301);
     for n in 0..200 {
@@ -53,7 +53,7 @@
 
 /// As above, while every third caller is one that comes back.
 #[test]
-fn those_who_come_back_are_told_from_those_with_less_patience() {
+fn returning_callers_are_distinguished_from_less_patient_ones() {
     let mut usual = PriorWaits::default();
     let patience = |n: u64| ms(1_700 + n * 37 % 301);
     let (mut new, mut back) = (0, 0);
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -16,7 +16,7 @@
 const OLD: u32 = 1;
 const NEW: u32 = 2;
 /// Longest time that an innocent call is kept from engines, unless it fails its trial.
-const BOUND: Duration = Duration::from_secs(30);
+const MAX_INNOCENT_HOLD: Duration = Duration::from_secs(30);
 
 fn ms(ms: u64) -> Moment {
     Duration::from_millis(ms)
@@ -31,7 +31,7 @@
 }
 
 /// A call that has ended engines 1 to `crashes` of the old build, a second apart.
-fn ended(crashes: u32) -> Quarantine {
+fn after_crashes(crashes: u32) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for engine in 1..=crashes {
         quarantine.record_crash(CALL, CALLER, crash(engine, OLD, u64::from(engine) * 1_000));
@@ -44,23 +44,29 @@
 }
 
 #[test]
-fn a_call_goes_alone_after_two_ends_and_is_held_after_three() {
-    assert_eq!(ended(0).verdict(CALL, ms(4_000)), Verdict::Clear);
-    assert_eq!(ended(1).verdict(CALL, ms(4_000)), Verdict::Clear);
-    assert_eq!(ended(2).verdict(CALL, ms(4_000)), Verdict::Suspected);
+fn a_call_is_isolated_after_two_crashes_and_held_after_three() {
+    assert_eq!(after_crashes(0).verdict(CALL, ms(4_000)), Verdict::Clear);
+    assert_eq!(after_crashes(1).verdict(CALL, ms(4_000)), Verdict::Clear);
+    assert_eq!(
+        after_crashes(2).verdict(CALL, ms(4_000)),
+        Verdict::Suspected
+    );
     let good_builds = smallvec::SmallVec::new();
     let after = ms(29_000);
     assert_eq!(
-        ended(3).verdict(CALL, ms(4_000)),
+        after_crashes(3).verdict(CALL, ms(4_000)),
         Verdict::Held { after, good_builds }
     );
-    assert_eq!(ended(3).verdict(CALL + 1, ms(4_000)), Verdict::Clear);
+    assert_eq!(
+        after_crashes(3).verdict(CALL + 1, ms(4_000)),
+        Verdict::Clear
+    );
 }
 
 /// One engine's end is seen by each instance that had the call there, and told twice by each of them. Counted by sightings, one
 /// end of one engine would hold a call that several instances had sent there.
 #[test]
-fn one_engine_ends_once_however_many_tell_of_it() {
+fn a_crash_counts_once_however_many_report_it() {
     let mut quarantine = Quarantine::default();
     for at in [1_000, 1_004, 1_350, 1_700] {
         quarantine.record_crash(CALL, CALLER, crash(1, OLD, at));
@@ -69,8 +75,8 @@
 }
 
 #[test]
-fn a_run_that_its_engine_outlives_clears_what_was_before_it() {
-    let mut quarantine = ended(2);
+fn a_good_run_clears_earlier_crashes() {
+    let mut quarantine = after_crashes(2);
     let good = |at| GoodRun {
         build: OLD,
         at: ms(at),
@@ -94,8 +100,8 @@
 /// A call that ends the engines of one build and runs well on those of another one would be cleared by each good run, and end
 /// engines of the first build for ever.
 #[test]
-fn a_run_on_one_build_says_nothing_of_another_one() {
-    let mut quarantine = ended(2);
+fn a_good_run_clears_crashes_of_its_build_only() {
+    let mut quarantine = after_crashes(2);
     let good = GoodRun {
         build: NEW,
         at: ms(2_500),
@@ -122,8 +128,8 @@
 }
 
 #[test]
-fn a_held_call_is_tried_twice_and_then_kept_for_a_day() {
-    let mut quarantine = ended(3);
+fn a_held_call_is_tried_twice_and_then_held_for_a_day() {
+    let mut quarantine = after_crashes(3);
     assert!(!quarantine.begin_trial(CALL, ms(32_000)));
     assert_eq!(quarantine.verdict(CALL, ms(33_000)), Verdict::TrialDue);
     assert!(quarantine.begin_trial(CALL, ms(33_000)));
@@ -142,8 +148,8 @@
 /// Symptom: an innocent call waits for ten minutes where it should wait for thirty seconds. Sequence: an instance claims its trial, and the store does not
 /// carry the claim out. Cause: the trial was counted, and told, before the claim stood.
 #[test]
-fn a_trial_whose_claim_does_not_stand_is_none() {
-    let mut quarantine = ended(3);
+fn a_trial_whose_claim_fails_is_not_recorded() {
+    let mut quarantine = after_crashes(3);
     assert!(quarantine.next_trial(CALL, ms(32_000)).is_none());
     let entry = quarantine.next_trial(CALL, ms(33_000)).expect("it is due");
     assert_eq!(entry.trials, 1);
@@ -156,8 +162,8 @@
 
 /// Guards against an innocent call that is held for 10 min since the caller of its trial left.
 #[test]
-fn a_trial_that_comes_to_nothing_is_made_again() {
-    let mut quarantine = ended(3);
+fn an_inconclusive_trial_is_repeated() {
+    let mut quarantine = after_crashes(3);
     assert!(quarantine.begin_trial(CALL, ms(33_000)));
     assert!(is_held(&quarantine, 62_900));
     assert_eq!(quarantine.verdict(CALL, ms(63_000)), Verdict::TrialDue);
@@ -170,8 +176,8 @@
 
 /// Guards against a call that ends engines for ever because nobody sees what comes of its trials.
 #[test]
-fn trials_that_come_to_nothing_end() {
-    let mut quarantine = ended(3);
+fn inconclusive_trials_are_bounded() {
+    let mut quarantine = after_crashes(3);
     let hour = 3_600_000;
     let day = 24 * hour;
     let mut trials = 0;
@@ -184,8 +190,8 @@
 
 /// Guards against calls that ran at all engines beside a fatal one being held for 30 s since the caller of a trial left.
 #[test]
-fn a_trial_of_an_alike_call_that_comes_to_nothing_is_made_again_soon() {
-    let mut quarantine = ended(3);
+fn an_inconclusive_trial_of_a_call_with_shared_crashes_is_repeated_soon() {
+    let mut quarantine = after_crashes(3);
     for engine in 1..=3 {
         let at = u64::from(engine) * 1_000;
         quarantine.record_crash(CALL + 1, CALLER + 1, crash(engine, OLD, at));
@@ -198,8 +204,8 @@
 }
 
 #[test]
-fn a_trial_that_ends_well_lets_the_call_go() {
-    let mut quarantine = ended(3);
+fn a_successful_trial_releases_the_call() {
+    let mut quarantine = after_crashes(3);
     assert!(quarantine.begin_trial(CALL, ms(33_000)));
     let good = GoodRun {
         build: OLD,
@@ -210,16 +216,16 @@
 }
 
 #[test]
-fn an_operator_lets_a_call_go() {
-    let mut quarantine = ended(3);
+fn an_operator_releases_a_call() {
+    let mut quarantine = after_crashes(3);
     assert!(!quarantine.release(CALL + 1, ms(4_000)));
     assert!(quarantine.release(CALL, ms(4_000)));
     assert_eq!(quarantine.verdict(CALL, ms(4_000)), Verdict::Clear);
 }
 
 #[test]
-fn what_is_not_held_is_forgotten() {
-    let mut quarantine = ended(2);
+fn calls_that_are_not_held_expire() {
+    let mut quarantine = after_crashes(2);
     quarantine.expire(ms(599_000));
     assert!(!quarantine.is_empty());
     quarantine.expire(ms(602_000));
@@ -228,8 +234,8 @@
 
 /// A caller that sends many calls that end engines, or that only were there, must not have those of others forgotten.
 #[test]
-fn one_caller_fills_only_its_share() {
-    let mut quarantine = ended(3);
+fn one_caller_cannot_evict_calls_of_others() {
+    let mut quarantine = after_crashes(3);
     for other in 0..5_000 {
         quarantine.record_crash(100 + other, 2, crash(9, OLD, 4_000));
     }
@@ -240,8 +246,8 @@
 
 /// Callers at many addresses fill the whole memory: calls with fewer ends go first.
 #[test]
-fn held_calls_are_forgotten_last() {
-    let mut quarantine = ended(3);
+fn held_calls_are_evicted_last() {
+    let mut quarantine = after_crashes(3);
     for other in 0..5_000 {
         let caller = u32::try_from(other).unwrap() + 10;
         quarantine.record_crash(100 + other, caller, crash(9, OLD, 4_000));
@@ -250,7 +256,7 @@
 }
 
 /// What one instance saw, as others are told it.
-fn seen() -> impl Strategy<Value = Entry> {
+fn reported_entry() -> impl Strategy<Value = Entry> {
     let crashes = prop::collection::vec((0u32..6, 0u32..2, 0u64..20_000), 0..4);
     let good = prop::option::of((0u32..2, 0u64..20_000));
     (crashes, good, 0u32..3, 0u32..3).prop_map(|(crashes, good, trials, failed)| Entry {
@@ -275,8 +281,8 @@
     /// Datagrams come in any order, some of them twice: once all have come, all instances judge alike, up to the bound within
     /// which two good runs count as one.
     #[test]
-    fn instances_that_were_told_the_same_judge_alike(
-        told in prop::collection::vec(seen(), 1..5), order in any::<prop::sample::Index>(),
+    fn instances_with_the_same_reports_agree(
+        told in prop::collection::vec(reported_entry(), 1..5), order in any::<prop::sample::Index>(),
     ) {
         // No entry is ever told with one engine ending twice.
         let mut told = told;
@@ -312,7 +318,7 @@
 
     /// Entries that go back and forth get older on their way each time. One run must not seem a later one for it.
     #[test]
-    fn what_is_told_back_and_forth_clears_no_later_end(delays in prop::collection::vec(1u64..60, 1..400)) {
+    fn repeated_exchange_of_an_entry_clears_no_later_crash(delays in prop::collection::vec(1u64..60, 1..400)) {
         let good = GoodRun { build: OLD, at: ms(1_000) };
         let mut entry = Entry { caller: CALLER, good_runs: [good].into_iter().collect(), ..Entry::default() };
         let mut one = Quarantine::default();
@@ -336,8 +342,8 @@
 /// with the call in hand ... ended=3" for both, 109 ms after the first end): none of its runs had ended well in between, and it was refused
 /// for 30 s. Both had the same engines end, so that one of them is innocent for certain.
 #[test]
-fn calls_that_had_the_same_engines_end_are_tried_soon_one_after_the_other() {
-    let mut quarantine = ended(3);
+fn calls_with_shared_crashes_are_tried_soon_one_after_the_other() {
+    let mut quarantine = after_crashes(3);
     for engine in 1..=3 {
         let at = u64::from(engine) * 1_000;
         quarantine.record_crash(CALL + 1, CALLER + 1, crash(engine, OLD, at));
@@ -365,15 +371,15 @@
 /// Engines of a replay.
 const ENGINES: usize = 11;
 /// Calls a second, and how long each runs.
-const CALLS: usize = 56;
-const RUNS: u64 = 500;
+const CALLS_PER_SECOND: usize = 56;
+const RUN_TIME: u64 = 500;
 /// Mean time between two ends of engines, and time until an engine is back.
-const BETWEEN: u64 = 1_200;
-const BACK: u64 = 1_300;
+const MEAN_CRASH_INTERVAL: u64 = 1_200;
+const RESTART_TIME: u64 = 1_300;
 /// Length of a replay, in milliseconds.
-const LENGTH: u64 = 600_000;
+const DURATION: u64 = 600_000;
 /// Times that a caller sends a call again that broke.
-const REPEATS: u32 = 3;
+const MAX_REPEATS: u32 = 3;
 
 /// What became of the innocent calls of a replay.
 #[derive(Debug, Default)]
@@ -388,7 +394,7 @@
 struct Running {
     call: Fingerprint,
     engine: usize,
-    ends: u64,
+    ends_at: u64,
     repeats: u32,
 }
 
@@ -398,12 +404,12 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
     let mut innocent = Innocent::default();
-    let mut back = [0u64; ENGINES];
-    let mut lives = [0u32; ENGINES];
+    let mut available_at = [0u64; ENGINES];
+    let mut restarts = [0u32; ENGINES];
     let mut running: Vec<Running> = Vec::new();
-    let pause = 1_000 / CALLS as u64;
-    for now in 0..LENGTH {
-        let mut waiting = Vec::new();
+    let pause = 1_000 / CALLS_PER_SECOND as u64;
+    for now in 0..DURATION {
+        let mut to_place = Vec::new();
         if now % pause == 0 {
             innocent.calls += 1;
             let is_shared = rng.random_range(0..100) < shared;
@@ -412,26 +418,27 @@
             } else {
                 1 + innocent.calls as u128
             };
-            waiting.push((call, 0));
+            to_place.push((call, 0));
         }
-        if rng.random_range(0..BETWEEN) == 0 {
-            let ends = rng.random_range(0..ENGINES);
+        if rng.random_range(0..MEAN_CRASH_INTERVAL) == 0 {
+            let crashing = rng.random_range(0..ENGINES);
             let (broken, rest): (Vec<_>, Vec<_>) =
-                running.into_iter().partition(|run| run.engine == ends);
+                running.into_iter().partition(|run| run.engine == crashing);
             running = rest;
-            let engine = u32::try_from(ends).expect("engines are few") + lives[ends] * 100;
+            let engine =
+                u32::try_from(crashing).expect("engines are few") + restarts[crashing] * 100;
             for run in &broken {
                 innocent.broken += 1;
                 // Each caller has an address of its own.
                 let caller = hash::hash32(&run.call.to_string());
                 quarantine.record_crash(run.call, caller, crash(engine, OLD, now));
             }
-            lives[ends] += 1;
-            back[ends] = now + BACK;
-            let again = broken.into_iter().filter(|run| run.repeats < REPEATS);
-            waiting.extend(again.map(|run| (run.call, run.repeats + 1)));
+            restarts[crashing] += 1;
+            available_at[crashing] = now + RESTART_TIME;
+            let repeated = broken.into_iter().filter(|run| run.repeats < MAX_REPEATS);
+            to_place.extend(repeated.map(|run| (run.call, run.repeats + 1)));
         }
-        for (call, repeats) in waiting {
+        for (call, repeats) in to_place {
             match quarantine.verdict(call, ms(now)) {
                 Verdict::Held { after, .. } => {
                     innocent.held += 1;
@@ -442,17 +449,18 @@
                 Verdict::Clear | Verdict::TrialDue => {}
             }
             let mut engine = rng.random_range(0..ENGINES);
-            while back[engine] > now {
+            while available_at[engine] > now {
                 engine = rng.random_range(0..ENGINES);
             }
             running.push(Running {
                 call,
                 engine,
-                ends: now + RUNS,
+                ends_at: now + RUN_TIME,
                 repeats,
             });
         }
-        let (over, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|run| run.ends <= now);
+        let (over, rest): (Vec<_>, Vec<_>) =
+            running.into_iter().partition(|run| run.ends_at <= now);
         running = rest;
         for run in over {
             let good = GoodRun {
@@ -471,20 +479,20 @@
 /// Innocent calls were to be kept from engines for having run beside a fatal one. Engines end every 1.2 s for ten minutes, and
 /// nothing that is sent is to blame: at most one broken call in a hundred may be held, none longer than until its trial.
 #[test]
-fn innocent_calls_are_served_beside_many_ends() {
+fn innocent_calls_are_served_during_many_crashes() {
     for seed in 1..=3 {
         let innocent = replay(seed, 0);
         println!("{innocent:?}");
         assert!(innocent.broken > 500, "{innocent:?}");
         assert!(innocent.held * 100 <= innocent.broken, "{innocent:?}");
-        assert!(innocent.longest <= BOUND, "{innocent:?}");
+        assert!(innocent.longest <= MAX_INNOCENT_HOLD, "{innocent:?}");
     }
 }
 
 /// A call that is sent all the time runs at most engines at most moments, so that it is there at each end of one. Its good runs in
 /// between speak for it.
 #[test]
-fn a_call_that_runs_everywhere_is_not_held_for_it() {
+fn a_call_that_runs_on_most_engines_is_not_held() {
     for seed in 1..=3 {
         let innocent = replay(seed, 30);
         println!("{innocent:?}");
--- a/crates/serving/tests/line.rs
+++ b/crates/serving/tests/queue.rs
@@ -47,7 +47,7 @@
 /// second. Sequence: 20 ms before the first prompt is read, an urgent one comes; a long one waits.
 /// Cause: the engine fills the rest of its last step with the next prompt, so it had chosen.
 #[test]
-fn the_next_prompt_is_chosen_a_step_before_the_end() {
+fn the_next_prompt_is_chosen_one_chunk_before_the_end() {
     let first = job(1, 1_000, 1, 20_000);
     let long = job(2, 1_050, 4, 50_000);
     let late = wait(&[first, long], 0, job(3, 1_380, 0, 500));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn work_that_was_done_before_the_present_is_no_wait() {
+fn finished_work_adds_no_wait() {
     let old = job(1, 1_000, 0, 5_000);
     assert_eq!(wait(&[old], 0, job(2, 3_000, 0, 5_000)), 100);
 }
--- a/crates/serving/tests/need.rs
+++ b/crates/serving/tests/rate_limit_replay.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use clock::Moment;
-use common::{demand, fleet, generation, id, most_within, prompt, service, zone};
+use common::{demand, fleet, generation, id, max_within_window, prompt, service, zone};
 use rand::rngs::SmallRng;
 use rand::{RngExt as _, SeedableRng as _};
 use serving::place::{self, Target};
@@ -23,20 +23,20 @@
 const PREFILL: usize = 8;
 const DECODE: usize = 10;
 /// Calls a second.
-const LOAD: f64 = 50.0;
+const CALLS_PER_SECOND: f64 = 50.0;
 /// Requests a second that an engine in need takes.
-const LIMIT: f64 = 1.5;
+const LIMIT_PER_SECOND: f64 = 1.5;
 const TARGET: Duration = Duration::from_millis(500);
 const DEADLINE: Duration = Duration::from_secs(4);
 /// Time from sending a prompt to a prefill engine to its being read.
-const READING: Duration = Duration::from_millis(100);
-const LENGTH: Duration = Duration::from_secs(60);
+const READ_TIME: Duration = Duration::from_millis(100);
+const DURATION: Duration = Duration::from_secs(60);
 const WINDOW: Duration = Duration::from_secs(4);
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A call comes, or comes back.
-    Arrive { call: usize, again: bool },
+    Arrive { call: usize, is_retry: bool },
     /// The prompt of a call has been read apart.
     Read {
         call: usize,
@@ -56,7 +56,7 @@
     refused: usize,
     /// Refused once more after they had come back as they were told.
     refused_again: usize,
-    read_in_vain: usize,
+    wasted_reads: usize,
     /// When each engine got its requests.
     requests: Vec<(EngineId, Moment)>,
 }
@@ -97,7 +97,7 @@
             for (number, (name, _)) in names.iter().enumerate() {
                 if number % 10 < limited {
                     let said = Announcement {
-                        limit: Some(Rate::try_from(LIMIT).expect("a rate")),
+                        limit: Some(Rate::try_from(LIMIT_PER_SECOND).expect("a rate")),
                         at: Moment::ZERO,
                     };
                     fleet.throttles.merge(&id(name), said, Moment::ZERO);
@@ -108,8 +108,8 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut calls = Vec::new();
         let mut at = 0.0;
-        while at < LENGTH.as_secs_f64() {
-            at += -(1.0 - rng.random::<f64>()).ln() / LOAD;
+        while at < DURATION.as_secs_f64() {
+            at += -(1.0 - rng.random::<f64>()).ln() / CALLS_PER_SECOND;
             // Balancers spread connections unevenly.
             let instance = rng
                 .random_range(0..INSTANCES)
@@ -120,7 +120,15 @@
             });
         }
         let events = calls.iter().enumerate();
-        let events = events.map(|(call, c)| Reverse((c.at, Event::Arrive { call, again: false })));
+        let events = events.map(|(call, c)| {
+            Reverse((
+                c.at,
+                Event::Arrive {
+                    call,
+                    is_retry: false,
+                },
+            ))
+        });
         Self {
             fleets: fleets.collect(),
             events: events.collect(),
@@ -133,15 +141,15 @@
     fn run(mut self) -> Outcome {
         while let Some(Reverse((now, event))) = self.events.pop() {
             match event {
-                Event::Arrive { call, again } => self.arrive(call, again, now),
+                Event::Arrive { call, is_retry } => self.arrive(call, is_retry, now),
                 Event::Read { call, reserved } => self.read(call, reserved.as_ref(), now),
             }
         }
         self.outcome
     }
 
-    fn arrive(&mut self, call: usize, again: bool, now: Moment) {
-        if again {
+    fn arrive(&mut self, call: usize, is_retry: bool, now: Moment) {
+        if is_retry {
             self.calls[call].instance = self.rng.random_range(0..INSTANCES);
         }
         match self.choose(call, true, now) {
@@ -149,14 +157,14 @@
             Choice::Split {
                 prefill, reserved, ..
             } => {
-                self.note(&prefill, now);
-                let read = now + prefill.limit_wait + READING;
+                self.record_request(&prefill, now);
+                let read = now + prefill.limit_wait + READ_TIME;
                 self.events
                     .push(Reverse((read, Event::Read { call, reserved })));
             }
             Choice::Refuse {
                 retry_after: after, ..
-            } => self.refuse(call, again, after, now),
+            } => self.refuse(call, is_retry, after, now),
         }
     }
 
@@ -192,20 +200,20 @@
             self.send(call, &target, now);
             return;
         }
-        self.outcome.read_in_vain += 1;
+        self.outcome.wasted_reads += 1;
         match self.choose(call, false, now) {
             Choice::Direct(target) => self.send(call, &target, now),
             _ => self.outcome.refused += 1,
         }
     }
 
-    fn note(&mut self, target: &Target, now: Moment) {
+    fn record_request(&mut self, target: &Target, now: Moment) {
         let sent = (target.engine.clone(), now + target.limit_wait);
         self.outcome.requests.push(sent);
     }
 
     fn send(&mut self, call: usize, target: &Target, now: Moment) {
-        self.note(target, now);
+        self.record_request(target, now);
         if now + target.expected_latency <= self.calls[call].at + TARGET {
             self.outcome.on_time += 1;
         } else {
@@ -214,20 +222,23 @@
     }
 
     /// A rejected caller retries once, if its `Retry-After` is within a third of its time.
-    fn refuse(&mut self, call: usize, again: bool, after: Duration, now: Moment) {
+    fn refuse(&mut self, call: usize, is_retry: bool, after: Duration, now: Moment) {
         let left = (self.calls[call].at + DEADLINE).saturating_sub(now);
-        if again || after > left / 3 {
+        if is_retry || after > left / 3 {
             self.outcome.refused += 1;
-            self.outcome.refused_again += usize::from(again);
+            self.outcome.refused_again += usize::from(is_retry);
         } else {
-            let back = Event::Arrive { call, again: true };
+            let back = Event::Arrive {
+                call,
+                is_retry: true,
+            };
             self.events.push(Reverse((now + after, back)));
         }
     }
 }
 
 /// Requests that the engines of a stage got in a second, on average of those with a limit.
-fn use_of_limits(outcome: &Outcome, stage: Stage, limited: usize) -> f64 {
+fn mean_requests_per_second(outcome: &Outcome, stage: Stage, limited: usize) -> f64 {
     let names = names();
     let names = names.iter().enumerate();
     let names = names.filter(|(number, (_, other))| number % 10 < limited && *other == stage);
@@ -236,11 +247,11 @@
     let requests = requests
         .filter(|(engine, _)| engines.contains(engine))
         .count();
-    requests as f64 / engines.len() as f64 / LENGTH.as_secs_f64()
+    requests as f64 / engines.len() as f64 / DURATION.as_secs_f64()
 }
 
 /// The most requests that one engine with a limit got within a window.
-fn most_in_a_window(outcome: &Outcome, limited: usize) -> usize {
+fn max_in_window(outcome: &Outcome, limited: usize) -> usize {
     let names = names();
     let names = names.iter().enumerate();
     let names = names.filter(|(number, _)| number % 10 < limited);
@@ -249,22 +260,22 @@
         let own = requests.filter(|(engine, _)| **engine == **name);
         let mut at: Vec<Moment> = own.map(|(_, at)| *at).collect();
         at.sort_unstable();
-        most_within(&at, WINDOW)
+        max_within_window(&at, WINDOW)
     });
     most.max().unwrap_or(0)
 }
 
-fn assert_kept(outcome: &Outcome, limited: usize) {
-    let most = most_in_a_window(outcome, limited);
+fn assert_within_limit(outcome: &Outcome, limited: usize) {
+    let most = max_in_window(outcome, limited);
     assert!(
-        most as f64 <= 1.5 * LIMIT * WINDOW.as_secs_f64() + 5.0,
+        most as f64 <= 1.5 * LIMIT_PER_SECOND * WINDOW.as_secs_f64() + 5.0,
         "{most}"
     );
 }
 
 /// Guards against calls that wait or are refused for engines in need while others have room.
 #[test]
-fn engines_without_a_limit_serve_what_the_others_leave() {
+fn unlimited_engines_serve_calls_that_limited_ones_cannot() {
     for (seed, limited) in [(1, 2), (2, 5), (3, 8)] {
         let outcome = World::new(seed, limited).run();
         assert_eq!(
@@ -272,7 +283,7 @@
             (0, 0),
             "{limited} of ten limited"
         );
-        assert_kept(&outcome, limited);
+        assert_within_limit(&outcome, limited);
     }
 }
 
@@ -282,24 +293,27 @@
 fn calls_are_on_time_up_to_the_limits_of_all_engines() {
     for seed in 1..=5 {
         let outcome = World::new(seed, 10).run();
-        assert_kept(&outcome, 10);
+        assert_within_limit(&outcome, 10);
         println!(
             "seed {seed}: {} on time, {} late, {} refused ({} again), {} read in vain",
             outcome.on_time,
             outcome.late,
             outcome.refused,
             outcome.refused_again,
-            outcome.read_in_vain
+            outcome.wasted_reads
+        );
+        let used = mean_requests_per_second(&outcome, Stage::Decode, 10);
+        assert!(
+            used > 0.9 * LIMIT_PER_SECOND,
+            "seed {seed}: {used} requests/s"
         );
-        let used = use_of_limits(&outcome, Stage::Decode, 10);
-        assert!(used > 0.9 * LIMIT, "seed {seed}: {used} requests/s");
         let served = outcome.on_time + outcome.late;
         assert!(
             outcome.on_time as f64 > 0.9 * served as f64,
             "seed {seed}: {} of {served}",
             outcome.on_time
         );
-        assert_eq!(outcome.read_in_vain, 0, "seed {seed}");
+        assert_eq!(outcome.wasted_reads, 0, "seed {seed}");
         assert!(
             outcome.refused_again * 4 < outcome.refused,
             "seed {seed}: {} of {}",
--- a/crates/serving/tests/registry.rs
+++ b/crates/serving/tests/registry.rs
@@ -9,7 +9,7 @@
 use serving::registry::{Change, Registry};
 use serving::{Fleet, Stage, State};
 
-fn known() -> (Registry, Fleet) {
+fn two_engines() -> (Registry, Fleet) {
     let (mut registry, mut fleet) = (Registry::default(), Fleet::default());
     registry.store_answered(ms(1_000));
     registry.put(&mut fleet, record("a", Some(Stage::Decode)));
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn a_record_that_lapses_takes_its_engine_away() {
-    let (mut registry, mut fleet) = known();
+fn a_lapsed_record_removes_its_engine() {
+    let (mut registry, mut fleet) = two_engines();
     registry.store_answered(ms(1_400));
     assert_eq!(registry.remove(&mut fleet, "a", ms(1_400)), Change::Removed);
     assert!(fleet.get("a").is_none());
@@ -31,7 +31,7 @@
 /// believed although nobody could have renewed.
 #[test]
 fn lapses_right_after_an_outage_are_doubted() {
-    let (mut registry, mut fleet) = known();
+    let (mut registry, mut fleet) = two_engines();
     registry.store_answered(ms(5_000));
     assert_eq!(registry.remove(&mut fleet, "a", ms(5_010)), Change::Doubted);
     assert_eq!(registry.remove(&mut fleet, "b", ms(5_010)), Change::Doubted);
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn an_engine_that_had_said_that_it_leaves_is_believed() {
-    let (mut registry, mut fleet) = known();
+fn a_draining_engine_is_removed_without_doubt() {
+    let (mut registry, mut fleet) = two_engines();
     let mut leaving = record("a", Some(Stage::Decode));
     leaving.state = State::Draining;
     registry.put(&mut fleet, leaving);
@@ -57,8 +57,8 @@
 /// like the first word after an outage. Cause: what the readers say of their own reads was not
 /// counted as the store's word.
 #[test]
-fn reads_of_other_instances_count_as_the_stores_word() {
-    let (mut registry, mut fleet) = known();
+fn reads_of_other_instances_count_as_store_answers() {
+    let (mut registry, mut fleet) = two_engines();
     for at in (1_000..60_000).step_by(700) {
         registry.store_answered(ms(at));
     }
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn the_same_record_from_several_sources_is_news_once() {
-    let (mut registry, _) = known();
+fn the_same_record_from_several_sources_is_new_once() {
+    let (mut registry, _) = two_engines();
     assert!(registry.is_newer("a", 5));
     assert!(!registry.is_newer("a", 5));
     assert!(!registry.is_newer("a", 4));
@@ -78,17 +78,17 @@
 }
 
 #[test]
-fn two_that_know_the_same_have_the_same_digest() {
-    let (mut one, mut fleet) = known();
-    let (other, _) = known();
+fn equal_records_have_equal_digests() {
+    let (mut one, mut fleet) = two_engines();
+    let (other, _) = two_engines();
     assert_eq!(one.topic_state().digest, other.topic_state().digest);
     one.remove(&mut fleet, "a", ms(1_100));
     assert_ne!(one.topic_state().digest, other.topic_state().digest);
 }
 
 #[test]
-fn what_is_missing_from_all_records_is_gone() {
-    let (mut registry, mut fleet) = known();
+fn engines_missing_from_a_full_list_are_removed() {
+    let (mut registry, mut fleet) = two_engines();
     let changes = registry.replace(
         &mut fleet,
         vec![record("a", Some(Stage::Decode))],
@@ -99,14 +99,14 @@
 }
 
 /// The record of a start of an engine.
-fn start(name: &str, born: u64) -> Record {
+fn start_record(name: &str, born: u64) -> Record {
     let mut record = record(&format!("{name}.{born}"), Some(Stage::Decode));
     record.name = name.into();
     record.started_ms = Some(born);
     record
 }
 
-fn at(fleet: &Fleet, id: &str) -> Option<u32> {
+fn running_calls(fleet: &Fleet, id: &str) -> Option<u32> {
     fleet.get(id).map(|engine| engine.running_calls())
 }
 
@@ -114,9 +114,9 @@
 /// engine crashes with calls in hand and starts again under its name before its record lapses. Cause: the
 /// name told it from others, so that its work, parts and failures of before counted on.
 #[test]
-fn an_engine_that_starts_again_holds_and_runs_nothing() {
-    let (mut registry, mut fleet) = known();
-    registry.put(&mut fleet, start("e", 10));
+fn a_restarted_engine_has_no_cache_calls_or_failures() {
+    let (mut registry, mut fleet) = two_engines();
+    registry.put(&mut fleet, start_record("e", 10));
     let sent = fleet.begin_call(&id("e.10"), 5_000, 0, ms(1_200));
     fleet.cache_parts(&id("e.10"), &prompt(&[(7, 900)]), 400_000, ms(1_200));
     fleet.apply_all_work(
@@ -130,31 +130,31 @@
         )],
         ms(1_200),
     );
-    assert_eq!(registry.put(&mut fleet, start("e", 20)), Change::Put);
-    assert_eq!(at(&fleet, "e.20"), Some(0));
+    assert_eq!(registry.put(&mut fleet, start_record("e", 20)), Change::Put);
+    assert_eq!(running_calls(&fleet, "e.20"), Some(0));
     assert_eq!(
         fleet.parts.cached_tokens(&id("e.20"), &prompt(&[(7, 900)])),
         0
     );
     // The call of before ends at the start that it was sent to.
     fleet.end_call(&sent, Some(Outcome::Failed), ms(1_300));
-    assert_eq!(at(&fleet, "e.20"), Some(0));
+    assert_eq!(running_calls(&fleet, "e.20"), Some(0));
     assert!(
         fleet
             .get("e.20")
             .is_some_and(|engine| engine.health.is_available(ms(1_300)))
     );
-    assert_eq!(at(&fleet, "e.10"), None);
+    assert_eq!(running_calls(&fleet, "e.10"), None);
 }
 
 /// Symptom: work that nobody does fills an engine again after its restart. Sequence: one instance has not heard of the
 /// restart and tells what it has there. Cause: frames named the engine, and not its start.
 #[test]
-fn what_others_tell_of_the_start_before_is_not_of_this_one() {
-    let (mut registry, mut fleet) = known();
-    registry.put(&mut fleet, start("e", 10));
+fn reports_about_the_previous_start_do_not_apply_to_the_new_one() {
+    let (mut registry, mut fleet) = two_engines();
+    registry.put(&mut fleet, start_record("e", 10));
     let told = hash::hash32("e.10");
-    registry.put(&mut fleet, start("e", 20));
+    registry.put(&mut fleet, start_record("e", 20));
     assert_eq!(fleet.by_hash(told), None);
     assert_eq!(fleet.by_hash(hash::hash32("e.20")), Some(id("e.20")));
 }
@@ -162,37 +162,43 @@
 /// Symptom: calls go to an address that nobody listens at any more. Sequence: a heartbeat of the start before reaches the
 /// store after the first one of the new start. Cause: the record that came last counted.
 #[test]
-fn a_late_record_of_the_start_before_changes_nothing() {
-    let (mut registry, mut fleet) = known();
-    registry.put(&mut fleet, start("e", 10));
-    registry.put(&mut fleet, start("e", 20));
+fn a_late_record_of_the_previous_start_is_ignored() {
+    let (mut registry, mut fleet) = two_engines();
+    registry.put(&mut fleet, start_record("e", 10));
+    registry.put(&mut fleet, start_record("e", 20));
     let digest = registry.topic_state().digest;
-    assert_eq!(registry.put(&mut fleet, start("e", 10)), Change::None);
+    assert_eq!(
+        registry.put(&mut fleet, start_record("e", 10)),
+        Change::None
+    );
     assert_eq!(registry.topic_state().digest, digest);
-    assert_eq!(at(&fleet, "e.20"), Some(0));
-    assert_eq!(at(&fleet, "e.10"), None);
+    assert_eq!(running_calls(&fleet, "e.20"), Some(0));
+    assert_eq!(running_calls(&fleet, "e.10"), None);
     registry.remove(&mut fleet, "e", ms(1_400));
-    assert_eq!(registry.put(&mut fleet, start("e", 10)), Change::None);
+    assert_eq!(
+        registry.put(&mut fleet, start_record("e", 10)),
+        Change::None
+    );
 }
 
 #[test]
-fn a_doubted_engine_that_starts_again_is_not_doubted() {
-    let (mut registry, mut fleet) = known();
-    registry.put(&mut fleet, start("e", 10));
+fn a_restarted_engine_is_no_longer_doubted() {
+    let (mut registry, mut fleet) = two_engines();
+    registry.put(&mut fleet, start_record("e", 10));
     registry.store_answered(ms(5_000));
     assert_eq!(registry.remove(&mut fleet, "e", ms(5_010)), Change::Doubted);
-    registry.put(&mut fleet, start("e", 20));
+    registry.put(&mut fleet, start_record("e", 20));
     assert!(registry.expire(&mut fleet, ms(9_000)).is_empty());
-    assert_eq!(at(&fleet, "e.20"), Some(0));
-    assert_eq!(at(&fleet, "e.10"), None);
+    assert_eq!(running_calls(&fleet, "e.20"), Some(0));
+    assert_eq!(running_calls(&fleet, "e.10"), None);
 }
 
 /// Symptom: an engine keeps getting calls by a record that was overwritten, or the log is full of one entry. Sequence:
 /// another writer's entry replaces an engine's record; it is read again and again. Cause: an entry that could not
 /// be read was passed over, so that the one before it stood.
 #[test]
-fn an_entry_that_cannot_be_read_names_no_engine_and_is_told_once() {
-    let (mut registry, mut fleet) = known();
+fn an_unreadable_entry_removes_the_engine_and_is_reported_once() {
+    let (mut registry, mut fleet) = two_engines();
     assert!(registry.mark_unreadable(&mut fleet, "a"));
     assert!(!registry.mark_unreadable(&mut fleet, "a"));
     assert!(fleet.get("a").is_none());
@@ -209,8 +215,8 @@
 /// Symptom: calls go to an engine that had said it leaves, and to one that has ended. Sequence: both say so; the store comes back from a
 /// copy of before. Cause: what the copy says was believed over what was known.
 #[test]
-fn a_store_that_comes_back_from_a_copy_takes_back_no_leaving() {
-    let (mut registry, mut fleet) = known();
+fn a_restored_store_does_not_revive_leaving_engines() {
+    let (mut registry, mut fleet) = two_engines();
     let ready = |name| record(name, Some(Stage::Decode));
     let mut leaving = ready("a");
     leaving.state = State::Draining;
@@ -230,8 +236,8 @@
 /// Symptom: an engine that runs well gets no calls for a second, and neither do a dozen others. Sequence: they register; the store comes back
 /// from a copy of before. Cause: who is missing in the copy was taken for gone, although nobody had time to register again.
 #[test]
-fn an_engine_that_a_copy_lacks_is_doubted_and_not_gone() {
-    let (mut registry, mut fleet) = known();
+fn an_engine_missing_from_a_restored_store_is_doubted() {
+    let (mut registry, mut fleet) = two_engines();
     registry.store_answered(ms(1_500));
     registry.store_rolled_back(ms(1_500));
     registry.replace(
--- a/crates/serving/tests/told.rs
+++ b/crates/serving/tests/remote_calls.rs
@@ -11,7 +11,7 @@
 
 const NOW: std::time::Duration = std::time::Duration::from_secs(10);
 
-fn chosen(fleet: &Fleet) -> EngineId {
+fn chosen_engine(fleet: &Fleet) -> EngineId {
     let (service, zone, parts) = (service(), zone(), prompt(&[(1, 8_000)]));
     let demand = demand(&service, &zone, Some(generation(&parts)));
     match choose(fleet, &demand, NOW) {
@@ -20,18 +20,18 @@
     }
 }
 
-fn running(fleet: &Fleet) -> u32 {
+fn running_calls(fleet: &Fleet) -> u32 {
     fleet.get("a").expect("it is there").running_calls()
 }
 
 /// Symptom: prompts wait for each other at one engine while others are idle. Sequence: two instances ask within a moment where to
 /// send a prompt. Cause: the first one's was counted only once its sender told of it.
 #[test]
-fn two_calls_that_come_at_once_are_placed_with_each_other_in_mind() {
+fn simultaneous_calls_are_placed_on_different_engines() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    let first = chosen(&fleet);
+    let first = chosen_engine(&fleet);
     fleet.begin_remote_call(7, 1, &first, 10_000, 1, NOW);
-    let second = chosen(&fleet);
+    let second = chosen_engine(&fleet);
     assert_ne!(first, second);
 }
 
@@ -40,30 +40,34 @@
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     fleet.begin_remote_call(7, 1, &id("a"), 10_000, 1, NOW);
     fleet.begin_remote_call(7, 2, &id("a"), 0, 1, NOW);
-    assert_eq!(running(&fleet), 2);
+    assert_eq!(running_calls(&fleet), 2);
     fleet.end_remote_call(7, 1, Some(Outcome::Success), NOW + ms(300));
     fleet.end_remote_call(7, 1, Some(Outcome::Success), NOW + ms(310));
-    assert_eq!(running(&fleet), 1);
+    assert_eq!(running_calls(&fleet), 1);
 }
 
 /// Symptom: an engine is taken for busy while it is idle, until its calls would have timed out. Sequence: the report that a call
 /// has ended is lost. Cause: nothing else told it.
 #[test]
-fn a_report_that_is_lost_is_made_good_by_the_next_state() {
+fn a_lost_report_is_corrected_by_the_next_list_of_calls() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     fleet.begin_remote_call(7, 1, &id("a"), 0, 1, NOW);
     fleet.begin_remote_call(7, 2, &id("a"), 0, 1, NOW);
     fleet.retain_remote_calls(7, &[], NOW + ms(5));
-    assert_eq!(running(&fleet), 2, "the sender may not know the place yet");
+    assert_eq!(
+        running_calls(&fleet),
+        2,
+        "the sender may not know the place yet"
+    );
     fleet.retain_remote_calls(7, &[2], NOW + ms(700));
-    assert_eq!(running(&fleet), 1);
+    assert_eq!(running_calls(&fleet), 1);
 }
 
 /// Symptom: engines look idler than they are to the other placers, by a call or two for most of a second. Sequence: a call ends just
 /// before its placer tells all that it has; the frame names the end too, for its outcome. Cause: the end was counted off what the
 /// frame told, which did not have the call any more.
 #[test]
-fn an_end_that_comes_with_all_work_is_not_counted_off_it() {
+fn an_end_reported_with_all_work_is_not_subtracted_from_it() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     let job = |ticket| Job {
         ticket,
@@ -73,24 +77,24 @@
     };
     let started = [1, 2].map(|ticket| WorkChange::Started(id("a"), job(ticket)));
     fleet.apply_frame(7, &started, None, NOW);
-    assert_eq!(running(&fleet), 2);
+    assert_eq!(running_calls(&fleet), 2);
     let ended = [WorkChange::Ended(id("a"), 1, Some(Outcome::Success))];
     let left = Work {
         calls: 1,
         ..Work::default()
     };
     fleet.apply_frame(7, &ended, Some(vec![(id("a"), left)]), NOW);
-    assert_eq!(running(&fleet), 1);
+    assert_eq!(running_calls(&fleet), 1);
 }
 
 #[test]
-fn calls_of_an_instance_that_falls_silent_are_forgotten() {
+fn calls_of_a_silent_instance_are_dropped() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     fleet.begin_remote_call(7, 1, &id("a"), 0, 1, NOW);
     fleet.expire(NOW + ms(3_000));
-    assert_eq!(running(&fleet), 1);
+    assert_eq!(running_calls(&fleet), 1);
     fleet.expire(NOW + ms(3_500));
-    assert_eq!(running(&fleet), 0);
+    assert_eq!(running_calls(&fleet), 0);
 }
 
 /// Symptom: in a large fleet calls are expected late, and yield, while all engines are idle. Sequence: each instance sees a call or
@@ -121,20 +125,20 @@
 /// Symptom: every instance sends calls to an engine that fails half of them, for minutes. Sequence: its record says that it is
 /// well; each instance has had one call there. Cause: what calls came to was known to their senders only.
 #[test]
-fn an_engine_that_fails_the_calls_of_many_is_closed() {
+fn an_engine_that_fails_calls_of_several_instances_is_avoided() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
-    let first = chosen(&fleet);
+    let first = chosen_engine(&fleet);
     for peer in 1..=3 {
         fleet.begin_remote_call(peer, 1, &first, 0, 1, NOW);
         fleet.end_remote_call(peer, 1, Some(Outcome::Failed), NOW);
     }
-    assert_ne!(chosen(&fleet), first);
+    assert_ne!(chosen_engine(&fleet), first);
 }
 
 /// Symptom: all engines of a data centre are closed to all instances. Sequence: one instance is cut off from them; its calls fail at
 /// one after the other. Cause: the others believed it alone.
 #[test]
-fn one_instance_whose_calls_fail_closes_nothing() {
+fn failures_of_one_instance_alone_do_not_count() {
     let mut told = PeerReports::default();
     for _ in 0..50 {
         told.record(7, Outcome::Failed, NOW);
--- a/crates/serving/tests/replay/engine.rs
+++ b/crates/serving/tests/replay/engine.rs
@@ -4,10 +4,10 @@
 
 use serving::{EngineId, Fleet, Stage, speed};
 
-use crate::calls::{Call, Micros, STEP};
+use crate::calls::{CHUNK_WORK, Call, Micros};
 use crate::common::{MODEL, fleet, id};
 
-pub(crate) struct Waiting {
+pub(crate) struct QueuedPrompt {
     pub(crate) call: usize,
     pub(crate) at: Micros,
     pub(crate) rank: u8,
@@ -15,36 +15,43 @@
 }
 
 /// An engine as it is.
-pub(crate) struct Truth {
+pub(crate) struct SimEngine {
     pub(crate) rate: f64,
-    pub(crate) waiting: Vec<Waiting>,
+    pub(crate) queue: Vec<QueuedPrompt>,
     pub(crate) free_at: Micros,
-    pub(crate) memory: Fleet,
+    pub(crate) cache: Fleet,
     pub(crate) id: EngineId,
 }
 
-impl Truth {
+impl SimEngine {
     pub(crate) fn new(name: &str, rate: f64) -> Self {
         Self {
             rate,
-            waiting: Vec::new(),
+            queue: Vec::new(),
             free_at: 0,
-            memory: fleet(&[(name, Stage::Decode)]),
+            cache: fleet(&[(name, Stage::Decode)]),
             id: id(name),
         }
     }
 
-    pub(crate) fn take(&mut self, number: usize, call: &Call, rank: u8, reads: bool, now: Micros) {
+    pub(crate) fn enqueue(
+        &mut self,
+        number: usize,
+        call: &Call,
+        rank: u8,
+        reads: bool,
+        now: Micros,
+    ) {
         let kept = self
-            .memory
+            .cache
             .parts
             .cached_tokens(&self.id, &call.prompt)
             .min(call.tokens);
         let unread = if reads { call.tokens - kept } else { 0 };
         let now_time = Duration::from_micros(now);
-        self.memory
+        self.cache
             .cache_parts(&self.id, &call.prompt, MODEL.kv_capacity_tokens, now_time);
-        self.waiting.push(Waiting {
+        self.queue.push(QueuedPrompt {
             call: number,
             at: now,
             rank,
@@ -54,19 +61,19 @@
 
     /// The call whose prompt is read next and when it is read, if the engine begins one by now.
     pub(crate) fn next(&mut self, now: Micros) -> Option<(usize, Micros)> {
-        if self.free_at > now || self.waiting.is_empty() {
+        if self.free_at > now || self.queue.is_empty() {
             return None;
         }
-        let step = (STEP / self.rate * 1_000.0) as Micros;
+        let step = (CHUNK_WORK / self.rate * 1_000.0) as Micros;
         let seen = self.free_at.saturating_sub(step);
-        let there = self.waiting.iter().enumerate();
-        let chosen = there
+        let prompts = self.queue.iter().enumerate();
+        let chosen = prompts
             .clone()
             .filter(|(_, waiting)| waiting.at <= seen)
             .min_by_key(|(_, waiting)| (waiting.rank, waiting.at))
-            .or_else(|| there.min_by_key(|(_, waiting)| (waiting.at, waiting.rank)));
+            .or_else(|| prompts.min_by_key(|(_, waiting)| (waiting.at, waiting.rank)));
         let (index, _) = chosen?;
-        let waiting = self.waiting.remove(index);
+        let waiting = self.queue.remove(index);
         let begin = self.free_at.max(waiting.at);
         self.free_at = begin + (waiting.work / self.rate * 1_000.0) as Micros;
         Some((waiting.call, self.free_at))
--- a/crates/serving/tests/replay/main.rs
+++ b/crates/serving/tests/replay/main.rs
@@ -9,10 +9,10 @@
 mod engine;
 mod world;
 
-use calls::{DECODE, FLOODING, LENGTH, calls, calls_with_flood, calls_with_outage};
-use world::{Way, World};
+use calls::{DECODE, FLOODING, TRAFFIC_DURATION, calls, calls_with_flood, calls_with_outage};
+use world::{Policy, World};
 
-fn on_time(way: Way) -> f64 {
+fn on_time(way: Policy) -> f64 {
     let seeds = 1..=3;
     let shares = seeds.map(|seed| World::new(way, &calls(seed)).run());
     shares.sum::<f64>() / 3.0
@@ -22,14 +22,14 @@
 /// prefix 0.500, DRILL 0.304, two choices 0.256, round robin 0.181; the others pay for shared parts
 /// that they have read again. The bound asserted is far below the difference.
 #[test]
-fn the_placement_serves_more_on_time_than_the_usual_ways() {
-    let placed = on_time(Way::Placed);
+fn placement_serves_more_on_time_than_common_policies() {
+    let placed = on_time(Policy::Placed);
     for way in [
-        Way::RoundRobin,
-        Way::LeastOutstanding,
-        Way::TwoChoices,
-        Way::Drill,
-        Way::PrefixHash,
+        Policy::RoundRobin,
+        Policy::LeastOutstanding,
+        Policy::TwoChoices,
+        Policy::Drill,
+        Policy::PrefixHash,
     ] {
         let other = on_time(way);
         println!("{way:?}: {other:.3}, placed: {placed:.3}");
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn instances_that_tell_each_other_serve_more_on_time() {
-    let placed = on_time(Way::Placed);
-    let alone = on_time(Way::Alone);
+fn sharing_state_serves_more_on_time() {
+    let placed = on_time(Policy::Placed);
+    let alone = on_time(Policy::NoSharing);
     println!("alone: {alone:.3}, placed: {placed:.3}");
     assert!(
         placed > alone + 0.03,
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn telling_of_all_parts_serves_more_on_time_than_of_new_ones() {
-    let placed = on_time(Way::Placed);
-    let new = on_time(Way::NewParts);
+fn announcing_all_parts_serves_more_on_time_than_only_new_ones() {
+    let placed = on_time(Policy::Placed);
+    let new = on_time(Policy::NewPartsOnly);
     println!("new parts: {new:.3}, placed: {placed:.3}");
     assert!(placed >= new, "new parts: {new:.3}, placed: {placed:.3}");
 }
@@ -69,7 +69,7 @@
         let shares = seeds.map(|seed| World::new(way, &calls_with_outage(seed)).run());
         shares.sum::<f64>() / 3.0
     };
-    let (placed, all_new) = (share(Way::Placed), share(Way::AllNew));
+    let (placed, all_new) = (share(Policy::Placed), share(Policy::IgnorePriorWait));
     println!("all new: {all_new:.3}, placed: {placed:.3}");
     assert!(
         placed > all_new,
@@ -80,9 +80,9 @@
 /// Symptom: one organisation's flood shuts the others out. Sequence: of ten that send alike, one sends ten times its usual, so that about a fifth of
 /// all calls is turned away. The aim: none is answered less than a quarter as often as all.
 #[test]
-fn an_organisation_that_floods_does_not_shut_the_others_out() {
+fn a_flooding_organisation_does_not_starve_the_others() {
     for seed in 1..=3 {
-        let shares = World::new(Way::Placed, &calls_with_flood(seed)).run_by_organisation();
+        let shares = World::new(Policy::Placed, &calls_with_flood(seed)).run_by_organisation();
         let all = shares.values().sum::<f64>() / shares.len() as f64;
         println!("seed {seed}: {shares:.2?}");
         for (organisation, share) in &shares {
@@ -108,7 +108,7 @@
         let seeds = 1..=3;
         let shares = seeds.map(|seed| {
             let calls = calls(seed);
-            let world = World::new(Way::Placed, &calls);
+            let world = World::new(Policy::Placed, &calls);
             world.with_limits(of_four, LIMIT).run()
         });
         shares.sum::<f64>() / 3.0
@@ -117,7 +117,7 @@
     println!("engines of every four with a limit: {shares:.3?}");
     assert!(shares[1] > shares[0] - 0.1);
     // Each call needs a request to an engine that generates.
-    let load = calls(1).len() as f64 / LENGTH as f64 * 1e6;
+    let load = calls(1).len() as f64 / TRAFFIC_DURATION as f64 * 1e6;
     let allowed = DECODE as f64 * LIMIT / load;
     assert!(shares[4] > 0.6 * allowed, "{} of {allowed}", shares[4]);
 }
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -14,21 +14,23 @@
 use serving::throttle::{Announcement, Rate};
 use serving::{Choice, EngineId, Fleet, Stage, hash, speed};
 
-use crate::calls::{Call, DECODE, FRAME, INSTANCES, Micros, PREFILL, RATES, SETUP, TRANSFER};
+use crate::calls::{
+    Call, DECODE, FRAME_DELAY, INSTANCES, Micros, PREFILL, READ_RATES, SETUP, TRANSFER_TIME,
+};
 use crate::common::{MODEL, demand, fleet, service, zone};
-use crate::engine::Truth;
+use crate::engine::SimEngine;
 
 /// How calls are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Policy {
     /// As the product does.
     Placed,
     /// As the product does, but instances tell each other nothing.
-    Alone,
+    NoSharing,
     /// As the product does, but parts are told only where they are new at an engine.
-    NewParts,
+    NewPartsOnly,
     /// As the product does, but callers that come back count as new ones.
-    AllNew,
+    IgnorePriorWait,
     RoundRobin,
     LeastOutstanding,
     TwoChoices,
@@ -40,28 +42,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
     Arrive(usize),
-    Look(usize),
-    First(usize, usize),
+    ReadNext(usize),
+    PromptRead(usize, usize),
     Generate(usize),
     Send(usize, usize, u8),
-    Hear(usize, usize),
+    Receive(usize, usize),
 }
 
 pub(crate) struct World<'a> {
-    way: Way,
+    policy: Policy,
     calls: &'a [Call],
-    engines: Vec<Truth>,
+    engines: Vec<SimEngine>,
     fleets: Vec<Fleet>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    order: u64,
+    next_sequence: u64,
     /// The engine and the books' entry of each call that is under way, and whether only its prompt is read.
-    under_way: BTreeMap<usize, (usize, SentCall, bool)>,
-    told: Vec<(usize, Told)>,
+    in_flight: BTreeMap<usize, (usize, SentCall, bool)>,
+    messages: Vec<(usize, News)>,
     /// Engines that are to generate for calls whose prompts are read apart, where these have a limit.
     reserved: BTreeMap<usize, EngineId>,
     rng: SmallRng,
-    turn: usize,
-    remembered: Option<usize>,
+    round_robin: usize,
+    last_chosen: Option<usize>,
     on_time: usize,
     counted: usize,
     /// Calls of each organisation that were answered, and all of them.
@@ -69,13 +71,13 @@
 }
 
 #[derive(Clone)]
-pub(crate) enum Told {
+pub(crate) enum News {
     Change(WorkChange),
     Parts(EngineId, Vec<Part>),
 }
 
 impl<'a> World<'a> {
-    pub(crate) fn new(way: Way, calls: &'a [Call]) -> Self {
+    pub(crate) fn new(policy: Policy, calls: &'a [Call]) -> Self {
         let name = |n: usize| format!("e{n:02}");
         let stage = |n: usize| {
             if n < PREFILL {
@@ -84,7 +86,13 @@
                 Stage::Decode
             }
         };
-        let rate = |n: usize| if n < PREFILL { RATES.0 } else { RATES.1 };
+        let rate = |n: usize| {
+            if n < PREFILL {
+                READ_RATES.0
+            } else {
+                READ_RATES.1
+            }
+        };
         let names: Vec<String> = (0..PREFILL + DECODE).map(name).collect();
         let known: Vec<(&str, Stage)> = names
             .iter()
@@ -92,22 +100,22 @@
             .map(|(n, name)| (name.as_str(), stage(n)))
             .collect();
         Self {
-            way,
+            policy,
             calls,
             engines: names
                 .iter()
                 .enumerate()
-                .map(|(n, name)| Truth::new(name, rate(n)))
+                .map(|(n, name)| SimEngine::new(name, rate(n)))
                 .collect(),
             fleets: (0..INSTANCES).map(|_| fleet(&known)).collect(),
             events: BinaryHeap::new(),
-            order: 0,
-            under_way: BTreeMap::new(),
-            told: Vec::new(),
+            next_sequence: 0,
+            in_flight: BTreeMap::new(),
+            messages: Vec::new(),
             reserved: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(7),
-            turn: 0,
-            remembered: None,
+            round_robin: 0,
+            last_chosen: None,
             on_time: 0,
             counted: 0,
             answered: BTreeMap::new(),
@@ -139,40 +147,40 @@
         self
     }
 
-    pub(crate) fn at(&mut self, at: Micros, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at, self.order, event)));
+    pub(crate) fn schedule(&mut self, at: Micros, event: Event) {
+        self.next_sequence += 1;
+        self.events.push(Reverse((at, self.next_sequence, event)));
     }
 
     /// The share of calls whose first answer was on time.
     pub(crate) fn run(mut self) -> f64 {
-        self.play();
+        self.run_events();
         self.on_time as f64 / self.counted as f64
     }
 
     /// The share of calls that were answered, by organisation.
     pub(crate) fn run_by_organisation(mut self) -> BTreeMap<usize, f64> {
-        self.play();
+        self.run_events();
         let answered = self.answered.into_iter();
         let shares = answered
             .map(|(organisation, (answered, all))| (organisation, answered as f64 / all as f64));
         shares.collect()
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         for (number, call) in self.calls.iter().enumerate() {
-            self.at(call.at, Event::Arrive(number));
+            self.schedule(call.at, Event::Arrive(number));
         }
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             match event {
                 Event::Arrive(number) => self.arrive(number, now),
-                Event::Look(engine) => self.look(engine, now),
-                Event::First(engine, number) => self.first(engine, number, now),
+                Event::ReadNext(engine) => self.read_next(engine, now),
+                Event::PromptRead(engine, number) => self.prompt_read(engine, number, now),
                 Event::Send(number, engine, rank) => {
                     self.send(number, engine, rank, engine < PREFILL, true, now);
                 }
                 Event::Generate(number) => self.generate(number, now),
-                Event::Hear(instance, told) => self.hear(instance, told, now),
+                Event::Receive(instance, told) => self.receive(instance, told, now),
             }
         }
     }
@@ -183,8 +191,8 @@
             let organisation = self.calls[number].organisation;
             self.answered.entry(organisation).or_default().1 += 1;
         }
-        let (engine, rank, wait) = match self.way {
-            Way::Placed | Way::Alone | Way::NewParts | Way::AllNew => {
+        let (engine, rank, wait) = match self.policy {
+            Policy::Placed | Policy::NoSharing | Policy::NewPartsOnly | Policy::IgnorePriorWait => {
                 match self.placed(number, now) {
                     Some(target) => (self.index(&target.engine), target.rank, target.limit_wait),
                     None => return,
@@ -200,14 +208,14 @@
             self.send(number, engine, rank, engine < PREFILL, true, now);
         } else {
             let sent = now + Micros::try_from(wait.as_micros()).expect("short waits");
-            self.at(sent, Event::Send(number, engine, rank));
+            self.schedule(sent, Event::Send(number, engine, rank));
         }
     }
 
     pub(crate) fn placed(&mut self, number: usize, now: Micros) -> Option<Target> {
         let call = &self.calls[number];
         let (service, zone) = (service(), zone());
-        let demand = own_demand(call, self.way, &service, &zone, now);
+        let demand = call_demand(call, self.policy, &service, &zone, now);
         let fleet = &mut self.fleets[call.instance];
         let time = Duration::from_micros(now);
         let mut choice = place::choose(fleet, &demand, time);
@@ -242,17 +250,17 @@
                 .map_or(0, serving::engine::Engine::running_calls)
         };
         let less = |a: usize, b: usize| if load(b) < load(a) { b } else { a };
-        let chosen = match self.way {
-            Way::RoundRobin => {
-                self.turn += 1;
-                from + self.turn % count
+        let chosen = match self.policy {
+            Policy::RoundRobin => {
+                self.round_robin += 1;
+                from + self.round_robin % count
             }
-            Way::LeastOutstanding => (from..from + count)
+            Policy::LeastOutstanding => (from..from + count)
                 .min_by_key(|e| load(*e))
                 .expect("it is known"),
-            Way::TwoChoices => less(two.0, two.1),
-            Way::Drill => {
-                let remembered = self.remembered.filter(|engine| *engine >= from);
+            Policy::TwoChoices => less(two.0, two.1),
+            Policy::Drill => {
+                let remembered = self.last_chosen.filter(|engine| *engine >= from);
                 remembered.map_or(less(two.0, two.1), |third| less(less(two.0, two.1), third))
             }
             _ => {
@@ -263,7 +271,7 @@
                     .expect("it is known")
             }
         };
-        self.remembered = Some(chosen);
+        self.last_chosen = Some(chosen);
         chosen
     }
 
@@ -288,36 +296,36 @@
         let is_new = kept < call.prompt[0].tokens;
         let sent = fleet.begin_call(&id, speed::work(unread, call.tokens), rank, time);
         fleet.cache_parts(&id, &call.prompt, MODEL.kv_capacity_tokens, time);
-        self.engines[engine].take(number, call, rank, reads, now);
-        self.under_way.insert(number, (engine, sent, only_reads));
-        match self.way {
-            Way::NewParts if is_new => {
-                self.tell(number, Told::Parts(id, vec![call.prompt[0]]), now);
+        self.engines[engine].enqueue(number, call, rank, reads, now);
+        self.in_flight.insert(number, (engine, sent, only_reads));
+        match self.policy {
+            Policy::NewPartsOnly if is_new => {
+                self.share(number, News::Parts(id, vec![call.prompt[0]]), now);
             }
-            Way::NewParts => {}
-            _ => self.tell(number, Told::Parts(id, call.prompt.clone()), now),
+            Policy::NewPartsOnly => {}
+            _ => self.share(number, News::Parts(id, call.prompt.clone()), now),
         }
-        self.tell_changes(number, now);
-        self.look(engine, now);
+        self.share_changes(number, now);
+        self.read_next(engine, now);
     }
 
-    pub(crate) fn look(&mut self, engine: usize, now: Micros) {
+    pub(crate) fn read_next(&mut self, engine: usize, now: Micros) {
         if let Some((number, read)) = self.engines[engine].next(now) {
-            self.at(read + SETUP, Event::First(engine, number));
-            self.at(read, Event::Look(engine));
+            self.schedule(read + SETUP, Event::PromptRead(engine, number));
+            self.schedule(read, Event::ReadNext(engine));
         }
     }
 
-    pub(crate) fn first(&mut self, _engine: usize, number: usize, now: Micros) {
+    pub(crate) fn prompt_read(&mut self, _engine: usize, number: usize, now: Micros) {
         let call = &self.calls[number];
-        let (_, sent, only_reads) = self.under_way.remove(&number).expect("it is known");
+        let (_, sent, only_reads) = self.in_flight.remove(&number).expect("it is known");
         let time = Duration::from_micros(now);
         let fleet = &mut self.fleets[call.instance];
         fleet.prompt_read(&sent, time);
         fleet.end_call(&sent, None, time);
-        self.tell_changes(number, now);
+        self.share_changes(number, now);
         if only_reads {
-            self.at(now + TRANSFER, Event::Generate(number));
+            self.schedule(now + TRANSFER_TIME, Event::Generate(number));
         } else {
             self.finish(number, now);
         }
@@ -325,13 +333,13 @@
 
     pub(crate) fn generate(&mut self, number: usize, now: Micros) {
         let call = &self.calls[number];
-        let engine = match self.way {
-            Way::Placed | Way::Alone | Way::NewParts | Way::AllNew => {
+        let engine = match self.policy {
+            Policy::Placed | Policy::NoSharing | Policy::NewPartsOnly | Policy::IgnorePriorWait => {
                 let (service, zone) = (service(), zone());
                 let reserved = self.reserved.remove(&number);
                 let demand = Demand {
                     reserved: reserved.as_ref(),
-                    ..own_demand(call, self.way, &service, &zone, now)
+                    ..call_demand(call, self.policy, &service, &zone, now)
                 };
                 let fleet = &mut self.fleets[call.instance];
                 let time = Duration::from_micros(now);
@@ -366,38 +374,41 @@
         }
     }
 
-    pub(crate) fn tell_changes(&mut self, number: usize, now: Micros) {
+    pub(crate) fn share_changes(&mut self, number: usize, now: Micros) {
         let changes = self.fleets[self.calls[number].instance].take_changes();
         for change in changes {
-            self.tell(number, Told::Change(change), now);
+            self.share(number, News::Change(change), now);
         }
     }
 
-    pub(crate) fn tell(&mut self, number: usize, told: Told, now: Micros) {
-        if self.way == Way::Alone {
+    pub(crate) fn share(&mut self, number: usize, told: News, now: Micros) {
+        if self.policy == Policy::NoSharing {
             return;
         }
         let from = self.calls[number].instance;
-        self.told.push((from, told));
+        self.messages.push((from, told));
         for instance in (0..INSTANCES).filter(|instance| *instance != from) {
-            self.at(now + FRAME, Event::Hear(instance, self.told.len() - 1));
+            self.schedule(
+                now + FRAME_DELAY,
+                Event::Receive(instance, self.messages.len() - 1),
+            );
         }
     }
 
-    pub(crate) fn hear(&mut self, instance: usize, told: usize, now: Micros) {
-        let (from, told) = self.told[told].clone();
+    pub(crate) fn receive(&mut self, instance: usize, told: usize, now: Micros) {
+        let (from, told) = self.messages[told].clone();
         let at = Duration::from_micros(now);
         let fleet = &mut self.fleets[instance];
         match told {
-            Told::Change(change) => fleet.apply_change(from as u64, &change, at),
-            Told::Parts(id, parts) => fleet.cache_parts(&id, &parts, MODEL.kv_capacity_tokens, at),
+            News::Change(change) => fleet.apply_change(from as u64, &change, at),
+            News::Parts(id, parts) => fleet.cache_parts(&id, &parts, MODEL.kv_capacity_tokens, at),
         }
     }
 }
 
-pub(crate) fn own_demand<'a>(
+pub(crate) fn call_demand<'a>(
     call: &'a Call,
-    way: Way,
+    way: Policy,
     service: &'a serving::ServiceName,
     zone: &'a serving::Zone,
     now: Micros,
@@ -408,7 +419,11 @@
         tokens: call.tokens,
     };
     let waited = Duration::from_micros(now - call.at);
-    let before = if way == Way::AllNew { 0 } else { call.before };
+    let before = if way == Policy::IgnorePriorWait {
+        0
+    } else {
+        call.waited_before
+    };
     let before = Duration::from_micros(before);
     Demand {
         priority: call.rank,
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -21,7 +21,7 @@
 }
 
 /// The plan once a split has been off for long enough.
-fn plan(fleet: &Fleet) -> RoleChanges {
+fn settled_plan(fleet: &Fleet) -> RoleChanges {
     let mut planner = Planner::default();
     let first = planner.plan(fleet, &service(), ms(0));
     assert!(first.is_empty(), "a split that is off just now is left");
@@ -29,21 +29,21 @@
 }
 
 /// Has calls running at an engine whose prompts were read elsewhere.
-fn run(fleet: &mut Fleet, engine: &str, calls: u32) {
+fn run_calls(fleet: &mut Fleet, engine: &str, calls: u32) {
     for _ in 0..calls {
         fleet.begin_call(&id(engine), 0, 1, ms(0));
     }
 }
 
 /// Has so much work sent to engines that read as is scarce.
-fn read(fleet: &mut Fleet, now: u64) {
+fn send_prompt_work(fleet: &mut Fleet, now: u64) {
     for _ in 0..40 {
         let sent = fleet.begin_call(&id("r0"), 60_000, 1, ms(now));
         fleet.end_call(&sent, None, ms(now));
     }
 }
 
-fn change(fleet: &mut Fleet, engine: &str, stage: Stage, now: u64) {
+fn begin_change(fleet: &mut Fleet, engine: &str, stage: Stage, now: u64) {
     let since = ms(now);
     let own = true;
     fleet.begin_stage_change(&id(engine), StageChange { stage, since, own });
@@ -52,44 +52,44 @@
 /// Symptom: prompts wait while most slots are empty. Sequence: a fleet starts with a third of its engines
 /// reading. Cause: nobody asked whether the others have anything to do.
 #[test]
-fn before_any_load_more_than_half_read() {
-    let changes = plan(&engines(6, 12));
+fn more_than_half_read_before_any_load() {
+    let changes = settled_plan(&engines(6, 12));
     assert_eq!(changes.len(), 3);
     assert!(changes.iter().all(|change| change.stage == Stage::Prefill));
 }
 
 #[test]
-fn a_split_that_is_nearly_right_is_left() {
-    assert!(plan(&engines(9, 9)).is_empty());
-    assert!(plan(&engines(8, 10)).is_empty());
-    assert!(plan(&engines(10, 8)).is_empty());
+fn a_nearly_right_split_is_kept() {
+    assert!(settled_plan(&engines(9, 9)).is_empty());
+    assert!(settled_plan(&engines(8, 10)).is_empty());
+    assert!(settled_plan(&engines(10, 8)).is_empty());
 }
 
 #[test]
-fn under_load_few_change_at_once_and_those_with_least_to_do() {
+fn under_load_few_of_the_least_busy_engines_change_at_once() {
     let mut fleet = engines(6, 12);
     for engine in 0..12 {
-        run(&mut fleet, &format!("g{engine}"), 2 + engine);
+        run_calls(&mut fleet, &format!("g{engine}"), 2 + engine);
     }
-    run(&mut fleet, "g0", 9);
-    read(&mut fleet, 0);
-    let changes = plan(&fleet);
+    run_calls(&mut fleet, "g0", 9);
+    send_prompt_work(&mut fleet, 0);
+    let changes = settled_plan(&fleet);
     let ids: Vec<&str> = changes.iter().map(|change| &*change.engine).collect();
     assert_eq!(ids, ["g1", "g2"]);
-    change(&mut fleet, "g1", Stage::Prefill, 2_000);
-    change(&mut fleet, "g2", Stage::Prefill, 2_000);
-    assert!(plan(&fleet).is_empty(), "two are changing");
+    begin_change(&mut fleet, "g1", Stage::Prefill, 2_000);
+    begin_change(&mut fleet, "g2", Stage::Prefill, 2_000);
+    assert!(settled_plan(&fleet).is_empty(), "two are changing");
 }
 
 /// Symptom: answers crawl although prompts are read at once. Sequence: a mix of long answers follows one
 /// of long prompts. Cause: engines that had been given over to reading stayed there.
 #[test]
-fn engines_come_back_to_generate_when_slots_fill() {
+fn engines_return_to_decoding_when_slots_fill() {
     let mut fleet = engines(9, 9);
     for engine in 0..9 {
-        run(&mut fleet, &format!("g{engine}"), 60);
+        run_calls(&mut fleet, &format!("g{engine}"), 60);
     }
-    let changes = plan(&fleet);
+    let changes = settled_plan(&fleet);
     assert_eq!(changes.len(), 2);
     assert!(changes.iter().all(|change| change.stage == Stage::Decode));
 }
@@ -97,7 +97,7 @@
 #[test]
 fn a_peak_is_remembered_for_some_seconds() {
     let mut fleet = engines(6, 12);
-    run(&mut fleet, "g0", 620);
+    run_calls(&mut fleet, "g0", 620);
     let mut planner = Planner::default();
     planner.plan(&fleet, &service(), ms(0));
     let mut idle = engines(6, 12);
@@ -105,7 +105,7 @@
     assert!(soon.is_empty());
     let mut late = RoleChanges::new();
     for second in 3..40 {
-        read(&mut idle, second * 1_000);
+        send_prompt_work(&mut idle, second * 1_000);
         late = planner.plan(&idle, &service(), Duration::from_secs(second));
     }
     assert_eq!(late.len(), 2);
@@ -127,14 +127,14 @@
         }
     }
     assert_eq!(changed, 16);
-    run(&mut fleet, "g99", 20);
-    assert!(plan(&fleet).is_empty());
+    run_calls(&mut fleet, "g99", 20);
+    assert!(settled_plan(&fleet).is_empty());
 }
 
 /// Symptom: a fleet keeps the split of its start although the store is well again. Sequence: the instance that
 /// plans cannot claim, or waits for another one. Cause: each look used up what may change before any load.
 #[test]
-fn a_plan_that_nobody_carries_out_stays() {
+fn a_plan_that_is_not_carried_out_is_repeated() {
     let fleet = engines(6, 12);
     let mut planner = Planner::default();
     planner.plan(&fleet, &service(), ms(0));
@@ -147,7 +147,7 @@
 /// Symptom: a large fleet keeps the split of its start until load comes. Sequence: its engines register one after
 /// the other while the instances start. Cause: engines that came later counted as changed.
 #[test]
-fn engines_that_come_later_use_nothing_up() {
+fn engines_that_register_later_use_up_no_blind_changes() {
     let mut planner = Planner::default();
     planner.plan(&engines(2, 4), &service(), ms(0));
     let fleet = engines(49, 91);
@@ -157,9 +157,9 @@
 }
 
 #[test]
-fn a_small_service_is_left_alone() {
-    assert!(plan(&engines(1, 4)).is_empty());
-    assert!(plan(&engines(0, 18)).is_empty());
+fn a_small_service_is_not_changed() {
+    assert!(settled_plan(&engines(1, 4)).is_empty());
+    assert!(settled_plan(&engines(0, 18)).is_empty());
 }
 
 /// Symptom: calls get refusals from an engine that looks idle. Sequence: an engine is ordered to change; calls
@@ -168,13 +168,13 @@
 fn an_engine_that_changes_gets_no_calls_until_it_is_done() {
     let mut fleet = engines(1, 1);
     let ready = |fleet: &Fleet| fleet.ready(&service()).count();
-    change(&mut fleet, "g0", Stage::Prefill, 0);
+    begin_change(&mut fleet, "g0", Stage::Prefill, 0);
     assert_eq!(ready(&fleet), 1);
     fleet.put(common::record("g0", Some(Stage::Decode)));
     assert_eq!(ready(&fleet), 1);
     fleet.put(common::record("g0", Some(Stage::Prefill)));
     assert_eq!(ready(&fleet), 2);
-    change(&mut fleet, "g0", Stage::Decode, 0);
+    begin_change(&mut fleet, "g0", Stage::Decode, 0);
     fleet.expire(Duration::from_secs(60));
     assert_eq!(ready(&fleet), 2, "an order that has no effect is forgotten");
 }
@@ -182,7 +182,7 @@
 /// Symptom: two instances order one engine back and forth. Sequence: one orders and is cut off; another one
 /// takes over at once. Cause: the time in which orders of the first may still arrive was not waited for.
 #[test]
-fn turns_of_different_instances_are_apart() {
+fn claims_of_different_instances_are_apart() {
     let mut turns = Claimant::new(ms(3_000), true);
     let claim = |fence, holder| Some(Claim { fence, holder });
     assert!(turns.may_claim(None, "a", ms(0)));
--- a/crates/serving/tests/route.rs
+++ b/crates/serving/tests/route.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn callers_wait_four_targets_eight_pauses_or_two_seconds() {
+fn event_timeout_is_four_targets_eight_pauses_or_two_seconds() {
     assert_eq!(route("/", &[]).event_timeout(), ms(3_200));
     let short = Route {
         latency_target: ms(100),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn setup_and_rate_are_learned_apart() {
+fn setup_and_rate_are_learned_from_two_sizes() {
     let mut speed = Speed::new(Stage::Prefill);
     for _ in 0..300 {
         speed.observe(500, ms(40 + 5));
--- a/crates/serving/tests/scaling.rs
+++ b/crates/serving/tests/scaling.rs
@@ -14,9 +14,9 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 /// What each data centre has of either kind in the end, of twenty engines: a tenth of them, and what three tenths of their price buy.
-const USUAL: (usize, usize) = (2, 34);
+const EXPECTED: (usize, usize) = (2, 34);
 const BOOT: Duration = Duration::from_secs(4);
-const LEAVES: Duration = Duration::from_millis(1_200);
+const LEAVE_DELAY: Duration = Duration::from_millis(1_200);
 
 fn range() -> Range {
     Range {
@@ -32,20 +32,20 @@
 }
 
 /// A platform that carries orders out, as the plan sees it.
-struct World {
+struct Deployment {
     fleet: Fleet,
     now: Duration,
     range: Range,
     /// What was ordered of each kind in each data centre, and since when.
     ordered: BTreeMap<(Zone, bool), (u32, Duration)>,
     /// Data centres where no reclaimable engine is to be had.
-    dry: Vec<&'static str>,
+    unavailable: Vec<&'static str>,
     /// All orders, with what came of them.
     log: Vec<(Duration, Order, bool)>,
     next: u32,
 }
 
-impl World {
+impl Deployment {
     /// A deployment of so many engines in each data centre.
     fn new(engines: u32) -> Self {
         let mut world = Self {
@@ -53,7 +53,7 @@
             now: ms(0),
             range: range(),
             ordered: BTreeMap::new(),
-            dry: Vec::new(),
+            unavailable: Vec::new(),
             log: Vec::new(),
             next: 0,
         };
@@ -75,7 +75,7 @@
         }
     }
 
-    fn of(&self, name: &str, reclaimable: bool) -> Vec<Rc<str>> {
+    fn engines_of(&self, name: &str, reclaimable: bool) -> Vec<Rc<str>> {
         let service = service();
         let engines = self.fleet.active(&service);
         let of = engines.filter(|engine| {
@@ -86,22 +86,25 @@
     }
 
     fn count(&self, name: &str) -> (usize, usize) {
-        (self.of(name, false).len(), self.of(name, true).len())
+        (
+            self.engines_of(name, false).len(),
+            self.engines_of(name, true).len(),
+        )
     }
 
-    fn all(&self) -> usize {
+    fn all_engines(&self) -> usize {
         let counts = ZONES.map(|name| self.count(name));
         counts.iter().map(|(firm, cheap)| firm + cheap).sum()
     }
 
-    fn all_firm(&self) -> usize {
+    fn all_on_demand(&self) -> usize {
         ZONES.map(|name| self.count(name).0).iter().sum()
     }
 
     /// Takes all reclaimable engines of a data centre away.
     fn reclaim(&mut self, name: &'static str) {
-        self.dry.push(name);
-        for id in self.of(name, true) {
+        self.unavailable.push(name);
+        for id in self.engines_of(name, true) {
             self.fleet.remove(&id);
         }
         self.ordered.remove(&(zone(name), true));
@@ -112,7 +115,7 @@
         self.now += ms(250);
         let orders = planner.plan(&self.fleet, &service(), &self.range, self.now);
         for order in orders {
-            let is_dry = order.reclaimable && self.dry.contains(&&*order.zone);
+            let is_dry = order.reclaimable && self.unavailable.contains(&&*order.zone);
             if is_dry {
                 planner.record_refusal(&order, self.now);
             } else {
@@ -127,13 +130,13 @@
 
     fn carry_out(&mut self) {
         for ((name, reclaimable), (engines, since)) in self.ordered.clone() {
-            let there = self.of(&name, reclaimable);
+            let there = self.engines_of(&name, reclaimable);
             let has = u32::try_from(there.len()).expect("there are few");
             if has < engines && self.now >= since + BOOT {
                 self.add(&name, reclaimable, engines - has);
             }
             // An engine that leaves says so some time after it was told to.
-            let go = if self.now >= since + LEAVES {
+            let go = if self.now >= since + LEAVE_DELAY {
                 engines as usize
             } else {
                 there.len()
@@ -148,7 +151,7 @@
         let mut fewest = usize::MAX;
         for _ in 0..seconds * 4 {
             self.step(planner);
-            fewest = fewest.min(self.all());
+            fewest = fewest.min(self.all_engines());
         }
         fewest
     }
@@ -156,13 +159,13 @@
 
 /// A fleet that is paid for in full all day costs five times what it needs to.
 #[test]
-fn most_engines_become_reclaimable_ones_and_there_are_never_fewer_than_before() {
-    let mut world = World::new(20);
+fn most_engines_become_reclaimable_without_a_drop_in_number() {
+    let mut world = Deployment::new(20);
     let mut planner = Planner::default();
     let fewest = world.run(&mut planner, 20);
     assert_eq!(fewest, 60);
     for name in ZONES {
-        assert_eq!(world.count(name), USUAL, "{name}");
+        assert_eq!(world.count(name), EXPECTED, "{name}");
     }
     let before = world.log.len();
     world.run(&mut planner, 60);
@@ -173,7 +176,7 @@
 /// some have. Cause: what was seen at first was taken for all.
 #[test]
 fn engines_that_register_one_after_the_other_are_all_counted() {
-    let mut world = World::new(3);
+    let mut world = Deployment::new(3);
     let mut planner = Planner::default();
     for _ in 0..17 {
         world.step(&mut planner);
@@ -183,7 +186,7 @@
     }
     world.run(&mut planner, 20);
     for name in ZONES {
-        assert_eq!(world.count(name), USUAL, "{name}");
+        assert_eq!(world.count(name), EXPECTED, "{name}");
     }
 }
 
@@ -191,25 +194,25 @@
 /// for nine seconds. Cause: nobody ordered any elsewhere.
 #[test]
 fn other_data_centres_stand_in_for_one_whose_engines_were_reclaimed() {
-    let mut world = World::new(20);
+    let mut world = Deployment::new(20);
     let mut planner = Planner::default();
     world.run(&mut planner, 20);
     world.reclaim("c");
     let fewest = world.run(&mut planner, 9);
     assert_eq!(fewest, 74);
     // As many as either may have.
-    assert_eq!(world.all(), 82);
-    world.dry.clear();
+    assert_eq!(world.all_engines(), 82);
+    world.unavailable.clear();
     world.run(&mut planner, 30);
     for name in ZONES {
-        assert_eq!(world.count(name), USUAL, "{name}");
+        assert_eq!(world.count(name), EXPECTED, "{name}");
     }
 }
 
 /// Where none are to be had for long, others are paid for; and let go again.
 #[test]
-fn engines_that_are_not_to_be_had_for_long_are_replaced_by_others() {
-    let mut world = World::new(20);
+fn engines_unavailable_for_long_are_replaced_by_on_demand_ones() {
+    let mut world = Deployment::new(20);
     let mut planner = Planner::default();
     world.run(&mut planner, 20);
     for name in ZONES {
@@ -219,30 +222,30 @@
     for name in ZONES {
         assert_eq!(world.count(name), (20, 0), "{name}");
     }
-    world.dry.clear();
+    world.unavailable.clear();
     world.run(&mut planner, 30);
     for name in ZONES {
-        assert_eq!(world.count(name), USUAL, "{name}");
+        assert_eq!(world.count(name), EXPECTED, "{name}");
     }
 }
 
 /// What is not to be had is not asked for all the time: every call is paid for, and all instances share a rate.
 #[test]
-fn what_is_refused_is_ordered_again_seldom() {
-    let mut world = World::new(20);
+fn refused_orders_are_repeated_seldom() {
+    let mut world = Deployment::new(20);
     let mut planner = Planner::default();
-    world.dry = ZONES.to_vec();
+    world.unavailable = ZONES.to_vec();
     world.run(&mut planner, 30);
     let refused = world.log.iter().filter(|(_, _, is_had)| !is_had).count();
     assert!(refused <= 3 * 11, "{refused}");
-    assert_eq!(world.all(), 60);
+    assert_eq!(world.all_engines(), 60);
 }
 
 /// Symptom: after a change of the instance that orders, a data centre gets back all that was let go. Sequence: the successor has seen the fleet as it
 /// is now. Cause: it took that for what the deployment started with.
 #[test]
-fn a_successor_goes_on_with_the_same_numbers() {
-    let mut world = World::new(20);
+fn a_successor_continues_with_the_same_numbers() {
+    let mut world = Deployment::new(20);
     let mut planner = Planner::default();
     world.run(&mut planner, 20);
     world.reclaim("c");
@@ -251,10 +254,10 @@
     successor.adopt(&planner.zone_states(), world.now);
     assert_eq!(successor.zone_states(), planner.zone_states());
     let before = world.log.len();
-    world.dry.clear();
+    world.unavailable.clear();
     world.run(&mut successor, 30);
     for name in ZONES {
-        assert_eq!(world.count(name), USUAL, "{name}");
+        assert_eq!(world.count(name), EXPECTED, "{name}");
     }
     assert!(world.log.len() - before <= 6);
 }
@@ -262,7 +265,7 @@
 /// Numbers stay within what the configuration allows.
 #[test]
 fn orders_stay_within_the_range() {
-    let mut world = World::new(12);
+    let mut world = Deployment::new(12);
     world.range.min = 4;
     world.range.max = 12;
     let mut planner = Planner::default();
@@ -283,42 +286,42 @@
 /// Symptom: nearly all engines of a large deployment leave within a second, and get calls for seconds after they said so. Sequence: a data centre starts with a
 /// thousand engines where the configuration allows forty. Cause: it was ordered to have forty.
 #[test]
-fn a_data_centre_that_starts_with_more_than_it_may_have_is_left_alone() {
-    let mut world = World::new(100);
+fn a_data_centre_above_its_maximum_is_not_changed() {
+    let mut world = Deployment::new(100);
     world.run(&mut Planner::default(), 60);
     assert!(world.log.is_empty());
-    assert_eq!(world.all(), 300);
+    assert_eq!(world.all_engines(), 300);
 }
 
 /// Symptom: engines get calls for seconds after they said that they leave. Sequence: hundreds leave at once, and news of them fills the links of those that
 /// tell. Cause: all that could go were ordered away together.
 #[test]
-fn engines_go_a_few_at_a_time() {
-    let mut world = World::new(100);
+fn engines_leave_a_few_at_a_time() {
+    let mut world = Deployment::new(100);
     world.range.max = 400;
     let mut planner = Planner::default();
-    let mut before = world.all_firm();
+    let mut before = world.all_on_demand();
     for _ in 0..400 {
         world.step(&mut planner);
-        let now = world.all_firm();
+        let now = world.all_on_demand();
         assert!(before - now <= 60, "{before} {now}");
         before = now;
     }
     assert_eq!(before, 30);
-    assert_never_called_back(&world);
+    assert_never_ordered_back(&world);
 }
 
 /// Symptom: engines that were let go are paid for on. Sequence: those of one data centre are still there when those of the next are looked at. Cause: what had been
 /// ordered to go counted against what may go, and the order was taken back.
 #[test]
-fn what_was_let_go_is_not_called_back() {
-    let mut world = World::new(20);
+fn engines_ordered_away_are_not_ordered_back() {
+    let mut world = Deployment::new(20);
     world.run(&mut Planner::default(), 40);
-    assert_eq!(world.all_firm(), 6);
-    assert_never_called_back(&world);
+    assert_eq!(world.all_on_demand(), 6);
+    assert_never_ordered_back(&world);
 }
 
-fn assert_never_called_back(world: &World) {
+fn assert_never_ordered_back(world: &Deployment) {
     for name in ZONES {
         let firm = world.log.iter().map(|(_, order, _)| order);
         let firm = firm.filter(|order| !order.reclaimable && &*order.zone == name);
@@ -330,8 +333,8 @@
 /// Symptom: no reclaimable engine is ever to be had. Sequence: a data centre has nearly as many engines as it may; more are ordered than it may have
 /// besides. Cause: the others go only once these are there.
 #[test]
-fn engines_come_in_steps_where_there_is_little_room() {
-    let mut world = World::new(20);
+fn engines_are_replaced_in_steps_near_the_maximum() {
+    let mut world = Deployment::new(20);
     world.range.max = 30;
     let mut planner = Planner::default();
     for _ in 0..200 {
@@ -351,9 +354,9 @@
 }
 
 #[test]
-fn nothing_is_ordered_where_reclaimable_engines_save_little_or_are_none() {
+fn nothing_is_ordered_if_reclaimable_engines_save_little_or_do_not_exist() {
     for price in [None, Some(0.9)] {
-        let mut world = World::new(20);
+        let mut world = Deployment::new(20);
         world.range.reclaimable_price = price;
         world.run(&mut Planner::default(), 20);
         assert!(world.log.is_empty());
@@ -362,13 +365,13 @@
 
 /// Engines that crash and come back within seconds are no reason for an order.
 #[test]
-fn a_few_engines_that_come_and_go_change_nothing() {
-    let mut world = World::new(20);
+fn brief_losses_of_a_few_engines_cause_no_orders() {
+    let mut world = Deployment::new(20);
     let mut planner = Planner::default();
     world.run(&mut planner, 20);
     let before = world.log.len();
     for _ in 0..5 {
-        for id in world.of("a", true).iter().take(3) {
+        for id in world.engines_of("a", true).iter().take(3) {
             world.fleet.remove(id);
         }
         world.run(&mut planner, 1);
--- a/crates/serving/tests/speed.rs
+++ b/crates/serving/tests/speed.rs
@@ -15,7 +15,7 @@
 const SETUP: f64 = 5.0;
 const RATE: f64 = 300.0;
 
-fn takes(work: u32) -> Duration {
+fn read_time(work: u32) -> Duration {
     Duration::from_secs_f64((SETUP + f64::from(work) / RATE) / 1_000.0)
 }
 
@@ -23,13 +23,13 @@
 const WORKS: [u32; 5] = [2_400, 9_000, 5_200, 12_500, 3_600];
 
 /// A fleet that has seen an idle engine read so many prompts, each by itself.
-fn seen(count: usize) -> Fleet {
+fn trained_fleet(count: usize) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Prefill), ("b", Stage::Decode)]);
     let mut now = ms(0);
     for work in WORKS.iter().cycle().take(count) {
         let sent = fleet.begin_call(&id("a"), *work, 0, now);
-        fleet.prompt_read(&sent, now + takes(*work));
-        fleet.end_call(&sent, None, now + takes(*work));
+        fleet.prompt_read(&sent, now + read_time(*work));
+        fleet.end_call(&sent, None, now + read_time(*work));
         now += ms(200);
     }
     fleet
@@ -41,7 +41,7 @@
 /// learned from small prompts only, and there were none.
 #[test]
 fn calls_to_idle_engines_are_expected_on_time_whatever_their_sizes() {
-    let fleet = seen(40);
+    let fleet = trained_fleet(40);
     let (service, zone) = (service(), zone());
     let parts = prompt(&[(1, 9_000)]);
     let demand = Demand {
@@ -57,7 +57,7 @@
 fn setup_and_rate_are_learned_together() {
     let mut speed = Speed::new(Stage::Prefill);
     for work in WORKS.iter().cycle().take(120) {
-        speed.observe(*work, takes(*work));
+        speed.observe(*work, read_time(*work));
     }
     assert!((speed.setup_ms - SETUP).abs() < 2.0, "{speed:?}");
     assert!((speed.tokens_per_ms - RATE).abs() < 15.0, "{speed:?}");
@@ -66,10 +66,10 @@
 /// Symptom: one engine that stood still for a second makes all engines look slow, and calls are refused. Cause: its
 /// time was taken as it was.
 #[test]
-fn one_odd_time_moves_little() {
+fn one_outlier_changes_the_speed_little() {
     let mut speed = Speed::new(Stage::Prefill);
     for work in WORKS.iter().cycle().take(60) {
-        speed.observe(*work, takes(*work));
+        speed.observe(*work, read_time(*work));
     }
     let before = speed.setup_ms + speed.millis(9_000);
     speed.observe(9_000, Duration::from_secs(2));
@@ -78,10 +78,10 @@
 }
 
 #[test]
-fn prompts_of_one_size_say_nothing_of_the_rate() {
+fn prompts_of_one_size_determine_the_time_but_not_the_rate() {
     let mut speed = Speed::new(Stage::Prefill);
     for _ in 0..400 {
-        speed.observe(6_000, takes(6_000));
+        speed.observe(6_000, read_time(6_000));
     }
     let known = speed.setup_ms + speed.millis(6_000);
     assert!((known - 25.0).abs() < 3.0, "{speed:?}");
--- a/crates/serving/tests/streams.rs
+++ b/crates/serving/tests/stream_replay.rs
@@ -21,22 +21,22 @@
 type Micros = u64;
 
 /// A step that makes a token of each stream.
-const STEP: Micros = 650;
+const STEP_TIME: Micros = 650;
 /// Tokens of work read in a millisecond by an engine that only reads, and between tokens.
-const RATES: (u64, u64) = (300, 150);
+const READ_RATES: (u64, u64) = (300, 150);
 /// Tokens of a prompt read between two steps.
-const CHUNK: u64 = 256;
+const CHUNK_TOKENS: u64 = 256;
 /// Time a prompt has of its own.
 const SETUP: Micros = 5_000;
 /// Tokens of an event.
-const EVENT: u64 = 59;
+const EVENT_TOKENS: u64 = 59;
 /// Longest pause that is on time.
-const LONGEST: Duration = Duration::from_millis(150);
+const MAX_PAUSE: Duration = Duration::from_millis(150);
 /// Time in which a first answer is on time.
-const TARGETS: (u64, u64) = (200, 250);
-const LENGTH: Micros = 16_000_000;
+const TARGETS_MS: (u64, u64) = (200, 250);
+const DURATION: Micros = 16_000_000;
 /// The peak, from and to, in which prompts come this many times as often, more than the engines that only read can read.
-const PEAK_TIMES: f64 = 5.0;
+const PEAK_FACTOR: f64 = 5.0;
 /// As above.
 const PEAK: (Micros, Micros) = (5_000_000, 12_000_000);
 /// Prompts and streams a second outside of it.
@@ -63,11 +63,11 @@
             let in_peak = (PEAK.0..PEAK.1).contains(&(at as Micros));
             let rate = match (is_stream, in_peak) {
                 (true, _) => RATE_STREAMS,
-                (false, true) => PEAK_TIMES * RATE_PROMPTS,
+                (false, true) => PEAK_FACTOR * RATE_PROMPTS,
                 (false, false) => RATE_PROMPTS,
             };
             at += -rng.random::<f64>().max(1e-9).ln() / rate * 1e6;
-            if at >= LENGTH as f64 {
+            if at >= DURATION as f64 {
                 break;
             }
             calls.push(call(&mut rng, at as Micros, is_stream));
@@ -98,7 +98,7 @@
         at,
         tokens: shared + own,
         prompt,
-        output: events * EVENT,
+        output: events * EVENT_TOKENS,
         is_stream,
     }
 }
@@ -114,7 +114,7 @@
 
 struct Stream {
     call: usize,
-    made: u64,
+    tokens_made: u64,
     sent: SentCall,
     first_due: bool,
     last: Option<(Micros, StreamMark)>,
@@ -127,7 +127,7 @@
     prompts: Vec<Prompt>,
     streams: Vec<Stream>,
     /// Time that it takes, in tenths of the usual one.
-    pace: u64,
+    slowdown_tenths: u64,
     busy: bool,
 }
 
@@ -150,7 +150,7 @@
     fleet: Fleet,
     events: BinaryHeap<Reverse<(Micros, Event)>>,
     now: Micros,
-    learns: bool,
+    learns_pauses: bool,
     counts: Counts,
 }
 
@@ -170,7 +170,7 @@
 const SLOW: [&str; 3] = ["r3", "d3", "d6"];
 
 impl Replay {
-    fn new(seed: u64, learns: bool) -> Self {
+    fn new(seed: u64, learns_pauses: bool) -> Self {
         let calls = calls(seed);
         let arrivals = calls.iter().enumerate();
         let events = arrivals.map(|(number, call)| Reverse((call.at, Event::Arrives(number))));
@@ -179,7 +179,7 @@
             reads_only: *stage == Stage::Prefill,
             prompts: Vec::new(),
             streams: Vec::new(),
-            pace: if SLOW.contains(name) { 13 } else { 10 },
+            slowdown_tenths: if SLOW.contains(name) { 13 } else { 10 },
             busy: false,
         });
         Self {
@@ -188,7 +188,7 @@
             calls,
             fleet: fleet(&ENGINES),
             now: 0,
-            learns,
+            learns_pauses,
             counts: Counts::default(),
         }
     }
@@ -218,7 +218,7 @@
         counted.1 += 1;
         let (service, zone) = (service(), zone());
         let choice = {
-            let demand = with(&call, demand(&service, &zone, None));
+            let demand = call_demand(&call, demand(&service, &zone, None));
             place::choose(&self.fleet, &demand, self.moment())
         };
         let (target, only_reads) = match choice {
@@ -240,7 +240,7 @@
             sent,
             only_reads,
         });
-        self.go_on(at);
+        self.start_step(at);
     }
 
     fn engine(&self, id: &EngineId) -> usize {
@@ -249,7 +249,7 @@
     }
 
     /// Begins the next step of an engine that has something to do.
-    fn go_on(&mut self, at: usize) {
+    fn start_step(&mut self, at: usize) {
         let engine = &mut self.engines[at];
         if engine.busy || (engine.prompts.is_empty() && engine.streams.is_empty()) {
             return;
@@ -258,11 +258,13 @@
         engine.prompts.sort_by_key(|prompt| prompt.rank);
         let first = engine.prompts.first();
         let takes = match (engine.reads_only, first) {
-            (true, first) => SETUP / 5 + first.map_or(0, |p| p.left * 1_000 / RATES.0),
-            (false, Some(prompt)) => STEP + prompt.left.min(CHUNK) * 1_000 / RATES.1,
-            (false, None) => STEP,
+            (true, first) => SETUP / 5 + first.map_or(0, |p| p.left * 1_000 / READ_RATES.0),
+            (false, Some(prompt)) => {
+                STEP_TIME + prompt.left.min(CHUNK_TOKENS) * 1_000 / READ_RATES.1
+            }
+            (false, None) => STEP_TIME,
         };
-        let takes = takes * engine.pace / 10;
+        let takes = takes * engine.slowdown_tenths / 10;
         self.events
             .push(Reverse((self.now + takes, Event::Stepped(at))));
     }
@@ -272,17 +274,21 @@
         self.make_tokens(at);
         let engine = &mut self.engines[at];
         if let Some(prompt) = engine.prompts.first_mut() {
-            let read = if engine.reads_only { u64::MAX } else { CHUNK };
+            let read = if engine.reads_only {
+                u64::MAX
+            } else {
+                CHUNK_TOKENS
+            };
             prompt.left = prompt.left.saturating_sub(read);
             if prompt.left == 0 {
                 let prompt = engine.prompts.remove(0);
-                self.has_read(at, prompt);
+                self.prompt_read(at, prompt);
             }
         }
-        self.go_on(at);
+        self.start_step(at);
     }
 
-    fn has_read(&mut self, at: usize, prompt: Prompt) {
+    fn prompt_read(&mut self, at: usize, prompt: Prompt) {
         let now = self.moment();
         let mut to = at;
         let mut sent = prompt.sent;
@@ -291,7 +297,7 @@
             self.fleet.end_call(&sent, None, now);
             let call = &self.calls[prompt.call];
             let (service, zone) = (service(), zone());
-            let demand = with(call, demand(&service, &zone, None));
+            let demand = call_demand(call, demand(&service, &zone, None));
             let target = place::choose_decode(&self.fleet, &demand, &zone, now);
             let target = target.expect("engines generate");
             sent = self.fleet.begin_call(&target.engine, 0, target.rank, now);
@@ -299,13 +305,13 @@
         }
         self.engines[to].streams.push(Stream {
             call: prompt.call,
-            made: 0,
+            tokens_made: 0,
             sent,
             first_due: true,
             last: None,
             late: false,
         });
-        self.go_on(to);
+        self.start_step(to);
     }
 
     fn make_tokens(&mut self, at: usize) {
@@ -318,21 +324,26 @@
             let call = &self.calls[stream.call];
             if std::mem::take(&mut stream.first_due) {
                 self.fleet.prompt_read(&stream.sent, now);
-                let target = if call.is_stream { TARGETS.1 } else { TARGETS.0 };
+                let target = if call.is_stream {
+                    TARGETS_MS.1
+                } else {
+                    TARGETS_MS.0
+                };
                 stream.late |= micros - call.at > target * 1_000;
                 stream.last = self.fleet.stream_mark(&id, now).map(|mark| (micros, mark));
             }
-            stream.made += 1;
-            if stream.made.is_multiple_of(EVENT)
+            stream.tokens_made += 1;
+            if stream.tokens_made.is_multiple_of(EVENT_TOKENS)
                 && let Some((before, mut mark)) = stream.last
             {
-                stream.late |= micros - before > LONGEST.as_micros() as Micros;
-                if self.learns {
-                    self.fleet.record_stream_event(&id, &mut mark, LONGEST, now);
+                stream.late |= micros - before > MAX_PAUSE.as_micros() as Micros;
+                if self.learns_pauses {
+                    self.fleet
+                        .record_stream_event(&id, &mut mark, MAX_PAUSE, now);
                 }
                 stream.last = Some((micros, mark));
             }
-            if stream.made < call.output {
+            if stream.tokens_made < call.output {
                 left.push(stream);
                 continue;
             }
@@ -349,11 +360,11 @@
 }
 
 /// What a call asks for.
-fn with<'a>(call: &'a Call, common: Demand<'a>) -> Demand<'a> {
+fn call_demand<'a>(call: &'a Call, common: Demand<'a>) -> Demand<'a> {
     let (rank, target, left) = if call.is_stream {
-        (1, TARGETS.1, 15_000)
+        (1, TARGETS_MS.1, 15_000)
     } else {
-        (0, TARGETS.0, 2_000)
+        (0, TARGETS_MS.0, 2_000)
     };
     Demand {
         generation: Some(Generation {
@@ -389,7 +400,7 @@
 /// Sequence: prompts go to engines that generate as soon as those that read have a line of some tens of milliseconds.
 /// Cause: what a prompt does to the streams beside it was not counted.
 #[test]
-fn streams_keep_their_pauses_in_a_peak_of_prompts() {
+fn streams_stay_on_time_in_a_peak_of_prompts() {
     let (streams_before, prompts_before) = shares(false);
     let (streams, prompts) = shares(true);
     println!(
--- a/crates/serving/tests/throttle.rs
+++ b/crates/serving/tests/throttle.rs
@@ -7,7 +7,7 @@
 
 use assert_matches::assert_matches;
 use clock::Moment;
-use common::{demand, fleet, generation, id, most_within, ms, prompt, record, service, zone};
+use common::{demand, fleet, generation, id, max_within_window, ms, prompt, record, service, zone};
 use serving::place::{self, Refusal};
 use serving::placer::Placers;
 use serving::throttle::{Announcement, Permit, Rate, Throttles};
@@ -17,7 +17,7 @@
 /// Span of time in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-fn said(limit: impl Into<Option<f64>>, at: Moment) -> Announcement {
+fn announcement(limit: impl Into<Option<f64>>, at: Moment) -> Announcement {
     let limit: Option<f64> = limit.into();
     Announcement {
         limit: limit.map(|limit| Rate::try_from(limit).expect("a rate")),
@@ -54,13 +54,13 @@
 }
 
 /// Requests beyond what a limit allows in the fullest window; negative if there is room.
-fn excess(sent: &[Moment], limit: f64) -> f64 {
-    let most = most_within(sent, WINDOW);
+fn excess_requests(sent: &[Moment], limit: f64) -> f64 {
+    let most = max_within_window(sent, WINDOW);
     f64::from(u32::try_from(most).expect("a count")) - (1.5 * limit * WINDOW.as_secs_f64() + 5.0)
 }
 
 #[test]
-fn a_number_that_is_no_rate_is_refused() {
+fn an_invalid_rate_is_rejected() {
     for number in [-1.0, f64::NAN, f64::INFINITY] {
         assert!(Rate::try_from(number).is_err(), "{number}");
     }
@@ -75,7 +75,7 @@
             let mut instances: Vec<Throttles> =
                 all.iter().map(|own| throttles(*own, &all)).collect();
             for instance in &mut instances {
-                instance.merge(&id("e"), said(limit, Moment::ZERO), Moment::ZERO);
+                instance.merge(&id("e"), announcement(limit, Moment::ZERO), Moment::ZERO);
             }
             let mut sent = Vec::new();
             for now in (0..30_000).map(ms) {
@@ -89,7 +89,7 @@
                     }
                 }
             }
-            let excess = excess(&sent, limit);
+            let excess = excess_requests(&sent, limit);
             assert!(
                 excess <= 0.0,
                 "{limit}/s, {count} instances: {excess} too many"
@@ -106,7 +106,7 @@
 
 /// Guards against requests beyond the limit while instances come and go and each hears of it at another moment.
 #[test]
-fn instances_that_hear_late_of_others_keep_to_a_limit() {
+fn instances_keep_to_a_limit_while_membership_news_is_delayed() {
     for seed in 0..40_u64 {
         let limit = [0.5, 1.5, 3.0, 9.0][usize::try_from(seed % 4).unwrap()];
         let mut random = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
@@ -119,7 +119,7 @@
         let all: Vec<usize> = (0..8).collect();
         let mut instances: Vec<Throttles> = all.iter().map(|own| throttles(*own, &all)).collect();
         for instance in &mut instances {
-            instance.merge(&id("e"), said(limit, Moment::ZERO), Moment::ZERO);
+            instance.merge(&id("e"), announcement(limit, Moment::ZERO), Moment::ZERO);
         }
         // Which instances place calls, and when each hears of the newest change.
         let mut placing = all.clone();
@@ -147,7 +147,7 @@
                 }
             }
         }
-        let excess = excess(&sent, limit);
+        let excess = excess_requests(&sent, limit);
         assert!(excess <= 0.0, "seed {seed}, {limit}/s: {excess} too many");
     }
 }
@@ -156,10 +156,10 @@
 #[test]
 fn only_an_answer_to_a_later_request_lifts_a_limit() {
     let mut throttles = throttles(0, &[0]);
-    assert!(throttles.merge(&id("e"), said(1.0, ms(100)), ms(100)));
-    assert!(!throttles.merge(&id("e"), said(None, ms(90)), ms(110)));
+    assert!(throttles.merge(&id("e"), announcement(1.0, ms(100)), ms(100)));
+    assert!(!throttles.merge(&id("e"), announcement(None, ms(90)), ms(110)));
     assert_eq!(throttles.count(), 1);
-    assert!(throttles.merge(&id("e"), said(None, ms(120)), ms(150)));
+    assert!(throttles.merge(&id("e"), announcement(None, ms(120)), ms(150)));
     assert_eq!(
         throttles.permit("e", ms(150)),
         Permit::After(Duration::ZERO)
@@ -170,9 +170,9 @@
 #[test]
 fn a_limit_that_rises_is_used_at_once() {
     let mut throttles = throttles(0, &[0]);
-    throttles.merge(&id("e"), said(0.0, ms(0)), ms(0));
+    throttles.merge(&id("e"), announcement(0.0, ms(0)), ms(0));
     throttles.charge("e", ms(0));
-    throttles.merge(&id("e"), said(10.0, ms(1_000)), ms(1_000));
+    throttles.merge(&id("e"), announcement(10.0, ms(1_000)), ms(1_000));
     assert_eq!(throttles.permit("e", ms(1_000)), Permit::After(ms(100)));
 }
 
@@ -180,21 +180,21 @@
 #[test]
 fn a_lifted_limit_does_not_come_back_by_an_older_announcement() {
     let mut throttles = throttles(0, &[0]);
-    throttles.merge(&id("e"), said(1.0, ms(100)), ms(100));
-    throttles.merge(&id("e"), said(None, ms(200)), ms(210));
+    throttles.merge(&id("e"), announcement(1.0, ms(100)), ms(100));
+    throttles.merge(&id("e"), announcement(None, ms(200)), ms(210));
     throttles.expire(ms(900));
-    assert!(!throttles.merge(&id("e"), said(1.0, ms(150)), ms(900)));
+    assert!(!throttles.merge(&id("e"), announcement(1.0, ms(150)), ms(900)));
     assert_eq!(throttles.count(), 0);
-    assert!(throttles.merge(&id("e"), said(2.0, ms(300)), ms(900)));
+    assert!(throttles.merge(&id("e"), announcement(2.0, ms(300)), ms(900)));
 }
 
 #[test]
-fn what_engines_say_is_merged_alike_in_any_order() {
+fn announcements_merge_alike_in_any_order() {
     let all = [
-        said(1.0, ms(1)),
-        said(None, ms(2)),
-        said(3.0, ms(3)),
-        said(2.0, ms(2)),
+        announcement(1.0, ms(1)),
+        announcement(None, ms(2)),
+        announcement(3.0, ms(3)),
+        announcement(2.0, ms(2)),
     ];
     for first in 0..all.len() {
         let mut throttles = throttles(0, &[0]);
@@ -208,11 +208,11 @@
 
 /// Guards against a limit that all forget to tell those that start, and against one that all repeat.
 #[test]
-fn two_instances_repeat_a_limit_and_all_tell_a_new_one() {
+fn two_instances_repeat_a_limit_and_all_announce_a_new_one() {
     let all: Vec<usize> = (0..6).collect();
     let mut instances: Vec<Throttles> = all.iter().map(|own| throttles(*own, &all)).collect();
     for instance in &mut instances {
-        instance.merge(&id("e"), said(1.5, ms(1)), ms(1));
+        instance.merge(&id("e"), announcement(1.5, ms(1)), ms(1));
         assert_eq!(instance.take_changed().len(), 1);
     }
     let repeating = instances
@@ -231,7 +231,9 @@
 fn limited(fleet: &mut Fleet, engine: &str, limit: f64) {
     let all = placers(0, &[0]);
     fleet.throttles.set_placers(address(0), &all, NOW);
-    fleet.throttles.merge(&id(engine), said(limit, NOW), NOW);
+    fleet
+        .throttles
+        .merge(&id(engine), announcement(limit, NOW), NOW);
 }
 
 fn choose(fleet: &Fleet, left: Duration, now: Moment) -> Choice {
@@ -246,7 +248,7 @@
 
 /// Guards against calls that all go to an engine in need because it has read their prompts.
 #[test]
-fn calls_go_round_an_engine_whose_limit_is_used_up() {
+fn calls_avoid_an_engine_whose_limit_is_used_up() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     fleet.cache_parts(&id("a"), &prompt(&[(1, 100)]), 400_000, NOW);
     assert_matches!(choose(&fleet, ms(4_000), NOW), Choice::Direct(t) if &*t.engine == "a");
@@ -266,7 +268,7 @@
 
 /// Guards against calls that wait to their deadline for an engine that will not take them.
 #[test]
-fn a_call_that_no_limit_lets_go_in_time_is_refused_at_once() {
+fn a_call_that_no_limit_admits_in_time_is_refused_at_once() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     limited(&mut fleet, "a", 0.5);
     assert_matches!(
@@ -289,7 +291,7 @@
 
 /// Guards against memory that is handed to an engine in need.
 #[test]
-fn memory_is_taken_over_elsewhere_if_a_limit_is_used_up() {
+fn a_kv_cache_is_handed_to_an_engine_within_its_limit() {
     let mut fleet = fleet(&[
         ("a", Stage::Decode),
         ("b", Stage::Decode),
@@ -305,7 +307,7 @@
 
 /// Guards against the limit of an engine that has gone binding another one, and against a list that only grows.
 #[test]
-fn the_limit_of_an_engine_that_has_gone_is_forgotten() {
+fn the_limit_of_a_removed_engine_is_dropped() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
     limited(&mut fleet, "a", 0.5);
     fleet.remove("a");
--- a/crates/serving/tests/usage.rs
+++ b/crates/serving/tests/usage.rs
@@ -36,7 +36,7 @@
     of.iter().map(|(text, n)| (name(text), *n)).collect()
 }
 
-fn told(present: Window, window: Window, of: &[(&str, u32)]) -> CountUpdate {
+fn update(present: Window, window: Window, of: &[(&str, u32)]) -> CountUpdate {
     CountUpdate {
         current_window: present,
         counts: vec![(window, counts(of))],
@@ -44,7 +44,7 @@
 }
 
 /// Claims, and the claim stands.
-fn fix(ledger: &mut Ledger, now: Duration) -> Vec<Report> {
+fn claim_and_fix(ledger: &mut Ledger, now: Duration) -> Vec<Report> {
     let proposed = ledger.propose(now);
     ledger.merge_fixed(proposed.clone());
     proposed
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn windows_are_of_true_time() {
+fn windows_follow_wall_clock_time() {
     assert_eq!(SCHEDULE.window(at(0)), FIRST);
     assert_eq!(SCHEDULE.window(at(4_999)), FIRST);
     assert_eq!(SCHEDULE.window(at(5_000)), FIRST + 1);
@@ -63,14 +63,18 @@
 }
 
 #[test]
-fn a_window_is_fixed_with_what_all_counted_once_all_have_told() {
+fn a_report_is_fixed_once_all_counts_have_arrived() {
     let mut own = ledger();
     own.count_request(&name("a"), at(100));
-    own.merge(7, told(FIRST, FIRST, &[("a", 2), ("b", 1)]), at(4_900));
-    own.merge(7, told(FIRST + 1, FIRST, &[("a", 3), ("b", 1)]), at(5_400));
+    own.merge(7, update(FIRST, FIRST, &[("a", 2), ("b", 1)]), at(4_900));
+    own.merge(
+        7,
+        update(FIRST + 1, FIRST, &[("a", 3), ("b", 1)]),
+        at(5_400),
+    );
     assert!(!own.is_due(at(5_400)), "what is on its way is waited for");
     assert!(own.is_due(at(6_600)));
-    fix(&mut own, at(6_600));
+    claim_and_fix(&mut own, at(6_600));
     let reports = reports(&own, at(6_600));
     assert_eq!(reports[0].counts, counts(&[("a", 4), ("b", 1)]));
 }
@@ -78,95 +82,95 @@
 /// Symptom: a report says too little. Sequence: frames are lost, come twice, and out of order. Cause: what a frame told was added to what was
 /// known.
 #[test]
-fn sums_that_come_late_or_twice_change_nothing() {
+fn late_and_duplicate_counts_change_nothing() {
     let mut own = ledger();
-    own.merge(7, told(FIRST, FIRST, &[("a", 5)]), at(3_000));
-    own.merge(7, told(FIRST, FIRST, &[("a", 2)]), at(3_100));
-    own.merge(7, told(FIRST + 1, FIRST, &[("a", 5)]), at(5_100));
-    fix(&mut own, at(6_600));
+    own.merge(7, update(FIRST, FIRST, &[("a", 5)]), at(3_000));
+    own.merge(7, update(FIRST, FIRST, &[("a", 2)]), at(3_100));
+    own.merge(7, update(FIRST + 1, FIRST, &[("a", 5)]), at(5_100));
+    claim_and_fix(&mut own, at(6_600));
     assert_eq!(reports(&own, at(6_600))[0].counts, counts(&[("a", 5)]));
 }
 
 /// Symptom: the requests of a fifth of the instances are missing in a report. Sequence: they are cut off for five seconds at the end of a window.
 /// Cause: the report was fixed before they were back.
 #[test]
-fn an_instance_that_is_cut_off_for_a_moment_is_waited_for() {
+fn counts_of_a_briefly_disconnected_instance_are_waited_for() {
     let mut own = ledger();
     for source in 0..5 {
-        own.merge(source, told(FIRST, FIRST, &[("a", 10)]), at(3_000));
+        own.merge(source, update(FIRST, FIRST, &[("a", 10)]), at(3_000));
     }
     for source in 1..5 {
-        own.merge(source, told(FIRST + 1, FIRST, &[("a", 10)]), at(9_900));
+        own.merge(source, update(FIRST + 1, FIRST, &[("a", 10)]), at(9_900));
     }
     assert!(!own.is_due(at(10_000)));
-    own.merge(0, told(FIRST + 1, FIRST, &[("a", 12)]), at(10_200));
+    own.merge(0, update(FIRST + 1, FIRST, &[("a", 12)]), at(10_200));
     assert!(own.is_due(at(10_200)));
-    fix(&mut own, at(10_200));
+    claim_and_fix(&mut own, at(10_200));
     assert_eq!(reports(&own, at(10_200))[0].counts, counts(&[("a", 52)]));
 }
 
 /// One that was killed does not come back, and the report must be in time.
 #[test]
-fn an_instance_that_does_not_come_back_is_not_waited_for_too_long() {
+fn the_wait_for_a_lost_instance_is_bounded() {
     let mut own = ledger();
     for source in 0..5 {
-        own.merge(source, told(FIRST, FIRST, &[("a", 10)]), at(3_000));
+        own.merge(source, update(FIRST, FIRST, &[("a", 10)]), at(3_000));
     }
     for source in 1..5 {
-        own.merge(source, told(FIRST + 2, FIRST, &[("a", 10)]), at(11_400));
+        own.merge(source, update(FIRST + 2, FIRST, &[("a", 10)]), at(11_400));
     }
     assert!(own.is_due(at(11_600)));
-    fix(&mut own, at(11_600));
+    claim_and_fix(&mut own, at(11_600));
     assert_eq!(reports(&own, at(11_600))[0].counts, counts(&[("a", 50)]));
 }
 
 /// Symptom: a report says a hundredth of what was used. Sequence: the instance that reports is cut off from all others, and not from the
 /// store. Cause: it took those that it no longer heard of for ended.
 #[test]
-fn an_instance_that_hears_of_nobody_fixes_nothing() {
+fn an_isolated_instance_fixes_no_report() {
     let mut own = ledger();
     own.count_request(&name("a"), at(100));
     for source in 0..5 {
-        own.merge(source, told(FIRST, FIRST, &[("a", 10)]), at(3_000));
+        own.merge(source, update(FIRST, FIRST, &[("a", 10)]), at(3_000));
     }
     assert!(!own.is_due(at(12_000)));
-    fix(&mut own, at(12_000));
+    claim_and_fix(&mut own, at(12_000));
     assert!(reports(&own, at(12_000)).is_empty());
 }
 
 /// Symptom: the platform gets two reports of one window. Sequence: an instance fixes a report, sends it and ends before it has an answer;
 /// another one takes over and knows a little more. Cause: it made a report of its own.
 #[test]
-fn a_successor_repeats_what_was_fixed() {
+fn a_successor_repeats_the_fixed_report() {
     let mut first = ledger();
     first.count_request(&name("a"), at(100));
-    let fixed = fix(&mut first, at(6_600));
+    let fixed = claim_and_fix(&mut first, at(6_600));
     let mut second = ledger();
-    second.merge(1, told(FIRST + 1, FIRST, &[("a", 2)]), at(6_500));
+    second.merge(1, update(FIRST + 1, FIRST, &[("a", 2)]), at(6_500));
     assert!(second.is_due(at(6_700)));
     second.merge_fixed(fixed);
-    fix(&mut second, at(6_700));
+    claim_and_fix(&mut second, at(6_700));
     assert_eq!(reports(&second, at(6_700))[0].counts, counts(&[("a", 1)]));
     second.mark_taken(FIRST);
     assert!(reports(&second, at(6_800)).is_empty());
     // What it learns of the window later changes nothing any more.
-    second.merge(1, told(FIRST + 1, FIRST, &[("a", 9)]), at(6_900));
-    fix(&mut second, at(7_000));
+    second.merge(1, update(FIRST + 1, FIRST, &[("a", 9)]), at(6_900));
+    claim_and_fix(&mut second, at(7_000));
     assert!(reports(&second, at(7_000)).is_empty());
 }
 
 /// Symptom: the platform gets two reports of one window. Sequence: an instance fixes and sends one and ends; the store comes back from a copy of
 /// before; a successor finds the window unfixed. Cause: what the store had forgotten was taken for not done.
 #[test]
-fn a_window_that_may_have_been_fixed_before_the_store_went_back_is_left_alone() {
+fn a_window_that_may_have_been_fixed_before_a_restore_is_not_reported() {
     let mut successor = ledger();
-    successor.merge(1, told(FIRST + 1, FIRST, &[("a", 2)]), at(6_500));
+    successor.merge(1, update(FIRST + 1, FIRST, &[("a", 2)]), at(6_500));
     successor.fixed_reports_lost(at(7_000));
     assert!(!successor.is_due(at(7_100)));
     // The next window ended after that, so that nobody can have fixed it.
-    successor.merge(1, told(FIRST + 2, FIRST + 1, &[("a", 3)]), at(10_500));
+    successor.merge(1, update(FIRST + 2, FIRST + 1, &[("a", 3)]), at(10_500));
     assert!(successor.is_due(at(11_600)));
-    fix(&mut successor, at(11_600));
+    claim_and_fix(&mut successor, at(11_600));
     let all = reports(&successor, at(11_600));
     assert_eq!(all.len(), 1);
     assert_eq!(all[0].window, FIRST + 1);
@@ -174,10 +178,10 @@
 
 /// Whoever fixed it knows it, and goes on.
 #[test]
-fn an_instance_that_fixed_a_report_keeps_it_when_the_store_forgets_it() {
+fn an_instance_keeps_the_report_it_fixed_after_a_restore() {
     let mut own = ledger();
     own.count_request(&name("a"), at(100));
-    fix(&mut own, at(6_600));
+    claim_and_fix(&mut own, at(6_600));
     own.fixed_reports_lost(at(6_700));
     assert_eq!(reports(&own, at(6_800))[0].counts, counts(&[("a", 1)]));
 }
@@ -185,23 +189,23 @@
 /// Symptom: the platform gets two reports of one window. Sequence: two instances claim at once; the claim of one stands, that of the other does not; the other one
 /// claims again and sends. Cause: it had fixed a report of its own before its claim stood, and kept it.
 #[test]
-fn a_report_of_a_claim_that_does_not_stand_is_none() {
+fn a_report_of_a_failed_claim_is_not_kept() {
     let (mut first, mut second) = (ledger(), ledger());
     first.count_request(&name("a"), at(100));
     second.count_request(&name("b"), at(100));
     let overtaken = second.propose(at(6_600));
     assert_eq!(overtaken[0].counts, counts(&[("b", 1)]));
-    let fixed = fix(&mut first, at(6_600));
+    let fixed = claim_and_fix(&mut first, at(6_600));
     second.merge_fixed(fixed);
-    fix(&mut second, at(7_600));
+    claim_and_fix(&mut second, at(7_600));
     assert_eq!(reports(&second, at(7_600))[0].counts, counts(&[("a", 1)]));
 }
 
 #[test]
-fn a_report_that_is_late_is_not_sent_and_is_forgotten_in_the_end() {
+fn a_report_past_its_deadline_is_not_sent_and_expires() {
     let mut own = ledger();
     own.count_request(&name("a"), at(100));
-    fix(&mut own, at(6_600));
+    claim_and_fix(&mut own, at(6_600));
     assert!(reports(&own, at(15_100)).is_empty());
     own.expire(at(200_000));
     let later = own.propose(at(200_000));
@@ -210,7 +214,7 @@
 
 /// Frames of what is told until now, and once more after the end of each window.
 #[test]
-fn what_was_counted_is_told_as_it_grows_and_whole_at_the_end() {
+fn counts_are_sent_as_they_grow_and_in_full_at_the_end() {
     let mut own = ledger();
     own.count_request(&name("a"), at(100));
     own.count_request(&name("b"), at(200));
@@ -237,19 +241,19 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// An engine begins a request.
-    Began { organisation: usize },
+    BeginRequest { organisation: usize },
     /// It tells; the frame reaches these of the others.
-    Tells { lost: Vec<bool> },
+    SendUpdate { lost: Vec<bool> },
     /// It claims; the claim stands or does not, it hears so or does not, and has or has no answer of the platform.
-    Claims {
+    Claim {
         stands: bool,
         heard: bool,
         answered: bool,
     },
     /// Its process ends and another one begins in its place.
-    Restarts,
+    Restart,
     /// The store comes back from a copy of before the last claims.
-    GoesBack,
+    Restore,
 }
 
 const INSTANCES: usize = 4;
@@ -258,21 +262,21 @@
 fn step() -> impl Strategy<Value = (usize, u64, Step)> {
     let lost = prop::collection::vec(prop::bool::weighted(0.3), INSTANCES);
     let step = prop_oneof![
-        6 => (0..ORGANISATIONS.len()).prop_map(|organisation| Step::Began { organisation }),
-        6 => lost.prop_map(|lost| Step::Tells { lost }),
+        6 => (0..ORGANISATIONS.len()).prop_map(|organisation| Step::BeginRequest { organisation }),
+        6 => lost.prop_map(|lost| Step::SendUpdate { lost }),
         4 => (prop::bool::weighted(0.7), prop::bool::weighted(0.8), any::<bool>()).prop_map(
-            |(stands, heard, answered)| Step::Claims { stands, heard, answered }),
-        1 => Just(Step::Restarts),
-        1 => Just(Step::GoesBack),
+            |(stands, heard, answered)| Step::Claim { stands, heard, answered }),
+        1 => Just(Step::Restart),
+        1 => Just(Step::Restore),
     ];
     (0..INSTANCES, 0..900_u64, step)
 }
 
 /// The log of claims: what the newest one holds, and what the platform has got.
 #[derive(Default)]
-struct World {
+struct Platform {
     log: Vec<Vec<Report>>,
-    got: BTreeMap<Window, Counts>,
+    received: BTreeMap<Window, Counts>,
 }
 
 proptest! {
@@ -280,16 +284,16 @@
     /// Of no window does the platform get two reports that differ, whoever claims, ends, restarts or is not told, and whatever the store forgets. Claims
     /// follow each other, which is what the log of claims sees to.
     #[test]
-    fn the_platform_gets_one_report_a_window(steps in prop::collection::vec(step(), 1..300)) {
+    fn the_platform_gets_one_report_per_window(steps in prop::collection::vec(step(), 1..300)) {
         let mut now = at(0);
-        let mut world = World::default();
+        let mut world = Platform::default();
         let mut ledgers: Vec<Ledger> = (0..INSTANCES).map(|_| ledger()).collect();
         let mut sources: Vec<u64> = (0..INSTANCES as u64).collect();
         for (who, pause, step) in steps {
             now += Duration::from_millis(pause);
             match step {
-                Step::Began { organisation } => ledgers[who].count_request(&name(ORGANISATIONS[organisation]), now),
-                Step::Tells { lost } => {
+                Step::BeginRequest { organisation } => ledgers[who].count_request(&name(ORGANISATIONS[organisation]), now),
+                Step::SendUpdate { lost } => {
                     let told = ledgers[who].take_update(now);
                     for (other, is_lost) in lost.into_iter().enumerate() {
                         if other != who && !is_lost {
@@ -297,7 +301,7 @@
                         }
                     }
                 }
-                Step::Claims { stands, heard, answered } => {
+                Step::Claim { stands, heard, answered } => {
                     let own = &mut ledgers[who];
                     own.expire(now);
                     if !own.is_due(now) {
@@ -313,18 +317,18 @@
                     }
                     own.merge_fixed(proposed);
                     for report in reports(own, now) {
-                        let before = world.got.entry(report.window).or_insert_with(|| report.counts.clone());
+                        let before = world.received.entry(report.window).or_insert_with(|| report.counts.clone());
                         prop_assert_eq!(&*before, &report.counts, "window {}", report.window);
                         if answered {
                             own.mark_taken(report.window);
                         }
                     }
                 }
-                Step::Restarts => {
+                Step::Restart => {
                     ledgers[who] = Ledger::new(SCHEDULE, now);
                     sources[who] += 100;
                 }
-                Step::GoesBack => {
+                Step::Restore => {
                     let kept = world.log.len().saturating_sub(2);
                     world.log.truncate(kept);
                     for ledger in &mut ledgers {
--- a/crates/serving/tests/watch.rs
+++ b/crates/serving/tests/watch.rs
@@ -5,22 +5,22 @@
 use common::ms;
 use serving::watch::{Deferred, ReaderReport, TopicState, Watch, is_resumption};
 
-const OWN: u64 = 50;
+const OWN_ORDER: u64 = 50;
 
 /// A version, of which equal ones say the same.
-fn known(version: u64) -> TopicState {
+fn state(version: u64) -> TopicState {
     TopicState {
         upto: version,
         digest: version,
     }
 }
 
-fn said(order: u64, heard: u64, read: Option<u64>, knows: u64) -> ReaderReport {
+fn report(order: u64, heard: u64, read: Option<u64>, knows: u64) -> ReaderReport {
     ReaderReport {
         order,
         heard_at: ms(heard),
         read_at: read.map(ms),
-        state: known(knows),
+        state: state(knows),
     }
 }
 
@@ -30,26 +30,26 @@
 
 fn is_due_at(watch: &mut Watch, rank: u32, others: &[ReaderReport], now: u64) -> bool {
     let others = others.iter().copied();
-    watch.is_due(OWN, rank, others, known(7), ms(now))
+    watch.is_due(OWN_ORDER, rank, others, state(7), ms(now))
 }
 
 #[test]
-fn two_fresh_readers_before_it_are_enough() {
+fn two_preceding_fresh_readers_suffice() {
     let mut watch = Watch::default();
     let others = [
-        said(1, 9_900, Some(9_800), 7),
-        said(2, 9_900, Some(9_700), 7),
+        report(1, 9_900, Some(9_800), 7),
+        report(2, 9_900, Some(9_700), 7),
     ];
     assert!(!is_due(&mut watch, &others, 10_000));
     assert!(is_due(&mut watch, &others[..1], 10_000));
 }
 
 #[test]
-fn readers_behind_it_do_not_count() {
+fn succeeding_readers_do_not_count() {
     let mut watch = Watch::default();
     let others = [
-        said(51, 9_900, Some(9_800), 7),
-        said(52, 9_900, Some(9_700), 7),
+        report(51, 9_900, Some(9_800), 7),
+        report(52, 9_900, Some(9_700), 7),
     ];
     assert!(is_due(&mut watch, &others, 10_000));
 }
@@ -58,13 +58,13 @@
 /// instances but two. Sequence: the two that read are cut off from the store, or from the others; they
 /// still know what they knew. Cause: the others relied on them without asking how old their word is.
 #[test]
-fn readers_that_are_cut_off_do_not_count() {
+fn disconnected_readers_do_not_count() {
     let mut watch = Watch::default();
-    let cut_from_store = [said(1, 9_900, Some(7_000), 7), said(2, 9_900, None, 7)];
+    let cut_from_store = [report(1, 9_900, Some(7_000), 7), report(2, 9_900, None, 7)];
     assert!(is_due(&mut watch, &cut_from_store, 10_000));
     let cut_from_here = [
-        said(1, 8_000, Some(8_000), 7),
-        said(2, 8_000, Some(8_000), 7),
+        report(1, 8_000, Some(8_000), 7),
+        report(2, 8_000, Some(8_000), 7),
     ];
     assert!(is_due(&mut watch, &cut_from_here, 10_000));
 }
@@ -72,7 +72,7 @@
 #[test]
 fn a_lasting_difference_is_read_once_a_second() {
     let mut watch = Watch::default();
-    let at = |now: u64| [said(1, now, Some(now), 8), said(2, now, Some(now), 8)];
+    let at = |now: u64| [report(1, now, Some(now), 8), report(2, now, Some(now), 8)];
     assert!(!is_due(&mut watch, &at(10_000), 10_000));
     assert!(!is_due(&mut watch, &at(10_500), 10_500));
     assert!(is_due(&mut watch, &at(10_800), 10_800));
@@ -84,8 +84,8 @@
 /// store is away for seconds; the readers grow stale; every instance reads for itself, again and again. Cause: whoever
 /// heard of no fresh reader read, whatever others were about to do.
 #[test]
-fn in_an_outage_one_instance_after_the_other_joins() {
-    let stale = [said(1, 9_900, None, 7), said(2, 9_900, None, 7)];
+fn instances_join_one_by_one_in_an_outage() {
+    let stale = [report(1, 9_900, None, 7), report(2, 9_900, None, 7)];
     let reads_after = |rank: u32| {
         let mut watch = Watch::default();
         let tries = (0..).step_by(50);
@@ -97,13 +97,13 @@
 }
 
 #[test]
-fn a_fresh_reader_ends_the_wait_of_those_behind() {
+fn a_fresh_reader_resets_the_wait_of_later_instances() {
     let mut watch = Watch::default();
-    let stale = [said(1, 9_900, None, 7), said(2, 9_900, None, 7)];
+    let stale = [report(1, 9_900, None, 7), report(2, 9_900, None, 7)];
     assert!(!is_due_at(&mut watch, 10, &stale, 10_000));
     let fresh = [
-        said(1, 11_000, Some(11_000), 7),
-        said(2, 11_000, Some(11_000), 7),
+        report(1, 11_000, Some(11_000), 7),
+        report(2, 11_000, Some(11_000), 7),
     ];
     assert!(!is_due_at(&mut watch, 10, &fresh, 11_100));
     assert!(!is_due_at(&mut watch, 10, &stale, 12_000));
@@ -113,34 +113,34 @@
 /// for seconds; news of each is told within half a second. Cause: instances compared by digests only, and two that know
 /// different moments differ.
 #[test]
-fn what_is_on_its_way_is_read_by_nobody() {
+fn news_in_transit_causes_no_read() {
     let mut watch = Watch::default();
     for step in 0..100 {
         let now = 10_000 + 100 * step;
         // The readers know of a change each tenth of a second, this instance half a second later.
         let readers = [
-            said(1, now, Some(now), step + 5),
-            said(2, now, Some(now), step + 4),
+            report(1, now, Some(now), step + 5),
+            report(2, now, Some(now), step + 4),
         ];
-        let due = watch.is_due(OWN, 0, readers.into_iter(), known(step), ms(now));
+        let due = watch.is_due(OWN_ORDER, 0, readers.into_iter(), state(step), ms(now));
         assert!(!due, "at step {step}");
     }
 }
 
 /// News that was lost shows once the rest has come, also if more follows.
 #[test]
-fn a_gap_is_read() {
+fn lost_news_causes_a_read() {
     let mut watch = Watch::default();
     let mut due_at = None;
     for step in 0..20 {
         let now = 10_000 + 100 * step;
-        let reader = said(1, now, Some(now), step / 5);
+        let reader = report(1, now, Some(now), step / 5);
         let own = TopicState {
             upto: step / 5,
             digest: 1_000 + step / 5,
         };
-        let others = [reader, said(2, now, Some(now), 0)];
-        if watch.is_due(OWN, 0, others.into_iter(), own, ms(now)) {
+        let others = [reader, report(2, now, Some(now), 0)];
+        if watch.is_due(OWN_ORDER, 0, others.into_iter(), own, ms(now)) {
             due_at = due_at.or(Some(now));
         }
     }
@@ -150,7 +150,7 @@
 /// Symptom: every instance reads all engines' records in the second in which the first reader loses the store. Sequence: an engine leaves; the
 /// second reader reads it and leaves it to the first one to tell, which is turned away before it reads. Cause: nobody told it.
 #[test]
-fn what_the_first_reader_did_not_read_is_told_by_the_second() {
+fn news_missed_by_the_first_reader_is_told_by_the_second() {
     let mut deferred = Deferred::default();
     deferred.defer("read by both", 10, ms(1_000));
     deferred.defer("read by the second", 11, ms(1_100));
@@ -167,7 +167,7 @@
 /// Guards against calls to engines that have left while the store turned its readers away: until another reader is heard of, the
 /// store counts as away and lapses are doubted.
 #[test]
-fn the_first_read_of_a_new_reader_is_told_at_once() {
+fn the_first_read_of_a_new_reader_is_announced_at_once() {
     assert!(is_resumption(None, ms(9_000)));
     assert!(is_resumption(Some(ms(7_000)), ms(9_000)));
     assert!(!is_resumption(Some(ms(8_600)), ms(9_000)));
