--- a/crates/serving/tests/common/mod.rs
+++ b/crates/serving/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Engines and calls that several tests use.
+//! Engines and calls shared by several tests.
 #![allow(dead_code, missing_docs)]
 
 use std::rc::Rc;
@@ -59,7 +59,7 @@
     Rc::from(id)
 }
 
-/// The most of these moments, in order, that lie within one window.
+/// The largest number of these sorted times within one window.
 pub(crate) fn max_within_window(at: &[Duration], window: Duration) -> usize {
     let windows = at.iter().enumerate().map(|(first, from)| {
         let within = at[first..].iter().take_while(|at| **at < *from + window);
@@ -68,7 +68,7 @@
     windows.max().unwrap_or(0)
 }
 
-/// Parts by id and tokens.
+/// A prompt, from ids and token counts.
 pub(crate) fn prompt(parts: &[(u32, u32)]) -> Vec<Part> {
     let parts = parts.iter();
     parts.map(|&(id, tokens)| Part { id, tokens }).collect()
@@ -82,7 +82,7 @@
     }
 }
 
-/// A call of rank 1 with a target of 600 ms and four seconds to wait.
+/// A call of rank 1 with a latency target of 600 ms and four seconds left.
 pub(crate) fn demand<'a>(
     service: &'a ServiceName,
     zone: &'a Zone,
--- a/crates/serving/tests/overrun.rs
+++ b/crates/serving/tests/overrun.rs
@@ -1,4 +1,4 @@
-//! How long calls that yield are expected to wait.
+//! Expected waits of calls that cannot be on time.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use serving::place::{Refusal, choose};
 use serving::{Choice, Demand, Fleet, Stage};
 
-/// Work of a prompt that one engine of these tests reads in 100 ms.
+/// Work of a prompt that an engine of these tests reads in 100 ms.
 const WORK: u32 = 6_000;
 /// Rank of calls that can be on time.
 const URGENT: Rank = 0;
@@ -19,8 +19,8 @@
     fleet(&[("r", Stage::Prefill), ("d", Stage::Decode)])
 }
 
-/// A peak of two seconds: as many urgent prompts come as the engine reads, and ten calls a second yield until their
-/// callers leave.
+/// A peak of two seconds: as many urgent prompts arrive as the engine can read, and ten late calls
+/// per second wait until their callers leave.
 fn peak(fleet: &mut Fleet, from: Duration) {
     let r = id("r");
     let mut now = from;
@@ -38,7 +38,7 @@
     }
 }
 
-/// What becomes of a call that cannot be on time, behind one prompt, whose caller waits for 1.3 s more.
+/// The placement of a late call behind one prompt, whose caller waits for 1.3 s more.
 fn late_call(fleet: &mut Fleet, now: Duration) -> Choice {
     let before = fleet.begin_call(&id("r"), 20_000, LATE_RANK, now);
     let parts = prompt(&[(1, 12_000)]);
@@ -53,9 +53,8 @@
     choice
 }
 
-/// Symptom: in a peak callers of late calls wait to the end and get nothing, while hardly one is refused. Sequence:
-/// a call that cannot be on time yields; it is expected after what is before it now; calls that can be on
-/// time keep coming and go first. Cause: what comes later was not expected.
+/// Guards against late calls that wait to the end and get nothing: a late call was expected right
+/// after the work queued before it, but in a peak urgent calls keep arriving and go first.
 #[test]
 fn a_call_that_would_outlast_its_caller_is_refused_at_once() {
     let mut fleet = prefill_fleet();
@@ -70,8 +69,8 @@
     );
 }
 
-/// Symptom: after a peak every late call is refused although engines stand idle. Cause: only calls that are
-/// taken tell how long others wait, and none was taken.
+/// Guards against refusing every late call after a peak although engines are idle: only accepted
+/// calls show how long others wait, and none was accepted.
 #[test]
 fn late_calls_are_accepted_again_after_a_peak() {
     let mut fleet = prefill_fleet();
--- a/crates/serving/tests/pauses.rs
+++ b/crates/serving/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! What reading a prompt costs the streams beside it.
+//! Delay of streams by prompts read at the same engine.
 
 mod common;
 
@@ -9,15 +9,15 @@
 use serving::place::choose;
 use serving::{Choice, Demand, Fleet, Stage};
 
-/// Longest pause that streams of these tests may have.
+/// Longest pause that the streams of these tests may have.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
 /// Streams that run at engine `a`.
 const STREAMS: u32 = 10;
-/// Pauses from which a fleet learns, of either kind.
+/// Pauses of either kind from which a fleet learns.
 const PAUSES: u64 = 60;
 
-/// A fleet of two engines that generate. Streams run at `a`, where the shared part was read; between two
-/// of their events there are `alone` without and `beside` with a prompt that is read all the while.
+/// A fleet of two decode engines with streams at `a`, which caches the shared part. The pause
+/// between two events is `alone` without a prompt and `beside` with a prompt read all the while.
 fn fleet_with_pauses(alone: Duration, beside: Duration) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     let a = id("a");
@@ -38,7 +38,7 @@
     fleet
 }
 
-/// Where a prompt goes of which `a` has read half.
+/// The engine chosen for a prompt half of which `a` caches.
 fn chosen_engine(fleet: &Fleet) -> String {
     let parts = prompt(&[(7, 2_000), (8, 2_000)]);
     let (service, zone) = (service(), zone());
@@ -50,17 +50,17 @@
     }
 }
 
-/// Symptom: in a peak of long prompts most streams are late by one pause, and the longest never end in time, while
-/// every prompt is on time. Sequence: prompts are read at engines that generate, where their shared parts are; each
-/// holds all streams there up for as long as it is read. Cause: what a prompt costs was counted for other prompts only.
+/// Guards against counting a prompt's cost for other prompts only: in a peak, long prompts were
+/// read at decode engines that cache their shared parts, and delayed all streams there, so that the
+/// longest streams never finished on time.
 #[test]
 fn a_prompt_avoids_streams_whose_pauses_it_would_make_too_long() {
     let fleet = fleet_with_pauses(ms(40), ms(145));
     assert_eq!(chosen_engine(&fleet), "b");
 }
 
-/// Symptom: prompts are read again at engines that lack their shared parts, and are late, while streams have time to
-/// spare. Cause: their delay was counted although it makes none of them late.
+/// Guards against counting a delay that makes no stream late: prompts were read again at engines
+/// without their shared parts, and were late.
 #[test]
 fn a_prompt_ignores_streams_with_slack_in_their_pauses() {
     let fleet = fleet_with_pauses(ms(20), ms(60));
@@ -77,10 +77,8 @@
     assert_eq!(chosen_engine(&fleet), "a");
 }
 
-/// Symptom: in a peak streams are late although the prompts beside them are, too. Sequence: a prompt cannot be on time
-/// anywhere; the engine that only reads has a long line, the one that generates has none; it goes there, a third of a
-/// second sooner and of no use, and holds the streams up. Cause: a call that is late anyway was in as much haste
-/// as others.
+/// Guards against delaying streams for a late prompt: the prefill engine has a long queue, the
+/// decode engine has none, and the prompt went there a third of a second sooner for no benefit.
 #[test]
 fn a_late_prompt_waits_rather_than_delay_streams() {
     let mut fleet = fleet_with_pauses(ms(40), ms(110));
@@ -100,8 +98,8 @@
     assert_matches!(choice, Choice::Split { prefill, .. } if prefill.rank > 1);
 }
 
-/// Symptom: all instances avoid engines after a pause of the whole fleet. Sequence: engines stand still for a second;
-/// every stream has one pause far beyond what reading can do. Cause: it was taken for the work of a prompt.
+/// Guards against attributing a stall to reading: after all engines had stalled for a second, every
+/// stream had one very long pause, and instances avoided the engines.
 #[test]
 fn pauses_of_a_stalled_engine_are_ignored() {
     let mut fleet = fleet_with_pauses(ms(20), ms(60));
--- a/crates/serving/tests/place.rs
+++ b/crates/serving/tests/place.rs
@@ -1,4 +1,4 @@
-//! Where calls go.
+//! Placement of calls.
 
 mod common;
 
@@ -57,9 +57,8 @@
     assert_eq!(fleet.parts.cached_tokens(&id("a"), &prompt(&[(2, 300)])), 0);
 }
 
-/// Symptom: short calls are late on every engine of a fleet that is half idle. Sequence: long prompts
-/// that cannot be on time are queued at the rank of their class; short ones of less urgent classes
-/// wait behind each. Cause: nothing told the engine that the long ones have no time to lose.
+/// Guards against queueing calls that cannot be on time at the rank of their class: short calls of
+/// less urgent classes waited behind each of them, and were late on a fleet that was half idle.
 #[test]
 fn a_call_that_cannot_be_on_time_gets_a_late_rank() {
     let fleet = fleet(&[("a", Stage::Decode)]);
@@ -79,8 +78,8 @@
     );
 }
 
-/// Symptom: on-call engineers read of calls that were refused for want of time though they were expected in 34 ms and had 1,717 left. Sequence: the engine that reads is
-/// idle, those that generate are full. Cause: the refusal told of the reading only.
+/// Guards against logging only the reading time of a refused call: the prefill engine is idle and
+/// the decode engines are full, and the refusal named 34 ms for a call with 1,717 ms left.
 #[test]
 fn a_refusal_reports_the_latency_of_both_stages() {
     let mut fleet = fleet(&[("reads", Stage::Prefill), ("full", Stage::Decode)]);
@@ -107,8 +106,8 @@
     );
 }
 
-/// Symptom: in a burst calls are reset at engines that are up. Sequence: several instances send to one engine
-/// until it has all the connections that it takes. Cause: each instance looked at its own connections only.
+/// Guards against resets in a burst: several instances send to one engine until its connections are
+/// exhausted, if each counts only its own.
 #[test]
 fn an_engine_at_its_connection_limit_gets_no_calls() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
@@ -147,9 +146,9 @@
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b");
 }
 
-/// Symptom: a request reaches an engine more than two seconds after it said that it leaves. Sequence: the
-/// engine that is to generate is chosen, the prompt is read elsewhere for two seconds, meanwhile the
-/// chosen one leaves. Cause: the choice was made before the read and not looked at again.
+/// Guards against requests to an engine more than two seconds after it announced that it leaves: a
+/// decode engine chosen before the prompt was read may leave during the two seconds that reading
+/// takes.
 #[test]
 fn the_decode_engine_is_chosen_after_the_prompt_is_read() {
     let mut fleet = fleet(&[
@@ -169,9 +168,8 @@
     assert_ne!(before.engine, after.engine);
 }
 
-/// Symptom: after an engine's restart calls to it fail until its record lapses. Sequence: the engine
-/// ends, another incarnation listens at its address and answers for the first that it is another one;
-/// the answer counted as a refusal for want of room. Cause: the old record stood for seconds.
+/// Guards against calls to an engine that has restarted, until its old record lapses: the answer of
+/// the new incarnation, that it is another one, counted as an overload refusal.
 #[test]
 fn an_ended_engine_gets_no_calls_although_its_record_exists() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
@@ -216,7 +214,7 @@
     };
     let change = serving::fleet::WorkChange::Started(free.engine.clone(), job);
     fleet.apply_change(9, &change, NOW);
-    // Told again, as every frame tells recent prompts.
+    // Announced again, as every frame lists recent prompts.
     fleet.apply_change(9, &change, NOW);
     assert_eq!(fleet.get(&free.engine).unwrap().pending_jobs().len(), 1);
     assert_matches!(placement(&fleet, &[(1, 2_000)]), Choice::Direct(t) if t.engine != free.engine);
@@ -250,9 +248,8 @@
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b");
 }
 
-/// Symptom: an engine that recovered minutes ago still gets no calls, and the others carry its part.
-/// Sequence: it fails some calls, and all later calls go to others. Cause: its share of failures changed
-/// only with calls, and it got none.
+/// Guards against avoiding a recovered engine for good: its share of failures changed only with
+/// calls, and it got none.
 #[test]
 fn an_engine_that_failed_long_ago_is_as_good_as_others() {
     let mut fleet = Fleet::default();
@@ -287,7 +284,7 @@
     assert_matches!(choose(&fleet, &demand, NOW + ms(60)), Choice::Direct(t) if &*t.engine == "a");
 }
 
-/// Engine `a` keeps the first part of a prompt and has so many prompts to read; `b` is idle.
+/// Engine `a` caches the first part of a prompt and has this many prompts to read; `b` is idle.
 fn cached_at_a(jobs: usize) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
     fleet.cache_parts(&id("a"), &prompt(&[(7, 9_000)]), 400_000, NOW);
@@ -297,9 +294,8 @@
     fleet
 }
 
-/// Symptom: in a peak a quarter of all tokens that engines read are of shared parts which another engine keeps, and
-/// calls are late. Sequence: the engines that keep a part have long lines; a call goes to another one, which reads the
-/// part again. Cause: parts were had only where they were read, although links move them in a tenth of the time.
+/// Guards against reading cached parts again: in a peak, a quarter of all tokens read were of
+/// shared parts that a busy engine cached, although links transfer them in a tenth of the time.
 #[test]
 fn an_idle_engine_fetches_what_a_busy_one_caches() {
     let fleet = cached_at_a(3);
@@ -310,8 +306,8 @@
     );
 }
 
-/// Symptom: with parts fetched wherever it saves a little time all engines keep the same ones, and what they push out is
-/// read again. Cause: a copy cost nothing but its transfer.
+/// Guards against copying parts to all engines: a copy cost nothing but its transfer, and the parts
+/// that it evicted were read again.
 #[test]
 fn a_part_is_not_copied_from_an_idle_engine() {
     let fleet = cached_at_a(0);
@@ -330,8 +326,8 @@
     assert_matches!(choice, Choice::Direct(t) if &*t.engine == "b" && t.fetch_from.is_none());
 }
 
-/// Symptom: calls of the least urgent routes are refused in a peak in which they would be on time. Sequence: an operator
-/// gives a route a rank that late calls have. Cause: its calls were taken for late ones.
+/// Guards against treating calls as late because an operator gave their route such a rank: they
+/// were refused in a peak in which they would have been on time.
 #[test]
 fn the_lowest_priority_is_not_a_late_rank() {
     let fleet = fleet(&[("a", Stage::Decode)]);
@@ -347,8 +343,9 @@
     }
 }
 
-/// Symptom: each call opens a connection of its own, and engines reset what is beyond those that they take. Sequence: a large
-/// fleet; each instance has a call a second. Cause: engines that are alike were told apart by a hash of the prompt only.
+/// Guards against a new connection for each call in a large fleet where each instance has a call
+/// per second: equal engines were ordered by a hash of the prompt only, and reset excess
+/// connections.
 #[test]
 fn among_equal_engines_one_with_a_connection_is_chosen() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
@@ -367,8 +364,8 @@
     }
 }
 
-/// A call that may end its engine was placed where its prompt had been read, which is where most of its kind run: each end
-/// cut all of these. Alone, it goes to the engine with the fewest calls, though that one must read the whole prompt.
+/// Guards against placing a call that may crash its engine where its prompt is cached: most calls
+/// of its kind run there, and each crash would cut all of them.
 #[test]
 fn an_isolated_call_goes_to_the_engine_with_the_fewest_calls() {
     let mut fleet = fleet(&[
--- a/crates/serving/tests/placer.rs
+++ b/crates/serving/tests/placer.rs
@@ -1,4 +1,4 @@
-//! Which instances place calls, and who is asked.
+//! The placers of a fleet, and the order in which they are asked.
 
 mod common;
 
@@ -44,7 +44,7 @@
     assert_eq!(numbers(&placers), [1, 2, 11, 12]);
 }
 
-/// A fleet of two instances a data centre is the one in which each places its own calls.
+/// With two instances per data centre, each places its own calls.
 #[test]
 fn in_a_small_fleet_all_instances_place() {
     let placers = placers_seen_by(
@@ -55,8 +55,9 @@
     assert_eq!(numbers(&placers), [1, 11, 12]);
 }
 
-/// Symptom: each call is told to half of the fleet, for a second, whenever an instance ends. Sequence: a placer ends; of
-/// fifty others none hears of the rest. Cause: all filled the vacancy at once.
+/// Guards against many placers at once: after a placer ended, fifty instances that do not hear from
+/// each other all filled the vacancy, and each call was announced to half of the fleet for a
+/// second.
 #[test]
 fn instances_fill_a_vacancy_one_after_the_other() {
     let others: Vec<Member> = (2..50).map(|n| member(n, 1, false)).collect();
@@ -91,8 +92,8 @@
     assert_eq!(others.len(), PLACERS_PER_ZONE);
 }
 
-/// Symptom: calls of one data centre are placed blindly although all links are well. Sequence: both of its placers end at
-/// once. Cause: only those of the own data centre were asked.
+/// Guards against placing blindly while links are up: both placers of a data centre end at once,
+/// and only those were asked.
 #[test]
 fn placers_of_the_own_data_centre_are_asked_first() {
     let placers = [
--- a/crates/serving/tests/prior_wait.rs
+++ b/crates/serving/tests/prior_wait.rs
@@ -1,4 +1,4 @@
-//! How long callers have waited before they come.
+//! Estimated waits of callers before their call arrives.
 
 mod common;
 
@@ -16,8 +16,8 @@
     assert_eq!(usual.estimate("r", ms(4_000), ms(20)), Duration::ZERO);
 }
 
-/// Symptom: after a start all callers that come back count as new for good. Sequence: the first caller after an
-/// outage has waited; new ones follow. Cause: the first time seen was kept.
+/// Guards against treating returning callers as new for good: the first caller after an outage had
+/// already waited, and its time was kept as the reference.
 #[test]
 fn the_longest_remaining_time_is_the_reference() {
     let mut usual = PriorWaits::default();
@@ -35,9 +35,9 @@
     assert_eq!(usual.estimate("r", ms(4_000), ms(62_000)), Duration::ZERO);
 }
 
-/// Symptom: at idle engines most calls yield to others, and in a peak all are late together. Sequence: each caller waits
-/// for between 85 and 100 in 100 of a common time, none has come before. Cause: whoever waited less than the most patient
-/// one was taken to have waited already, by more than the target of the call.
+/// Guards against treating less patient new callers as returning: each caller waits for between 85
+/// and 100 percent of a common time, and most calls yielded on idle engines and were late together
+/// in a peak.
 #[test]
 fn new_callers_with_different_patience_have_not_waited() {
     let mut usual = PriorWaits::default();
@@ -51,7 +51,7 @@
     assert!(usual.estimate("r", ms(1_200), ms(300)) > ms(500));
 }
 
-/// As above, while every third caller is one that comes back.
+/// As above, with every third caller a returning one.
 #[test]
 fn returning_callers_are_distinguished_from_less_patient_ones() {
     let mut usual = PriorWaits::default();
--- a/crates/serving/tests/queue.rs
+++ b/crates/serving/tests/queue.rs
@@ -1,11 +1,11 @@
-//! The line of prompts at one engine, played forward.
+//! Simulated waits in the queue of prompts at one engine.
 
 use std::time::Duration;
 
 use serving::engine::Job;
 use serving::queue::time_until_read;
 
-/// Tokens a millisecond.
+/// Tokens per millisecond.
 const RATE: f64 = 50.0;
 
 fn job(ticket: u32, sent_ms: u64, rank: u8, work: u32) -> Job {
@@ -26,10 +26,9 @@
     assert_eq!(wait(&[], 0, job(1, 1_000, 0, 5_000)), 100);
 }
 
-/// Symptom: urgent calls of some hundred tokens wait for most of a second at an engine that has
-/// nothing urgent before them. Sequence: a prompt of 50,000 tokens and the lowest rank begins to be
-/// read; a short one of the highest rank comes. Cause: the engine does not put back what it has begun,
-/// and only work of the same rank was counted.
+/// Guards against counting only queued work of the same rank: a prompt of 50,000 tokens and the
+/// lowest rank is being read when a short one of the highest rank arrives. The engine does not
+/// preempt it, so the urgent call waits for most of a second.
 #[test]
 fn an_urgent_prompt_waits_for_a_long_one_that_was_begun() {
     let long = job(1, 1_000, 4, 50_000);
@@ -43,9 +42,9 @@
     assert_eq!(wait(&[first, long], 0, job(3, 1_100, 0, 500)), 310);
 }
 
-/// Symptom: a call is sent to an engine whose next prompt has not begun by the reckoning, and waits a
-/// second. Sequence: 20 ms before the first prompt is read, an urgent one comes; a long one waits.
-/// Cause: the engine fills the rest of its last step with the next prompt, so it had chosen.
+/// Guards against preferring an urgent prompt that arrives too late: 20 ms before the first prompt
+/// has been read, the engine has already filled its last chunk with the next one, a long prompt, so
+/// the urgent one waits a second.
 #[test]
 fn the_next_prompt_is_chosen_one_chunk_before_the_end() {
     let first = job(1, 1_000, 1, 20_000);
--- a/crates/serving/tests/rate_limit_replay.rs
+++ b/crates/serving/tests/rate_limit_replay.rs
@@ -1,5 +1,5 @@
-//! A service some or all of whose engines announce a rate limit, replayed in simulated time: calls come at random to eight
-//! instances, are placed, wait, are refused and come back once.
+//! Replay in simulated time of a service some or all of whose engines announce a rate limit: calls
+//! arrive at random at eight instances, are placed, wait, or are refused and come back once.
 
 #![allow(clippy::cast_precision_loss)]
 
@@ -22,22 +22,21 @@
 const INSTANCES: usize = 8;
 const PREFILL: usize = 8;
 const DECODE: usize = 10;
-/// Calls a second.
 const CALLS_PER_SECOND: f64 = 50.0;
-/// Requests a second that an engine in need takes.
+/// Requests per second that an engine with a limit accepts.
 const LIMIT_PER_SECOND: f64 = 1.5;
 const TARGET: Duration = Duration::from_millis(500);
 const DEADLINE: Duration = Duration::from_secs(4);
-/// Time from sending a prompt to a prefill engine to its being read.
+/// Time from sending a prompt to a prefill engine until it has been read.
 const READ_TIME: Duration = Duration::from_millis(100);
 const DURATION: Duration = Duration::from_secs(60);
 const WINDOW: Duration = Duration::from_secs(4);
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A call comes, or comes back.
+    /// A call arrives, for the first time or again.
     Arrive { call: usize, is_retry: bool },
-    /// The prompt of a call has been read apart.
+    /// The prompt of a call has been read by a prefill engine.
     Read {
         call: usize,
         reserved: Option<EngineId>,
@@ -54,7 +53,7 @@
     on_time: usize,
     late: usize,
     refused: usize,
-    /// Refused once more after they had come back as they were told.
+    /// Calls refused again after they had come back at the time they were given.
     refused_again: usize,
     wasted_reads: usize,
     /// When each engine got its requests.
@@ -76,7 +75,7 @@
 }
 
 impl World {
-    /// Engines whose number is below `limited` of every ten announce a limit.
+    /// Engines whose number modulo ten is below `limited` announce a limit.
     fn new(seed: u64, limited: usize) -> Self {
         let names = names();
         let known: Vec<(&str, Stage)> = names.iter().map(|(n, s)| (n.as_str(), *s)).collect();
@@ -221,7 +220,7 @@
         }
     }
 
-    /// A rejected caller retries once, if its `Retry-After` is within a third of its time.
+    /// A refused caller retries once, if its `Retry-After` is within a third of its remaining time.
     fn refuse(&mut self, call: usize, is_retry: bool, after: Duration, now: Moment) {
         let left = (self.calls[call].at + DEADLINE).saturating_sub(now);
         if is_retry || after > left / 3 {
@@ -237,7 +236,7 @@
     }
 }
 
-/// Requests that the engines of a stage got in a second, on average of those with a limit.
+/// Mean number of requests per second at the engines of a stage that have a limit.
 fn mean_requests_per_second(outcome: &Outcome, stage: Stage, limited: usize) -> f64 {
     let names = names();
     let names = names.iter().enumerate();
@@ -250,7 +249,7 @@
     requests as f64 / engines.len() as f64 / DURATION.as_secs_f64()
 }
 
-/// The most requests that one engine with a limit got within a window.
+/// The largest number of requests that one engine with a limit got within a window.
 fn max_in_window(outcome: &Outcome, limited: usize) -> usize {
     let names = names();
     let names = names.iter().enumerate();
@@ -273,7 +272,8 @@
     );
 }
 
-/// Guards against calls that wait or are refused for engines in need while others have room.
+/// Guards against calls that wait or are refused because of limited engines while others have
+/// capacity.
 #[test]
 fn unlimited_engines_serve_calls_that_limited_ones_cannot() {
     for (seed, limited) in [(1, 2), (2, 5), (3, 8)] {
@@ -287,8 +287,8 @@
     }
 }
 
-/// Guards against queues in which every call is late, limits that are not used, prompts that are read in vain, and callers that come back
-/// only to be refused again.
+/// Guards against queues in which every call is late, unused limits, prompts read for nothing, and
+/// callers that come back only to be refused again.
 #[test]
 fn calls_are_on_time_up_to_the_limits_of_all_engines() {
     for seed in 1..=5 {
--- a/crates/serving/tests/remote_calls.rs
+++ b/crates/serving/tests/remote_calls.rs
@@ -1,4 +1,4 @@
-//! What a placer knows of the calls that it placed for others, and of the answers that they got.
+//! What a placer knows of the calls that it placed for others, and of their outcomes.
 
 mod common;
 
@@ -24,8 +24,8 @@
     fleet.get("a").expect("it is there").running_calls()
 }
 
-/// Symptom: prompts wait for each other at one engine while others are idle. Sequence: two instances ask within a moment where to
-/// send a prompt. Cause: the first one's was counted only once its sender told of it.
+/// Guards against prompts that wait for each other while other engines are idle: two instances ask
+/// at nearly the same time, and the first call was counted only once its sender reported it.
 #[test]
 fn simultaneous_calls_are_placed_on_different_engines() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
@@ -46,8 +46,8 @@
     assert_eq!(running_calls(&fleet), 1);
 }
 
-/// Symptom: an engine is taken for busy while it is idle, until its calls would have timed out. Sequence: the report that a call
-/// has ended is lost. Cause: nothing else told it.
+/// Guards against counting a call as running until its timeout because the report of its end was
+/// lost.
 #[test]
 fn a_lost_report_is_corrected_by_the_next_list_of_calls() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
@@ -63,9 +63,9 @@
     assert_eq!(running_calls(&fleet), 1);
 }
 
-/// Symptom: engines look idler than they are to the other placers, by a call or two for most of a second. Sequence: a call ends just
-/// before its placer tells all that it has; the frame names the end too, for its outcome. Cause: the end was counted off what the
-/// frame told, which did not have the call any more.
+/// Guards against engines that look idler than they are to other placers: a call ends just before
+/// its placer reports all of its work, the frame also names the end for its outcome, and the end
+/// was subtracted from work that no longer had the call.
 #[test]
 fn an_end_reported_with_all_work_is_not_subtracted_from_it() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
@@ -97,8 +97,9 @@
     assert_eq!(running_calls(&fleet), 0);
 }
 
-/// Symptom: in a large fleet calls are expected late, and yield, while all engines are idle. Sequence: each instance sees a call or
-/// two a second, and learns how fast engines are from these. Cause: whoever placed a call learned nothing from its answer.
+/// Guards against learning too slowly in a large fleet: each instance sees one or two calls per
+/// second, and the placer learned nothing from the answers, so calls were expected late while
+/// engines were idle.
 #[test]
 fn a_placer_learns_from_the_calls_that_it_placed() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
@@ -122,8 +123,9 @@
     );
 }
 
-/// Symptom: every instance sends calls to an engine that fails half of them, for minutes. Sequence: its record says that it is
-/// well; each instance has had one call there. Cause: what calls came to was known to their senders only.
+/// Guards against sending calls for minutes to an engine that fails half of them while its record
+/// says it is ready: each instance had one call there, and outcomes were known to their senders
+/// only.
 #[test]
 fn an_engine_that_fails_calls_of_several_instances_is_avoided() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
@@ -135,8 +137,8 @@
     assert_ne!(chosen_engine(&fleet), first);
 }
 
-/// Symptom: all engines of a data centre are closed to all instances. Sequence: one instance is cut off from them; its calls fail at
-/// one after the other. Cause: the others believed it alone.
+/// Guards against avoiding all engines of a data centre because one instance, which is cut off from
+/// them, reports failures at each.
 #[test]
 fn failures_of_one_instance_alone_do_not_count() {
     let mut told = PeerReports::default();
--- a/crates/serving/tests/replay/calls.rs
+++ b/crates/serving/tests/replay/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of the replay: kinds, sizes, and when they come.
+//! The calls of the replay: their kinds, sizes and arrival times.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt as _, SeedableRng as _};
@@ -10,26 +10,27 @@
 pub(crate) const INSTANCES: usize = 4;
 pub(crate) const PREFILL: usize = 4;
 pub(crate) const DECODE: usize = 8;
-/// Time a prompt has of its own, in which nobody else waits.
+/// Setup time of a prompt, in which no other prompt waits.
 pub(crate) const SETUP: Micros = 90_000;
-/// True speeds, in tokens of work a millisecond; the second one is not what the placement begins with.
+/// True reading speeds of prefill and decode engines, in tokens of work per millisecond; the second
+/// differs from the initial estimate.
 pub(crate) const READ_RATES: (f64, f64) = (75.0, 22.0);
-/// Step ahead of the end of a prompt at which an engine chooses the next one, in tokens of work.
+/// Work before the end of a prompt at which an engine chooses the next one, in tokens.
 pub(crate) const CHUNK_WORK: f64 = 2_048.0;
-/// Time of a frame from one instance to another, with the gathering before it.
+/// Delay of a frame between instances, including batching.
 pub(crate) const FRAME_DELAY: Micros = 12_000;
-/// Time of a transfer between two engines.
+/// Duration of a transfer between two engines.
 pub(crate) const TRANSFER_TIME: Micros = 20_000;
-/// Traffic lasts this long, after a start in which engines read the shared parts.
+/// Duration of the traffic, including a warm-up in which engines read the shared parts.
 pub(crate) const TRAFFIC_DURATION: Micros = 24_000_000;
 pub(crate) const COUNTED_FROM: Micros = 4_000_000;
-/// An outage, from and to.
+/// Start and end of the outage.
 pub(crate) const OUTAGE: (Micros, Micros) = (8_000_000, 10_000_000);
-/// Time in which all come back after it.
+/// Time within which all callers come back after it.
 pub(crate) const RETURN_SPREAD: Micros = 400_000;
 
-/// A kind of call: share of the traffic in either half of a swing, shared parts and their size, own
-/// size, target, rank.
+/// A kind of call: its rates per second in either half of a mix cycle, the number and size of
+/// shared parts, mean size of its own part, target and rank.
 pub(crate) struct Kind {
     rates: (f64, f64),
     shared: (u32, u32),
@@ -65,26 +66,26 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) at: Micros,
-    /// How long its caller had waited before.
+    /// How long its caller had waited already.
     pub(crate) waited_before: Micros,
     pub(crate) instance: usize,
     pub(crate) prompt: Vec<Part>,
     pub(crate) tokens: u32,
     pub(crate) target: Micros,
     pub(crate) rank: u8,
-    /// Whose it is.
+    /// The organisation that it belongs to.
     pub(crate) organisation: usize,
 }
 
-/// Organisations of callers, alike in what they send.
+/// Number of organisations, which send alike.
 pub(crate) const ORGANISATIONS: usize = 10;
-/// The one that sends more at times, and how much of its usual load.
+/// The organisation that floods, and the factor by which it exceeds the others.
 pub(crate) const FLOODING: usize = 0;
 pub(crate) const FLOOD_FACTOR: usize = 10;
-/// What all send of their usual load at the worst.
+/// Factor on the load of all organisations in the flood.
 pub(crate) const PEAK_FACTOR: usize = 3;
 
-/// The same calls for every way, by a seed.
+/// The calls for a seed, the same for every policy.
 pub(crate) fn calls(seed: u64) -> Vec<Call> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut calls = Vec::new();
@@ -104,7 +105,8 @@
     calls
 }
 
-/// The same calls, but nobody is served for two seconds, and all who came meanwhile come back together.
+/// The same calls, but none is served for two seconds, and all callers from that time come back
+/// together.
 pub(crate) fn calls_with_outage(seed: u64) -> Vec<Call> {
     let mut calls = calls(seed);
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -119,7 +121,8 @@
     calls
 }
 
-/// Three times the same calls, from ten organisations, of which one sends ten times as much as the others.
+/// Three times the same calls from ten organisations, one of which sends ten times as much as the
+/// others.
 pub(crate) fn calls_with_flood(seed: u64) -> Vec<Call> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut calls = calls(seed);
@@ -136,7 +139,7 @@
             let mut more = call.clone();
             more.at += rng.random_range(0..1_000_000);
             more.instance = rng.random_range(0..INSTANCES);
-            // Each asks something of its own.
+            // Each prompt ends with a part of its own.
             let last = more.prompt.len() - 1;
             more.prompt[last].id = 1_000_000 + rng.random_range(0..1_000_000_000);
             calls.push(more);
@@ -148,7 +151,7 @@
 
 pub(crate) fn call(rng: &mut SmallRng, number: usize, kind: &Kind, at: Micros) -> Call {
     let shared_index = rng.random_range(0..kind.shared.0);
-    // A product of three uniform numbers has the long tail that prompts have.
+    // A product of three uniform numbers has the long tail that prompt sizes have.
     let tail: f64 = (0..3).map(|_| 2.0 * rng.random::<f64>()).product();
     let own = (kind.own * tail) as u32 + 50;
     let shared = Part {
@@ -172,7 +175,7 @@
 }
 
 impl Call {
-    /// Whether it is counted: it is not from the start, and can be on time.
+    /// Whether it is counted: it arrives after the warm-up and can be on time.
     pub(crate) fn counts(&self) -> bool {
         self.at >= COUNTED_FROM && self.waited_before == 0
     }
--- a/crates/serving/tests/replay/engine.rs
+++ b/crates/serving/tests/replay/engine.rs
@@ -1,4 +1,4 @@
-//! An engine of the replay, as it is.
+//! A simulated engine of the replay.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     pub(crate) work: f64,
 }
 
-/// An engine as it is.
+/// A simulated engine with its actual state.
 pub(crate) struct SimEngine {
     pub(crate) rate: f64,
     pub(crate) queue: Vec<QueuedPrompt>,
@@ -59,7 +59,8 @@
         });
     }
 
-    /// The call whose prompt is read next and when it is read, if the engine begins one by now.
+    /// The call whose prompt is read next and when it has been read, if the engine begins one by
+    /// now.
     pub(crate) fn next(&mut self, now: Micros) -> Option<(usize, Micros)> {
         if self.free_at > now || self.queue.is_empty() {
             return None;
--- a/crates/serving/tests/replay/main.rs
+++ b/crates/serving/tests/replay/main.rs
@@ -1,6 +1,6 @@
-//! The load that the placement answers, replayed in simulated time against engines that read prompts one
-//! after the other: shared parts, long tails, and a mix that swings every 2.8 s. The same calls are placed
-//! in the ways that were weighed; what counts is the share of calls on time.
+//! Replay of the placement's load in simulated time, on engines that read one prompt after the
+//! other: shared parts, long tails, and a mix that changes every 2.8 s. The same calls are placed
+//! by several policies; the result is the share of calls on time.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -18,9 +18,9 @@
     shares.sum::<f64>() / 3.0
 }
 
-/// The ways that were weighed. Share on time in one run: placed 0.986, least outstanding 0.602, by the
-/// prefix 0.500, DRILL 0.304, two choices 0.256, round robin 0.181; the others pay for shared parts
-/// that they have read again. The bound asserted is far below the difference.
+/// Shares on time in one run: placement 0.986, least outstanding 0.602, prefix hash 0.500, DRILL
+/// 0.304, two choices 0.256, round robin 0.181; the other policies read shared parts again. The
+/// asserted bound is far below the difference.
 #[test]
 fn placement_serves_more_on_time_than_common_policies() {
     let placed = on_time(Policy::Placed);
@@ -59,9 +59,9 @@
     assert!(placed >= new, "new parts: {new:.3}, placed: {placed:.3}");
 }
 
-/// Symptom: new calls are late for seconds after an outage. Sequence: instances are away; callers come back
-/// together, among new ones. Cause: those that came back kept their rank, though they could not be on time
-/// any more. The share is of new calls only; those that came back are served as well.
+/// Guards against late new calls for seconds after an outage: returning callers arrive among new
+/// ones and kept their rank, though they could not be on time any more. Only new calls are counted;
+/// returning ones are served as well.
 #[test]
 fn new_calls_are_on_time_sooner_after_an_outage() {
     let share = |way| {
@@ -77,8 +77,9 @@
     );
 }
 
-/// Symptom: one organisation's flood shuts the others out. Sequence: of ten that send alike, one sends ten times its usual, so that about a fifth of
-/// all calls is turned away. The aim: none is answered less than a quarter as often as all.
+/// Guards against one organisation's flood starving the others: of ten that send alike, one sends
+/// ten times its usual load, so that about a fifth of all calls is refused. No organisation may be
+/// answered less than a quarter as often as all on average.
 #[test]
 fn a_flooding_organisation_does_not_starve_the_others() {
     for seed in 1..=3 {
@@ -97,11 +98,11 @@
     }
 }
 
-/// Requests a second that an engine in need takes; each gets four or so else.
+/// Requests per second that an engine with a limit accepts; without one, each gets about four.
 const LIMIT: f64 = 1.5;
 
-/// Guards against rate limits that cost more calls than they keep away from their engines: tokens that go to calls which are late, that
-/// are gone once a prompt is read, or that nobody uses.
+/// Guards against rate limits that cost more calls than they keep away from their engines: requests
+/// charged to calls that are late, that have left once a prompt is read, or that go unused.
 #[test]
 fn calls_are_on_time_up_to_what_rate_limits_allow() {
     let share = |of_four| {
@@ -116,7 +117,7 @@
     let shares: Vec<f64> = (0..=4).map(share).collect();
     println!("engines of every four with a limit: {shares:.3?}");
     assert!(shares[1] > shares[0] - 0.1);
-    // Each call needs a request to an engine that generates.
+    // Each call needs a request to a decode engine.
     let load = calls(1).len() as f64 / TRAFFIC_DURATION as f64 * 1e6;
     let allowed = DECODE as f64 * LIMIT / load;
     assert!(shares[4] > 0.6 * allowed, "{} of {allowed}", shares[4]);
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -1,4 +1,4 @@
-//! Instances that place calls on engines in simulated time.
+//! Simulation of instances that place calls on engines.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -23,20 +23,20 @@
 /// How calls are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// As the product does.
+    /// As in production.
     Placed,
-    /// As the product does, but instances tell each other nothing.
+    /// As in production, but instances share no state.
     NoSharing,
-    /// As the product does, but parts are told only where they are new at an engine.
+    /// As in production, but parts are announced only if they are new at an engine.
     NewPartsOnly,
-    /// As the product does, but callers that come back count as new ones.
+    /// As in production, but returning callers count as new.
     IgnorePriorWait,
     RoundRobin,
     LeastOutstanding,
     TwoChoices,
-    /// Two at random and the best remembered one.
+    /// The best of two random engines and the last chosen one.
     Drill,
-    /// By the first shared part.
+    /// By a hash of the first part.
     PrefixHash,
 }
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -56,17 +56,17 @@
     fleets: Vec<Fleet>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     next_sequence: u64,
-    /// The engine and the books' entry of each call that is under way, and whether only its prompt is read.
+    /// The engine and the record of each call in flight, and whether only its prompt is read.
     in_flight: BTreeMap<usize, (usize, SentCall, bool)>,
     messages: Vec<(usize, News)>,
-    /// Engines that are to generate for calls whose prompts are read apart, where these have a limit.
+    /// Decode engines with a limit that are reserved for calls whose prompts are read elsewhere.
     reserved: BTreeMap<usize, EngineId>,
     rng: SmallRng,
     round_robin: usize,
     last_chosen: Option<usize>,
     on_time: usize,
     counted: usize,
-    /// Calls of each organisation that were answered, and all of them.
+    /// Answered calls and all calls, by organisation.
     answered: BTreeMap<usize, (usize, usize)>,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Has some engines of every four announce a rate limit from the start.
+    /// Has `of_four` of every four engines announce a rate limit from the start.
     pub(crate) fn with_limits(mut self, of_four: usize, limit: f64) -> Self {
         let address =
             |n: usize| SocketAddr::from(([127, 0, 0, 1], u16::try_from(n).expect("a port") + 1));
@@ -152,13 +152,13 @@
         self.events.push(Reverse((at, self.next_sequence, event)));
     }
 
-    /// The share of calls whose first answer was on time.
+    /// Runs the simulation. Returns the share of calls whose first answer was on time.
     pub(crate) fn run(mut self) -> f64 {
         self.run_events();
         self.on_time as f64 / self.counted as f64
     }
 
-    /// The share of calls that were answered, by organisation.
+    /// Runs the simulation. Returns the share of calls that were answered, by organisation.
     pub(crate) fn run_by_organisation(mut self) -> BTreeMap<usize, f64> {
         self.run_events();
         let answered = self.answered.into_iter();
@@ -237,7 +237,7 @@
             .expect("it is known")
     }
 
-    /// An engine from `from` on, by one of the ways that others use.
+    /// An engine with index `from` or above, by one of the common policies.
     pub(crate) fn baseline(&mut self, number: usize, from: usize) -> usize {
         let count = self.engines.len() - from;
         let instance = self.calls[number].instance;
@@ -344,7 +344,7 @@
                 let fleet = &mut self.fleets[call.instance];
                 let time = Duration::from_micros(now);
                 let Some(target) = place::choose_decode(fleet, &demand, &zone, time) else {
-                    // Its limits are used up, and it was not reserved.
+                    // The limits are used up, and no engine was reserved.
                     return;
                 };
                 place::charge(fleet, &demand, &target, time);
@@ -352,7 +352,7 @@
             }
             _ => self.baseline(number, PREFILL),
         };
-        // The prompt was read: what is left is the wait for the prompt that the engine is reading.
+        // The prompt has been read already: only the wait for the engine's present prompt remains.
         let rank = call.rank;
         self.send(
             number,
--- a/crates/serving/tests/route.rs
+++ b/crates/serving/tests/route.rs
@@ -1,4 +1,4 @@
-//! Routes, budgets and speeds.
+//! Routes, retry budgets and reading speeds.
 
 mod common;
 
@@ -61,8 +61,8 @@
     assert_eq!(short.event_timeout(), ms(2_000));
 }
 
-/// Symptom: a service gets more repeats than the users allow, summed over all instances. Sequence: each
-/// of eight instances spends the whole slack at the same time. Cause: none knew of the others.
+/// Guards against exceeding the repeats allowed over all instances: each of eight instances spent
+/// the whole slack at the same time.
 #[test]
 fn instances_together_stay_within_the_slack() {
     let bound = RepeatLimit {
--- a/crates/serving/tests/speed.rs
+++ b/crates/serving/tests/speed.rs
@@ -1,4 +1,4 @@
-//! How fast engines are taken to be.
+//! Learned reading speeds of engines.
 
 mod common;
 
@@ -10,8 +10,7 @@
 use serving::speed::{Speed, work};
 use serving::{Choice, Demand, Fleet, Stage};
 
-/// True times of the engines of these tests: a setup and tokens of work a millisecond, five times as fast as is
-/// assumed before anything is learned.
+/// True setup and rate of the engines of these tests, five times as fast as assumed initially.
 const SETUP: f64 = 5.0;
 const RATE: f64 = 300.0;
 
@@ -19,10 +18,10 @@
     Duration::from_secs_f64((SETUP + f64::from(work) / RATE) / 1_000.0)
 }
 
-/// Prompts of a deployment that has no small ones.
+/// Prompts of a deployment without small ones.
 const WORKS: [u32; 5] = [2_400, 9_000, 5_200, 12_500, 3_600];
 
-/// A fleet that has seen an idle engine read so many prompts, each by itself.
+/// A fleet that has seen an idle engine read this many prompts, one at a time.
 fn trained_fleet(count: usize) -> Fleet {
     let mut fleet = fleet(&[("a", Stage::Prefill), ("b", Stage::Decode)]);
     let mut now = ms(0);
@@ -35,10 +34,9 @@
     fleet
 }
 
-/// Symptom: while all engines stand idle, nine calls of ten yield to others, and in the next peak all are late together.
-/// Sequence: a deployment whose prompts are all of thousands of tokens starts on engines that take 5 ms for a
-/// prompt of their own; 80 ms are assumed; calls with 200 ms to spare are expected late. Cause: the setup was
-/// learned from small prompts only, and there were none.
+/// Guards against learning the setup from small prompts only: in a deployment without small prompts
+/// the initial 80 ms stayed in force for engines that need 5 ms, so calls with 200 ms to spare were
+/// expected late, yielded on idle engines, and were late together in the next peak.
 #[test]
 fn calls_to_idle_engines_are_expected_on_time_whatever_their_sizes() {
     let fleet = trained_fleet(40);
@@ -63,8 +61,8 @@
     assert!((speed.tokens_per_ms - RATE).abs() < 15.0, "{speed:?}");
 }
 
-/// Symptom: one engine that stood still for a second makes all engines look slow, and calls are refused. Cause: its
-/// time was taken as it was.
+/// Guards against one stalled engine that makes all engines look slow: its time was used unbounded,
+/// and calls were refused.
 #[test]
 fn one_outlier_changes_the_speed_little() {
     let mut speed = Speed::new(Stage::Prefill);
--- a/crates/serving/tests/stream_replay.rs
+++ b/crates/serving/tests/stream_replay.rs
@@ -1,6 +1,7 @@
-//! The load that the cost of reading to streams answers, replayed in simulated time: streams of thousands of tokens, whose
-//! events hold 59 each, beside long prompts that come in a peak. Engines that generate make a token of each stream a step,
-//! and read a chunk of a prompt between two steps. The same calls are placed with and without what is learned of pauses.
+//! Replay in simulated time of long streams, whose events hold 59 tokens each, beside long prompts
+//! that arrive in a peak. Decode engines make a token of each stream per step and read a chunk of a
+//! prompt between two steps. The same calls are placed with and without the learned model of
+//! pauses.
 
 mod common;
 
@@ -20,26 +21,26 @@
 /// Microseconds of simulated time.
 type Micros = u64;
 
-/// A step that makes a token of each stream.
+/// Duration of a step that makes a token of each stream.
 const STEP_TIME: Micros = 650;
-/// Tokens of work read in a millisecond by an engine that only reads, and between tokens.
+/// Tokens of work that a prefill engine reads per millisecond, and a decode engine between tokens.
 const READ_RATES: (u64, u64) = (300, 150);
 /// Tokens of a prompt read between two steps.
 const CHUNK_TOKENS: u64 = 256;
-/// Time a prompt has of its own.
+/// Setup time of a prompt.
 const SETUP: Micros = 5_000;
-/// Tokens of an event.
+/// Tokens per event.
 const EVENT_TOKENS: u64 = 59;
 /// Longest pause that is on time.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
-/// Time in which a first answer is on time.
+/// Times within which a first answer is on time, for prompts and streams.
 const TARGETS_MS: (u64, u64) = (200, 250);
 const DURATION: Micros = 16_000_000;
-/// The peak, from and to, in which prompts come this many times as often, more than the engines that only read can read.
+/// Factor on the rate of prompts in the peak, which exceeds what the prefill engines can read.
 const PEAK_FACTOR: f64 = 5.0;
-/// As above.
+/// Start and end of the peak.
 const PEAK: (Micros, Micros) = (5_000_000, 12_000_000);
-/// Prompts and streams a second outside of it.
+/// Prompts and streams per second outside the peak.
 const RATE_PROMPTS: f64 = 70.0;
 const RATE_STREAMS: f64 = 8.0;
 
@@ -48,7 +49,7 @@
     at: Micros,
     prompt: Vec<Part>,
     tokens: u32,
-    /// Tokens of its answer.
+    /// Tokens of the answer.
     output: u64,
     /// Whether it is one of the long streams.
     is_stream: bool,
@@ -103,7 +104,7 @@
     }
 }
 
-/// A prompt that waits or is being read.
+/// A prompt that is queued or being read.
 struct Prompt {
     call: usize,
     rank: u8,
@@ -126,7 +127,7 @@
     reads_only: bool,
     prompts: Vec<Prompt>,
     streams: Vec<Stream>,
-    /// Time that it takes, in tenths of the usual one.
+    /// Duration of its steps, in tenths of the normal one.
     slowdown_tenths: u64,
     busy: bool,
 }
@@ -137,7 +138,7 @@
     Stepped(usize),
 }
 
-/// Calls on time and all, of streams and of prompts.
+/// Calls on time and in total, of streams and of prompts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     streams: (u32, u32),
@@ -166,7 +167,7 @@
     ("d6", Stage::Decode),
 ];
 
-/// Engines that are slower than the others by three tenths, as a third of them often is.
+/// Engines that are slower by three tenths, as a third of them often is.
 const SLOW: [&str; 3] = ["r3", "d3", "d6"];
 
 impl Replay {
@@ -248,7 +249,7 @@
         found.expect("engines that are chosen exist")
     }
 
-    /// Begins the next step of an engine that has something to do.
+    /// Begins the next step of an engine that has work.
     fn start_step(&mut self, at: usize) {
         let engine = &mut self.engines[at];
         if engine.busy || (engine.prompts.is_empty() && engine.streams.is_empty()) {
@@ -359,7 +360,7 @@
     }
 }
 
-/// What a call asks for.
+/// The demand of a call.
 fn call_demand<'a>(call: &'a Call, common: Demand<'a>) -> Demand<'a> {
     let (rank, target, left) = if call.is_stream {
         (1, TARGETS_MS.1, 15_000)
@@ -396,9 +397,9 @@
     (share(sum.streams), share(sum.prompts))
 }
 
-/// Symptom: in a peak of long prompts most streams have a pause that is too long, at engines that could have been spared.
-/// Sequence: prompts go to engines that generate as soon as those that read have a line of some tens of milliseconds.
-/// Cause: what a prompt does to the streams beside it was not counted.
+/// Guards against reading prompts at decode engines as soon as the prefill engines have a queue of
+/// some tens of milliseconds: in a peak most streams had a pause that was too long, at engines that
+/// could have been spared.
 #[test]
 fn streams_stay_on_time_in_a_peak_of_prompts() {
     let (streams_before, prompts_before) = shares(false);
--- a/crates/serving/tests/throttle.rs
+++ b/crates/serving/tests/throttle.rs
@@ -14,7 +14,7 @@
 use serving::{Choice, Fleet, Stage};
 
 const NOW: Moment = Duration::from_secs(10);
-/// Span of time in which requests are counted.
+/// Window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn announcement(limit: impl Into<Option<f64>>, at: Moment) -> Announcement {
@@ -29,7 +29,7 @@
     SocketAddr::from(([127, 0, 0, 1], u16::try_from(number).expect("a port") + 1))
 }
 
-/// Those that place calls, as one of them sees it.
+/// The placers, as seen by one of them.
 fn placers(own: usize, all: &[usize]) -> Placers {
     let others = all.iter().filter(|other| **other != own);
     Placers {
@@ -44,7 +44,7 @@
     throttles
 }
 
-/// Sends one request if the limit lets it go at once.
+/// Sends one request if the limit admits it at once.
 fn send(throttles: &mut Throttles, now: Moment) -> bool {
     let goes = throttles.permit("e", now) == Permit::After(Duration::ZERO);
     if goes {
@@ -53,7 +53,7 @@
     goes
 }
 
-/// Requests beyond what a limit allows in the fullest window; negative if there is room.
+/// Requests in the fullest window beyond what a limit allows; negative if fewer.
 fn excess_requests(sent: &[Moment], limit: f64) -> f64 {
     let most = max_within_window(sent, WINDOW);
     f64::from(u32::try_from(most).expect("a count")) - (1.5 * limit * WINDOW.as_secs_f64() + 5.0)
@@ -66,7 +66,8 @@
     }
 }
 
-/// Guards against instances that each keep to the whole limit, and against bursts of all after a lull.
+/// Guards against instances that each use the whole limit, and against simultaneous bursts after an
+/// idle time.
 #[test]
 fn instances_together_keep_to_a_limit_under_any_load() {
     for limit in [0.0, 0.1, 0.4, 1.0, 1.5, 1.7, 4.0, 12.5, 60.0] {
@@ -94,7 +95,7 @@
                 excess <= 0.0,
                 "{limit}/s, {count} instances: {excess} too many"
             );
-            // What all may send together is used.
+            // The shares of all instances together are used.
             let used = f64::from(u32::try_from(sent.len()).unwrap()) / 16.0;
             assert!(
                 limit < 1.0 || used > 0.8 * limit,
@@ -104,7 +105,8 @@
     }
 }
 
-/// Guards against requests beyond the limit while instances come and go and each hears of it at another moment.
+/// Guards against exceeding the limit while instances join and leave and each hears of it at a
+/// different time.
 #[test]
 fn instances_keep_to_a_limit_while_membership_news_is_delayed() {
     for seed in 0..40_u64 {
@@ -121,7 +123,7 @@
         for instance in &mut instances {
             instance.merge(&id("e"), announcement(limit, Moment::ZERO), Moment::ZERO);
         }
-        // Which instances place calls, and when each hears of the newest change.
+        // The instances that place calls, and when each hears of the latest change.
         let mut placing = all.clone();
         let mut hears: Vec<(Moment, Vec<usize>)> = vec![(Moment::ZERO, all.clone()); 8];
         let mut sent = Vec::new();
@@ -152,7 +154,7 @@
     }
 }
 
-/// Guards against a limit that an answer lifts which had left the engine before the limit was set.
+/// Guards against lifting a limit by an answer that left the engine before the limit was set.
 #[test]
 fn only_an_answer_to_a_later_request_lifts_a_limit() {
     let mut throttles = throttles(0, &[0]);
@@ -166,7 +168,8 @@
     );
 }
 
-/// Guards against an engine that takes calls again and is still left aside, for as long as its old limit would have it.
+/// Guards against leaving an engine unused after its limit was raised, for as long as the old limit
+/// would require.
 #[test]
 fn a_limit_that_rises_is_used_at_once() {
     let mut throttles = throttles(0, &[0]);
@@ -176,7 +179,7 @@
     assert_eq!(throttles.permit("e", ms(1_000)), Permit::After(ms(100)));
 }
 
-/// Guards against a limit that comes back by what an instance tells late.
+/// Guards against restoring a lifted limit by an instance's late report.
 #[test]
 fn a_lifted_limit_does_not_come_back_by_an_older_announcement() {
     let mut throttles = throttles(0, &[0]);
@@ -206,7 +209,7 @@
     }
 }
 
-/// Guards against a limit that all forget to tell those that start, and against one that all repeat.
+/// Guards against a limit that nobody announces to new instances, and against one that all repeat.
 #[test]
 fn two_instances_repeat_a_limit_and_all_announce_a_new_one() {
     let all: Vec<usize> = (0..6).collect();
@@ -246,7 +249,7 @@
     place::choose(fleet, &demand, now)
 }
 
-/// Guards against calls that all go to an engine in need because it has read their prompts.
+/// Guards against sending all calls to a limited engine because it caches their prompts.
 #[test]
 fn calls_avoid_an_engine_whose_limit_is_used_up() {
     let mut fleet = fleet(&[("a", Stage::Decode), ("b", Stage::Decode)]);
@@ -258,7 +261,7 @@
     assert_matches!(choose(&fleet, ms(4_000), later), Choice::Direct(t) if &*t.engine == "a" && t.limit_wait.is_zero());
 }
 
-/// Guards against calls that are refused although the only engine takes them soon enough.
+/// Guards against refusing calls although the only engine accepts them soon enough.
 #[test]
 fn a_call_waits_for_the_limit_of_the_only_engine() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
@@ -266,7 +269,7 @@
     assert_matches!(choose(&fleet, ms(4_000), NOW), Choice::Direct(t) if t.limit_wait > ms(0) && t.expected_latency > t.limit_wait);
 }
 
-/// Guards against calls that wait to their deadline for an engine that will not take them.
+/// Guards against calls that wait to their deadline for an engine that will not accept them.
 #[test]
 fn a_call_that_no_limit_admits_in_time_is_refused_at_once() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
@@ -289,7 +292,7 @@
     );
 }
 
-/// Guards against memory that is handed to an engine in need.
+/// Guards against handing a KV cache to an engine whose limit is used up.
 #[test]
 fn a_kv_cache_is_handed_to_an_engine_within_its_limit() {
     let mut fleet = fleet(&[
@@ -305,7 +308,8 @@
     assert_eq!(&*target.engine, "b");
 }
 
-/// Guards against the limit of an engine that has gone binding another one, and against a list that only grows.
+/// Guards against applying the limit of a removed engine to another one, and against a table that
+/// only grows.
 #[test]
 fn the_limit_of_a_removed_engine_is_dropped() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
