--- a/crates/serving/tests/claim.rs
+++ b/crates/serving/tests/claim.rs
@@ -1,5 +1,5 @@
-//! Orders of different instances stay apart under every schedule of reads that lag, appends that are carried
-//! out late or answered never, and pauses.
+//! Orders of different instances stay a lease apart under every schedule of stale reads, appends
+//! that are carried out late or never answered, and pauses.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,33 +10,33 @@
 use proptest::test_runner::{RngSeed, TestRunner};
 use serving::claim::{Claim, Claimant, Era, Fence, ORDER_WINDOW};
 
-/// Milliseconds of true time.
+/// Milliseconds of real time.
 type Millis = u64;
 
 const LEASE: Millis = 3_000;
-/// Time that an order may be on its way, as the connection's limits have it.
+/// Longest time between sending and arrival of an order, by the limits of its connection.
 const MAX_ORDER_TRANSIT: Millis = 800;
-/// Longest time for an answer of the store, after which an instance gives the claim up.
+/// Time after which an instance gives up a claim without an answer from the store.
 const MAX_ANSWER_TIME: Millis = 1_500;
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// One try of an instance to give orders.
+/// One attempt of an instance to give orders.
 #[derive(Clone, Debug)]
 struct Attempt {
     instance: usize,
-    /// Pause before it, after the end of the instance's try before.
+    /// Pause after the end of the instance's previous attempt.
     pause: Millis,
-    /// How far its read lags behind.
+    /// Age of the state that its read returns.
     lag: Millis,
-    /// From the read to the moment before the append is sent.
+    /// From the read until just before the append is sent.
     think_time: Millis,
-    /// From there until the append is carried out, if its condition still holds.
+    /// From then until the append is carried out, if its condition still holds.
     append_delay: Millis,
-    /// From there until the answer is there; none if it is lost.
+    /// From then until the answer arrives; `None` if it is lost.
     answer_delay: Option<Millis>,
     /// Time for which the machine is suspended before the order.
     suspended: Millis,
-    /// From the order's leaving to its arrival.
+    /// From sending the order to its arrival.
     order_transit: Millis,
 }
 
@@ -65,7 +65,7 @@
     )
 }
 
-/// Two instances that order now and then, and one that looks often and takes over when it may.
+/// Two instances that order occasionally, and one that tries often and takes over when it may.
 fn attempts() -> impl Strategy<Value = Vec<Attempt>> {
     let seldom = |instance| prop::collection::vec(attempt(instance, 0..9_000), 1..4);
     let often = prop::collection::vec(attempt(2, 20..300), 10..60);
@@ -86,22 +86,22 @@
         fence: Fence,
         sent: Millis,
     },
-    /// The log comes back from a copy without its last claims.
+    /// The log is restored from a copy without its last claims.
     Restore(usize),
 }
 
 struct Instance {
     claimant: Claimant,
-    /// Time that its steady clock did not count.
+    /// Time that its monotonic clock did not count.
     suspended_total: Millis,
 }
 
-/// The fencing token of a claim: offsets are given out again, eras are not.
+/// The fencing token of a claim: offsets are reused after a restore, eras are not.
 fn token(era: Era, at: u64) -> Fence {
     era << 40 | at
 }
 
-/// An order that arrived: when, its fence, its holder.
+/// An order that arrived: time, fencing token and holder.
 type Arrival = (Millis, Fence, usize);
 
 struct World<'a> {
@@ -141,7 +141,7 @@
         world
     }
 
-    /// Plans an instance's next try from `from` on.
+    /// Schedules an instance's next attempt from `from` on.
     fn next_attempt(&mut self, instance: usize, from: usize, now: Millis) {
         let next =
             (from..self.attempts.len()).find(|number| self.attempts[*number].instance == instance);
@@ -211,7 +211,8 @@
         if succeeds {
             self.log.push((now, attempt.instance));
         }
-        // An append may stand behind other claims than were meant; its answer tells by the era.
+        // After a restore an append may succeed behind other claims than expected; the era in its
+        // answer shows it.
         let is_expected_claim = succeeds && self.era == era;
         match attempt.answer_delay {
             Some(answer) if is_expected_claim && now + answer <= sent + MAX_ANSWER_TIME => {
@@ -235,7 +236,7 @@
 
     fn order(&mut self, number: usize, fence: Fence, sent: Millis, now: Millis) {
         let attempt = &self.attempts[number];
-        // The clock that also runs while the machine is suspended.
+        // Measured by the clock that also runs while the machine is suspended.
         if now - sent < u64::try_from(ORDER_WINDOW.as_millis()).expect("it is short") {
             self.arrivals
                 .push((now + attempt.order_transit, fence, attempt.instance));
@@ -244,8 +245,8 @@
     }
 }
 
-/// Two instances that order within one lease undo each other's orders; a fencing token that falls is
-/// refused by engines that look at it and carried out by others.
+/// Two instances that order within one lease undo each other's orders; a decreasing fencing token
+/// is refused by engines that check it, and carried out by others.
 #[test]
 fn orders_of_different_instances_are_a_lease_apart() {
     let mut runner = TestRunner::new(ProptestConfig {
@@ -269,7 +270,7 @@
     checked.unwrap();
 }
 
-/// The schedules do reach orders of different instances.
+/// The schedules do produce orders of different instances.
 #[test]
 fn claims_pass_between_instances() {
     let simple = |instance, pause| Attempt {
--- a/crates/serving/tests/fingerprint.rs
+++ b/crates/serving/tests/fingerprint.rs
@@ -1,10 +1,10 @@
-//! A request keeps its fingerprint when it comes again, and shares it with no other one.
+//! A request keeps its fingerprint when it is repeated, and shares it with no other request.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serving::fingerprint::{Request, of};
 
-/// So that a run decides the same every time.
+/// Fixed, so that every run checks the same cases.
 const SEED: u64 = 29;
 
 const REQUEST: Request = Request {
@@ -46,7 +46,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(SEED), failure_persistence: None, ..ProptestConfig::default() })]
-    /// A caller that moves bytes from one field to the next makes another request.
+    /// Moving bytes from one field to the next changes the fingerprint.
     #[test]
     fn fields_do_not_run_into_each_other(text in "[a-z/]{2,12}", cut in 1usize..12, other in 1usize..12) {
         let at = |cut: usize| {
--- a/crates/serving/tests/organisation.rs
+++ b/crates/serving/tests/organisation.rs
@@ -1,4 +1,4 @@
-//! Whose key a caller shows.
+//! Identification of organisations by their keys.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 use proptest::test_runner::RngSeed;
 use serving::organisation::{Digest, Directory, Finding, Organisation, Salt, digest};
 
-/// So that a run decides the same every time.
+/// Fixed, so that every run checks the same cases.
 const SEED: u64 = 23;
 
 const SALT: Salt = [7; 32];
@@ -40,8 +40,8 @@
     assert_eq!(holder(&directory, ""), None);
 }
 
-/// Symptom: callers of one organisation are served as another one, as the order of a map has it. Sequence: an operator gives a
-/// key out twice. Cause: the later one won, and nobody was told.
+/// Guards against a key given to two organisations: the later one silently won, and callers were
+/// served as either, depending on the order of a map.
 #[test]
 fn all_faults_of_a_directory_are_reported() {
     let all = vec![
@@ -88,7 +88,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(SEED), failure_persistence: None, ..ProptestConfig::default() })]
-    /// Nobody is taken for an organisation by a part of its key, or by more than it.
+    /// A part of a key, or a longer text, identifies nobody.
     #[test]
     fn a_different_key_identifies_nobody(key in "[a-z0-9]{8,24}", other in "[a-z0-9]{0,25}") {
         let directory = Directory::new(SALT, vec![organisation("a", &[&key])]).unwrap();
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Calls that end engines are held, calls beside them are not, and what instances tell each other joins.
+//! Calls that crash engines are held, calls that ran beside them are not, and entries of instances
+//! merge.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 /// Builds of engines.
 const OLD: u32 = 1;
 const NEW: u32 = 2;
-/// Longest time that an innocent call is kept from engines, unless it fails its trial.
+/// Longest hold of an innocent call, unless it fails its trial.
 const MAX_INNOCENT_HOLD: Duration = Duration::from_secs(30);
 
 fn ms(ms: u64) -> Moment {
@@ -30,7 +31,7 @@
     }
 }
 
-/// A call that has ended engines 1 to `crashes` of the old build, a second apart.
+/// A call that crashed engines 1 to `crashes` of the old build, a second apart.
 fn after_crashes(crashes: u32) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for engine in 1..=crashes {
@@ -63,8 +64,8 @@
     );
 }
 
-/// One engine's end is seen by each instance that had the call there, and told twice by each of them. Counted by sightings, one
-/// end of one engine would hold a call that several instances had sent there.
+/// Each instance with the call in progress reports the crash, twice. If each report counted, one
+/// crash could hold a call that several instances had sent there.
 #[test]
 fn a_crash_counts_once_however_many_report_it() {
     let mut quarantine = Quarantine::default();
@@ -97,8 +98,8 @@
     );
 }
 
-/// A call that ends the engines of one build and runs well on those of another one would be cleared by each good run, and end
-/// engines of the first build for ever.
+/// Guards against clearing a call by good runs on another build: it would crash engines of the
+/// first build for ever.
 #[test]
 fn a_good_run_clears_crashes_of_its_build_only() {
     let mut quarantine = after_crashes(2);
@@ -145,8 +146,8 @@
     assert!(quarantine.is_empty());
 }
 
-/// Symptom: an innocent call waits for ten minutes where it should wait for thirty seconds. Sequence: an instance claims its trial, and the store does not
-/// carry the claim out. Cause: the trial was counted, and told, before the claim stood.
+/// Guards against recording a trial before its claim succeeds: when the store does not carry the
+/// claim out, an innocent call would wait for ten minutes instead of thirty seconds.
 #[test]
 fn a_trial_whose_claim_fails_is_not_recorded() {
     let mut quarantine = after_crashes(3);
@@ -154,13 +155,13 @@
     let entry = quarantine.next_trial(CALL, ms(33_000)).expect("it is due");
     assert_eq!(entry.trials, 1);
     assert_eq!(quarantine.verdict(CALL, ms(33_100)), Verdict::TrialDue);
-    // Once the claim stands it is noted, by whoever reads it too.
+    // Once the claim succeeds the trial is recorded, also by instances that read it.
     assert!(quarantine.merge(CALL, &entry));
     assert!(is_held(&quarantine, 33_100));
     assert!(is_held(&quarantine, 62_900));
 }
 
-/// Guards against an innocent call that is held for 10 min since the caller of its trial left.
+/// Guards against holding an innocent call for 10 min because the caller of its trial left.
 #[test]
 fn an_inconclusive_trial_is_repeated() {
     let mut quarantine = after_crashes(3);
@@ -168,13 +169,14 @@
     assert!(is_held(&quarantine, 62_900));
     assert_eq!(quarantine.verdict(CALL, ms(63_000)), Verdict::TrialDue);
     assert!(quarantine.begin_trial(CALL, ms(63_000)));
-    // An end counts against the call from then on.
+    // A crash counts against the call from then on.
     quarantine.record_crash(CALL, CALLER, crash(4, OLD, 63_100));
     assert!(is_held(&quarantine, 600_000));
     assert_eq!(quarantine.verdict(CALL, ms(663_100)), Verdict::TrialDue);
 }
 
-/// Guards against a call that ends engines for ever because nobody sees what comes of its trials.
+/// Guards against a call that crashes engines for ever because the outcome of its trials is never
+/// seen.
 #[test]
 fn inconclusive_trials_are_bounded() {
     let mut quarantine = after_crashes(3);
@@ -188,7 +190,8 @@
     assert!(is_held(&quarantine, day));
 }
 
-/// Guards against calls that ran at all engines beside a fatal one being held for 30 s since the caller of a trial left.
+/// Guards against holding calls that ran on all engines beside a fatal one for 30 s because the
+/// caller of a trial left.
 #[test]
 fn an_inconclusive_trial_of_a_call_with_shared_crashes_is_repeated_soon() {
     let mut quarantine = after_crashes(3);
@@ -232,7 +235,7 @@
     assert!(quarantine.is_empty());
 }
 
-/// A caller that sends many calls that end engines, or that only were there, must not have those of others forgotten.
+/// A caller with many calls that crash engines, or ran beside them, must not evict those of others.
 #[test]
 fn one_caller_cannot_evict_calls_of_others() {
     let mut quarantine = after_crashes(3);
@@ -244,7 +247,7 @@
     assert_eq!(kept.count(), 64);
 }
 
-/// Callers at many addresses fill the whole memory: calls with fewer ends go first.
+/// Callers at many addresses fill the table; calls with fewer crashes are evicted first.
 #[test]
 fn held_calls_are_evicted_last() {
     let mut quarantine = after_crashes(3);
@@ -255,7 +258,7 @@
     assert!(is_held(&quarantine, 5_000));
 }
 
-/// What one instance saw, as others are told it.
+/// An entry as reported by one instance.
 fn reported_entry() -> impl Strategy<Value = Entry> {
     let crashes = prop::collection::vec((0u32..6, 0u32..2, 0u64..20_000), 0..4);
     let good = prop::option::of((0u32..2, 0u64..20_000));
@@ -263,7 +266,7 @@
         caller: CALLER,
         crashes: crashes
             .into_iter()
-            // An engine is of one build.
+            // An engine has one build.
             .map(|(engine, build, at)| crash(engine * 2 + build, build, at))
             .collect(),
         good_runs: good
@@ -278,13 +281,13 @@
 }
 
 proptest! {
-    /// Datagrams come in any order, some of them twice: once all have come, all instances judge alike, up to the bound within
-    /// which two good runs count as one.
+    /// Datagrams arrive in any order, and some twice. Once all have arrived, all instances agree,
+    /// except for good runs so close that they count as one.
     #[test]
     fn instances_with_the_same_reports_agree(
         told in prop::collection::vec(reported_entry(), 1..5), order in any::<prop::sample::Index>(),
     ) {
-        // No entry is ever told with one engine ending twice.
+        // No entry is reported with two crashes of one engine.
         let mut told = told;
         for entry in &mut told {
             let mut known = Vec::new();
@@ -310,13 +313,14 @@
             engines.sort_unstable();
             (engines, entry.trials, entry.last_trial, entry.failed_trials)
         };
-        // More ends than are kept tell nothing more.
+        // Crashes beyond the number kept add nothing.
         if engines(&one).0.len() < 8 {
             prop_assert_eq!(engines(&one), engines(&other));
         }
     }
 
-    /// Entries that go back and forth get older on their way each time. One run must not seem a later one for it.
+    /// Entries that are exchanged back and forth shift later each time; one run must not seem a
+    /// later one because of that.
     #[test]
     fn repeated_exchange_of_an_entry_clears_no_later_crash(delays in prop::collection::vec(1u64..60, 1..400)) {
         let good = GoodRun { build: OLD, at: ms(1_000) };
@@ -338,9 +342,9 @@
     }
 }
 
-/// A stream that all callers send ran at all three engines of a fleet when a fatal call ended these within 110 ms ("an engine ended
-/// with the call in hand ... ended=3" for both, 109 ms after the first end): none of its runs had ended well in between, and it was refused
-/// for 30 s. Both had the same engines end, so that one of them is innocent for certain.
+/// Guards against holding a popular stream for 30 s: it ran on all three engines of a fleet when a
+/// fatal call crashed them within 110 ms, and none of its runs ended well in between. Both calls
+/// have the same crashes, so one of them is certainly innocent.
 #[test]
 fn calls_with_shared_crashes_are_tried_soon_one_after_the_other() {
     let mut quarantine = after_crashes(3);
@@ -354,7 +358,7 @@
     assert!(due(&quarantine, CALL, 4_000));
     assert!(!due(&quarantine, CALL + 1, 4_000));
     assert!(due(&quarantine, CALL + 1, 5_000));
-    // That one had other engines end.
+    // That call has crashes of other engines.
     assert!(!due(&quarantine, CALL + 2, 32_900));
     assert!(quarantine.begin_trial(CALL, ms(4_000)));
     quarantine.record_crash(CALL, CALLER, crash(9, OLD, 4_100));
@@ -368,20 +372,20 @@
     assert!(is_held(&quarantine, 600_000));
 }
 
-/// Engines of a replay.
+/// Engines of the replay.
 const ENGINES: usize = 11;
-/// Calls a second, and how long each runs.
+/// Calls per second, and the duration of each in milliseconds.
 const CALLS_PER_SECOND: usize = 56;
 const RUN_TIME: u64 = 500;
-/// Mean time between two ends of engines, and time until an engine is back.
+/// Mean time between crashes and time until an engine is back, in milliseconds.
 const MEAN_CRASH_INTERVAL: u64 = 1_200;
 const RESTART_TIME: u64 = 1_300;
-/// Length of a replay, in milliseconds.
+/// Length of the replay in milliseconds.
 const DURATION: u64 = 600_000;
-/// Times that a caller sends a call again that broke.
+/// Times that a caller repeats a call that broke.
 const MAX_REPEATS: u32 = 3;
 
-/// What became of the innocent calls of a replay.
+/// Outcomes of the innocent calls in a replay.
 #[derive(Debug, Default)]
 struct Innocent {
     calls: usize,
@@ -398,8 +402,8 @@
     repeats: u32,
 }
 
-/// Plays innocent calls on engines that end for reasons of their own, one each 1.2 s in the mean; whoever breaks is sent again at once.
-/// `shared` of a hundred calls are one and the same.
+/// Replays innocent calls on engines that crash for reasons of their own, one every 1.2 s on
+/// average; broken calls are repeated at once. `shared` percent of the calls are one and the same.
 fn replay(seed: u64, shared: u32) -> Innocent {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
@@ -429,7 +433,7 @@
                 u32::try_from(crashing).expect("engines are few") + restarts[crashing] * 100;
             for run in &broken {
                 innocent.broken += 1;
-                // Each caller has an address of its own.
+                // Each caller has its own address.
                 let caller = hash::hash32(&run.call.to_string());
                 quarantine.record_crash(run.call, caller, crash(engine, OLD, now));
             }
@@ -476,8 +480,9 @@
     innocent
 }
 
-/// Innocent calls were to be kept from engines for having run beside a fatal one. Engines end every 1.2 s for ten minutes, and
-/// nothing that is sent is to blame: at most one broken call in a hundred may be held, none longer than until its trial.
+/// Innocent calls must not be held for having run beside a crash. Engines crash every 1.2 s for ten
+/// minutes and no call is to blame: at most one broken call in a hundred may be held, and none
+/// longer than until its trial.
 #[test]
 fn innocent_calls_are_served_during_many_crashes() {
     for seed in 1..=3 {
@@ -489,8 +494,8 @@
     }
 }
 
-/// A call that is sent all the time runs at most engines at most moments, so that it is there at each end of one. Its good runs in
-/// between speak for it.
+/// A call that is sent all the time is in progress at most crashes; its good runs in between clear
+/// it.
 #[test]
 fn a_call_that_runs_on_most_engines_is_not_held() {
     for seed in 1..=3 {
--- a/crates/serving/tests/registry.rs
+++ b/crates/serving/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Records of engines that come, change and lapse.
+//! Records of engines that are added, change and lapse.
 
 mod common;
 
@@ -25,10 +25,9 @@
     assert!(fleet.get("a").is_none());
 }
 
-/// Symptom: in the second after an outage of the store every call is refused for want of engines.
-/// Sequence: the store is away for four seconds, no engine can renew its record, all records
-/// lapse; at its return the instance reads the lapses before the new records. Cause: a lapse was
-/// believed although nobody could have renewed.
+/// Guards against refusing every call for a second after an outage: the store is away for four
+/// seconds, all records lapse because none can be renewed, and the instance reads the lapses before
+/// the new records.
 #[test]
 fn lapses_right_after_an_outage_are_doubted() {
     let (mut registry, mut fleet) = two_engines();
@@ -52,10 +51,9 @@
     assert_eq!(registry.remove(&mut fleet, "a", ms(5_010)), Change::Removed);
 }
 
-/// Symptom: leaving engines get requests for two seconds too long, on instances that do not read the
-/// store themselves. Sequence: such an instance hears of changes only, minutes apart; each of them looked
-/// like the first word after an outage. Cause: what the readers say of their own reads was not
-/// counted as the store's word.
+/// Guards against calls to leaving engines, for two seconds, from instances that do not read the
+/// store: they hear of changes only minutes apart, and each looked like the first answer after an
+/// outage because the reads of others did not count.
 #[test]
 fn reads_of_other_instances_count_as_store_answers() {
     let (mut registry, mut fleet) = two_engines();
@@ -98,7 +96,7 @@
     assert!(fleet.get("b").is_none());
 }
 
-/// The record of a start of an engine.
+/// The record of one start of an engine.
 fn start_record(name: &str, born: u64) -> Record {
     let mut record = record(&format!("{name}.{born}"), Some(Stage::Decode));
     record.name = name.into();
@@ -110,9 +108,8 @@
     fleet.get(id).map(|engine| engine.running_calls())
 }
 
-/// Symptom: an engine that has just started gets no calls, or calls that expect parts it does not hold. Sequence: an
-/// engine crashes with calls in hand and starts again under its name before its record lapses. Cause: the
-/// name told it from others, so that its work, parts and failures of before counted on.
+/// Guards against applying state of a previous start to an engine that crashed and restarted under
+/// its name before its record lapsed: its calls, cached parts and failures counted on.
 #[test]
 fn a_restarted_engine_has_no_cache_calls_or_failures() {
     let (mut registry, mut fleet) = two_engines();
@@ -136,7 +133,7 @@
         fleet.parts.cached_tokens(&id("e.20"), &prompt(&[(7, 900)])),
         0
     );
-    // The call of before ends at the start that it was sent to.
+    // The call ends at the start that it was sent to.
     fleet.end_call(&sent, Some(Outcome::Failed), ms(1_300));
     assert_eq!(running_calls(&fleet, "e.20"), Some(0));
     assert!(
@@ -147,8 +144,8 @@
     assert_eq!(running_calls(&fleet, "e.10"), None);
 }
 
-/// Symptom: work that nobody does fills an engine again after its restart. Sequence: one instance has not heard of the
-/// restart and tells what it has there. Cause: frames named the engine, and not its start.
+/// Guards against counting work at a restarted engine that an instance still reports for the
+/// previous start: frames named the engine and not its start.
 #[test]
 fn reports_about_the_previous_start_do_not_apply_to_the_new_one() {
     let (mut registry, mut fleet) = two_engines();
@@ -159,8 +156,8 @@
     assert_eq!(fleet.by_hash(hash::hash32("e.20")), Some(id("e.20")));
 }
 
-/// Symptom: calls go to an address that nobody listens at any more. Sequence: a heartbeat of the start before reaches the
-/// store after the first one of the new start. Cause: the record that came last counted.
+/// Guards against calls to an address that nobody listens on: a heartbeat of the previous start
+/// reaches the store after the first one of the new start, and the last record to arrive counted.
 #[test]
 fn a_late_record_of_the_previous_start_is_ignored() {
     let (mut registry, mut fleet) = two_engines();
@@ -193,9 +190,9 @@
     assert_eq!(running_calls(&fleet, "e.10"), None);
 }
 
-/// Symptom: an engine keeps getting calls by a record that was overwritten, or the log is full of one entry. Sequence:
-/// another writer's entry replaces an engine's record; it is read again and again. Cause: an entry that could not
-/// be read was passed over, so that the one before it stood.
+/// Guards against keeping an engine whose record was overwritten by another writer: the unreadable
+/// entry was skipped, so the previous record remained in force and the entry was logged at each
+/// read.
 #[test]
 fn an_unreadable_entry_removes_the_engine_and_is_reported_once() {
     let (mut registry, mut fleet) = two_engines();
@@ -212,8 +209,8 @@
     assert!(registry.mark_unreadable(&mut fleet, "a"));
 }
 
-/// Symptom: calls go to an engine that had said it leaves, and to one that has ended. Sequence: both say so; the store comes back from a
-/// copy of before. Cause: what the copy says was believed over what was known.
+/// Guards against calls to an engine that is leaving, and to one that has ended, after the store
+/// was restored from an older copy: the copy was believed over what was known.
 #[test]
 fn a_restored_store_does_not_revive_leaving_engines() {
     let (mut registry, mut fleet) = two_engines();
@@ -227,14 +224,14 @@
     registry.replace(&mut fleet, vec![ready("a"), ready("b")], ms(1_500));
     assert_eq!(fleet.get("a").unwrap().record.state, State::Draining);
     assert!(fleet.get("b").is_none());
-    // What is written once the copy's records have lapsed is an engine's own word.
+    // A record written after the copy's records have lapsed comes from the engine itself.
     registry.store_answered(ms(6_600));
     registry.put(&mut fleet, ready("b"));
     assert!(fleet.get("b").is_some());
 }
 
-/// Symptom: an engine that runs well gets no calls for a second, and neither do a dozen others. Sequence: they register; the store comes back
-/// from a copy of before. Cause: who is missing in the copy was taken for gone, although nobody had time to register again.
+/// Guards against dropping engines that had just registered when the store was restored from an
+/// older copy: they were treated as gone although none had time to register again.
 #[test]
 fn an_engine_missing_from_a_restored_store_is_doubted() {
     let (mut registry, mut fleet) = two_engines();
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -1,4 +1,4 @@
-//! Which engines change between reading and generating, and who may order it.
+//! Planned stage changes, and claims to order them.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use serving::roles::{Planner, RoleChanges};
 use serving::{Fleet, Stage};
 
-/// A fleet of this many engines that read, `r0` and on, and that generate, `g0` and on.
+/// A fleet of prefill engines `r0` and on, and decode engines `g0` and on.
 fn engines(prefill: usize, decode: usize) -> Fleet {
     let reads: Vec<String> = (0..prefill).map(|n| format!("r{n}")).collect();
     let generates: Vec<String> = (0..decode).map(|n| format!("g{n}")).collect();
@@ -28,14 +28,14 @@
     planner.plan(fleet, &service(), ms(2_000))
 }
 
-/// Has calls running at an engine whose prompts were read elsewhere.
+/// Has calls run at an engine whose prompts were read elsewhere.
 fn run_calls(fleet: &mut Fleet, engine: &str, calls: u32) {
     for _ in 0..calls {
         fleet.begin_call(&id(engine), 0, 1, ms(0));
     }
 }
 
-/// Has so much work sent to engines that read as is scarce.
+/// Sends enough prompt work to make reading scarce.
 fn send_prompt_work(fleet: &mut Fleet, now: u64) {
     for _ in 0..40 {
         let sent = fleet.begin_call(&id("r0"), 60_000, 1, ms(now));
@@ -49,8 +49,8 @@
     fleet.begin_stage_change(&id(engine), StageChange { stage, since, own });
 }
 
-/// Symptom: prompts wait while most slots are empty. Sequence: a fleet starts with a third of its engines
-/// reading. Cause: nobody asked whether the others have anything to do.
+/// Guards against keeping the initial third of prefill engines while prompts wait and most slots
+/// are empty.
 #[test]
 fn more_than_half_read_before_any_load() {
     let changes = settled_plan(&engines(6, 12));
@@ -81,8 +81,8 @@
     assert!(settled_plan(&fleet).is_empty(), "two are changing");
 }
 
-/// Symptom: answers crawl although prompts are read at once. Sequence: a mix of long answers follows one
-/// of long prompts. Cause: engines that had been given over to reading stayed there.
+/// Guards against leaving engines in prefill when a mix of long answers follows one of long
+/// prompts: answers were slow although prompts were read at once.
 #[test]
 fn engines_return_to_decoding_when_slots_fill() {
     let mut fleet = engines(9, 9);
@@ -111,9 +111,9 @@
     assert_eq!(late.len(), 2);
 }
 
-/// Symptom: a large fleet with few calls pays for orders that help nobody. Sequence: engines are ordered to read
-/// before any load is known, and go on being ordered under a light one. Cause: nobody asked whether calls
-/// wait to be read.
+/// Guards against paying for useless orders on a large fleet with few calls: engines were ordered
+/// to prefill before any load was known and went on being ordered under a light one, although no
+/// call waited to be read.
 #[test]
 fn a_large_idle_fleet_changes_few_engines() {
     let mut fleet = engines(105, 195);
@@ -131,8 +131,9 @@
     assert!(settled_plan(&fleet).is_empty());
 }
 
-/// Symptom: a fleet keeps the split of its start although the store is well again. Sequence: the instance that
-/// plans cannot claim, or waits for another one. Cause: each look used up what may change before any load.
+/// Guards against using up blind changes by plans that are not carried out, because the instance
+/// cannot claim or waits for another one: the fleet kept its initial split after the store was
+/// back.
 #[test]
 fn a_plan_that_is_not_carried_out_is_repeated() {
     let fleet = engines(6, 12);
@@ -144,8 +145,8 @@
     }
 }
 
-/// Symptom: a large fleet keeps the split of its start until load comes. Sequence: its engines register one after
-/// the other while the instances start. Cause: engines that came later counted as changed.
+/// Guards against counting engines that register later as changed: a large fleet kept its initial
+/// split until load arrived.
 #[test]
 fn engines_that_register_later_use_up_no_blind_changes() {
     let mut planner = Planner::default();
@@ -162,8 +163,8 @@
     assert!(settled_plan(&engines(0, 18)).is_empty());
 }
 
-/// Symptom: calls get refusals from an engine that looks idle. Sequence: an engine is ordered to change; calls
-/// are placed there until it is done. Cause: only the one that ordered knew.
+/// Guards against placing calls on an engine during its stage change, when only the instance that
+/// ordered it knows.
 #[test]
 fn an_engine_that_changes_gets_no_calls_until_it_is_done() {
     let mut fleet = engines(1, 1);
@@ -179,8 +180,8 @@
     assert_eq!(ready(&fleet), 2, "an order that has no effect is forgotten");
 }
 
-/// Symptom: two instances order one engine back and forth. Sequence: one orders and is cut off; another one
-/// takes over at once. Cause: the time in which orders of the first may still arrive was not waited for.
+/// Guards against two instances that order one engine back and forth: one is cut off after its
+/// order, and another one takes over before that order may have arrived.
 #[test]
 fn claims_of_different_instances_are_apart() {
     let mut turns = Claimant::new(ms(3_000), true);
--- a/crates/serving/tests/scaling.rs
+++ b/crates/serving/tests/scaling.rs
@@ -1,5 +1,5 @@
-//! How many engines are ordered, and of which kind. Each test replays what a deployment shows over time: engines that boot, leave, are
-//! reclaimed or are not to be had.
+//! Ordered numbers of engines. Each test replays a deployment over time: engines boot, leave, are
+//! reclaimed or are unavailable.
 
 mod common;
 
@@ -13,7 +13,8 @@
 use serving::{Fleet, Stage, Zone};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// What each data centre has of either kind in the end, of twenty engines: a tenth of them, and what three tenths of their price buy.
+/// On-demand and reclaimable engines of each data centre in the end, of twenty initial ones: a
+/// tenth of them, and what three tenths of their price buy.
 const EXPECTED: (usize, usize) = (2, 34);
 const BOOT: Duration = Duration::from_secs(4);
 const LEAVE_DELAY: Duration = Duration::from_millis(1_200);
@@ -31,22 +32,22 @@
     Rc::from(name)
 }
 
-/// A platform that carries orders out, as the plan sees it.
+/// A platform that carries out orders.
 struct Deployment {
     fleet: Fleet,
     now: Duration,
     range: Range,
-    /// What was ordered of each kind in each data centre, and since when.
+    /// The numbers ordered, and since when.
     ordered: BTreeMap<(Zone, bool), (u32, Duration)>,
-    /// Data centres where no reclaimable engine is to be had.
+    /// Data centres where no reclaimable engine is available.
     unavailable: Vec<&'static str>,
-    /// All orders, with what came of them.
+    /// All orders, and whether they were accepted.
     log: Vec<(Duration, Order, bool)>,
     next: u32,
 }
 
 impl Deployment {
-    /// A deployment of so many engines in each data centre.
+    /// A deployment with this many engines in each data centre.
     fn new(engines: u32) -> Self {
         let mut world = Self {
             fleet: Fleet::default(),
@@ -101,7 +102,7 @@
         ZONES.map(|name| self.count(name).0).iter().sum()
     }
 
-    /// Takes all reclaimable engines of a data centre away.
+    /// Removes all reclaimable engines of a data centre.
     fn reclaim(&mut self, name: &'static str) {
         self.unavailable.push(name);
         for id in self.engines_of(name, true) {
@@ -110,7 +111,7 @@
         self.ordered.remove(&(zone(name), true));
     }
 
-    /// Time goes on by a quarter of a second.
+    /// Advances time by a quarter of a second.
     fn step(&mut self, planner: &mut Planner) {
         self.now += ms(250);
         let orders = planner.plan(&self.fleet, &service(), &self.range, self.now);
@@ -135,7 +136,7 @@
             if has < engines && self.now >= since + BOOT {
                 self.add(&name, reclaimable, engines - has);
             }
-            // An engine that leaves says so some time after it was told to.
+            // An engine leaves some time after it was ordered to.
             let go = if self.now >= since + LEAVE_DELAY {
                 engines as usize
             } else {
@@ -157,7 +158,7 @@
     }
 }
 
-/// A fleet that is paid for in full all day costs five times what it needs to.
+/// Guards against paying the full price all day, which is five times what is needed.
 #[test]
 fn most_engines_become_reclaimable_without_a_drop_in_number() {
     let mut world = Deployment::new(20);
@@ -172,8 +173,8 @@
     assert_eq!(world.log.len(), before, "what stands is not ordered again");
 }
 
-/// Symptom: a deployment of sixty engines goes on with a dozen. Sequence: engines register one after the other in the first seconds; the plan is made when
-/// some have. Cause: what was seen at first was taken for all.
+/// Guards against shrinking a deployment of sixty engines to a dozen: engines register one after
+/// the other in the first seconds, and those seen first were taken for all.
 #[test]
 fn engines_that_register_one_after_the_other_are_all_counted() {
     let mut world = Deployment::new(3);
@@ -190,8 +191,9 @@
     }
 }
 
-/// Symptom: calls wait for seconds after a data centre's reclaimable engines went. Sequence: all of one data centre are reclaimed, and none are to be had there
-/// for nine seconds. Cause: nobody ordered any elsewhere.
+/// Guards against calls that wait for seconds after all reclaimable engines of one data centre were
+/// reclaimed and none were available there for nine seconds: no other data centre ordered
+/// replacements.
 #[test]
 fn other_data_centres_stand_in_for_one_whose_engines_were_reclaimed() {
     let mut world = Deployment::new(20);
@@ -200,7 +202,7 @@
     world.reclaim("c");
     let fewest = world.run(&mut planner, 9);
     assert_eq!(fewest, 74);
-    // As many as either may have.
+    // The maximum of the two remaining ones.
     assert_eq!(world.all_engines(), 82);
     world.unavailable.clear();
     world.run(&mut planner, 30);
@@ -209,7 +211,7 @@
     }
 }
 
-/// Where none are to be had for long, others are paid for; and let go again.
+/// Engines that are unavailable for long are replaced by on-demand ones, which leave again later.
 #[test]
 fn engines_unavailable_for_long_are_replaced_by_on_demand_ones() {
     let mut world = Deployment::new(20);
@@ -229,7 +231,8 @@
     }
 }
 
-/// What is not to be had is not asked for all the time: every call is paid for, and all instances share a rate.
+/// Refused orders must not be repeated all the time: every call is paid for, and all instances
+/// share a rate limit.
 #[test]
 fn refused_orders_are_repeated_seldom() {
     let mut world = Deployment::new(20);
@@ -241,8 +244,8 @@
     assert_eq!(world.all_engines(), 60);
 }
 
-/// Symptom: after a change of the instance that orders, a data centre gets back all that was let go. Sequence: the successor has seen the fleet as it
-/// is now. Cause: it took that for what the deployment started with.
+/// Guards against restoring all engines that were ordered away when another instance takes over:
+/// the successor took the present engines for the initial ones.
 #[test]
 fn a_successor_continues_with_the_same_numbers() {
     let mut world = Deployment::new(20);
@@ -262,7 +265,7 @@
     assert!(world.log.len() - before <= 6);
 }
 
-/// Numbers stay within what the configuration allows.
+/// Numbers stay within the configured range.
 #[test]
 fn orders_stay_within_the_range() {
     let mut world = Deployment::new(12);
@@ -283,8 +286,8 @@
     }
 }
 
-/// Symptom: nearly all engines of a large deployment leave within a second, and get calls for seconds after they said so. Sequence: a data centre starts with a
-/// thousand engines where the configuration allows forty. Cause: it was ordered to have forty.
+/// Guards against removing nearly all engines of a large deployment within a second: a data centre
+/// starts with a thousand engines where the configuration allows forty.
 #[test]
 fn a_data_centre_above_its_maximum_is_not_changed() {
     let mut world = Deployment::new(100);
@@ -293,8 +296,8 @@
     assert_eq!(world.all_engines(), 300);
 }
 
-/// Symptom: engines get calls for seconds after they said that they leave. Sequence: hundreds leave at once, and news of them fills the links of those that
-/// tell. Cause: all that could go were ordered away together.
+/// Guards against hundreds of engines leaving at once: the announcements fill the links of those
+/// that send them, and the engines get calls for seconds after they announced that they leave.
 #[test]
 fn engines_leave_a_few_at_a_time() {
     let mut world = Deployment::new(100);
@@ -311,8 +314,8 @@
     assert_never_ordered_back(&world);
 }
 
-/// Symptom: engines that were let go are paid for on. Sequence: those of one data centre are still there when those of the next are looked at. Cause: what had been
-/// ordered to go counted against what may go, and the order was taken back.
+/// Guards against taking back an order: engines of one data centre that were still leaving counted
+/// against the number that may leave in the next, and were paid for on.
 #[test]
 fn engines_ordered_away_are_not_ordered_back() {
     let mut world = Deployment::new(20);
@@ -330,8 +333,8 @@
     }
 }
 
-/// Symptom: no reclaimable engine is ever to be had. Sequence: a data centre has nearly as many engines as it may; more are ordered than it may have
-/// besides. Cause: the others go only once these are there.
+/// Guards against never getting reclaimable engines near the maximum: more were ordered than fit,
+/// and on-demand ones leave only once these have arrived.
 #[test]
 fn engines_are_replaced_in_steps_near_the_maximum() {
     let mut world = Deployment::new(20);
@@ -363,7 +366,7 @@
     }
 }
 
-/// Engines that crash and come back within seconds are no reason for an order.
+/// Engines that crash and return within seconds cause no order.
 #[test]
 fn brief_losses_of_a_few_engines_cause_no_orders() {
     let mut world = Deployment::new(20);
--- a/crates/serving/tests/usage.rs
+++ b/crates/serving/tests/usage.rs
@@ -1,4 +1,4 @@
-//! What organisations use is reported once a window, whatever frames are lost and whoever reports.
+//! Usage is reported once per window, whatever frames are lost and whichever instance reports.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use serving::organisation::Name;
 use serving::usage::{CountUpdate, Counts, Ledger, Report, Schedule, Window};
 
-/// So that a run decides the same every time.
+/// Fixed, so that every run checks the same cases.
 const SEED: u64 = 19;
 
 const SCHEDULE: Schedule = Schedule {
@@ -17,7 +17,7 @@
     deadline: Duration::from_secs(10),
 };
 
-/// A moment, in milliseconds after the beginning of window 1,000.
+/// A time, in milliseconds after the start of window 1,000.
 fn at(ms: u64) -> Duration {
     Duration::from_millis(5_000_000 + ms)
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Claims, and the claim stands.
+/// Makes a claim that succeeds.
 fn claim_and_fix(ledger: &mut Ledger, now: Duration) -> Vec<Report> {
     let proposed = ledger.propose(now);
     ledger.merge_fixed(proposed.clone());
@@ -79,8 +79,7 @@
     assert_eq!(reports[0].counts, counts(&[("a", 4), ("b", 1)]));
 }
 
-/// Symptom: a report says too little. Sequence: frames are lost, come twice, and out of order. Cause: what a frame told was added to what was
-/// known.
+/// Guards against adding up counts of lost, duplicate or reordered frames instead of merging them.
 #[test]
 fn late_and_duplicate_counts_change_nothing() {
     let mut own = ledger();
@@ -91,8 +90,8 @@
     assert_eq!(reports(&own, at(6_600))[0].counts, counts(&[("a", 5)]));
 }
 
-/// Symptom: the requests of a fifth of the instances are missing in a report. Sequence: they are cut off for five seconds at the end of a window.
-/// Cause: the report was fixed before they were back.
+/// Guards against omitting a fifth of the instances that are cut off for five seconds at the end of
+/// a window: the report was fixed before they were back.
 #[test]
 fn counts_of_a_briefly_disconnected_instance_are_waited_for() {
     let mut own = ledger();
@@ -109,7 +108,7 @@
     assert_eq!(reports(&own, at(10_200))[0].counts, counts(&[("a", 52)]));
 }
 
-/// One that was killed does not come back, and the report must be in time.
+/// An instance that was killed does not come back, and the report must be on time.
 #[test]
 fn the_wait_for_a_lost_instance_is_bounded() {
     let mut own = ledger();
@@ -124,8 +123,8 @@
     assert_eq!(reports(&own, at(11_600))[0].counts, counts(&[("a", 50)]));
 }
 
-/// Symptom: a report says a hundredth of what was used. Sequence: the instance that reports is cut off from all others, and not from the
-/// store. Cause: it took those that it no longer heard of for ended.
+/// Guards against reporting a hundredth of the usage: the reporting instance is cut off from all
+/// others but not from the store, and treated silent instances as ended.
 #[test]
 fn an_isolated_instance_fixes_no_report() {
     let mut own = ledger();
@@ -138,8 +137,8 @@
     assert!(reports(&own, at(12_000)).is_empty());
 }
 
-/// Symptom: the platform gets two reports of one window. Sequence: an instance fixes a report, sends it and ends before it has an answer;
-/// another one takes over and knows a little more. Cause: it made a report of its own.
+/// Guards against two reports of one window: an instance fixes and sends a report and ends before
+/// the answer, and its successor, which knows slightly more, makes a report of its own.
 #[test]
 fn a_successor_repeats_the_fixed_report() {
     let mut first = ledger();
@@ -153,21 +152,21 @@
     assert_eq!(reports(&second, at(6_700))[0].counts, counts(&[("a", 1)]));
     second.mark_taken(FIRST);
     assert!(reports(&second, at(6_800)).is_empty());
-    // What it learns of the window later changes nothing any more.
+    // Later counts for the window change nothing.
     second.merge(1, update(FIRST + 1, FIRST, &[("a", 9)]), at(6_900));
     claim_and_fix(&mut second, at(7_000));
     assert!(reports(&second, at(7_000)).is_empty());
 }
 
-/// Symptom: the platform gets two reports of one window. Sequence: an instance fixes and sends one and ends; the store comes back from a copy of
-/// before; a successor finds the window unfixed. Cause: what the store had forgotten was taken for not done.
+/// Guards against two reports of one window: an instance fixes and sends one and ends, the store is
+/// restored from an older copy, and a successor finds the window unfixed.
 #[test]
 fn a_window_that_may_have_been_fixed_before_a_restore_is_not_reported() {
     let mut successor = ledger();
     successor.merge(1, update(FIRST + 1, FIRST, &[("a", 2)]), at(6_500));
     successor.fixed_reports_lost(at(7_000));
     assert!(!successor.is_due(at(7_100)));
-    // The next window ended after that, so that nobody can have fixed it.
+    // The next window ended after the restore, so nobody can have fixed it.
     successor.merge(1, update(FIRST + 2, FIRST + 1, &[("a", 3)]), at(10_500));
     assert!(successor.is_due(at(11_600)));
     claim_and_fix(&mut successor, at(11_600));
@@ -176,7 +175,7 @@
     assert_eq!(all[0].window, FIRST + 1);
 }
 
-/// Whoever fixed it knows it, and goes on.
+/// The instance that fixed the report still knows it, and sends it.
 #[test]
 fn an_instance_keeps_the_report_it_fixed_after_a_restore() {
     let mut own = ledger();
@@ -186,8 +185,8 @@
     assert_eq!(reports(&own, at(6_800))[0].counts, counts(&[("a", 1)]));
 }
 
-/// Symptom: the platform gets two reports of one window. Sequence: two instances claim at once; the claim of one stands, that of the other does not; the other one
-/// claims again and sends. Cause: it had fixed a report of its own before its claim stood, and kept it.
+/// Guards against two reports of one window: of two simultaneous claims one fails, and that
+/// instance kept the report from its failed claim and sent it with the next.
 #[test]
 fn a_report_of_a_failed_claim_is_not_kept() {
     let (mut first, mut second) = (ledger(), ledger());
@@ -212,7 +211,7 @@
     assert!(later.iter().all(|report| report.window > FIRST));
 }
 
-/// Frames of what is told until now, and once more after the end of each window.
+/// Counts are sent as they grow, and in full after the end of each window.
 #[test]
 fn counts_are_sent_as_they_grow_and_in_full_at_the_end() {
     let mut own = ledger();
@@ -237,22 +236,23 @@
     assert!(own.take_update(at(6_600)).counts.is_empty());
 }
 
-/// What one instance of a run does.
+/// A step of one instance in a run.
 #[derive(Clone, Debug)]
 enum Step {
     /// An engine begins a request.
     BeginRequest { organisation: usize },
-    /// It tells; the frame reaches these of the others.
+    /// It sends an update, which is lost on the way to some of the others.
     SendUpdate { lost: Vec<bool> },
-    /// It claims; the claim stands or does not, it hears so or does not, and has or has no answer of the platform.
+    /// It claims; the claim may succeed or not, it may hear so or not, and the platform may answer
+    /// or not.
     Claim {
         stands: bool,
         heard: bool,
         answered: bool,
     },
-    /// Its process ends and another one begins in its place.
+    /// Its process ends and is replaced by a new one.
     Restart,
-    /// The store comes back from a copy of before the last claims.
+    /// The store is restored from a copy without the last claims.
     Restore,
 }
 
@@ -272,7 +272,7 @@
     (0..INSTANCES, 0..900_u64, step)
 }
 
-/// The log of claims: what the newest one holds, and what the platform has got.
+/// The log of claims with their reports, and the reports that the platform received.
 #[derive(Default)]
 struct Platform {
     log: Vec<Vec<Report>>,
@@ -281,8 +281,9 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(SEED), failure_persistence: None, ..ProptestConfig::default() })]
-    /// Of no window does the platform get two reports that differ, whoever claims, ends, restarts or is not told, and whatever the store forgets. Claims
-    /// follow each other, which is what the log of claims sees to.
+    /// The platform never gets two different reports of one window, whoever claims, ends, restarts
+    /// or is cut off, and whatever the store loses. Claims follow each other, which the log of
+    /// claims ensures.
     #[test]
     fn the_platform_gets_one_report_per_window(steps in prop::collection::vec(step(), 1..300)) {
         let mut now = at(0);
--- a/crates/serving/tests/watch.rs
+++ b/crates/serving/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Who reads the store.
+//! Which instances read the store.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 const OWN_ORDER: u64 = 50;
 
-/// A version, of which equal ones say the same.
+/// The state at a version; equal versions have equal digests.
 fn state(version: u64) -> TopicState {
     TopicState {
         upto: version,
@@ -54,9 +54,9 @@
     assert!(is_due(&mut watch, &others, 10_000));
 }
 
-/// Symptom: requests are handled by a configuration that was replaced seconds ago, at all
-/// instances but two. Sequence: the two that read are cut off from the store, or from the others; they
-/// still know what they knew. Cause: the others relied on them without asking how old their word is.
+/// Guards against handling requests by a replaced configuration at all instances but the readers:
+/// the two readers are cut off from the store or from the others, which relied on them without
+/// checking how old their reads are.
 #[test]
 fn disconnected_readers_do_not_count() {
     let mut watch = Watch::default();
@@ -80,9 +80,8 @@
     assert!(is_due(&mut watch, &at(11_900), 11_900));
 }
 
-/// Symptom: the store gets hundreds of calls a second from a fleet that it has turned away, and they are paid for. Sequence: the
-/// store is away for seconds; the readers grow stale; every instance reads for itself, again and again. Cause: whoever
-/// heard of no fresh reader read, whatever others were about to do.
+/// Guards against hundreds of paid calls per second to a store that has turned its readers away:
+/// the readers become stale, and every instance read for itself again and again.
 #[test]
 fn instances_join_one_by_one_in_an_outage() {
     let stale = [report(1, 9_900, None, 7), report(2, 9_900, None, 7)];
@@ -109,15 +108,15 @@
     assert!(!is_due_at(&mut watch, 10, &stale, 12_000));
 }
 
-/// Symptom: every instance reads all engines' records, once a second, while engines are replaced. Sequence: engines come and go
-/// for seconds; news of each is told within half a second. Cause: instances compared by digests only, and two that know
-/// different moments differ.
+/// Guards against every instance reading all records once a second while engines are replaced: news
+/// arrives within half a second, but comparing digests alone shows a difference between any two
+/// states in time.
 #[test]
 fn news_in_transit_causes_no_read() {
     let mut watch = Watch::default();
     for step in 0..100 {
         let now = 10_000 + 100 * step;
-        // The readers know of a change each tenth of a second, this instance half a second later.
+        // The readers hear of a change every 100 ms, this instance half a second later.
         let readers = [
             report(1, now, Some(now), step + 5),
             report(2, now, Some(now), step + 4),
@@ -127,7 +126,7 @@
     }
 }
 
-/// News that was lost shows once the rest has come, also if more follows.
+/// Lost news is detected once later news has arrived, even while more follows.
 #[test]
 fn lost_news_causes_a_read() {
     let mut watch = Watch::default();
@@ -147,8 +146,9 @@
     assert_eq!(due_at, Some(10_700));
 }
 
-/// Symptom: every instance reads all engines' records in the second in which the first reader loses the store. Sequence: an engine leaves; the
-/// second reader reads it and leaves it to the first one to tell, which is turned away before it reads. Cause: nobody told it.
+/// Guards against every instance reading all records when the first reader loses the store: the
+/// second reader reads that an engine left and leaves it to the first one to tell, which is turned
+/// away before it reads it.
 #[test]
 fn news_missed_by_the_first_reader_is_told_by_the_second() {
     let mut deferred = Deferred::default();
@@ -164,8 +164,8 @@
     assert!(deferred.take_due(|_| None, ms(9_000)).is_empty());
 }
 
-/// Guards against calls to engines that have left while the store turned its readers away: until another reader is heard of, the
-/// store counts as away and lapses are doubted.
+/// Guards against calls to engines that left while the store turned its readers away: until another
+/// reader is heard of, the store counts as away and lapses are doubted.
 #[test]
 fn the_first_read_of_a_new_reader_is_announced_at_once() {
     assert!(is_resumption(None, ms(9_000)));
