--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -130,8 +130,10 @@
 
     /// Names of all engines with a record.
     pub fn names(&self) -> Vec<Rc<str>> {
-        let standing = self.engines.values().filter(|engine| !engine.record_gone);
-        standing.map(|engine| engine.record.name.clone()).collect()
+        let registered = self.engines.values().filter(|engine| !engine.record_gone);
+        registered
+            .map(|engine| engine.record.name.clone())
+            .collect()
     }
 
     /// An engine by id, including one whose record is gone but that still has calls.
--- a/crates/serving/src/fleet/streams.rs
+++ b/crates/serving/src/fleet/streams.rs
@@ -36,17 +36,17 @@
         pauses
             .or_default()
             .observe(part(read.saturating_sub(last.read)), pause);
-        let beside = read.saturating_sub(last.read);
+        let reading_time = read.saturating_sub(last.read);
         *last = StreamMark { at: now, read };
-        beside
+        reading_time
     }
 
     /// Delay of each stream at an engine per millisecond of reading, in milliseconds.
     pub(crate) fn stream_delay_per_ms(&self, engine: &Engine) -> f64 {
         let pauses = self.pauses.get(&engine.record.service);
-        let beside = pauses.and_then(PauseModel::pause_while_reading);
-        beside.map_or(0.0, |beside| {
-            pauses::stream_delay(beside * engine.slowdown.max(1.0))
+        let pause = pauses.and_then(PauseModel::pause_while_reading);
+        pause.map_or(0.0, |pause| {
+            pauses::stream_delay(pause * engine.slowdown.max(1.0))
         })
     }
 }
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -197,9 +197,12 @@
     /// Whether it is held for crashes of the same engines as another call.
     fn shares_crashes(&self, other: &Self) -> bool {
         let crashed_there = |engine: u32| other.crashes.iter().any(|crash| crash.engine == engine);
-        let standing = self.crashes.iter().filter(|crash| self.is_uncleared(crash));
+        let uncleared = self.crashes.iter().filter(|crash| self.is_uncleared(crash));
         other.is_held()
-            && standing.filter(|crash| crashed_there(crash.engine)).count() >= HOLD_CRASHES
+            && uncleared
+                .filter(|crash| crashed_there(crash.engine))
+                .count()
+                >= HOLD_CRASHES
     }
 
     fn last_event(&self) -> Moment {
--- a/crates/serving/src/roles.rs
+++ b/crates/serving/src/roles.rs
@@ -145,13 +145,13 @@
                 .max(1)
                 .saturating_sub(split.changing_count)
         };
-        let room = allowed.min(more_prefill.unsigned_abs());
+        let count_limit = allowed.min(more_prefill.unsigned_abs());
         let (from, stage) = if more_prefill > 0 {
             (split.decode, Stage::Prefill)
         } else {
             (split.prefill, Stage::Decode)
         };
-        let changes = pick(from, room, stage);
+        let changes = pick(from, count_limit, stage);
         if is_idle {
             let ids = changes.iter().map(|change| change.engine.clone());
             self.blind.extend(ids);
--- a/crates/serving/src/scaling.rs
+++ b/crates/serving/src/scaling.rs
@@ -395,10 +395,10 @@
     /// The next step from the present to the wanted number. Both kinds count against the maximum,
     /// and on-demand engines leave only as far as others have taken their place.
     fn next_step(&self, zone: &Zone, wanted: Count, has: Count, range: &Range) -> Count {
-        let room = range
+        let capacity = range
             .max
             .saturating_sub(has.on_demand.max(wanted.on_demand));
-        let reclaimable = wanted.reclaimable.min(room);
+        let reclaimable = wanted.reclaimable.min(capacity);
         if has.on_demand <= wanted.on_demand {
             return Count {
                 reclaimable,
@@ -408,7 +408,7 @@
         let initial_engines = self.zones.get(zone).map_or(0, |plan| plan.initial_engines);
         let initial_engines = initial_engines.min(range.max);
         // If there is no room for more, a few leave first.
-        let early_leavers = if room == 0 {
+        let early_leavers = if capacity == 0 {
             slack(initial_engines).max(1)
         } else {
             0
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -243,8 +243,8 @@
         quarantine.record_crash(100 + other, 2, crash(9, OLD, 4_000));
     }
     assert!(is_held(&quarantine, 5_000));
-    let kept = (0..5_000).filter(|other| quarantine.get(100 + other).is_some());
-    assert_eq!(kept.count(), 64);
+    let remaining = (0..5_000).filter(|other| quarantine.get(100 + other).is_some());
+    assert_eq!(remaining.count(), 64);
 }
 
 /// Callers at many addresses fill the table; calls with fewer crashes are evicted first.
@@ -285,11 +285,11 @@
     /// except for good runs so close that they count as one.
     #[test]
     fn instances_with_the_same_reports_agree(
-        told in prop::collection::vec(reported_entry(), 1..5), order in any::<prop::sample::Index>(),
+        reports in prop::collection::vec(reported_entry(), 1..5), order in any::<prop::sample::Index>(),
     ) {
         // No entry is reported with two crashes of one engine.
-        let mut told = told;
-        for entry in &mut told {
+        let mut reports = reports;
+        for entry in &mut reports {
             let mut known = Vec::new();
             entry.crashes.retain(|crash| {
                 let is_new = !known.contains(&crash.engine);
@@ -298,12 +298,12 @@
             });
         }
         let mut one = Quarantine::default();
-        for entry in &told {
+        for entry in &reports {
             one.merge(CALL, entry);
         }
         let mut other = Quarantine::default();
-        let first = order.index(told.len());
-        for entry in told[first..].iter().chain(&told[..first]).chain(&told) {
+        let first = order.index(reports.len());
+        for entry in reports[first..].iter().chain(&reports[..first]).chain(&reports) {
             other.merge(CALL, entry);
         }
         let engines = |quarantine: &Quarantine| {
@@ -390,7 +390,7 @@
 struct Innocent {
     calls: usize,
     broken: usize,
-    alone: usize,
+    isolated: usize,
     held: usize,
     longest: Duration,
 }
@@ -449,7 +449,7 @@
                     innocent.longest = innocent.longest.max(after);
                     continue;
                 }
-                Verdict::Suspected => innocent.alone += 1,
+                Verdict::Suspected => innocent.isolated += 1,
                 Verdict::Clear | Verdict::TrialDue => {}
             }
             let mut engine = rng.random_range(0..ENGINES);
--- a/crates/serving/tests/rate_limit_replay.rs
+++ b/crates/serving/tests/rate_limit_replay.rs
@@ -95,11 +95,11 @@
                 .set_placers(address(own), &placers, Moment::ZERO);
             for (number, (name, _)) in names.iter().enumerate() {
                 if number % 10 < limited {
-                    let said = Announcement {
+                    let announcement = Announcement {
                         limit: Some(Rate::try_from(LIMIT_PER_SECOND).expect("a rate")),
                         at: Moment::ZERO,
                     };
-                    fleet.throttles.merge(&id(name), said, Moment::ZERO);
+                    fleet.throttles.merge(&id(name), announcement, Moment::ZERO);
                 }
             }
             fleet
--- a/crates/serving/tests/registry.rs
+++ b/crates/serving/tests/registry.rs
@@ -150,9 +150,9 @@
 fn reports_about_the_previous_start_do_not_apply_to_the_new_one() {
     let (mut registry, mut fleet) = two_engines();
     registry.put(&mut fleet, start_record("e", 10));
-    let told = hash::hash32("e.10");
+    let previous_hash = hash::hash32("e.10");
     registry.put(&mut fleet, start_record("e", 20));
-    assert_eq!(fleet.by_hash(told), None);
+    assert_eq!(fleet.by_hash(previous_hash), None);
     assert_eq!(fleet.by_hash(hash::hash32("e.20")), Some(id("e.20")));
 }
 
--- a/crates/serving/tests/remote_calls.rs
+++ b/crates/serving/tests/remote_calls.rs
@@ -141,10 +141,10 @@
 /// them, reports failures at each.
 #[test]
 fn failures_of_one_instance_alone_do_not_count() {
-    let mut told = PeerReports::default();
+    let mut reports = PeerReports::default();
     for _ in 0..50 {
-        told.record(7, Outcome::Failed, NOW);
-        told.record(7, Outcome::Unreachable, NOW);
+        reports.record(7, Outcome::Failed, NOW);
+        reports.record(7, Outcome::Unreachable, NOW);
     }
-    assert!(told.is_available(NOW));
+    assert!(reports.is_available(NOW));
 }
--- a/crates/serving/tests/replay/engine.rs
+++ b/crates/serving/tests/replay/engine.rs
@@ -42,12 +42,16 @@
         reads: bool,
         now: Micros,
     ) {
-        let kept = self
+        let cached_tokens = self
             .cache
             .parts
             .cached_tokens(&self.id, &call.prompt)
             .min(call.tokens);
-        let unread = if reads { call.tokens - kept } else { 0 };
+        let prefill_tokens = if reads {
+            call.tokens - cached_tokens
+        } else {
+            0
+        };
         let now_time = Duration::from_micros(now);
         self.cache
             .cache_parts(&self.id, &call.prompt, MODEL.kv_capacity_tokens, now_time);
@@ -55,7 +59,7 @@
             call: number,
             at: now,
             rank,
-            work: f64::from(speed::work(unread, call.tokens)),
+            work: f64::from(speed::work(prefill_tokens, call.tokens)),
         });
     }
 
--- a/crates/serving/tests/replay/main.rs
+++ b/crates/serving/tests/replay/main.rs
@@ -12,9 +12,9 @@
 use calls::{DECODE, FLOODING, TRAFFIC_DURATION, calls, calls_with_flood, calls_with_outage};
 use world::{Policy, World};
 
-fn on_time(way: Policy) -> f64 {
+fn on_time(policy: Policy) -> f64 {
     let seeds = 1..=3;
-    let shares = seeds.map(|seed| World::new(way, &calls(seed)).run());
+    let shares = seeds.map(|seed| World::new(policy, &calls(seed)).run());
     shares.sum::<f64>() / 3.0
 }
 
@@ -24,18 +24,18 @@
 #[test]
 fn placement_serves_more_on_time_than_common_policies() {
     let placed = on_time(Policy::Placed);
-    for way in [
+    for policy in [
         Policy::RoundRobin,
         Policy::LeastOutstanding,
         Policy::TwoChoices,
         Policy::Drill,
         Policy::PrefixHash,
     ] {
-        let other = on_time(way);
-        println!("{way:?}: {other:.3}, placed: {placed:.3}");
+        let other = on_time(policy);
+        println!("{policy:?}: {other:.3}, placed: {placed:.3}");
         assert!(
             placed > other + 0.05,
-            "{way:?}: {other:.3}, placed: {placed:.3}"
+            "{policy:?}: {other:.3}, placed: {placed:.3}"
         );
     }
 }
@@ -64,9 +64,9 @@
 /// returning ones are served as well.
 #[test]
 fn new_calls_are_on_time_sooner_after_an_outage() {
-    let share = |way| {
+    let share = |policy| {
         let seeds = 1..=3;
-        let shares = seeds.map(|seed| World::new(way, &calls_with_outage(seed)).run());
+        let shares = seeds.map(|seed| World::new(policy, &calls_with_outage(seed)).run());
         shares.sum::<f64>() / 3.0
     };
     let (placed, all_new) = (share(Policy::Placed), share(Policy::IgnorePriorWait));
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -136,11 +136,11 @@
             throttles.set_placers(address(own), &placers, Duration::ZERO);
             for (number, engine) in self.engines.iter().enumerate() {
                 if number % 4 < of_four {
-                    let said = Announcement {
+                    let announcement = Announcement {
                         limit: Some(Rate::try_from(limit).expect("a rate")),
                         at: Duration::ZERO,
                     };
-                    throttles.merge(&engine.id, said, Duration::ZERO);
+                    throttles.merge(&engine.id, announcement, Duration::ZERO);
                 }
             }
         }
@@ -180,7 +180,7 @@
                     self.send(number, engine, rank, engine < PREFILL, true, now);
                 }
                 Event::Generate(number) => self.generate(number, now),
-                Event::Receive(instance, told) => self.receive(instance, told, now),
+                Event::Receive(instance, news) => self.receive(instance, news, now),
             }
         }
     }
@@ -288,13 +288,17 @@
         let id = self.engines[engine].id.clone();
         let time = Duration::from_micros(now);
         let fleet = &mut self.fleets[call.instance];
-        let kept = fleet
+        let cached_tokens = fleet
             .parts
             .cached_tokens(&id, &call.prompt)
             .min(call.tokens);
-        let unread = if reads { call.tokens - kept } else { 0 };
-        let is_new = kept < call.prompt[0].tokens;
-        let sent = fleet.begin_call(&id, speed::work(unread, call.tokens), rank, time);
+        let prefill_tokens = if reads {
+            call.tokens - cached_tokens
+        } else {
+            0
+        };
+        let is_new = cached_tokens < call.prompt[0].tokens;
+        let sent = fleet.begin_call(&id, speed::work(prefill_tokens, call.tokens), rank, time);
         fleet.cache_parts(&id, &call.prompt, MODEL.kv_capacity_tokens, time);
         self.engines[engine].enqueue(number, call, rank, reads, now);
         self.in_flight.insert(number, (engine, sent, only_reads));
@@ -381,12 +385,12 @@
         }
     }
 
-    pub(crate) fn share(&mut self, number: usize, told: News, now: Micros) {
+    pub(crate) fn share(&mut self, number: usize, news: News, now: Micros) {
         if self.policy == Policy::NoSharing {
             return;
         }
         let from = self.calls[number].instance;
-        self.messages.push((from, told));
+        self.messages.push((from, news));
         for instance in (0..INSTANCES).filter(|instance| *instance != from) {
             self.schedule(
                 now + FRAME_DELAY,
@@ -395,11 +399,11 @@
         }
     }
 
-    pub(crate) fn receive(&mut self, instance: usize, told: usize, now: Micros) {
-        let (from, told) = self.messages[told].clone();
+    pub(crate) fn receive(&mut self, instance: usize, news: usize, now: Micros) {
+        let (from, news) = self.messages[news].clone();
         let at = Duration::from_micros(now);
         let fleet = &mut self.fleets[instance];
-        match told {
+        match news {
             News::Change(change) => fleet.apply_change(from as u64, &change, at),
             News::Parts(id, parts) => fleet.cache_parts(&id, &parts, MODEL.kv_capacity_tokens, at),
         }
@@ -408,7 +412,7 @@
 
 pub(crate) fn call_demand<'a>(
     call: &'a Call,
-    way: Policy,
+    policy: Policy,
     service: &'a serving::ServiceName,
     zone: &'a serving::Zone,
     now: Micros,
@@ -419,7 +423,7 @@
         tokens: call.tokens,
     };
     let waited = Duration::from_micros(now - call.at);
-    let before = if way == Policy::IgnorePriorWait {
+    let before = if policy == Policy::IgnorePriorWait {
         0
     } else {
         call.waited_before
--- a/crates/serving/tests/usage.rs
+++ b/crates/serving/tests/usage.rs
@@ -246,8 +246,8 @@
     /// It claims; the claim may succeed or not, it may hear so or not, and the platform may answer
     /// or not.
     Claim {
-        stands: bool,
-        heard: bool,
+        succeeds: bool,
+        is_acknowledged: bool,
         answered: bool,
     },
     /// Its process ends and is replaced by a new one.
@@ -265,7 +265,7 @@
         6 => (0..ORGANISATIONS.len()).prop_map(|organisation| Step::BeginRequest { organisation }),
         6 => lost.prop_map(|lost| Step::SendUpdate { lost }),
         4 => (prop::bool::weighted(0.7), prop::bool::weighted(0.8), any::<bool>()).prop_map(
-            |(stands, heard, answered)| Step::Claim { stands, heard, answered }),
+            |(succeeds, is_acknowledged, answered)| Step::Claim { succeeds, is_acknowledged, answered }),
         1 => Just(Step::Restart),
         1 => Just(Step::Restore),
     ];
@@ -295,14 +295,14 @@
             match step {
                 Step::BeginRequest { organisation } => ledgers[who].count_request(&name(ORGANISATIONS[organisation]), now),
                 Step::SendUpdate { lost } => {
-                    let told = ledgers[who].take_update(now);
+                    let update = ledgers[who].take_update(now);
                     for (other, is_lost) in lost.into_iter().enumerate() {
                         if other != who && !is_lost {
-                            ledgers[other].merge(sources[who], told.clone(), now);
+                            ledgers[other].merge(sources[who], update.clone(), now);
                         }
                     }
                 }
-                Step::Claim { stands, heard, answered } => {
+                Step::Claim { succeeds, is_acknowledged, answered } => {
                     let own = &mut ledgers[who];
                     own.expire(now);
                     if !own.is_due(now) {
@@ -310,10 +310,10 @@
                     }
                     own.merge_fixed(world.log.last().cloned().unwrap_or_default());
                     let proposed = own.propose(now);
-                    if stands {
+                    if succeeds {
                         world.log.push(proposed.clone());
                     }
-                    if !stands || !heard {
+                    if !succeeds || !is_acknowledged {
                         continue;
                     }
                     own.merge_fixed(proposed);
@@ -330,8 +330,8 @@
                     sources[who] += 100;
                 }
                 Step::Restore => {
-                    let kept = world.log.len().saturating_sub(2);
-                    world.log.truncate(kept);
+                    let remaining = world.log.len().saturating_sub(2);
+                    world.log.truncate(remaining);
                     for ledger in &mut ledgers {
                         ledger.fixed_reports_lost(now);
                     }
