--- a/crates/serving/tests/claim.rs
+++ b/crates/serving/tests/claim.rs
@@ -237,7 +237,7 @@
     fn order(&mut self, number: usize, fence: Fence, sent: Millis, now: Millis) {
         let attempt = &self.attempts[number];
         // Measured by the clock that also runs while the machine is suspended.
-        if now - sent < u64::try_from(ORDER_WINDOW.as_millis()).expect("it is short") {
+        if now - sent < u64::try_from(ORDER_WINDOW.as_millis()).expect("the window fits") {
             self.arrivals
                 .push((now + attempt.order_transit, fence, attempt.instance));
         }
--- a/crates/serving/tests/pauses.rs
+++ b/crates/serving/tests/pauses.rs
@@ -46,7 +46,7 @@
     let choice = choose(fleet, &demand, ms(60_000));
     match choice {
         Choice::Direct(target) => target.engine.to_string(),
-        other => panic!("the prompt goes nowhere: {other:?}"),
+        other => panic!("unexpected choice: {other:?}"),
     }
 }
 
--- a/crates/serving/tests/place.rs
+++ b/crates/serving/tests/place.rs
@@ -356,7 +356,7 @@
             connected,
             ..demand(&service, &zone, Some(generation(&parts)))
         };
-        place::choose_decode(&fleet, &demand, &zone, NOW).expect("there is one")
+        place::choose_decode(&fleet, &demand, &zone, NOW).expect("there is a decode engine")
     };
     for name in names {
         let connected = [id(name)];
--- a/crates/serving/tests/placer.rs
+++ b/crates/serving/tests/placer.rs
@@ -75,7 +75,7 @@
                 .update(&member(own, 1, true), &others, NOW + ms(*after))
                 .includes_self
         });
-        begins.expect("each begins in the end")
+        begins.expect("every instance starts eventually")
     };
     assert_eq!(begins_after(2), 0);
     assert_eq!(begins_after(3), 150);
--- a/crates/serving/tests/quarantine.rs
+++ b/crates/serving/tests/quarantine.rs
@@ -94,7 +94,7 @@
     assert!(quarantine.record_good_run(CALL, good(6_000)));
     assert!(
         !quarantine.record_good_run(CALL, good(6_100)),
-        "it clears nothing more"
+        "no crash is left to clear"
     );
 }
 
@@ -114,7 +114,7 @@
         ..
     } = quarantine.verdict(CALL, ms(3_100))
     else {
-        panic!("it is held");
+        panic!("the call is not held");
     };
     assert_eq!(well_on.as_slice(), [NEW]);
     quarantine.record_crash(CALL, CALLER, crash(4, NEW, 4_000));
@@ -123,7 +123,7 @@
         ..
     } = quarantine.verdict(CALL, ms(4_100))
     else {
-        panic!("it is held");
+        panic!("the call is not held");
     };
     assert!(well_on.is_empty());
 }
@@ -152,7 +152,9 @@
 fn a_trial_whose_claim_fails_is_not_recorded() {
     let mut quarantine = after_crashes(3);
     assert!(quarantine.next_trial(CALL, ms(32_000)).is_none());
-    let entry = quarantine.next_trial(CALL, ms(33_000)).expect("it is due");
+    let entry = quarantine
+        .next_trial(CALL, ms(33_000))
+        .expect("the trial is due");
     assert_eq!(entry.trials, 1);
     assert_eq!(quarantine.verdict(CALL, ms(33_100)), Verdict::TrialDue);
     // Once the claim succeeds the trial is recorded, also by instances that read it.
--- a/crates/serving/tests/remote_calls.rs
+++ b/crates/serving/tests/remote_calls.rs
@@ -16,12 +16,12 @@
     let demand = demand(&service, &zone, Some(generation(&parts)));
     match choose(fleet, &demand, NOW) {
         Choice::Direct(target) => target.engine,
-        other => panic!("{other:?} is no place"),
+        other => panic!("unexpected choice: {other:?}"),
     }
 }
 
 fn running_calls(fleet: &Fleet) -> u32 {
-    fleet.get("a").expect("it is there").running_calls()
+    fleet.get("a").expect("engine a exists").running_calls()
 }
 
 /// Guards against prompts that wait for each other while other engines are idle: two instances ask
@@ -57,7 +57,7 @@
     assert_eq!(
         running_calls(&fleet),
         2,
-        "the sender may not know the place yet"
+        "the sender may not know the placement yet"
     );
     fleet.retain_remote_calls(7, &[2], NOW + ms(700));
     assert_eq!(running_calls(&fleet), 1);
@@ -103,7 +103,7 @@
 #[test]
 fn a_placer_learns_from_the_calls_that_it_placed() {
     let mut fleet = fleet(&[("a", Stage::Decode)]);
-    let before = fleet.speed(fleet.get("a").expect("it is there"));
+    let before = fleet.speed(fleet.get("a").expect("engine a exists"));
     for number in 0..200 {
         let (peer, sent) = (u64::from(number), NOW + ms(1_000 * u64::from(number)));
         let work = if number % 2 == 0 { 2_000 } else { 10_000 };
@@ -112,7 +112,7 @@
         fleet.remote_prompt_read(peer, number, at);
         fleet.end_remote_call(peer, number, Some(Outcome::Success), at);
     }
-    let after = fleet.speed(fleet.get("a").expect("it is there"));
+    let after = fleet.speed(fleet.get("a").expect("engine a exists"));
     assert!(
         (after.tokens_per_ms - 100.0).abs() < 5.0,
         "{before:?} to {after:?}"
--- a/crates/serving/tests/replay/world.rs
+++ b/crates/serving/tests/replay/world.rs
@@ -234,7 +234,7 @@
         self.engines
             .iter()
             .position(|engine| engine.id == *id)
-            .expect("it is known")
+            .expect("the engine exists")
     }
 
     /// An engine with index `from` or above, by one of the common policies.
@@ -257,7 +257,7 @@
             }
             Policy::LeastOutstanding => (from..from + count)
                 .min_by_key(|e| load(*e))
-                .expect("it is known"),
+                .expect("there are engines"),
             Policy::TwoChoices => less(two.0, two.1),
             Policy::Drill => {
                 let remembered = self.last_chosen.filter(|engine| *engine >= from);
@@ -268,7 +268,7 @@
                 let weight = |e: &usize| hash::hash64(&format!("{part} {}", self.engines[*e].id));
                 (from..from + count)
                     .max_by_key(weight)
-                    .expect("it is known")
+                    .expect("there are engines")
             }
         };
         self.last_chosen = Some(chosen);
@@ -322,7 +322,10 @@
 
     pub(crate) fn prompt_read(&mut self, _engine: usize, number: usize, now: Micros) {
         let call = &self.calls[number];
-        let (_, sent, only_reads) = self.in_flight.remove(&number).expect("it is known");
+        let (_, sent, only_reads) = self
+            .in_flight
+            .remove(&number)
+            .expect("the call is in flight");
         let time = Duration::from_micros(now);
         let fleet = &mut self.fleets[call.instance];
         fleet.prompt_read(&sent, time);
--- a/crates/serving/tests/roles.rs
+++ b/crates/serving/tests/roles.rs
@@ -24,7 +24,7 @@
 fn settled_plan(fleet: &Fleet) -> RoleChanges {
     let mut planner = Planner::default();
     let first = planner.plan(fleet, &service(), ms(0));
-    assert!(first.is_empty(), "a split that is off just now is left");
+    assert!(first.is_empty(), "a new deviation is not corrected at once");
     planner.plan(fleet, &service(), ms(2_000))
 }
 
@@ -78,7 +78,7 @@
     assert_eq!(ids, ["g1", "g2"]);
     begin_change(&mut fleet, "g1", Stage::Prefill, 2_000);
     begin_change(&mut fleet, "g2", Stage::Prefill, 2_000);
-    assert!(settled_plan(&fleet).is_empty(), "two are changing");
+    assert!(settled_plan(&fleet).is_empty(), "two engines are changing");
 }
 
 /// Guards against leaving engines in prefill when a mix of long answers follows one of long
@@ -177,7 +177,7 @@
     assert_eq!(ready(&fleet), 2);
     begin_change(&mut fleet, "g0", Stage::Decode, 0);
     fleet.expire(Duration::from_secs(60));
-    assert_eq!(ready(&fleet), 2, "an order that has no effect is forgotten");
+    assert_eq!(ready(&fleet), 2, "an order without effect expires");
 }
 
 /// Guards against two instances that order one engine back and forth: one is cut off after its
@@ -192,7 +192,7 @@
     assert!(!turns.may_claim(claim(7, "b"), "a", ms(3_100)));
     assert!(
         !turns.may_claim(claim(8, "b"), "a", ms(4_600)),
-        "it ordered once more"
+        "a newer claim restarts the wait"
     );
     assert!(!turns.may_claim(claim(8, "b"), "a", ms(9_000)));
     assert!(turns.may_claim(claim(8, "b"), "a", ms(9_200)));
--- a/crates/serving/tests/scaling.rs
+++ b/crates/serving/tests/scaling.rs
@@ -132,7 +132,7 @@
     fn carry_out(&mut self) {
         for ((name, reclaimable), (engines, since)) in self.ordered.clone() {
             let there = self.engines_of(&name, reclaimable);
-            let has = u32::try_from(there.len()).expect("there are few");
+            let has = u32::try_from(there.len()).expect("the number of engines fits");
             if has < engines && self.now >= since + BOOT {
                 self.add(&name, reclaimable, engines - has);
             }
@@ -170,7 +170,11 @@
     }
     let before = world.log.len();
     world.run(&mut planner, 60);
-    assert_eq!(world.log.len(), before, "what stands is not ordered again");
+    assert_eq!(
+        world.log.len(),
+        before,
+        "a reached number is not ordered again"
+    );
 }
 
 /// Guards against shrinking a deployment of sixty engines to a dozen: engines register one after
--- a/crates/serving/tests/stream_replay.rs
+++ b/crates/serving/tests/stream_replay.rs
@@ -246,7 +246,7 @@
 
     fn engine(&self, id: &EngineId) -> usize {
         let found = self.engines.iter().position(|engine| engine.id == *id);
-        found.expect("engines that are chosen exist")
+        found.expect("the chosen engine exists")
     }
 
     /// Begins the next step of an engine that has work.
@@ -300,7 +300,7 @@
             let (service, zone) = (service(), zone());
             let demand = call_demand(call, demand(&service, &zone, None));
             let target = place::choose_decode(&self.fleet, &demand, &zone, now);
-            let target = target.expect("engines generate");
+            let target = target.expect("there is a decode engine");
             sent = self.fleet.begin_call(&target.engine, 0, target.rank, now);
             to = self.engine(&target.engine);
         }
--- a/crates/serving/tests/usage.rs
+++ b/crates/serving/tests/usage.rs
@@ -72,7 +72,7 @@
         update(FIRST + 1, FIRST, &[("a", 3), ("b", 1)]),
         at(5_400),
     );
-    assert!(!own.is_due(at(5_400)), "what is on its way is waited for");
+    assert!(!own.is_due(at(5_400)), "counts in transit are waited for");
     assert!(own.is_due(at(6_600)));
     claim_and_fix(&mut own, at(6_600));
     let reports = reports(&own, at(6_600));
--- a/crates/serving/tests/watch.rs
+++ b/crates/serving/tests/watch.rs
@@ -89,7 +89,7 @@
         let mut watch = Watch::default();
         let tries = (0..).step_by(50);
         let mut due = tries.filter(|after| is_due_at(&mut watch, rank, &stale, 10_000 + after));
-        due.next().expect("each joins in the end")
+        due.next().expect("every instance joins eventually")
     };
     assert_eq!([0, 1, 2, 3].map(reads_after), [0, 0, 150, 300]);
     assert!(reads_after(295) > 8_000);
