--- a/crates/filetests/src/command.rs
+++ b/crates/filetests/src/command.rs
@@ -6,12 +6,12 @@
 
 use datadriven::TestCase;
 
-/// A command: its word, the names that follow it, its `key=value` arguments and its input lines.
+/// A command: its word, names, `key=value` arguments and input lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Command {
-    /// The word that says what to do.
+    /// The word that selects the command.
     pub word: String,
-    /// Names without a value. Their order does not count.
+    /// Arguments without a value; their order is irrelevant.
     pub names: BTreeSet<String>,
     /// Arguments with a value.
     pub args: BTreeMap<String, String>,
@@ -19,11 +19,11 @@
     pub input: String,
 }
 
-/// Why a command cannot be carried out.
-pub(crate) type Fault = String;
+/// Why a command cannot be executed.
+pub(crate) type CommandError = String;
 
 impl Command {
-    /// A command written as in a scenario file, with the lines of its input below it.
+    /// Parses a command as in a scenario file, with its input on the following lines.
     pub fn parse(text: &str) -> Self {
         let (first, input) = text.split_once('\n').unwrap_or((text, ""));
         let mut words = first.split_whitespace().map(str::to_owned);
@@ -45,8 +45,8 @@
         command
     }
 
-    /// The only name.
-    pub(crate) fn name(&self) -> Result<&str, Fault> {
+    /// The name, if there is exactly one.
+    pub(crate) fn name(&self) -> Result<&str, CommandError> {
         let mut names = self.names.iter();
         match (names.next(), names.next()) {
             (Some(name), None) => Ok(name),
@@ -54,30 +54,30 @@
         }
     }
 
-    /// An argument, if it is given.
+    /// An optional argument.
     pub(crate) fn arg(&self, key: &str) -> Option<&str> {
         self.args.get(key).map(String::as_str)
     }
 
-    /// An argument that must be given.
-    pub(crate) fn need(&self, key: &str) -> Result<&str, Fault> {
+    /// A required argument.
+    pub(crate) fn required(&self, key: &str) -> Result<&str, CommandError> {
         self.arg(key)
             .ok_or_else(|| format!("`{}` needs `{key}=`", self.word))
     }
 
-    /// A number that must be given.
-    pub(crate) fn number(&self, key: &str) -> Result<u64, Fault> {
-        let text = self.need(key)?;
+    /// A required number.
+    pub(crate) fn number(&self, key: &str) -> Result<u64, CommandError> {
+        let text = self.required(key)?;
         text.parse()
-            .map_err(|_| format!("`{key}={text}` is no number"))
+            .map_err(|_| format!("`{key}={text}` is not a number"))
     }
 
-    /// A time span, or `or` if none is given.
-    pub(crate) fn span(&self, key: &str, or: Duration) -> Result<Duration, Fault> {
+    /// An optional duration.
+    pub(crate) fn duration(&self, key: &str, default: Duration) -> Result<Duration, CommandError> {
         let Some(text) = self.arg(key) else {
-            return Ok(or);
+            return Ok(default);
         };
-        humantime::parse_duration(text).map_err(|_| format!("`{key}={text}` is no time span"))
+        humantime::parse_duration(text).map_err(|_| format!("`{key}={text}` is not a duration"))
     }
 }
 
--- a/crates/filetests/src/engine.rs
+++ b/crates/filetests/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that keeps the interface of `docs/PLATFORM.md`.
+//! A simulated engine with the interface of `docs/PLATFORM.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,18 +12,18 @@
 
 use crate::Name;
 
-/// How long an order takes.
-const TAKES: Duration = Duration::from_secs(3);
+/// Time from the start of an order to its end.
+const ORDER_DURATION: Duration = Duration::from_secs(3);
 
-/// The engine.
+/// The simulated engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) reading: Reading,
-    /// Streams that are open, by entry.
+    /// Open streams by entry.
     pub(crate) streams: BTreeMap<Name, u32>,
-    barred: BTreeSet<OrderId>,
-    what: Option<Order>,
-    ends: Option<Moment>,
+    cancelled: BTreeSet<OrderId>,
+    action: Option<Order>,
+    ends_at: Option<Moment>,
 }
 
 impl Engine {
@@ -40,9 +40,9 @@
         Self {
             reading,
             streams: BTreeMap::new(),
-            barred: BTreeSet::new(),
-            what: None,
-            ends: None,
+            cancelled: BTreeSet::new(),
+            action: None,
+            ends_at: None,
         }
     }
 
@@ -52,27 +52,27 @@
         reading
     }
 
-    /// The order that is being carried out.
+    /// The order that is in progress, if any.
     pub(crate) fn running(&self) -> Option<OrderId> {
-        let taken = self.reading.last_order;
-        taken
-            .filter(|taken| taken.progress == Progress::Running)
-            .map(|taken| taken.order)
+        let last_order = self.reading.last_order;
+        last_order
+            .filter(|last| last.progress == Progress::Running)
+            .map(|last| last.order)
     }
 
-    /// Takes an order. The second value says whether it began to act.
-    pub(crate) fn order(
+    /// Receives an order. The second value tells whether the engine began it.
+    pub(crate) fn take_order(
         &mut self,
         now: Moment,
         order: OrderId,
         fence: Fence,
-        what: &Order,
+        action: &Order,
     ) -> (SendResult, bool) {
-        let same = self.reading.progress(order).is_some() || self.barred.contains(&order);
-        if same {
+        let known = self.reading.progress(order).is_some() || self.cancelled.contains(&order);
+        if known {
             return (SendResult::Accepted, false);
         }
-        if let Some(refused) = self.refuses(fence) {
+        if let Some(refused) = self.check_fence(fence) {
             return (refused, false);
         }
         if let Some(order) = self.running() {
@@ -80,31 +80,31 @@
         }
         let progress = Progress::Running;
         self.reading.last_order = Some(LastOrder { order, progress });
-        self.what = Some(what.clone());
-        self.ends = Some(now + TAKES);
+        self.action = Some(action.clone());
+        self.ends_at = Some(now + ORDER_DURATION);
         (SendResult::Accepted, true)
     }
 
     pub(crate) fn cancel(&mut self, order: OrderId, fence: Fence) -> SendResult {
-        if let Some(refused) = self.refuses(fence) {
+        if let Some(refused) = self.check_fence(fence) {
             return refused;
         }
         if self.reading.progress(order).is_none() {
-            self.barred.insert(order);
+            self.cancelled.insert(order);
         }
         SendResult::Accepted
     }
 
-    /// Ends the order if its time has come.
-    pub(crate) fn pass(&mut self, now: Moment) {
-        if self.ends.is_none_or(|ends| now < ends) {
+    /// Completes the running order if it is due.
+    pub(crate) fn advance(&mut self, now: Moment) {
+        if self.ends_at.is_none_or(|ends| now < ends) {
             return;
         }
-        self.ends = None;
-        if let Some(taken) = &mut self.reading.last_order {
-            taken.progress = Progress::Done;
+        self.ends_at = None;
+        if let Some(last) = &mut self.reading.last_order {
+            last.progress = Progress::Done;
         }
-        match self.what.take() {
+        match self.action.take() {
             Some(Order::SetRole(role)) => self.reading.role = role,
             Some(Order::LoadModel(model)) => self.reading.models.push(model),
             Some(Order::UnloadModel(model)) => self.reading.models.retain(|held| *held != model),
@@ -112,14 +112,14 @@
         }
     }
 
-    /// A new start: only what its settings say is left.
+    /// Restarts the engine; only its settings are kept.
     pub(crate) fn restart(&mut self) {
         let incarnation = self.reading.incarnation + 1;
         *self = Self::new(self.reading.checks_fence);
         self.reading.incarnation = incarnation;
     }
 
-    fn refuses(&mut self, fence: Fence) -> Option<SendResult> {
+    fn check_fence(&mut self, fence: Fence) -> Option<SendResult> {
         let newest = self.reading.fence;
         if self.reading.checks_fence && fence < newest {
             return Some(SendResult::Superseded { fence: newest });
--- a/crates/filetests/src/lib.rs
+++ b/crates/filetests/src/lib.rs
@@ -1,8 +1,8 @@
-//! Scenarios over the pure crates: several entries on one log, one instance list and some
-//! upstreams, with faults by command. The world here stands where the daemon's I/O stands; the
-//! decisions are those of `catalogue`, `claims`, `authority` and `fleet` themselves. Scenario files
-//! are under `filetests/` in the root of the repository, grouped by promise; how they are written
-//! is told in `filetests/README.md`.
+//! Scenario tests of the crates without I/O: several entries share one log, one instance list and
+//! some upstreams, and commands inject faults. `World` simulates the I/O of the daemon, while the
+//! decisions are made by `catalogue`, `claims`, `authority` and `fleet` themselves. The scenario
+//! files are in `filetests/` at the root of the repository, grouped by promise;
+//! `filetests/README.md` describes their format.
 
 mod command;
 mod engine;
@@ -18,5 +18,5 @@
 pub type Offset = u64;
 /// Name of a process, an upstream or a part of the platform in a scenario.
 pub type Name = String;
-/// What happened, as it stands in a scenario's expected output.
+/// A line of output, as in a scenario's expected output.
 pub type Line = String;
--- a/crates/filetests/src/log.rs
+++ b/crates/filetests/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log, with its faults.
+//! The platform's log with injected faults.
 
 use std::collections::VecDeque;
 
@@ -6,27 +6,27 @@
 
 use crate::Offset;
 
-/// What becomes of an append.
+/// The outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// It stands and is answered.
+pub(crate) enum AppendOutcome {
+    /// The record is appended and the append is answered.
     Answered,
-    /// It stands and the answer is lost.
-    LostAfter,
-    /// It does not stand and no answer comes.
-    LostBefore,
-    /// It stands twice and the answer is lost.
+    /// The record is appended, but the answer is lost.
+    AnswerLost,
+    /// The record is lost, and there is no answer.
+    AppendLost,
+    /// The record is appended twice, and the answer is lost.
     Twice,
-    /// It is on its way and stands once it is let go; no answer comes.
+    /// The record stays in transit until it is released by a command; there is no answer.
     Held,
 }
 
-impl Fate {
-    pub(crate) fn from_word(word: &str) -> Option<Self> {
+impl AppendOutcome {
+    pub(crate) fn parse(word: &str) -> Option<Self> {
         Some(match word {
             "answered" => Self::Answered,
-            "lost-after" => Self::LostAfter,
-            "lost-before" => Self::LostBefore,
+            "lost-after" => Self::AnswerLost,
+            "lost-before" => Self::AppendLost,
             "twice" => Self::Twice,
             "held" => Self::Held,
             _ => return None,
@@ -34,10 +34,10 @@
     }
 }
 
-/// The log.
+/// The log and the appends that are in transit to it.
 #[derive(Debug)]
 pub(crate) struct Log {
-    /// All records ever; those before `first` can no longer be read.
+    /// All records ever appended; those before `first` can no longer be read.
     records: Vec<Record>,
     first: Offset,
     pub(crate) up: bool,
@@ -63,8 +63,8 @@
         self.held.push_back(record);
     }
 
-    /// Appends that were held now stand; gives them with their offsets.
-    pub(crate) fn let_go(&mut self) -> Vec<(Offset, Record)> {
+    /// Appends the held records; returns them with their offsets.
+    pub(crate) fn release_held(&mut self) -> Vec<(Offset, Record)> {
         let held = std::mem::take(&mut self.held);
         held.into_iter()
             .map(|record| (self.append(record.clone()), record))
@@ -76,16 +76,16 @@
         self.first
     }
 
-    /// Offset that the next append gets.
+    /// Offset of the next append.
     pub(crate) fn next(&self) -> Offset {
         self.records.len() as Offset + 1
     }
 
-    pub(crate) fn forget_before(&mut self, first: Offset) {
+    pub(crate) fn truncate_before(&mut self, first: Offset) {
         self.first = self.first.max(first).min(self.next());
     }
 
-    /// The retained records from an offset on.
+    /// The retained records from offset `from`.
     pub(crate) fn read(&self, from: Offset) -> impl Iterator<Item = (Offset, &Record)> {
         let from = from.max(self.first);
         (1..).zip(&self.records).skip(from as usize - 1)
--- a/crates/filetests/src/process/fold.rs
+++ b/crates/filetests/src/process/fold.rs
@@ -1,4 +1,4 @@
-//! How a process folds the log.
+//! Reads and folds the log.
 
 use authority::effect::Effect;
 use catalogue::{Applied, Kind, Refusal, Verdict};
@@ -12,25 +12,25 @@
 use crate::{Line, Offset};
 
 impl Process {
-    /// Reads the log to its end. A process that has fallen behind the retention, or that starts,
-    /// takes the newest retained snapshot first.
+    /// Reads the log to its end. If the next record is no longer retained, the process first adopts
+    /// the newest retained snapshot.
     pub(crate) fn read(&mut self, now: Moment, log: &Log) -> Vec<Line> {
         let mut lines = Vec::new();
         if self.read_upto + 1 < log.first() {
-            lines.extend(self.start_from_snapshot(now, log));
+            lines.extend(self.restore_snapshot(now, log));
         }
         for (offset, record) in log.read(self.read_upto + 1) {
             self.read_upto = offset;
             lines.extend(self.fold(now, offset, record));
         }
-        self.current = true;
+        self.view_is_current = true;
         let read = authority::lease::Input::Read { sent_at: now };
         let outputs = self.lease.step(now, &read);
-        lines.extend(self.take_lease(outputs));
+        lines.extend(self.handle_lease(outputs));
         lines
     }
 
-    fn start_from_snapshot(&mut self, now: Moment, log: &Log) -> Vec<Line> {
+    fn restore_snapshot(&mut self, now: Moment, log: &Log) -> Vec<Line> {
         let snapshots = log
             .read(log.first())
             .filter_map(|(_, record)| match &record.body {
@@ -41,22 +41,22 @@
         self.batcher.forget_before(log.first());
         self.read_upto = log.first() - 1;
         let Some(snapshot) = newest else {
-            return vec![self.say("finds no snapshot")];
+            return vec![self.line("finds no snapshot")];
         };
         let mut lines = Vec::new();
         match self.catalogue.adopt(&snapshot) {
             Ok(true) => {
-                lines.push(self.say(format!("starts from the snapshot of {}", snapshot.upto)));
+                lines.push(self.line(format!("starts from the snapshot of {}", snapshot.upto)));
             }
             Ok(false) => {}
-            Err(unfit) => lines.push(self.say(unfit)),
+            Err(error) => lines.push(self.line(error)),
         }
         if self.authority.folded() < snapshot.upto
             && let Ok(state) = authority::state::State::try_from(&snapshot)
         {
             self.authority = state;
             let outputs = self.lease.restore(now, &self.authority);
-            lines.extend(self.take_lease(outputs));
+            lines.extend(self.handle_lease(outputs));
         }
         lines
     }
@@ -65,17 +65,17 @@
         let mut lines = Vec::new();
         let before = self.catalogue.revision();
         let applied = self.catalogue.apply(offset, record);
-        lines.extend(told(offset, &applied).map(|text| self.say(text)));
+        lines.extend(describe(offset, &applied).map(|text| self.line(text)));
         if self.catalogue.revision() < before {
-            lines.push(self.say("VIOLATION the catalogue goes back"));
+            lines.push(self.line("VIOLATION the catalogue goes back"));
         }
         self.follow_drains(now, &mut lines);
         let outputs = self.batcher.fold(now, offset, record);
-        lines.extend(self.take_claims(outputs));
+        lines.extend(self.handle_claims(outputs));
         let effect = self.authority.apply(offset, record);
         self.follow_orders(now, effect, &mut lines);
         let outputs = self.lease.apply(now, offset, record, &self.authority);
-        lines.extend(self.take_lease(outputs));
+        lines.extend(self.handle_lease(outputs));
         lines
     }
 
@@ -83,7 +83,7 @@
         let view = self.catalogue.view();
         let drains: Vec<String> = view.names(Kind::Drain).map(str::to_owned).collect();
         let outputs = self.upstreams.step(now, upstream::Input::Drains(&drains));
-        lines.extend(self.take_upstreams(outputs));
+        lines.extend(self.handle_upstreams(outputs));
     }
 
     fn follow_orders(&mut self, now: Moment, effect: Effect, lines: &mut Vec<Line>) {
@@ -95,18 +95,18 @@
                 let upstream = &upstream;
                 let close = upstream::Input::Close { order, upstream };
                 let outputs = self.upstreams.step(now, close);
-                lines.extend(self.take_upstreams(outputs));
+                lines.extend(self.handle_upstreams(outputs));
             }
             Effect::Concluded { order, .. } => {
                 self.drain.end(order);
                 let outputs = self.upstreams.step(now, upstream::Input::Open { order });
-                lines.extend(self.take_upstreams(outputs));
+                lines.extend(self.handle_upstreams(outputs));
             }
             _ => {}
         }
     }
 
-    /// Queues an append.
+    /// Queues a record to be appended.
     pub(super) fn queue(&mut self, source: Source, nonce: [u8; 16], body: Body) {
         let record = self.record(nonce, body);
         let append = Append {
@@ -118,7 +118,7 @@
     }
 }
 
-fn told(offset: Offset, applied: &Applied) -> Option<String> {
+fn describe(offset: Offset, applied: &Applied) -> Option<String> {
     Some(match applied {
         Applied::Edit(Verdict::Accepted { .. }) => format!("edit {offset} accepted"),
         Applied::Edit(Verdict::Refused(refusal)) => match refusal {
--- a/crates/filetests/src/process/mod.rs
+++ b/crates/filetests/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! One entry: the pure crates side by side, as the daemon drives them.
+//! One entry: the state machines of the crates without I/O, driven as in the daemon.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use wire::record::record::Body;
 use wire::record::{Record, Snapshot};
 
-use crate::log::Fate;
+use crate::log::AppendOutcome;
 use crate::{Line, Name, Offset};
 
 mod control;
@@ -26,7 +26,7 @@
 /// The scope that all processes contend for, and the pool of the engines.
 pub(crate) const SCOPE: &str = "llm-pool";
 
-/// Which state machine wants an append.
+/// The state machine that requested an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
     Claims,
@@ -34,7 +34,7 @@
     Planner,
 }
 
-/// An append that was not handed to the log yet.
+/// An append that has not been sent to the log yet.
 #[derive(Debug)]
 pub(crate) struct Append {
     pub(crate) source: Source,
@@ -42,14 +42,14 @@
     pub(crate) record: Record,
 }
 
-/// A call of a caller at this process.
+/// A call that this process received.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct CallInfo {
     pub(crate) key: String,
     pub(crate) deadline: Moment,
 }
 
-/// The process.
+/// A simulated entry process.
 pub(crate) struct Process {
     pub(crate) name: Name,
     pub(crate) incarnation: u64,
@@ -66,26 +66,26 @@
     pub(crate) listing: list::View,
     pub(crate) outbox: VecDeque<Append>,
     pub(crate) engine_calls: VecDeque<EngineCall>,
-    pub(crate) fates: VecDeque<Fate>,
-    /// Fates of the appends of the lease.
-    pub(crate) lease_fates: VecDeque<Fate>,
-    pub(crate) asked: BTreeMap<CallId, Asked>,
-    /// Calls that were told to run and whose first byte has not left.
-    pub(crate) sending: Vec<CallId>,
-    /// Calls whose callers were told since the last look that they did not run.
-    pub(crate) told_not_run: Vec<(CallId, String)>,
-    /// Streams that this process has open, by upstream.
-    pub(crate) open: BTreeMap<Name, u32>,
+    pub(crate) append_outcomes: VecDeque<AppendOutcome>,
+    /// Outcomes of the next appends of the lease.
+    pub(crate) lease_append_outcomes: VecDeque<AppendOutcome>,
+    pub(crate) calls: BTreeMap<CallId, CallInfo>,
+    /// Calls that are cleared to run and whose first byte has not been sent.
+    pub(crate) ready_calls: Vec<CallId>,
+    /// Calls reported to callers as not run since the last check.
+    pub(crate) reported_not_run: Vec<(CallId, String)>,
+    /// Open streams of this process by upstream.
+    pub(crate) open_streams: BTreeMap<Name, u32>,
     pub(crate) read_upto: Offset,
-    pub(crate) tickets: CallId,
-    pub(crate) reach: claims::LogStatus,
-    /// Whether its view is good enough to send new work: set once it has folded the log to its
-    /// end, and unset when it notices that it was paused.
-    pub(crate) current: bool,
-    /// Whether it has begun to serve. The control plane asks again and again during the start; here
-    /// the first yes is kept, so that more runs send than would there.
-    pub(crate) serves: bool,
-    frames: u64,
+    pub(crate) last_call: CallId,
+    pub(crate) log_status: claims::LogStatus,
+    /// Whether its view is recent enough to send new work: set once it has folded the log to its
+    /// end, and cleared when it detects that it was paused.
+    pub(crate) view_is_current: bool,
+    /// Whether it has begun to serve. The control plane checks this repeatedly during the start;
+    /// here the first success is kept, so that processes send in more schedules than in the daemon.
+    pub(crate) may_serve: bool,
+    last_sequence: u64,
 }
 
 impl Process {
@@ -98,7 +98,7 @@
             instance: name.to_owned(),
             incarnation,
         };
-        let own = LocalMember {
+        let local = LocalMember {
             id: name.to_owned(),
             incarnation,
             data_centre: String::new(),
@@ -112,26 +112,26 @@
             catalogue: catalogue::State::default(),
             batcher: Batcher::new(holder, seed, claims::Limits::default()),
             authority: authority::state::State::new(),
-            lease: Lease::new(SCOPE.to_owned(), author, term(), seed + 1),
-            planner: Planner::new(SCOPE.to_owned(), Bounds::default(), pace(), seed + 2),
+            lease: Lease::new(SCOPE.to_owned(), author, lease_term(), seed + 1),
+            planner: Planner::new(SCOPE.to_owned(), Bounds::default(), timing(), seed + 2),
             upstreams: Upstreams::new(fleet::health::Settings::default()),
-            members: Members::new(own, fleet::member::Settings::default(), now),
+            members: Members::new(local, fleet::member::Settings::default(), now),
             drain: Drain::new(fleet::drain::Settings::default()),
             listing: list::View::default(),
             outbox: VecDeque::new(),
             engine_calls: VecDeque::new(),
-            fates: VecDeque::new(),
-            lease_fates: VecDeque::new(),
-            asked: BTreeMap::new(),
-            sending: Vec::new(),
-            told_not_run: Vec::new(),
-            open: BTreeMap::new(),
+            append_outcomes: VecDeque::new(),
+            lease_append_outcomes: VecDeque::new(),
+            calls: BTreeMap::new(),
+            ready_calls: Vec::new(),
+            reported_not_run: Vec::new(),
+            open_streams: BTreeMap::new(),
             read_upto: 0,
-            tickets: 0,
-            reach: claims::LogStatus::Down,
-            current: false,
-            serves: false,
-            frames: 0,
+            last_call: 0,
+            log_status: claims::LogStatus::Down,
+            view_is_current: false,
+            may_serve: false,
+            last_sequence: 0,
         }
     }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    /// All that was folded, as a snapshot.
+    /// A snapshot of the folded state.
     pub(crate) fn snapshot(&self) -> Option<Snapshot> {
         let mut snapshot = self.catalogue.snapshot()?;
         self.authority.fill_snapshot(&mut snapshot);
@@ -160,7 +160,7 @@
         Some(snapshot)
     }
 
-    /// What heartbeats tell of this process.
+    /// The progress that heartbeats announce.
     pub(crate) fn progress(&self) -> Progress {
         Progress {
             folded: self.read_upto,
@@ -170,40 +170,40 @@
         }
     }
 
-    /// The scope is given up only when no change is under way, so that the successor finds none
-    /// half done.
-    pub(crate) fn leave(&mut self, now: Moment) -> Vec<Line> {
+    /// Releases the scope of a leaving process, but not during a change, so that the successor does
+    /// not have to finish it.
+    pub(crate) fn release_if_leaving(&mut self, now: Moment) -> Vec<Line> {
         if !self.leaving || !self.planner.is_idle() {
             return Vec::new();
         }
         let outputs = self.lease.step(now, &lease::Input::Leave);
-        self.take_lease(outputs)
+        self.handle_lease(outputs)
     }
 
-    fn say(&self, what: impl std::fmt::Display) -> Line {
-        format!("{}: {what}", self.name)
+    fn line(&self, text: impl std::fmt::Display) -> Line {
+        format!("{}: {text}", self.name)
     }
 }
 
-/// Differs for each start of each process, as a random seed does.
+/// A seed that differs for each incarnation of each process.
 fn seed(name: &str, incarnation: u64) -> u64 {
-    let letters = name
+    let hash = name
         .bytes()
         .fold(0_u64, |sum, byte| sum * 31 + u64::from(byte));
-    (letters << 20) + (incarnation << 8)
+    (hash << 20) + (incarnation << 8)
 }
 
-fn term() -> Term {
-    let figures = TermConfig {
+fn lease_term() -> Term {
+    let config = TermConfig {
         lease: Duration::from_secs(9),
         margin: Duration::from_secs(1),
         drift_ppm: 0,
         stagger: Duration::from_millis(500),
         retry: Duration::from_secs(1),
     };
-    Term::try_from(figures).expect("the figures are in range")
+    Term::try_from(config).expect("the settings are in range")
 }
 
-fn pace() -> authority::change::Timing {
+fn timing() -> authority::change::Timing {
     authority::change::Timing::default()
 }
--- a/crates/filetests/src/service.rs
+++ b/crates/filetests/src/service.rs
@@ -1,19 +1,19 @@
-//! A plain service whose calls must not run twice. It counts what it executes.
+//! A service whose calls must not run twice. It counts executions.
 
 use std::collections::BTreeMap;
 
 /// How the service answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
-    /// It executes and answers.
-    Good,
-    /// It executes and dies before it answers.
+    /// It executes the call and answers.
+    Delivered,
+    /// It executes the call, but the answer is lost.
     Lost,
-    /// Nothing reaches it.
+    /// Calls do not reach it.
     Unreachable,
 }
 
-/// The service.
+/// The service behind all entries.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub(crate) answer: Answer,
@@ -24,12 +24,12 @@
 impl Service {
     pub(crate) fn new() -> Self {
         Self {
-            answer: Answer::Good,
+            answer: Answer::Delivered,
             executions: BTreeMap::new(),
         }
     }
 
-    /// Executes a call once more; gives how often it now was.
+    /// Executes a call; returns the number of executions so far.
     pub(crate) fn execute(&mut self, key: &str) -> u32 {
         let count = self.executions.entry(key.to_owned()).or_default();
         *count += 1;
--- a/crates/filetests/src/world/appends.rs
+++ b/crates/filetests/src/world/appends.rs
@@ -1,4 +1,4 @@
-//! Appends to the log and what becomes of them.
+//! Appends to the log and their outcomes.
 
 use authority::effect::Effect;
 use authority::lease;
@@ -7,13 +7,13 @@
 
 use super::World;
 use crate::Offset;
-use crate::command::{Command, Fault};
-use crate::log::Fate;
+use crate::command::{Command, CommandError};
+use crate::log::AppendOutcome;
 use crate::process::{Append, Source};
 
 impl World {
-    /// Hands what a process wants appended to the log.
-    pub(super) fn deliver(&mut self, name: &str) {
+    /// Sends the queued appends of a process to the log.
+    pub(super) fn submit_appends(&mut self, name: &str) {
         loop {
             let reaches = self.reaches_log(name);
             let Some(process) = self.processes.get_mut(name) else {
@@ -23,93 +23,91 @@
                 return;
             };
             if !reaches {
-                self.rejected(name, &append);
+                self.reject_append(name, &append);
                 continue;
             }
-            let fate = match append.source {
-                Source::Claims | Source::Planner => process.fates.pop_front(),
-                Source::Lease => process.lease_fates.pop_front(),
+            let outcome = match append.source {
+                Source::Claims | Source::Planner => process.append_outcomes.pop_front(),
+                Source::Lease => process.lease_append_outcomes.pop_front(),
             };
-            let fate = fate.unwrap_or(Fate::Answered);
-            self.take_append(name, append, fate);
+            let outcome = outcome.unwrap_or(AppendOutcome::Answered);
+            self.submit(name, append, outcome);
         }
     }
 
-    fn take_append(&mut self, name: &str, append: Append, fate: Fate) {
+    fn submit(&mut self, name: &str, append: Append, outcome: AppendOutcome) {
         let (source, nonce) = (append.source, append.nonce);
-        match fate {
-            Fate::Answered => {
-                let offset = self.stand(&append.record);
+        match outcome {
+            AppendOutcome::Answered => {
+                let offset = self.commit(&append.record);
                 if source == Source::Claims {
-                    self.tell_claims(name, Input::Appended(nonce, offset));
+                    self.notify_claims(name, Input::Appended(nonce, offset));
                 }
                 if source == Source::Lease {
-                    self.tell_lease(name, &lease::Input::AppendAcknowledged(nonce));
+                    self.notify_lease(name, &lease::Input::AppendAcknowledged(nonce));
                 }
                 return;
             }
-            Fate::LostBefore => {}
-            Fate::LostAfter => {
-                self.stand(&append.record);
+            AppendOutcome::AppendLost => {}
+            AppendOutcome::AnswerLost => {
+                self.commit(&append.record);
             }
-            Fate::Twice => {
-                self.stand(&append.record);
-                self.stand(&append.record);
+            AppendOutcome::Twice => {
+                self.commit(&append.record);
+                self.commit(&append.record);
             }
-            Fate::Held => self.log.hold(append.record),
+            AppendOutcome::Held => self.log.hold(append.record),
         }
         if source == Source::Claims {
-            self.tell_claims(name, Input::AnswerLost(nonce));
+            self.notify_claims(name, Input::AnswerLost(nonce));
         }
         if source == Source::Lease {
-            self.tell_lease(name, &lease::Input::AppendUnknown(nonce));
+            self.notify_lease(name, &lease::Input::AppendUnknown(nonce));
         }
     }
 
-    fn rejected(&mut self, name: &str, append: &Append) {
+    fn reject_append(&mut self, name: &str, append: &Append) {
         match append.source {
-            Source::Claims => self.tell_claims(name, Input::Rejected(append.nonce)),
-            Source::Lease => self.tell_lease(name, &lease::Input::AppendFailed(append.nonce)),
+            Source::Claims => self.notify_claims(name, Input::Rejected(append.nonce)),
+            Source::Lease => self.notify_lease(name, &lease::Input::AppendFailed(append.nonce)),
             Source::Planner => {}
         }
     }
 
-    fn tell_claims(&mut self, name: &str, input: Input) {
+    fn notify_claims(&mut self, name: &str, input: Input) {
         self.drive(name, |process, now| {
             let outputs = process.batcher.step(now, input);
-            process.take_claims(outputs)
+            process.handle_claims(outputs)
         });
     }
 
-    fn tell_lease(&mut self, name: &str, input: &lease::Input<'_>) {
+    fn notify_lease(&mut self, name: &str, input: &lease::Input<'_>) {
         self.drive(name, |process, now| {
             let outputs = process.lease.step(now, input);
-            process.take_lease(outputs)
+            process.handle_lease(outputs)
         });
     }
 
-    /// A record stands in the log from here on.
-    pub(super) fn stand(&mut self, record: &Record) -> Offset {
+    /// Adds a record to the log and checks its effect.
+    pub(super) fn commit(&mut self, record: &Record) -> Offset {
         let offset = self.log.append(record.clone());
-        self.judge_record(offset, record);
+        self.check_record(offset, record);
         offset
     }
 
-    fn judge_record(&mut self, offset: Offset, record: &Record) {
+    fn check_record(&mut self, offset: Offset, record: &Record) {
         let author = record.author.as_ref().map(|author| author.instance.clone());
         let author = author.unwrap_or_default();
-        match self.truth.apply(offset, record) {
+        match self.reference.apply(offset, record) {
             Effect::Intended {
-                upstream,
-                action: what,
-                ..
+                upstream, action, ..
             } => {
-                self.say(format!(
-                    "log {offset}: {author} intends {what:?} for {upstream}"
+                self.report(format!(
+                    "log {offset}: {author} intends {action:?} for {upstream}"
                 ));
             }
             Effect::Refused(refusal) => {
-                self.say(format!(
+                self.report(format!(
                     "log {offset}: without effect, from {author}: {refusal:?}"
                 ));
             }
@@ -117,35 +115,35 @@
         }
     }
 
-    /// Sets the fate of the next append of a process; with `of=lease` of its lease.
-    pub(super) fn next_fate(&mut self, command: &Command) -> Result<(), Fault> {
-        let word = command.need("fate")?;
-        let fate = Fate::from_word(word).ok_or_else(|| format!("`{word}` is no fate"))?;
+    /// Sets the outcome of the next append of a process; with `of=lease`, of its lease.
+    pub(super) fn set_append_outcome(&mut self, command: &Command) -> Result<(), CommandError> {
+        let word = command.required("fate")?;
+        let outcome = AppendOutcome::parse(word).ok_or_else(|| format!("unknown fate `{word}`"))?;
         let of_lease = command.arg("of") == Some("lease");
         let process = self.process(command.name()?)?;
         if of_lease {
-            process.lease_fates.push_back(fate);
+            process.lease_append_outcomes.push_back(outcome);
         } else {
-            process.fates.push_back(fate);
+            process.append_outcomes.push_back(outcome);
         }
         Ok(())
     }
 
-    /// Appends that were on their way now stand.
-    pub(super) fn let_go(&mut self) -> Result<(), Fault> {
-        for (offset, record) in self.log.let_go() {
-            self.judge_record(offset, &record);
+    /// Commits the appends that were held in transit.
+    pub(super) fn release_held(&mut self) -> Result<(), CommandError> {
+        for (offset, record) in self.log.release_held() {
+            self.check_record(offset, &record);
         }
         Ok(())
     }
 
-    pub(super) fn forget(&mut self, command: &Command) -> Result<(), Fault> {
-        let before = match command.need("before")? {
-            // As the retention does where snapshots are written in time.
+    pub(super) fn truncate(&mut self, command: &Command) -> Result<(), CommandError> {
+        let before = match command.required("before")? {
+            // As with retention in a deployment that writes snapshots in time.
             "snapshot" => self.newest_snapshot() + 1,
             _ => command.number("before")?,
         };
-        self.log.forget_before(before);
+        self.log.truncate_before(before);
         let first = self.log.first();
         for process in self.processes.values_mut() {
             process
@@ -155,11 +153,11 @@
         Ok(())
     }
 
-    pub(super) fn switch_log(&mut self, command: &Command) -> Result<(), Fault> {
+    pub(super) fn switch_log(&mut self, command: &Command) -> Result<(), CommandError> {
         self.log.up = match command.name()? {
             "up" => true,
             "out" => false,
-            other => return Err(format!("a log is up or out, not {other}")),
+            other => return Err(format!("the log can be up or out, not {other}")),
         };
         Ok(())
     }
--- a/crates/filetests/src/world/calls.rs
+++ b/crates/filetests/src/world/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, and the service that runs them.
+//! Calls that must not run twice, and the service that runs them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,43 +7,43 @@
 use clock::Moment;
 
 use super::World;
-use crate::command::{Command, Fault};
-use crate::process::Asked;
+use crate::command::{Command, CommandError};
+use crate::process::CallInfo;
 use crate::service::Answer;
 use crate::{Line, Name};
 
-/// What callers were told, by which "not run" is judged.
+/// Calls and what was reported to callers, to check that "not run" is true.
 #[derive(Debug, Default)]
 pub(super) struct Calls {
-    /// Number of each call over all processes, in the order in which they came.
+    /// Global number of each call, in the order of arrival.
     numbers: BTreeMap<(Name, u64, CallId), u64>,
-    last: u64,
-    /// For each key the number of the newest call that was told "not run". It is said of that
-    /// attempt and of all before it; an attempt that the caller made meanwhile has its own answer.
+    last_number: u64,
+    /// For each key the number of the newest call that was reported as "not run". The report covers
+    /// that attempt and all before it; an attempt made by the caller meanwhile has its own answer.
     not_run: BTreeMap<String, u64>,
-    /// For each key the attempts that its caller has to count: those that may have run.
-    counted: BTreeMap<String, u32>,
+    /// For each key the number of attempts that may have run, as counted by its caller.
+    attempts: BTreeMap<String, u32>,
     /// For each key the numbers of the calls that ran.
     ran: BTreeMap<String, Vec<u64>>,
 }
 
 impl Calls {
-    /// The number that a caller declares who counts the attempts that may have run.
+    /// The attempt number that a caller with a correct count declares.
     fn next_attempt(&mut self, key: &str) -> u32 {
-        let counted = self.counted.entry(key.to_owned()).or_default();
-        *counted += 1;
-        *counted
+        let attempts = self.attempts.entry(key.to_owned()).or_default();
+        *attempts += 1;
+        *attempts
     }
 }
 
 impl World {
-    pub(super) fn call(&mut self, command: &Command) -> Result<(), Fault> {
-        let deadline = self.now + command.span("deadline", Duration::from_secs(3))?;
-        let key = command.need("key")?.to_owned();
+    pub(super) fn call(&mut self, command: &Command) -> Result<(), CommandError> {
+        let deadline = self.now + command.duration("deadline", Duration::from_secs(3))?;
+        let key = command.required("key")?.to_owned();
         let policy = match command.arg("policy").unwrap_or("refuse") {
             "refuse" => OutagePolicy::Refuse,
             "first-attempt" => OutagePolicy::FirstAttempt,
-            other => return Err(format!("`{other}` is no policy")),
+            other => return Err(format!("unknown policy `{other}`")),
         };
         let attempt = match command.arg("attempt") {
             None => None,
@@ -53,88 +53,88 @@
         let body = command.arg("body").unwrap_or("body").to_owned();
         let name = command.name()?.to_owned();
         let process = self.process(&name)?;
-        process.tickets += 1;
-        let (ticket, incarnation) = (process.tickets, process.incarnation);
-        let asked = Asked {
+        process.last_call += 1;
+        let (id, incarnation) = (process.last_call, process.incarnation);
+        let info = CallInfo {
             key: key.clone(),
             deadline,
         };
-        process.asked.insert(ticket, asked);
+        process.calls.insert(id, info);
         let call = Call {
-            id: ticket,
+            id,
             key: claims::key_digest("owner", "entry", &key),
             fingerprint: claims::fingerprint("POST", "/", body.as_bytes()),
-            request: format!("{name}-{ticket}"),
+            request: format!("{name}-{id}"),
             attempt,
             policy,
             deadline,
         };
-        self.calls.last += 1;
-        let number = self.calls.last;
+        self.calls.last_number += 1;
+        let number = self.calls.last_number;
         self.calls
             .numbers
-            .insert((name.clone(), incarnation, ticket), number);
-        self.claims(&name, Input::Call(call));
+            .insert((name.clone(), incarnation, id), number);
+        self.step_claims(&name, Input::Call(call));
         Ok(())
     }
 
-    /// The caller of a call goes.
-    pub(super) fn gone(&mut self, command: &Command) -> Result<(), Fault> {
-        let (name, ticket) = (command.name()?.to_owned(), command.number("call")?);
-        self.claims(&name, Input::CallerGone(ticket));
+    /// The caller of a call disconnects.
+    pub(super) fn caller_gone(&mut self, command: &Command) -> Result<(), CommandError> {
+        let (name, call) = (command.name()?.to_owned(), command.number("call")?);
+        self.step_claims(&name, Input::CallerGone(call));
         Ok(())
     }
 
-    pub(super) fn set_service(&mut self, command: &Command) -> Result<(), Fault> {
+    pub(super) fn set_service(&mut self, command: &Command) -> Result<(), CommandError> {
         self.service.answer = match command.name()? {
-            "good" => Answer::Good,
+            "good" => Answer::Delivered,
             "lost" => Answer::Lost,
             "unreachable" => Answer::Unreachable,
-            other => return Err(format!("`{other}` is no answer")),
+            other => return Err(format!("unknown answer `{other}`")),
         };
         Ok(())
     }
 
-    /// Sends the calls that a process was told to run.
+    /// Sends the calls of a process that are cleared to run.
     pub(super) fn send_calls(&mut self, name: &Name) {
         let now = self.now;
         let Some(process) = self.processes.get_mut(name) else {
             return;
         };
-        for ticket in std::mem::take(&mut process.sending) {
-            let asked = self
+        for call in std::mem::take(&mut process.ready_calls) {
+            let info = self
                 .processes
                 .get(name)
-                .and_then(|one| one.asked.get(&ticket));
-            let Some(Asked { key, deadline }) = asked.cloned() else {
+                .and_then(|process| process.calls.get(&call));
+            let Some(CallInfo { key, deadline }) = info.cloned() else {
                 continue;
             };
-            let end = self.send(name, ticket, &key, deadline, now);
-            self.claims(name, Input::Ended(ticket, end));
+            let end = self.send_call(name, call, &key, deadline, now);
+            self.step_claims(name, Input::Ended(call, end));
         }
     }
 
-    /// The deadline is looked at once more right before the first byte: the process may have been
-    /// paused since it was told to run.
-    fn send(
+    /// Sends a call. The deadline is checked again right before the first byte, since the process
+    /// may have been paused after the call was cleared to run.
+    fn send_call(
         &mut self,
         name: &Name,
-        ticket: CallId,
+        call: CallId,
         key: &str,
         deadline: Moment,
         now: Moment,
     ) -> CallEnd {
         if now >= deadline || self.service.answer == Answer::Unreachable {
-            self.say(format!("{name}: call {ticket} of {key}: not sent, not run"));
-            self.tell_not_run(name, ticket, key);
+            self.report(format!("{name}: call {call} of {key}: not sent, not run"));
+            self.record_not_run(name, call, key);
             return CallEnd::NotRun;
         }
         let times = self.service.execute(key);
-        self.say(format!("service: {key} runs, from {name}"));
+        self.report(format!("service: {key} runs, from {name}"));
         if times > 1 {
-            self.say(format!("VIOLATION {key} ran {times} times"));
+            self.report(format!("VIOLATION {key} ran {times} times"));
         }
-        let number = self.number(name, ticket);
+        let number = self.number(name, call);
         self.calls
             .ran
             .entry(key.to_owned())
@@ -144,53 +144,56 @@
             .calls
             .not_run
             .get(key)
-            .is_some_and(|told| number <= *told)
+            .is_some_and(|reported| number <= *reported)
         {
-            self.say(format!(
+            self.report(format!(
                 "VIOLATION {key} ran after a caller was told that it did not"
             ));
         }
         match self.service.answer {
             Answer::Lost => CallEnd::Unknown,
-            Answer::Good | Answer::Unreachable => CallEnd::Answered,
+            Answer::Delivered | Answer::Unreachable => CallEnd::Answered,
         }
     }
 
-    fn number(&self, name: &str, ticket: CallId) -> u64 {
-        let incarnation = self.processes.get(name).map_or(0, |one| one.incarnation);
-        let call = (name.to_owned(), incarnation, ticket);
+    fn number(&self, name: &str, call: CallId) -> u64 {
+        let incarnation = self
+            .processes
+            .get(name)
+            .map_or(0, |process| process.incarnation);
+        let call = (name.to_owned(), incarnation, call);
         self.calls.numbers.get(&call).copied().unwrap_or(0)
     }
 
-    fn tell_not_run(&mut self, name: &str, ticket: CallId, key: &str) {
-        let number = self.number(name, ticket);
+    fn record_not_run(&mut self, name: &str, call: CallId, key: &str) {
+        let number = self.number(name, call);
         let ran = self.calls.ran.get(key);
         if ran.is_some_and(|ran| ran.iter().any(|ran| *ran <= number)) {
-            self.say(format!(
+            self.report(format!(
                 "VIOLATION {key} ran, and a caller is told that it did not"
             ));
         }
-        if let Some(counted) = self.calls.counted.get_mut(key) {
-            *counted = counted.saturating_sub(1);
+        if let Some(attempts) = self.calls.attempts.get_mut(key) {
+            *attempts = attempts.saturating_sub(1);
         }
-        let told = self.calls.not_run.entry(key.to_owned()).or_default();
-        *told = number.max(*told);
+        let reported = self.calls.not_run.entry(key.to_owned()).or_default();
+        *reported = number.max(*reported);
     }
 
-    /// Judges what was told to callers in the newest lines of a process.
-    pub(super) fn judge_decisions(&mut self, name: &str) {
+    /// Checks the "not run" answers that a process gave since the last check.
+    pub(super) fn check_decisions(&mut self, name: &str) {
         let Some(process) = self.processes.get_mut(name) else {
             return;
         };
-        for (ticket, key) in std::mem::take(&mut process.told_not_run) {
-            self.tell_not_run(name, ticket, &key);
+        for (call, key) in std::mem::take(&mut process.reported_not_run) {
+            self.record_not_run(name, call, &key);
         }
     }
 
-    fn claims(&mut self, name: &str, input: Input) {
+    fn step_claims(&mut self, name: &str, input: Input) {
         self.drive(name, |process, now| -> Vec<Line> {
             let outputs = process.batcher.step(now, input);
-            process.take_claims(outputs)
+            process.handle_claims(outputs)
         });
     }
 }
--- a/crates/filetests/src/world/catalogue.rs
+++ b/crates/filetests/src/world/catalogue.rs
@@ -8,14 +8,14 @@
 
 use super::World;
 use crate::Offset;
-use crate::command::{Command, Fault};
+use crate::command::{Command, CommandError};
 
 impl World {
-    /// An operator's edit, written to the log through some entry.
-    pub(super) fn edit(&mut self, command: &Command) -> Result<(), Fault> {
+    /// Appends an operator's edit to the log.
+    pub(super) fn edit(&mut self, command: &Command) -> Result<(), CommandError> {
         let edit = Edit {
-            base_revision: self.base(command)?,
-            operator: command.need("by")?.to_owned(),
+            base_revision: self.base_revision(command)?,
+            operator: command.required("by")?.to_owned(),
             note: String::new(),
             changes: command
                 .input
@@ -23,20 +23,23 @@
                 .map(change)
                 .collect::<Result<_, _>>()?,
         };
-        self.operate(Body::Edit(edit))
+        self.append_as_operator(Body::Edit(edit))
     }
 
-    /// The base of an edit: `base=3`, or `back=2` for one so far before the newest revision.
-    fn base(&self, command: &Command) -> Result<Offset, Fault> {
+    /// The base of an edit: `base=3`, or `back=2` for the newest revision minus 2.
+    fn base_revision(&self, command: &Command) -> Result<Offset, CommandError> {
         if command.arg("back").is_none() {
             return command.number("base");
         }
-        let revisions = self.processes.values().map(|one| one.catalogue.revision());
+        let revisions = self
+            .processes
+            .values()
+            .map(|process| process.catalogue.revision());
         let newest = revisions.max().unwrap_or(0);
         Ok(newest.saturating_sub(command.number("back")?))
     }
 
-    /// Offset up to which the newest snapshot in the log goes; 0 if there is none.
+    /// Offset that the newest snapshot in the log covers; 0 if there is none.
     pub(super) fn newest_snapshot(&self) -> Offset {
         let snapshots = self
             .log
@@ -48,13 +51,13 @@
         snapshots.max().unwrap_or(0)
     }
 
-    /// All processes that folded up to the same offset must have the same catalogue, whatever they
-    /// started from and whatever their software knows.
-    pub(super) fn judge_catalogue(&mut self, name: &str) {
+    /// Checks that all processes at the same offset have the same catalogue, whatever snapshot they
+    /// started from and whichever rules their software knows.
+    pub(super) fn check_catalogue(&mut self, name: &str) {
         let snapshot = self
             .processes
             .get(name)
-            .and_then(|one| one.catalogue.snapshot());
+            .and_then(|process| process.catalogue.snapshot());
         let Some(mut snapshot) = snapshot else {
             return;
         };
@@ -62,75 +65,78 @@
         let first = self.catalogues.entry(snapshot.upto);
         if *first.or_insert(snapshot.digest.clone()) != snapshot.digest {
             let upto = snapshot.upto;
-            self.say(format!(
+            self.report(format!(
                 "VIOLATION {name} has another catalogue as of {upto}"
             ));
         }
     }
 
-    pub(super) fn raise(&mut self, command: &Command) -> Result<(), Fault> {
+    pub(super) fn raise(&mut self, command: &Command) -> Result<(), CommandError> {
         let rules = command
             .number("to")?
             .try_into()
-            .map_err(|_| "too great a version".to_owned())?;
-        self.operate(Body::RulesRaise(RulesRaise { rules }))
+            .map_err(|_| "the rules version is out of range".to_owned())?;
+        self.append_as_operator(Body::RulesRaise(RulesRaise { rules }))
     }
 
-    /// A process writes a snapshot of what it folded.
-    pub(super) fn snapshot(&mut self, command: &Command) -> Result<(), Fault> {
+    /// Appends a snapshot of a process; with `without=` one that lacks an entity.
+    pub(super) fn snapshot(&mut self, command: &Command) -> Result<(), CommandError> {
         let name = command.name()?.to_owned();
         let snapshot = self.process(&name)?.snapshot();
         let Some(mut snapshot) = snapshot else {
-            self.say(format!("{name}: has no snapshot to give"));
+            self.report(format!("{name}: has no snapshot to give"));
             return Ok(());
         };
         if command.arg("without").is_some() {
             snapshot.entities.pop();
             ::catalogue::seal(&mut snapshot);
         }
-        self.operate(Body::Snapshot(snapshot))
+        self.append_as_operator(Body::Snapshot(snapshot))
     }
 
-    /// A process takes what a peer has folded.
-    pub(super) fn adopt(&mut self, command: &Command) -> Result<(), Fault> {
-        let (to, from) = (command.name()?.to_owned(), command.need("from")?.to_owned());
+    /// A process adopts a snapshot of a peer.
+    pub(super) fn adopt(&mut self, command: &Command) -> Result<(), CommandError> {
+        let (to, from) = (
+            command.name()?.to_owned(),
+            command.required("from")?.to_owned(),
+        );
         let Some(snapshot) = self.process(&from)?.snapshot() else {
-            self.say(format!("{from}: has no snapshot to give"));
+            self.report(format!("{from}: has no snapshot to give"));
             return Ok(());
         };
         let upto = snapshot.upto;
-        let taken = self.process(&to)?.catalogue.adopt(&snapshot);
-        let text = match taken {
+        let adopted = self.process(&to)?.catalogue.adopt(&snapshot);
+        let text = match adopted {
             Ok(true) => format!("{to}: takes the catalogue as of {upto} from {from}"),
             Ok(false) => format!("{to}: knows better than {from}"),
-            Err(unfit) => format!("{to}: {unfit}"),
+            Err(error) => format!("{to}: {error}"),
         };
-        self.say(text);
+        self.report(text);
         Ok(())
     }
 
-    fn operate(&mut self, body: Body) -> Result<(), Fault> {
+    fn append_as_operator(&mut self, body: Body) -> Result<(), CommandError> {
         if !self.log.up {
-            self.say("the log is out");
+            self.report("the log is out");
             return Ok(());
         }
         let record = Record {
             body: Some(body),
             ..Record::default()
         };
-        let offset = self.stand(&record);
-        self.say(format!("log {offset}: appended"));
+        let offset = self.commit(&record);
+        self.report(format!("log {offset}: appended"));
         Ok(())
     }
 }
 
-/// A line such as `pool kiosk-api {"kind": "service"}` or `remove pool kiosk-api`.
-fn change(line: &str) -> Result<Change, Fault> {
+/// Parses a line such as `pool kiosk-api {"kind": "service"}` or `remove pool kiosk-api`.
+fn change(line: &str) -> Result<Change, CommandError> {
     let words: Vec<&str> = line.splitn(3, ' ').collect();
     let (kind, name, json) = match words[..] {
         ["remove", kind, name] => (kind, name, ""),
         [kind, name, json] => (kind, name, json),
-        _ => return Err(format!("`{line}` is no change")),
+        _ => return Err(format!("`{line}` is not a change")),
     };
     Ok(Change {
         kind: kind.to_owned(),
@@ -139,7 +145,7 @@
     })
 }
 
-/// Software that knows a second version of the rules, which allows no `_` in names.
+/// The rules of newer software, with a version 2 that does not allow `_` in names.
 pub(super) fn newer_rules() -> Arc<Rules> {
     fn first() -> Set {
         *Rules::default().get(1).expect("version 1 is built in")
--- a/crates/filetests/src/world/engine_calls.rs
+++ b/crates/filetests/src/world/engine_calls.rs
@@ -1,4 +1,4 @@
-//! What entries ask and tell engines, and the judgement of what engines do then.
+//! Calls from entries to engines, and the checks of the engines' reactions.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use authority::planner::Input;
 use clock::Moment;
 
-use super::{Travelling, World};
+use super::{InTransit, World};
 use crate::Name;
-use crate::command::Fault;
+use crate::command::CommandError;
 use crate::process::EngineCall;
 
-/// Just below the longest delay of orders in `authority::change::Timing`.
-const LONGEST: Duration = Duration::from_millis(4_750);
+/// Delay of late orders, just below the longest one that `authority::change::Timing` allows for.
+const LATE_ORDER_DELAY: Duration = Duration::from_millis(4_750);
 
 impl World {
     pub(super) fn run_engine_calls(&mut self, name: &Name) {
@@ -24,12 +24,12 @@
             let input = match call {
                 EngineCall::Check(upstream, settled) => self.check(name, upstream, settled),
                 EngineCall::Change(upstream, order, output) => {
-                    let input = self.tell_engine(name, &upstream, output);
+                    let input = self.call_engine(name, &upstream, output);
                     input.map(|input| Input::Change(order, input))
                 }
             };
             if let Some(input) = input {
-                self.drive(name, |process, now| process.plan(now, input));
+                self.drive(name, |process, now| process.step_planner(now, input));
             }
         }
     }
@@ -47,36 +47,32 @@
         })
     }
 
-    fn tell_engine(&mut self, name: &str, engine: &str, output: Output) -> Option<change::Input> {
+    fn call_engine(&mut self, name: &str, engine: &str, output: Output) -> Option<change::Input> {
         let pair = (name.to_owned(), engine.to_owned());
         let reaches = self.reaches(name, engine) && self.engines.contains_key(engine);
         match output {
-            Output::Read { request: ticket } => Some(match self.engines.get(engine) {
-                Some(found) if reaches => change::Input::Reading(ticket, found.read()),
-                _ => change::Input::Unreachable(ticket),
+            Output::Read { request } => Some(match self.engines.get(engine) {
+                Some(found) if reaches => change::Input::Reading(request, found.read()),
+                _ => change::Input::Unreachable(request),
             }),
             Output::Send {
-                request: ticket,
-                not_after,
-                ..
+                request, not_after, ..
             } => {
-                let receipt = self.send_until(&pair, reaches, not_after, output);
-                Some(change::Input::Sent(ticket, receipt))
+                let result = self.send_until(&pair, reaches, not_after, output);
+                Some(change::Input::Sent(request, result))
             }
             Output::Cancel {
-                request: ticket,
-                not_after,
-                ..
+                request, not_after, ..
             } => {
-                let receipt = self.send_until(&pair, reaches, not_after, output);
-                Some(change::Input::Cancelled(ticket, receipt))
+                let result = self.send_until(&pair, reaches, not_after, output);
+                Some(change::Input::Cancelled(request, result))
             }
-            // The planner makes an append of it.
+            // The planner turns this into an append.
             Output::Conclude { .. } => None,
         }
     }
 
-    /// Nothing goes out after `not_after`.
+    /// Sends an order or a cancellation, unless `not_after` has passed.
     fn send_until(
         &mut self,
         pair: &(Name, Name),
@@ -87,111 +83,117 @@
         if self.now > not_after {
             return SendResult::Failed;
         }
-        self.pass_on(pair, reaches, output)
+        self.send(pair, reaches, output)
     }
 
-    fn pass_on(&mut self, pair: &(Name, Name), reaches: bool, output: Output) -> SendResult {
+    fn send(&mut self, pair: &(Name, Name), reaches: bool, output: Output) -> SendResult {
         let (from, to) = pair.clone();
         if !reaches {
             return SendResult::Unknown;
         }
-        if self.slow.contains(pair) {
-            self.say(format!("{from}: {} is on its way to {to}", what(&output)));
-            let until = self.now + LONGEST;
-            self.travelling.push(Travelling {
+        if self.delayed_orders.contains(pair) {
+            self.report(format!(
+                "{from}: {} is on its way to {to}",
+                describe(&output)
+            ));
+            let until = self.now + LATE_ORDER_DELAY;
+            self.in_transit.push(InTransit {
                 from,
                 to,
                 output,
-                until,
+                arrives_by: until,
             });
             return SendResult::Unknown;
         }
-        let receipt = self.arrived(&from, &to, output);
-        if self.deaf.contains(pair) {
+        let result = self.deliver_to_engine(&from, &to, output);
+        if self.lost_answers.contains(pair) {
             SendResult::Unknown
         } else {
-            receipt
+            result
         }
     }
 
-    /// What is on its way arrives within the longest delay that the protocol reckons with, but
-    /// where a scenario goes beyond it.
-    pub(super) fn arrive_due(&mut self) {
-        let (now, beyond) = (self.now, &self.beyond);
-        let due = |one: &Travelling| now >= one.until && !beyond.contains(&one.to);
-        let all = std::mem::take(&mut self.travelling);
+    /// Delivers the messages whose delay has passed, except to engines with unbounded delays.
+    pub(super) fn deliver_due(&mut self) {
+        let (now, unbounded) = (self.now, &self.unbounded_delays);
+        let due =
+            |message: &InTransit| now >= message.arrives_by && !unbounded.contains(&message.to);
+        let all = std::mem::take(&mut self.in_transit);
         let (due, rest): (Vec<_>, Vec<_>) = all.into_iter().partition(due);
-        self.travelling = rest;
-        for travelling in due {
-            self.arrived(&travelling.from, &travelling.to, travelling.output);
+        self.in_transit = rest;
+        for message in due {
+            self.deliver_to_engine(&message.from, &message.to, message.output);
         }
     }
 
-    /// All that is on its way arrives.
-    pub(super) fn arrive(&mut self) -> Result<(), Fault> {
-        for travelling in std::mem::take(&mut self.travelling) {
-            self.arrived(&travelling.from, &travelling.to, travelling.output);
+    /// Delivers all messages in transit.
+    pub(super) fn deliver_all(&mut self) -> Result<(), CommandError> {
+        for message in std::mem::take(&mut self.in_transit) {
+            self.deliver_to_engine(&message.from, &message.to, message.output);
         }
         Ok(())
     }
 
-    fn arrived(&mut self, from: &str, to: &str, output: Output) -> SendResult {
+    fn deliver_to_engine(&mut self, from: &str, to: &str, output: Output) -> SendResult {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(to) else {
             return SendResult::Unknown;
         };
-        let text = what(&output);
+        let text = describe(&output);
         match output {
             Output::Send {
                 order,
                 fence,
-                action: what,
+                action,
                 ..
             } => {
                 let running = engine.running();
-                let (receipt, begins) = engine.order(now, order, fence, &what);
+                let (result, begins) = engine.take_order(now, order, fence, &action);
                 if begins {
-                    self.say(format!("{to}: begins {text} from {from}"));
-                    self.judge_act(to, order, running);
+                    self.report(format!("{to}: begins {text} from {from}"));
+                    self.check_order_start(to, order, running);
                 } else {
-                    self.say(format!("{to}: {text} from {from}: {receipt:?}"));
+                    self.report(format!("{to}: {text} from {from}: {result:?}"));
                 }
-                receipt
+                result
             }
             Output::Cancel { order, fence, .. } => {
-                let receipt = engine.cancel(order, fence);
-                self.say(format!("{to}: {text} from {from}: {receipt:?}"));
-                receipt
+                let result = engine.cancel(order, fence);
+                self.report(format!("{to}: {text} from {from}: {result:?}"));
+                result
             }
             Output::Read { .. } | Output::Conclude { .. } => SendResult::Failed,
         }
     }
 
-    /// An engine may act only on the order that the log shows as its unresolved one, and only
-    /// while nothing is open there.
-    fn judge_act(&mut self, name: &str, order: authority::OrderId, running: Option<u64>) {
-        let unresolved = self.truth.pending_order(name).map(|pending| pending.order);
-        if unresolved != Some(order) {
-            self.say(format!(
+    /// Checks that an engine begins only the order that is unresolved in the log, and only while it
+    /// has no other order running and no open streams.
+    fn check_order_start(&mut self, name: &str, order: authority::OrderId, running: Option<u64>) {
+        let pending = self
+            .reference
+            .pending_order(name)
+            .map(|pending| pending.order);
+        if pending != Some(order) {
+            self.report(format!(
                 "VIOLATION {name} acts on order {order}, which is not its unresolved one"
             ));
         }
         if let Some(running) = running {
-            self.say(format!(
+            self.report(format!(
                 "VIOLATION {name} has orders {running} and {order} at once"
             ));
         }
-        let open = self
+        let open_streams = self
             .engines
             .get(name)
             .map_or(0, |engine| engine.read().open_streams);
-        if open > 0 {
-            self.say(format!("VIOLATION {name} cuts {open} streams"));
+        if open_streams > 0 {
+            self.report(format!("VIOLATION {name} cuts {open_streams} streams"));
         }
     }
 }
 
-fn what(output: &Output) -> String {
+fn describe(output: &Output) -> String {
     match output {
         Output::Read { .. } => "a question".to_owned(),
         Output::Send { order, fence, .. } => format!("order {order} with fence {fence}"),
--- a/crates/filetests/src/world/faults.rs
+++ b/crates/filetests/src/world/faults.rs
@@ -1,62 +1,63 @@
-//! Faults between processes, platform and engines.
+//! Commands for faults between processes, platform and engines.
 
 use super::World;
 use crate::Name;
-use crate::command::{Command, Fault};
+use crate::command::{Command, CommandError};
 
 impl World {
-    /// Cuts two names off from each other, or one direction with `from=` and `to=`.
-    pub(super) fn cut(&mut self, command: &Command, cut: bool) -> Result<(), Fault> {
+    /// Adds or removes a partition between two names, or in one direction with `from=` and `to=`.
+    pub(super) fn cut(&mut self, command: &Command, cut: bool) -> Result<(), CommandError> {
         let pairs: Vec<(Name, Name)> = match (command.arg("from"), command.arg("to")) {
             (Some(from), Some(to)) => vec![(from.to_owned(), to.to_owned())],
             _ => {
                 let names: Vec<&Name> = command.names.iter().collect();
                 let [one, other] = names[..] else {
-                    return Err("it takes two names".to_owned());
+                    return Err("the command needs two names".to_owned());
                 };
                 vec![(one.clone(), other.clone()), (other.clone(), one.clone())]
             }
         };
         for pair in pairs {
             if cut {
-                self.cuts.insert(pair);
+                self.partitions.insert(pair);
             } else {
-                self.cuts.remove(&pair);
+                self.partitions.remove(&pair);
             }
         }
         Ok(())
     }
 
-    /// Orders between two names stay on their way until they are let arrive, or for the
-    /// longest delay that the protocol reckons with, but with `beyond=1`; `off=1` ends it.
-    pub(super) fn slow(&mut self, command: &Command) -> Result<(), Fault> {
+    /// Delays orders from an entry to an engine until they are delivered by `arrive` or after just
+    /// less than the longest delay that the protocol assumes; `beyond=1` lifts that limit for all
+    /// orders to the engine, and `off=1` ends the delay.
+    pub(super) fn slow(&mut self, command: &Command) -> Result<(), CommandError> {
         let pair = pair(command)?;
         if command.arg("off").is_some() {
-            self.slow.remove(&pair);
+            self.delayed_orders.remove(&pair);
         } else {
             if command.arg("beyond").is_some() {
-                self.beyond.insert(pair.1.clone());
+                self.unbounded_delays.insert(pair.1.clone());
             }
-            self.slow.insert(pair);
+            self.delayed_orders.insert(pair);
         }
         Ok(())
     }
 
-    /// Answers of an engine to an entry get lost; `off=1` ends it.
-    pub(super) fn deaf(&mut self, command: &Command) -> Result<(), Fault> {
+    /// Loses the answers of an engine to an entry; `off=1` ends the fault.
+    pub(super) fn deaf(&mut self, command: &Command) -> Result<(), CommandError> {
         let pair = pair(command)?;
         if command.arg("off").is_some() {
-            self.deaf.remove(&pair);
+            self.lost_answers.remove(&pair);
         } else {
-            self.deaf.insert(pair);
+            self.lost_answers.insert(pair);
         }
         Ok(())
     }
 }
 
-fn pair(command: &Command) -> Result<(Name, Name), Fault> {
+fn pair(command: &Command) -> Result<(Name, Name), CommandError> {
     Ok((
-        command.need("from")?.to_owned(),
-        command.need("to")?.to_owned(),
+        command.required("from")?.to_owned(),
+        command.required("to")?.to_owned(),
     ))
 }
--- a/crates/filetests/src/world/mod.rs
+++ b/crates/filetests/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world of a scenario: processes, platform, upstreams and the faults between them.
+//! The simulated system of a scenario: processes, platform, upstreams and the faults between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use clock::Moment;
 use fleet::list::{Instance, Listing};
 
-use crate::command::{Command, Fault};
+use crate::command::{Command, CommandError};
 use crate::engine::Engine;
 use crate::log::Log;
 use crate::process::Process;
@@ -24,57 +24,56 @@
 mod show;
 
 /// Time between two ticks of each process.
-const STEP: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// An order or a cancellation that is on its way to an engine.
+/// An order or a cancellation that is in transit to an engine.
 #[derive(Clone, Debug)]
-struct Travelling {
+struct InTransit {
     from: Name,
     to: Name,
     output: change::Output,
-    /// When it arrives at the latest.
-    until: Moment,
+    /// When it arrives, unless delays to the engine are unbounded.
+    arrives_by: Moment,
 }
 
-/// What the instance list answers with.
+/// What the instance list returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListAnswer {
-    /// Its contents.
-    Now,
-    /// A copy that was kept.
-    Kept,
-    /// Nothing at all, as after a start from nothing.
+    /// Its current contents.
+    Current,
+    /// A copy that was saved.
+    Saved,
+    /// An empty list, as after a restart without data.
     Empty,
 }
 
-/// The world.
+/// The simulated system.
 pub struct World {
     now: Moment,
     log: Log,
-    /// The fold of the whole log, by which acts are judged.
-    truth: authority::state::State,
+    /// The fold of the whole log, against which effects are checked.
+    reference: authority::state::State,
     processes: BTreeMap<Name, Process>,
-    starts: BTreeMap<Name, u64>,
+    incarnations: BTreeMap<Name, u64>,
     list: BTreeMap<Name, Instance>,
     list_version: u64,
     list_up: bool,
     engines: BTreeMap<Name, Engine>,
     service: Service,
-    /// Directed pairs that do not reach each other.
-    cuts: BTreeSet<(Name, Name)>,
-    /// Pairs of entry and engine whose answers get lost.
-    deaf: BTreeSet<(Name, Name)>,
-    /// Pairs of entry and engine whose orders are slow.
-    slow: BTreeSet<(Name, Name)>,
-    travelling: Vec<Travelling>,
-    /// Engines to which orders may take longer than the protocol reckons with.
-    beyond: BTreeSet<Name>,
-    /// An answer of the list that was kept, and whether it is what the list answers with.
-    kept_list: Option<Listing>,
+    /// Pairs of names of which the first does not reach the second.
+    partitions: BTreeSet<(Name, Name)>,
+    /// Pairs of entry and engine whose answers are lost.
+    lost_answers: BTreeSet<(Name, Name)>,
+    /// Pairs of entry and engine whose orders are delayed.
+    delayed_orders: BTreeSet<(Name, Name)>,
+    in_transit: Vec<InTransit>,
+    /// Engines to which orders may take longer than the protocol assumes.
+    unbounded_delays: BTreeSet<Name>,
+    /// A saved copy of the list, for `ListAnswer::Saved`.
+    saved_list: Option<Listing>,
     list_answer: ListAnswer,
     calls: calls::Calls,
-    /// Digest of the catalogue by the offset up to which it was folded, as the first process had
-    /// it there.
+    /// Digest of the catalogue at each offset, from the first process that reached it.
     catalogues: BTreeMap<Offset, Vec<u8>>,
     lines: Vec<Line>,
     violations: usize,
@@ -87,26 +86,26 @@
 }
 
 impl World {
-    /// A world with a log, an empty instance list and nobody in it.
+    /// A system with an empty log, an empty instance list and no processes.
     pub fn new() -> Self {
         Self {
             now: Duration::from_secs(100),
             log: Log::new(),
-            truth: authority::state::State::new(),
+            reference: authority::state::State::new(),
             processes: BTreeMap::new(),
-            starts: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             list: BTreeMap::new(),
             list_version: 0,
             list_up: true,
             engines: BTreeMap::new(),
             service: Service::new(),
-            cuts: BTreeSet::new(),
-            deaf: BTreeSet::new(),
-            slow: BTreeSet::new(),
-            travelling: Vec::new(),
-            beyond: BTreeSet::new(),
-            kept_list: None,
-            list_answer: ListAnswer::Now,
+            partitions: BTreeSet::new(),
+            lost_answers: BTreeSet::new(),
+            delayed_orders: BTreeSet::new(),
+            in_transit: Vec::new(),
+            unbounded_delays: BTreeSet::new(),
+            saved_list: None,
+            list_answer: ListAnswer::Current,
             calls: calls::Calls::default(),
             catalogues: BTreeMap::new(),
             lines: Vec::new(),
@@ -114,23 +113,23 @@
         }
     }
 
-    /// How often a promise was broken so far.
+    /// Number of violations so far.
     pub fn violations(&self) -> usize {
         self.violations
     }
 
-    /// Carries a command out and gives what happened, a line each.
+    /// Executes a command and returns its output.
     pub fn execute(&mut self, command: &Command) -> String {
         if let Err(fault) = self.dispatch(command) {
             self.lines.push(format!("error: {fault}"));
         }
         let lines = std::mem::take(&mut self.lines);
-        let broken = lines.iter().filter(|line| line.contains("VIOLATION"));
-        self.violations += broken.count();
+        let violations = lines.iter().filter(|line| line.contains("VIOLATION"));
+        self.violations += violations.count();
         lines.into_iter().map(|line| line + "\n").collect()
     }
 
-    fn dispatch(&mut self, command: &Command) -> Result<(), Fault> {
+    fn dispatch(&mut self, command: &Command) -> Result<(), CommandError> {
         match command.word.as_str() {
             "start" => self.start(command),
             "kill" => self.kill(command),
@@ -139,20 +138,20 @@
             "leave" => self.leave(command),
             "run" => self.run(command),
             "log" => self.switch_log(command),
-            "next" => self.next_fate(command),
-            "let-go" => self.let_go(),
-            "forget" => self.forget(command),
+            "next" => self.set_append_outcome(command),
+            "let-go" => self.release_held(),
+            "forget" => self.truncate(command),
             "cut" => self.cut(command, true),
             "heal" => self.cut(command, false),
             "slow" => self.slow(command),
             "deaf" => self.deaf(command),
-            "arrive" => self.arrive(),
+            "arrive" => self.deliver_all(),
             "edit" => self.edit(command),
             "raise" => self.raise(command),
             "snapshot" => self.snapshot(command),
             "adopt" => self.adopt(command),
             "call" => self.call(command),
-            "gone" => self.gone(command),
+            "gone" => self.caller_gone(command),
             "service" => self.set_service(command),
             "want" => self.want(command),
             "list" => self.change_list(command),
@@ -160,31 +159,31 @@
             "open" => self.open(command),
             "close" => self.close(command),
             "show" => self.show(command),
-            word => Err(format!("`{word}` is no command")),
+            word => Err(format!("unknown command `{word}`")),
         }
     }
 
-    fn process(&mut self, name: &str) -> Result<&mut Process, Fault> {
+    fn process(&mut self, name: &str) -> Result<&mut Process, CommandError> {
         self.processes
             .get_mut(name)
-            .ok_or_else(|| format!("no process {name} runs"))
+            .ok_or_else(|| format!("process {name} is not running"))
     }
 
-    fn say(&mut self, line: impl AsRef<str>) {
+    fn report(&mut self, line: impl AsRef<str>) {
         let elapsed = self.now - Duration::from_secs(100);
         let seconds = elapsed.as_millis() as f64 / 1_000.0;
         self.lines.push(format!("{seconds:.2} {}", line.as_ref()));
     }
 
-    fn say_all(&mut self, lines: Vec<Line>) {
+    fn report_all(&mut self, lines: Vec<Line>) {
         for line in lines {
-            self.say(line);
+            self.report(line);
         }
     }
 
     /// Whether `from` reaches `to`, which may be a process, an upstream, `log` or `list`.
     fn reaches(&self, from: &str, to: &str) -> bool {
-        !self.cuts.contains(&(from.to_owned(), to.to_owned()))
+        !self.partitions.contains(&(from.to_owned(), to.to_owned()))
     }
 
     fn reaches_log(&self, name: &str) -> bool {
@@ -192,13 +191,13 @@
     }
 
     fn listing(&self) -> Listing {
-        let now = Listing {
+        let current = Listing {
             version: self.list_version,
             instances: self.list.values().cloned().collect(),
         };
         match self.list_answer {
-            ListAnswer::Now => now,
-            ListAnswer::Kept => self.kept_list.clone().unwrap_or(now),
+            ListAnswer::Current => current,
+            ListAnswer::Saved => self.saved_list.clone().unwrap_or(current),
             ListAnswer::Empty => Listing {
                 version: 1,
                 instances: Vec::new(),
--- a/crates/filetests/src/world/run.rs
+++ b/crates/filetests/src/world/run.rs
@@ -1,25 +1,25 @@
-//! How time passes.
+//! Starts, stops and advances processes.
 
 use claims::{Input, LogStatus};
 use fleet::upstream;
 
-use super::{STEP, World};
+use super::{TICK_INTERVAL, World};
 use crate::Name;
-use crate::command::{Command, Fault};
+use crate::command::{Command, CommandError};
 use crate::process::Process;
 
 impl World {
     /// Starts processes; `knows=2` gives them newer software.
-    pub(super) fn start(&mut self, command: &Command) -> Result<(), Fault> {
-        let newest = command.arg("knows").unwrap_or("1") == "2";
+    pub(super) fn start(&mut self, command: &Command) -> Result<(), CommandError> {
+        let newer_software = command.arg("knows").unwrap_or("1") == "2";
         for name in &command.names {
             if self.processes.contains_key(name) {
-                return Err(format!("{name} runs already"));
+                return Err(format!("{name} is running already"));
             }
-            let start = self.starts.entry(name.clone()).or_default();
-            *start += 1;
-            let mut process = Process::new(name, *start, self.now);
-            if newest {
+            let incarnation = self.incarnations.entry(name.clone()).or_default();
+            *incarnation += 1;
+            let mut process = Process::new(name, *incarnation, self.now);
+            if newer_software {
                 process.catalogue = ::catalogue::State::new(super::catalogue::newer_rules());
             }
             self.processes.insert(name.clone(), process);
@@ -27,10 +27,10 @@
         Ok(())
     }
 
-    pub(super) fn kill(&mut self, command: &Command) -> Result<(), Fault> {
+    pub(super) fn kill(&mut self, command: &Command) -> Result<(), CommandError> {
         for name in &command.names {
             if self.processes.remove(name).is_none() {
-                return Err(format!("no process {name} runs"));
+                return Err(format!("process {name} is not running"));
             }
             for engine in self.engines.values_mut() {
                 engine.streams.remove(name);
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    pub(super) fn pause(&mut self, command: &Command, paused: bool) -> Result<(), Fault> {
+    pub(super) fn pause(&mut self, command: &Command, paused: bool) -> Result<(), CommandError> {
         for name in &command.names {
             self.process(name)?.paused = paused;
         }
@@ -47,19 +47,19 @@
     }
 
     /// Begins a graceful shutdown.
-    pub(super) fn leave(&mut self, command: &Command) -> Result<(), Fault> {
+    pub(super) fn leave(&mut self, command: &Command) -> Result<(), CommandError> {
         self.process(command.name()?)?.leaving = true;
         Ok(())
     }
 
-    pub(super) fn run(&mut self, command: &Command) -> Result<(), Fault> {
-        let until = self.now + command.span("for", STEP)?;
+    pub(super) fn run(&mut self, command: &Command) -> Result<(), CommandError> {
+        let until = self.now + command.duration("for", TICK_INTERVAL)?;
         while self.now < until {
-            self.now += STEP;
+            self.now += TICK_INTERVAL;
             for engine in self.engines.values_mut() {
-                engine.pass(self.now);
+                engine.advance(self.now);
             }
-            self.arrive_due();
+            self.deliver_due();
             let names: Vec<Name> = self.processes.keys().cloned().collect();
             for name in names {
                 self.step(&name);
@@ -68,8 +68,8 @@
         Ok(())
     }
 
-    /// What a process decided before comes first: it may have been paused between the decision
-    /// and the act.
+    /// Runs a process for one tick. Effects of earlier decisions come first, since the process may
+    /// have been paused between a decision and its effect.
     fn step(&mut self, name: &Name) {
         if self
             .processes
@@ -87,19 +87,19 @@
         }
         self.read_log(name);
         self.drive(name, |process, now| {
-            process.serves |= process.members.may_serve(now);
+            process.may_serve |= process.members.may_serve(now);
             process.tick_control(now)
         });
         self.drive(name, |process, now| {
             let outputs = process.batcher.step(now, Input::Tick);
-            process.take_claims(outputs)
+            process.handle_claims(outputs)
         });
         self.drive(name, |process, now| {
             process.upstreams.step(now, upstream::Input::Tick);
             Vec::new()
         });
         self.exchange_frames(name);
-        self.deliver(name);
+        self.submit_appends(name);
     }
 
     pub(super) fn drive(
@@ -110,24 +110,24 @@
         let now = self.now;
         if let Some(process) = self.processes.get_mut(name) {
             let lines = act(process, now);
-            self.say_all(lines);
-            self.judge_decisions(name);
+            self.report_all(lines);
+            self.check_decisions(name);
         }
     }
 
     fn notice_log(&mut self, name: &str) {
-        let reach = if self.reaches_log(name) {
+        let status = if self.reaches_log(name) {
             LogStatus::Up
         } else {
             LogStatus::Down
         };
         self.drive(name, |process, now| {
-            if process.reach == reach {
+            if process.log_status == status {
                 return Vec::new();
             }
-            process.reach = reach;
-            let outputs = process.batcher.step(now, Input::Log(reach));
-            process.take_claims(outputs)
+            process.log_status = status;
+            let outputs = process.batcher.step(now, Input::Log(status));
+            process.handle_claims(outputs)
         });
     }
 
@@ -138,9 +138,9 @@
         let now = self.now;
         if let Some(process) = self.processes.get_mut(name) {
             let lines = process.read(now, &self.log);
-            self.say_all(lines);
-            self.judge_decisions(name);
-            self.judge_catalogue(name);
+            self.report_all(lines);
+            self.check_decisions(name);
+            self.check_catalogue(name);
         }
     }
 
@@ -150,11 +150,11 @@
             return;
         };
         let (lines, frames) = process.tick_members(now);
-        self.say_all(lines);
+        self.report_all(lines);
         for (to, frame) in frames {
-            let hears = self.processes.get(&to).is_some_and(|peer| !peer.paused);
-            if hears && self.reaches(name, &to) {
-                self.drive(&to, |peer, now| peer.hear(now, &frame));
+            let receives = self.processes.get(&to).is_some_and(|peer| !peer.paused);
+            if receives && self.reaches(name, &to) {
+                self.drive(&to, |peer, now| peer.receive_frame(now, &frame));
             }
         }
     }
--- a/crates/filetests/src/world/show.rs
+++ b/crates/filetests/src/world/show.rs
@@ -1,13 +1,13 @@
-//! What a scenario can look at.
+//! Output of the `show` command.
 
 use catalogue::{Found, Kind};
 
 use super::World;
-use crate::command::{Command, Fault};
+use crate::command::{Command, CommandError};
 use crate::{Line, Name};
 
 impl World {
-    pub(super) fn show(&mut self, command: &Command) -> Result<(), Fault> {
+    pub(super) fn show(&mut self, command: &Command) -> Result<(), CommandError> {
         let lines = match command.name()? {
             "catalogue" => self.show_catalogue(),
             "holder" => vec![self.show_holder()],
@@ -15,7 +15,7 @@
             "engines" => self.show_engines(),
             "executions" => self.show_executions(),
             "path" => self.show_path(command.input.trim()),
-            other => return Err(format!("`{other}` cannot be shown")),
+            other => return Err(format!("nothing to show for `{other}`")),
         };
         self.lines.extend(lines);
         Ok(())
@@ -34,7 +34,7 @@
     }
 
     fn show_holder(&self) -> Line {
-        match self.truth.current_claim(crate::process::SCOPE) {
+        match self.reference.current_claim(crate::process::SCOPE) {
             None => "nobody".to_owned(),
             Some(held) if held.released => format!("released by {}", held.holder.instance),
             Some(held) => format!("{} by claim {}", held.holder.instance, held.fence),
@@ -42,21 +42,21 @@
     }
 
     fn show_orders(&self) -> Vec<Line> {
-        let pending = self.truth.pending_orders().map(|(upstream, pending)| {
+        let pending = self.reference.pending_orders().map(|(upstream, pending)| {
             format!("{upstream}: order {}, {:?}", pending.order, pending.action)
         });
         let steps = self.processes.iter().flat_map(|(name, process)| {
-            process.planner.active_changes().map(move |one| {
-                let waits = one.change.blockers().join(", ");
-                let waits = if waits.is_empty() {
-                    waits
+            process.planner.active_changes().map(move |active| {
+                let blockers = active.change.blockers().join(", ");
+                let blockers = if blockers.is_empty() {
+                    blockers
                 } else {
-                    format!(", waits: {waits}")
+                    format!(", waits: {blockers}")
                 };
                 format!(
-                    "{name}: {} {:?}{waits}",
-                    one.upstream,
-                    one.change.current_step()
+                    "{name}: {} {:?}{blockers}",
+                    active.upstream,
+                    active.change.current_step()
                 )
             })
         });
--- a/crates/filetests/tests/random.rs
+++ b/crates/filetests/tests/random.rs
@@ -1,4 +1,4 @@
-//! Seeded random schedules of calls, changes and faults. One that breaks a promise is shrunk and
+//! Seeded random schedules of calls, changes and faults. A schedule with a violation is shrunk and
 //! printed as a scenario file.
 
 use std::cell::Cell;
@@ -8,11 +8,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 
-/// Schedules of each kind, and their seed, unless `FILETESTS_CASES` and `FILETESTS_SEED` are set.
+/// Default number of schedules of each kind, and default seed; `FILETESTS_CASES` and
+/// `FILETESTS_SEED` override them.
 const CASES: u32 = 256;
 const SEED: u64 = 4;
 
-fn setting(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     let text = std::env::var(name).ok()?;
     Some(text.parse().expect("a number"))
 }
@@ -29,7 +30,7 @@
     prop::sample::select(words)
 }
 
-/// Faults that both kinds of schedule have.
+/// Faults that all kinds of schedules include.
 fn fault() -> impl Strategy<Value = String> {
     prop_oneof![
         entry().prop_map(|a| format!("pause {a}")),
@@ -43,7 +44,7 @@
             entry(),
             word(&["lost-after", "lost-before", "twice", "held"])
         )
-            .prop_map(|(a, fate)| format!("next {a} fate={fate}")),
+            .prop_map(|(a, outcome)| format!("next {a} fate={outcome}")),
         Just("let-go".to_owned()),
     ]
 }
@@ -54,23 +55,23 @@
 
 fn calls() -> impl Strategy<Value = Vec<String>> {
     let call = (entry(), 0..3_u8, word(&["1s", "3s", "9s"])).prop_map(|(a, key, deadline)| {
-        // Each key belongs to an entry with one policy.
+        // The policy is fixed for each key, since a key belongs to one entry of the catalogue.
         let policy = if key == 0 { "refuse" } else { "first-attempt" };
         format!("call {a} key=k{key} deadline={deadline} policy={policy} attempt=next")
     });
-    let one = prop_oneof![
+    let command = prop_oneof![
         3 => call,
         3 => fault(),
         4 => time(),
         1 => word(&["good", "lost", "unreachable"]).prop_map(|answer| format!("service {answer}")),
         1 => (entry(), 1..4_u8).prop_map(|(a, call)| format!("gone {a} call={call}")),
     ];
-    prop::collection::vec(one, 10..60)
+    prop::collection::vec(command, 10..60)
 }
 
 fn changes() -> impl Strategy<Value = Vec<String>> {
     let pair = || (entry(), engine());
-    let one = prop_oneof![
+    let command = prop_oneof![
         4 => (engine(), word(&["mixed", "prefill", "decode"]))
             .prop_map(|(e, role)| format!("want {e} role={role}")),
         2 => pair().prop_map(|(a, e)| format!("open {e} at={a}")),
@@ -94,7 +95,7 @@
         6 => time(),
         6 => Just("run for=12s".to_owned()),
     ];
-    prop::collection::vec(one, 20..120)
+    prop::collection::vec(command, 20..120)
 }
 
 fn edits() -> impl Strategy<Value = Vec<String>> {
@@ -124,7 +125,7 @@
             let changes = changes.join("\n");
             format!("edit by={operator} back={back}\n{changes}")
         });
-    let one = prop_oneof![
+    let command = prop_oneof![
         6 => edit,
         4 => fault(),
         1 => entry().prop_map(|a| format!("start {a} knows=2")),
@@ -134,7 +135,7 @@
         1 => (entry(), entry()).prop_map(|(a, b)| format!("adopt {a} from={b}")),
     ];
     let raise = prop::option::weighted(0.3, 0..30_usize);
-    (prop::collection::vec(one, 10..80), raise).prop_map(|(mut commands, raise)| {
+    (prop::collection::vec(command, 10..80), raise).prop_map(|(mut commands, raise)| {
         if let Some(place) = raise {
             commands.insert(place.min(commands.len()), "raise to=2".to_owned());
         }
@@ -142,13 +143,13 @@
     })
 }
 
-fn with_start(start: &[&str], commands: &[String]) -> Vec<Command> {
+fn prepend(start: &[&str], commands: &[String]) -> Vec<Command> {
     let start = start.iter().map(|text| (*text).to_owned());
     let all = start.chain(commands.iter().cloned());
     all.map(|text| Command::parse(&text)).collect()
 }
 
-/// The schedule as a scenario file, with what happened.
+/// Formats a schedule and its output as a scenario file.
 fn scenario(commands: &[Command]) -> String {
     let mut text =
         "# Promise: (which one shows below)\n# Goes wrong: found by a random schedule.\n"
@@ -160,23 +161,23 @@
     text
 }
 
-/// Runs schedules; gives how many lines of what happened contained `telling`.
-fn explore(schedules: impl Strategy<Value = Vec<String>>, start: &[&str], telling: &str) -> usize {
-    let cases = setting("FILETESTS_CASES").and_then(|cases| cases.try_into().ok());
-    let seed = setting("FILETESTS_SEED").unwrap_or(SEED);
+/// Runs schedules; returns the number of matches of `pattern` in their output.
+fn explore(schedules: impl Strategy<Value = Vec<String>>, start: &[&str], pattern: &str) -> usize {
+    let cases = env_number("FILETESTS_CASES").and_then(|cases| cases.try_into().ok());
+    let seed = env_number("FILETESTS_SEED").unwrap_or(SEED);
     let mut runner = TestRunner::new(ProptestConfig {
         cases: cases.unwrap_or(CASES),
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(seed),
         ..ProptestConfig::default()
     });
-    let told = Cell::new(0);
+    let matches = Cell::new(0);
     let run = runner.run(&schedules, |schedule| {
-        let commands = with_start(start, &schedule);
+        let commands = prepend(start, &schedule);
         let mut world = World::new();
         for command in &commands {
-            let happened = world.execute(command);
-            told.set(told.get() + happened.matches(telling).count());
+            let output = world.execute(command);
+            matches.set(matches.get() + output.matches(pattern).count());
         }
         if world.violations() > 0 {
             return Err(TestCaseError::fail(scenario(&commands)));
@@ -184,23 +185,24 @@
         Ok(())
     });
     run.unwrap_or_else(|failure| panic!("{failure}"));
-    println!("{} times: {telling}", told.get());
-    told.get()
+    println!("{} times: {pattern}", matches.get());
+    matches.get()
 }
 
 #[test]
 fn calls_run_at_most_once_and_not_run_is_true() {
-    let ran = explore(calls(), &["start a b c", "run for=1s"], "runs, from");
+    let executed = explore(calls(), &["start a b c", "run for=1s"], "runs, from");
     assert!(
-        ran > CASES as usize,
-        "only {ran} calls ran: the schedules show nothing"
+        executed > CASES as usize,
+        "only {executed} calls ran: the schedules cover too little"
     );
 }
 
 #[test]
-fn catalogues_agree_and_never_go_back() {
-    let first = "edit by=ana base=0\nowner o {\"keys\": []}\npool one {\"kind\": \"service\"}";
-    let start = ["start a b", "start c knows=2", first, "run for=1s"];
+fn catalogues_agree_and_never_revert() {
+    let initial_edit =
+        "edit by=ana base=0\nowner o {\"keys\": []}\npool one {\"kind\": \"service\"}";
+    let start = ["start a b", "start c knows=2", initial_edit, "run for=1s"];
     let accepted = explore(edits(), &start, "accepted");
     assert!(
         accepted > CASES as usize,
@@ -209,7 +211,7 @@
 }
 
 #[test]
-fn engines_act_on_one_order_and_cut_nothing() {
+fn engines_run_one_order_at_a_time_and_cut_no_streams() {
     let start = [
         "start a b c",
         "list a b c as=entry",
@@ -220,6 +222,6 @@
     let begun = explore(changes(), &start, ": begins order");
     assert!(
         begun > 100,
-        "only {begun} orders began: the schedules show nothing"
+        "only {begun} orders began: the schedules cover too little"
     );
 }
--- a/crates/filetests/tests/scenarios.rs
+++ b/crates/filetests/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Runs every scenario file under `filetests/`, one test each.
+//! Runs each scenario file in `filetests/` as a test.
 
 use std::path::{Path, PathBuf};
 
@@ -16,8 +16,8 @@
     libtest_mimic::run(&arguments, trials).exit();
 }
 
-fn collect(folder: &Path, files: &mut Vec<PathBuf>) {
-    let entries = std::fs::read_dir(folder).expect("the folder of the scenarios");
+fn collect(directory: &Path, files: &mut Vec<PathBuf>) {
+    let entries = std::fs::read_dir(directory).expect("the directory of the scenarios");
     for path in entries.map(|entry| entry.expect("an entry").path()) {
         if path.is_dir() {
             collect(&path, files);
@@ -35,16 +35,18 @@
 
 fn run(file: &Path) -> Result<(), Failed> {
     let text = std::fs::read_to_string(file)?;
-    let tells = |line: &str, start: &str| line.starts_with(start) && line.len() > start.len();
+    let has_text = |line: &str, start: &str| line.starts_with(start) && line.len() > start.len();
     let mut lines = text.lines();
-    let promise = lines.next().is_some_and(|line| tells(line, "# Promise: "));
-    let wrong = lines
+    let promise = lines
         .next()
-        .is_some_and(|line| tells(line, "# Goes wrong: "));
-    if !promise || !wrong {
-        return Err("the first lines must tell `# Promise:` and `# Goes wrong:`".into());
+        .is_some_and(|line| has_text(line, "# Promise: "));
+    let fault = lines
+        .next()
+        .is_some_and(|line| has_text(line, "# Goes wrong: "));
+    if !promise || !fault {
+        return Err("the first lines must be `# Promise:` and `# Goes wrong:`".into());
     }
-    // Expectations are rewritten only if REWRITE is set.
+    // `datadriven` rewrites the expected output only if REWRITE is set.
     datadriven::walk(&file.to_string_lossy(), |file| {
         let mut world = World::new();
         file.run(|case| world.execute(&Command::from(&*case)));
