--- a/crates/spec/src/bin/spec.rs
+++ b/crates/spec/src/bin/spec.rs
@@ -1,5 +1,5 @@
-//! `spec`: explores the models and prints counts and traces. Status 1 if the real protocol has a
-//! counterexample or a mutant has none.
+//! `spec`: explores the models and prints state counts and traces. Exits with status 1 if the real
+//! protocol has a counterexample or a mutant has none.
 
 use clap::{Parser, Subcommand};
 use spec::suite::{Case, cases};
@@ -38,16 +38,16 @@
             ExitCode::SUCCESS
         }
         Command::Check { property, mutant } => {
-            let chosen = cases().into_iter().filter(|case| {
+            let selected = cases().into_iter().filter(|case| {
                 let named = property.as_deref().is_none_or(|name| case.name == name);
-                named && is_chosen(case.mutant, mutant.as_deref())
+                named && is_selected(case.mutant, mutant.as_deref())
             });
-            check(&chosen.collect::<Vec<_>>())
+            check(&selected.collect::<Vec<_>>())
         }
     }
 }
 
-fn is_chosen(mutant: Option<&str>, wanted: Option<&str>) -> bool {
+fn is_selected(mutant: Option<&str>, wanted: Option<&str>) -> bool {
     match wanted {
         None => true,
         Some("none") => mutant.is_none(),
@@ -63,9 +63,9 @@
     }
 }
 
-fn check(chosen: &[Case]) -> ExitCode {
-    let mut wrong = Vec::new();
-    for case in chosen {
+fn check(selected: &[Case]) -> ExitCode {
+    let mut failures = Vec::new();
+    for case in selected {
         let start = Instant::now();
         let report = (case.explore)();
         println!(
@@ -73,15 +73,15 @@
             title(case),
             start.elapsed().as_secs_f64()
         );
-        wrong.extend(case.judge(&report).err());
+        failures.extend(case.verify(&report).err());
     }
-    for line in &wrong {
+    for line in &failures {
         eprintln!("{line}");
     }
-    if chosen.is_empty() {
+    if selected.is_empty() {
         eprintln!("there is no such case; see `spec list`");
     }
-    if wrong.is_empty() && !chosen.is_empty() {
+    if failures.is_empty() && !selected.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/spec/src/edits.rs
+++ b/crates/spec/src/edits.rs
@@ -1,39 +1,40 @@
-//! Edits of the catalogue: operators who race each other at two entries, a log that forgets,
-//! snapshots that land late, peers that offer what they have. A running entry never goes back, all
-//! agree, and no edit wins over one that its author had not seen.
+//! Model of edits of the catalogue: operators make concurrent edits at two entries, the log drops
+//! old records, snapshots are committed late, and peers offer their catalogues. A running entry
+//! never reverts to an older catalogue, all entries agree at the same offset, and no edit overrides
+//! one that its author had not seen.
 
 use crate::explore::Model;
 use catalogue::{Applied, State, Verdict};
-use kept::{Folded, Letter};
 use std::rc::Rc;
+use values::{FoldedState, SharedRecord};
 use wire::record::record::Body;
 use wire::record::{Change, Edit, Record};
 
 mod describe;
-mod kept;
+mod values;
 
-/// A guard that is taken away.
+/// A guard that is removed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Mutant {
-    /// An entry takes any snapshot that it is offered.
+    /// An entry adopts any snapshot that it is offered.
     AdoptAny,
-    /// An edit is not compared with the revision that it is based on.
+    /// The base revision of an edit is not checked.
     AnyBase,
-    /// An entry that the log has left behind reads on as if nothing had been forgotten.
+    /// An entry whose next record was truncated reads on as if nothing were missing.
     NoSnapshot,
 }
 
-/// The bounds.
+/// The bounds of the model.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Edits that operators make.
+    /// Number of edits by operators.
     pub edits: u32,
-    /// Snapshots that entries write to the log or offer to each other.
+    /// Number of snapshots that entries append to the log or offer to each other.
     pub snapshots: u32,
-    /// Records that the log holds at most.
-    pub records: usize,
-    /// Records lost or doubled, offers doubled, crashes.
-    pub faults: u32,
+    /// Capacity of the log.
+    pub max_records: usize,
+    /// Total number of lost or duplicated records, duplicated offers and crashes.
+    pub max_faults: u32,
     /// The removed guard.
     pub mutant: Option<Mutant>,
 }
@@ -43,8 +44,8 @@
         Self {
             edits: 2,
             snapshots: 2,
-            records: 4,
-            faults: 1,
+            max_records: 4,
+            max_faults: 1,
             mutant: None,
         }
     }
@@ -53,47 +54,47 @@
 /// A state of the model.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct World {
-    log: Vec<Letter>,
-    /// The catalogue after each prefix of the log, from the empty one.
-    folds: Vec<Rc<Folded>>,
-    /// Records that the log has forgotten.
-    forgotten: usize,
-    entries: Vec<Rc<Folded>>,
-    appends: Vec<Letter>,
-    /// Snapshots on their way to an entry.
-    offers: Vec<(usize, Letter)>,
+    log: Vec<SharedRecord>,
+    /// The catalogue after each prefix of the log, starting with the empty prefix.
+    prefix_states: Vec<Rc<FoldedState>>,
+    /// Number of records that were truncated from the head of the log.
+    truncated: usize,
+    entries: Vec<Rc<FoldedState>>,
+    appends: Vec<SharedRecord>,
+    /// Snapshots in flight, each with the entry that it is sent to.
+    offers: Vec<(usize, SharedRecord)>,
     edits: u32,
     snapshots: u32,
-    faults: u32,
-    broken: Option<&'static str>,
+    remaining_faults: u32,
+    violation: Option<&'static str>,
 }
 
-/// Something that happens.
+/// A transition.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// An operator edits what an entry shows.
+    /// An operator edits the catalogue that an entry shows.
     Edit(usize),
     /// An entry appends a snapshot.
     WriteSnapshot(usize),
-    /// An entry offers its catalogue to the other.
+    /// An entry offers a snapshot of its catalogue to the other entry.
     Offer(usize),
     /// An offer arrives.
-    Take(usize),
-    /// An offer arrives, and a copy stays on its way.
-    TakeTwice(usize),
-    /// A record lands.
-    Land(usize),
-    /// A record lands, and a copy stays on its way.
-    LandTwice(usize),
-    /// A record is lost.
+    Receive(usize),
+    /// An offer arrives, and a copy stays in flight.
+    ReceiveTwice(usize),
+    /// A record in flight is committed.
+    Commit(usize),
+    /// A record in flight is committed, and a copy stays in flight.
+    CommitTwice(usize),
+    /// A record in flight is lost.
     Lose(usize),
-    /// An entry reads one record, or the snapshot if the log has left it behind.
+    /// An entry reads one record, or the newest snapshot if that record was truncated.
     Read(usize),
-    /// An entry reads a record again that it has read.
+    /// An entry reads its last record again.
     ReadAgain(usize),
-    /// The log forgets what is before its newest snapshot.
-    Forget,
-    /// An entry crashes and starts again with nothing.
+    /// The log drops the records before its newest snapshot.
+    Truncate,
+    /// An entry crashes and restarts without state.
     Crash(usize),
 }
 
@@ -101,26 +102,26 @@
 
 /// The model within these bounds.
 pub fn model(config: Config) -> Model<Config, World, Event> {
-    let empty = Rc::new(Folded::new(State::default()));
+    let empty = Rc::new(FoldedState::new(State::default()));
     let start = World {
         log: Vec::new(),
-        folds: vec![Rc::clone(&empty)],
-        forgotten: 0,
+        prefix_states: vec![Rc::clone(&empty)],
+        truncated: 0,
         entries: vec![empty; ENTRIES],
         appends: Vec::new(),
         offers: Vec::new(),
         edits: config.edits,
         snapshots: config.snapshots,
-        faults: config.faults,
-        broken: None,
+        remaining_faults: config.max_faults,
+        violation: None,
     };
     Model {
         config,
         start,
         next,
         describe: describe::describe,
-        violation: |_, world| world.broken,
-        shows,
+        violation: |_, world| world.violation,
+        coverage,
     }
 }
 
@@ -131,7 +132,7 @@
 }
 
 fn events(config: &Config, world: &World) -> Vec<Event> {
-    let mut events = vec![Event::Forget];
+    let mut events = vec![Event::Truncate];
     for which in 0..ENTRIES {
         events.extend([Event::Read(which), Event::ReadAgain(which)]);
         if world.edits > 0 {
@@ -140,25 +141,25 @@
         if world.snapshots > 0 && world.entries[which].state.folded() > 0 {
             events.extend([Event::WriteSnapshot(which), Event::Offer(which)]);
         }
-        if world.faults > 0 {
+        if world.remaining_faults > 0 {
             events.push(Event::Crash(which));
         }
     }
     for index in 0..world.offers.len() {
-        events.push(Event::Take(index));
-        if world.faults > 0 {
-            events.push(Event::TakeTwice(index));
+        events.push(Event::Receive(index));
+        if world.remaining_faults > 0 {
+            events.push(Event::ReceiveTwice(index));
         }
     }
     for index in 0..world.appends.len() {
-        if world.log.len() < config.records {
-            events.push(Event::Land(index));
+        if world.log.len() < config.max_records {
+            events.push(Event::Commit(index));
         }
-        if world.faults > 0 {
+        if world.remaining_faults > 0 {
             events.push(Event::Lose(index));
         }
-        if world.faults > 0 && world.log.len() < config.records {
-            events.push(Event::LandTwice(index));
+        if world.remaining_faults > 0 && world.log.len() < config.max_records {
+            events.push(Event::CommitTwice(index));
         }
     }
     events
@@ -174,29 +175,29 @@
         }
         Event::WriteSnapshot(which) => {
             next.snapshots -= 1;
-            let letter = snapshot(&next, which);
-            next.appends.push(letter);
+            let record = snapshot(&next, which);
+            next.appends.push(record);
         }
         Event::Offer(which) => {
             next.snapshots -= 1;
-            let letter = snapshot(&next, which);
-            next.offers.push((ENTRIES - 1 - which, letter));
+            let record = snapshot(&next, which);
+            next.offers.push((ENTRIES - 1 - which, record));
         }
-        Event::Take(index) => {
-            let (to, letter) = next.offers.remove(index);
-            adopt(config, &mut next, to, &letter);
+        Event::Receive(index) => {
+            let (to, record) = next.offers.remove(index);
+            adopt(config, &mut next, to, &record);
         }
-        Event::TakeTwice(index) => {
-            let (to, letter) = next.offers[index].clone();
-            adopt(config, &mut next, to, &letter);
+        Event::ReceiveTwice(index) => {
+            let (to, record) = next.offers[index].clone();
+            adopt(config, &mut next, to, &record);
         }
-        Event::Land(index) => {
-            let letter = next.appends.remove(index);
-            land(config, &mut next, letter);
+        Event::Commit(index) => {
+            let record = next.appends.remove(index);
+            commit(config, &mut next, record);
         }
-        Event::LandTwice(index) => {
-            let letter = next.appends[index].clone();
-            land(config, &mut next, letter);
+        Event::CommitTwice(index) => {
+            let record = next.appends[index].clone();
+            commit(config, &mut next, record);
         }
         Event::Lose(index) => drop(next.appends.remove(index)),
         Event::Read(which) => read(config, &mut next, which),
@@ -204,42 +205,43 @@
             let again = next.entries[which].state.folded();
             read_at(&mut next, which, again);
         }
-        Event::Forget => {
+        Event::Truncate => {
             let newest = next.log.iter().rposition(is_snapshot);
-            next.forgotten = next.forgotten.max(newest.unwrap_or(0));
+            next.truncated = next.truncated.max(newest.unwrap_or(0));
         }
-        Event::Crash(which) => next.entries[which] = Rc::clone(&next.folds[0]),
+        Event::Crash(which) => next.entries[which] = Rc::clone(&next.prefix_states[0]),
     }
     if is_fault(event) {
-        next.faults -= 1;
+        next.remaining_faults -= 1;
     }
     if !matches!(event, Event::Crash(_)) {
-        judge(world, &mut next);
+        check_invariants(world, &mut next);
     }
     next
 }
 
 fn is_fault(event: &Event) -> bool {
-    use Event::{Crash, LandTwice, Lose, TakeTwice};
-    matches!(event, Crash(_) | LandTwice(_) | Lose(_) | TakeTwice(_))
+    use Event::{CommitTwice, Crash, Lose, ReceiveTwice};
+    matches!(event, Crash(_) | CommitTwice(_) | Lose(_) | ReceiveTwice(_))
 }
 
-fn is_snapshot(letter: &Letter) -> bool {
-    matches!(letter.0.body, Some(Body::Snapshot(_)))
+fn is_snapshot(record: &SharedRecord) -> bool {
+    matches!(record.0.body, Some(Body::Snapshot(_)))
 }
 
-fn letter(body: Body) -> Letter {
-    Letter(Rc::new(Record {
+fn shared_record(body: Body) -> SharedRecord {
+    SharedRecord(Rc::new(Record {
         rules: 1,
         body: Some(body),
         ..Record::default()
     }))
 }
 
-/// An edit of the one pool, based on what the entry shows. The note keeps the base for the judge.
-fn edit(world: &World, which: usize) -> Letter {
+/// An edit of the only pool, based on the catalogue that the entry shows. The note keeps the base
+/// revision, since `Mutant::AnyBase` overwrites the field that `commit` would check.
+fn edit(world: &World, which: usize) -> SharedRecord {
     let base = world.entries[which].state.revision();
-    letter(Body::Edit(Edit {
+    shared_record(Body::Edit(Edit {
         base_revision: base,
         operator: format!("operator {}", world.edits),
         note: base.to_string(),
@@ -254,101 +256,101 @@
     }))
 }
 
-fn snapshot(world: &World, which: usize) -> Letter {
-    letter(Body::Snapshot(world.entries[which].sealed()))
+fn snapshot(world: &World, which: usize) -> SharedRecord {
+    shared_record(Body::Snapshot(world.entries[which].sealed_snapshot()))
 }
 
-fn land(config: &Config, world: &mut World, letter: Letter) {
-    let newest = Rc::clone(&world.folds[world.log.len()]);
-    let mut letter = letter;
-    let mut record = Record::clone(&letter.0);
+fn commit(config: &Config, world: &mut World, record: SharedRecord) {
+    let newest = Rc::clone(&world.prefix_states[world.log.len()]);
+    let mut record = record;
+    let mut modified = Record::clone(&record.0);
     let mut seen = None;
-    if let Some(Body::Edit(edit)) = &mut record.body {
+    if let Some(Body::Edit(edit)) = &mut modified.body {
         seen = edit.note.parse::<u64>().ok();
         if config.mutant == Some(Mutant::AnyBase) {
             edit.base_revision = newest.state.revision();
-            letter = Letter(Rc::new(record));
+            record = SharedRecord(Rc::new(modified));
         }
     }
     let offset = world.log.len() as u64 + 1;
-    let (folded, applied) = newest.after(offset, &letter.0);
+    let (folded, applied) = newest.after(offset, &record.0);
     let accepted = matches!(applied, Applied::Edit(Verdict::Accepted { .. }));
     if accepted && seen.is_some_and(|seen| seen < newest.state.revision()) {
-        world.broken = Some("an edit wins over one that its author had not seen");
+        world.violation = Some("an edit wins over one that its author had not seen");
     }
-    world.folds.push(Rc::new(folded));
-    world.log.push(letter);
+    world.prefix_states.push(Rc::new(folded));
+    world.log.push(record);
 }
 
 fn read(config: &Config, world: &mut World, which: usize) {
     let folded = world.entries[which].state.folded();
-    let behind = (folded as usize) < world.forgotten;
+    let behind = (folded as usize) < world.truncated;
     if !behind {
         read_at(world, which, folded + 1);
     } else if config.mutant == Some(Mutant::NoSnapshot) {
-        // The fold refuses a hole, so the entry hands in nothing in place of what is missing.
-        for missing in folded + 1..=world.forgotten as u64 {
+        // The fold refuses gaps, so empty records are folded in place of the missing ones.
+        for missing in folded + 1..=world.truncated as u64 {
             let (folded, _) = world.entries[which].after(missing, &Record::default());
             world.entries[which] = Rc::new(folded);
         }
-        read_at(world, which, world.forgotten as u64 + 1);
+        read_at(world, which, world.truncated as u64 + 1);
     } else {
-        let retained = world.log[world.forgotten..].iter();
-        let newest = retained.rev().find(|letter| is_snapshot(letter)).cloned();
-        if let Some(letter) = newest {
-            adopt(config, world, which, &letter);
+        let retained = world.log[world.truncated..].iter();
+        let newest = retained.rev().find(|record| is_snapshot(record)).cloned();
+        if let Some(record) = newest {
+            adopt(config, world, which, &record);
         }
     }
 }
 
 fn read_at(world: &mut World, which: usize, offset: u64) {
     let index = (offset as usize).checked_sub(1);
-    let Some(letter) = index.and_then(|index| world.log.get(index)) else {
+    let Some(record) = index.and_then(|index| world.log.get(index)) else {
         return;
     };
-    let (folded, _) = world.entries[which].after(offset, &letter.0);
+    let (folded, _) = world.entries[which].after(offset, &record.0);
     world.entries[which] = Rc::new(folded);
 }
 
-fn adopt(config: &Config, world: &mut World, which: usize, letter: &Letter) {
-    let Some(Body::Snapshot(snapshot)) = &letter.0.body else {
+fn adopt(config: &Config, world: &mut World, which: usize, record: &SharedRecord) {
+    let Some(Body::Snapshot(snapshot)) = &record.0.body else {
         return;
     };
     let mut state = world.entries[which].state.clone();
     if config.mutant == Some(Mutant::AdoptAny) {
         match State::restore(state.rules().clone(), snapshot) {
             Ok(restored) => state = restored,
-            Err(_) => world.broken = Some("a sound snapshot is refused"),
+            Err(_) => world.violation = Some("a sound snapshot is refused"),
         }
     } else if state.adopt(snapshot).is_err() {
-        world.broken = Some("a sound snapshot is refused");
+        world.violation = Some("a sound snapshot is refused");
     }
-    world.entries[which] = Rc::new(Folded::new(state));
+    world.entries[which] = Rc::new(FoldedState::new(state));
 }
 
-fn judge(before: &World, after: &mut World) {
+fn check_invariants(before: &World, after: &mut World) {
     for which in 0..ENTRIES {
         let (old, new) = (&before.entries[which].state, &after.entries[which].state);
         if new.revision() < old.revision() || new.folded() < old.folded() {
-            after.broken = Some("a running entry goes back to an older catalogue");
+            after.violation = Some("a running entry goes back to an older catalogue");
             return;
         }
         let offset = new.folded() as usize;
-        if after.folds[offset].snapshot != after.entries[which].snapshot {
-            after.broken = Some("an entry differs from the others at the same offset");
+        if after.prefix_states[offset].snapshot != after.entries[which].snapshot {
+            after.violation = Some("an entry differs from the others at the same offset");
             return;
         }
     }
 }
 
-fn shows(_: &Config, world: &World) -> Vec<&'static str> {
-    let mut shown = Vec::new();
-    let in_force = |entry: &Rc<Folded>| entry.state.revision();
+fn coverage(_: &Config, world: &World) -> Vec<&'static str> {
+    let mut covered = Vec::new();
+    let in_force = |entry: &Rc<FoldedState>| entry.state.revision();
     if world.entries.iter().all(|entry| in_force(entry) > 1) {
-        shown.push("a second edit is in force everywhere");
+        covered.push("a second edit is in force everywhere");
     }
-    if world.forgotten > 0 && world.entries.iter().all(|entry| in_force(entry) > 0) {
-        shown.push("an edit is in force after the log forgot it");
+    if world.truncated > 0 && world.entries.iter().all(|entry| in_force(entry) > 0) {
+        covered.push("an edit is in force after the log forgot it");
     }
-    shown
+    covered
 }
--- a/crates/spec/src/edits/kept.rs
+++ b/crates/spec/src/edits/values.rs
@@ -1,4 +1,4 @@
-//! What the edit model keeps, with comparisons by content.
+//! Values in the state of the edit model, compared by content.
 
 use catalogue::{Applied, State};
 use std::hash::{Hash, Hasher};
@@ -6,54 +6,54 @@
 use wire::Message;
 use wire::record::{Record, Snapshot};
 
-/// A folded catalogue, compared by what a snapshot of it holds.
+/// A folded catalogue, compared by the contents of its snapshot.
 #[derive(Clone, Debug)]
-pub(super) struct Folded {
+pub(super) struct FoldedState {
     pub(super) state: State,
     pub(super) snapshot: Snapshot,
 }
 
-impl Folded {
+impl FoldedState {
     pub(super) fn new(state: State) -> Self {
         let snapshot = state.snapshot().unwrap_or_default();
         Self { state, snapshot }
     }
 
-    /// After one more record.
+    /// The state after one more record.
     pub(super) fn after(&self, offset: u64, record: &Record) -> (Self, Applied) {
         let mut state = self.state.clone();
         let applied = state.apply(offset, record);
         (Self::new(state), applied)
     }
 
-    pub(super) fn sealed(&self) -> Snapshot {
+    pub(super) fn sealed_snapshot(&self) -> Snapshot {
         let mut snapshot = self.snapshot.clone();
         catalogue::seal(&mut snapshot);
         snapshot
     }
 }
 
-impl PartialEq for Folded {
+impl PartialEq for FoldedState {
     fn eq(&self, other: &Self) -> bool {
         self.snapshot == other.snapshot
     }
 }
 
-impl Eq for Folded {}
+impl Eq for FoldedState {}
 
-impl Hash for Folded {
+impl Hash for FoldedState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.snapshot.encode_to_vec().hash(hasher);
     }
 }
 
-/// A record on its way or in the log.
+/// A record in flight or in the log.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Letter(pub(super) Rc<Record>);
+pub(super) struct SharedRecord(pub(super) Rc<Record>);
 
-impl Eq for Letter {}
+impl Eq for SharedRecord {}
 
-impl Hash for Letter {
+impl Hash for SharedRecord {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.0.encode_to_vec().hash(hasher);
     }
--- a/crates/spec/src/explore.rs
+++ b/crates/spec/src/explore.rs
@@ -1,46 +1,46 @@
-//! Exhaustive breadth-first exploration of a model, by `pathfinding`. The first state that violates
-//! a property is reached by a shortest trace.
+//! Exhaustive breadth-first exploration of a model with `pathfinding`. A violation is reported with
+//! a shortest trace.
 
 use pathfinding::prelude::bfs;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::hash::Hash;
 
-/// A model: a configuration, a first state, what can happen in a state, and what must not hold.
+/// A model: its configuration, initial state, transitions and properties.
 pub struct Model<C, W, E> {
-    /// Bounds, faults, and the guard that is removed, if any.
+    /// Bounds, faults, and the removed guard, if any.
     pub config: C,
-    /// The first state.
+    /// The initial state.
     pub start: W,
-    /// What can happen next, and what it leads to.
+    /// The events that are possible in a state, each with the state that it leads to.
     pub next: fn(&C, &W) -> Vec<(E, W)>,
-    /// An event in words, in the state in which it happens.
+    /// Text for an event in the state in which it happens.
     pub describe: fn(&C, &W, &E) -> String,
-    /// The property that a state violates.
+    /// The property that a state violates, if any.
     pub violation: fn(&C, &W) -> Option<&'static str>,
-    /// What a state shows, so that a check that never gets to the matter is found out.
-    pub shows: fn(&C, &W) -> Vec<&'static str>,
+    /// Coverage markers of a state, so that a check that never reaches the relevant states fails.
+    pub coverage: fn(&C, &W) -> Vec<&'static str>,
 }
 
-/// The way to a violation.
+/// The path to a violation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Trace {
-    /// The property.
+    /// The violated property.
     pub property: &'static str,
     /// The events, in order.
     pub events: Vec<String>,
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
     /// States whose successors were generated.
     pub states: usize,
-    /// Whether all states within the bounds were explored; not so after a violation.
+    /// Whether all states within the bounds were explored; false after a violation.
     pub complete: bool,
-    /// What was seen on the way.
-    pub seen: BTreeSet<&'static str>,
-    /// The shortest violation.
+    /// The coverage markers of all explored states.
+    pub covered: BTreeSet<&'static str>,
+    /// The violation with the shortest trace, if any.
     pub violation: Option<Trace>,
 }
 
@@ -63,14 +63,14 @@
 where
     W: Clone + Eq + Hash,
 {
-    /// Explores until a violation, the end, or `limit` states.
-    pub fn check(&self, limit: usize) -> Report {
+    /// Explores until a violation, the end, or `max_states` states.
+    pub fn check(&self, max_states: usize) -> Report {
         let mut states = 0;
-        let mut seen = BTreeSet::new();
+        let mut covered = BTreeSet::new();
         let successors = |world: &W| {
             states += 1;
-            seen.extend((self.shows)(&self.config, world));
-            let next = if states <= limit {
+            covered.extend((self.coverage)(&self.config, world));
+            let next = if states <= max_states {
                 (self.next)(&self.config, world)
             } else {
                 Vec::new()
@@ -80,9 +80,9 @@
         let violated = |world: &W| (self.violation)(&self.config, world).is_some();
         let path = bfs(&self.start, successors, violated);
         Report {
-            complete: path.is_none() && states <= limit,
+            complete: path.is_none() && states <= max_states,
             states,
-            seen,
+            covered,
             violation: path.map(|path| self.trace(&path)),
         }
     }
--- a/crates/spec/src/lease.rs
+++ b/crates/spec/src/lease.rs
@@ -1,11 +1,12 @@
-//! The lease: several processes, one scope, a log whose appends land late, twice or never, reads
-//! that lag, processes that pause, crash or leave, clocks that drift. At most one may act.
+//! Model of the lease: several processes contend for one scope. Appends are committed late, twice
+//! or never, reads lag, processes pause, crash or leave, and clocks drift. At most one process may
+//! act at a time.
 //!
-//! A pause is a stretch of time in which a process does nothing, an outage one in which nothing
-//! lands or is read; both are among the schedules without being events of their own.
+//! Pauses and log outages need no events of their own: they are schedules in which a process takes
+//! no step, or in which nothing is committed or read, for some ticks.
 
 use crate::explore::Model;
-use crate::log::{Log, Parcel};
+use crate::log::{EncodedRecord, Log};
 use authority::author::Author;
 use authority::lease::term::TermConfig;
 use authority::lease::{Input, Lease, Output, Outputs, Term};
@@ -15,20 +16,20 @@
 
 mod describe;
 
-/// A guard that is taken away.
+/// A guard that is removed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Mutant {
-    /// A claim wins although a renewal landed that its author had not read.
+    /// A claim takes effect although its author had not read the latest renewal.
     ClaimUnseen,
-    /// A challenger waits for less than a lease.
+    /// A challenger waits for less than the term of a lease.
     ShortWait,
-    /// A challenger reckons with equal rates of the clocks.
+    /// A challenger assumes that all clocks run at the same rate.
     NoDrift,
-    /// The lease runs from the moment at which the renewal is read back.
+    /// The lease runs from the time at which the renewal is read back.
     FromReadBack,
-    /// A claim counts although it replaces one that is not in force.
+    /// A claim takes effect although it replaces one that is not in force.
     AnyClaim,
-    /// The lease runs on after a release.
+    /// The lease stays valid after a release.
     ActAfterRelease,
 }
 
@@ -42,21 +43,21 @@
     Mutant::ActAfterRelease,
 ];
 
-/// The bounds.
+/// The bounds of the model.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Ticks after which the model stops.
     pub horizon: u32,
-    /// Milliseconds of each process's clock in a tick of true time; one for each process.
-    pub rates: Vec<u32>,
-    /// Records of one process that may be on their way at once.
-    pub flight: usize,
-    /// Records that the log holds at most.
-    pub records: usize,
-    /// Appends that land twice, crashes and departures, over all processes.
-    pub faults: u32,
-    /// Whether the first process holds the scope in the first state; else nobody does.
-    pub held: bool,
+    /// For each process, the milliseconds by which its clock advances in a tick of true time.
+    pub clock_rates: Vec<u32>,
+    /// Appends of one process that may be in flight at once.
+    pub max_in_flight: usize,
+    /// Capacity of the log.
+    pub max_records: usize,
+    /// Total number of lost or duplicated appends, crashes and departures.
+    pub max_faults: u32,
+    /// Whether the first process holds the scope in the initial state.
+    pub initially_held: bool,
     /// The removed guard.
     pub mutant: Option<Mutant>,
 }
@@ -65,11 +66,11 @@
     fn default() -> Self {
         Self {
             horizon: 6,
-            rates: vec![900, 1100],
-            flight: 1,
-            records: 3,
-            faults: 1,
-            held: true,
+            clock_rates: vec![900, 1100],
+            max_in_flight: 1,
+            max_records: 3,
+            max_faults: 1,
+            initially_held: true,
             mutant: None,
         }
     }
@@ -80,11 +81,11 @@
     author: Author,
     lease: Lease,
     folded: usize,
-    /// When the newest own claim or renewal was read back; for a mutant.
-    read_back: Moment,
-    left: bool,
-    /// Until when it could have acted when it left; for a mutant.
-    left_until: Moment,
+    /// When the latest own claim or renewal was read back; used by a mutant.
+    read_back_at: Moment,
+    leaving: bool,
+    /// End of its grant at the time it left; used by a mutant.
+    lease_end_at_leave: Moment,
 }
 
 /// A state of the model.
@@ -93,29 +94,29 @@
     now: u32,
     log: Log,
     processes: Vec<Process>,
-    /// Sorted, because the order of sending means nothing.
-    flight: Vec<(usize, Parcel)>,
-    faults: u32,
+    /// Sorted, so that states that differ only in the order of sending are equal.
+    in_flight: Vec<(usize, EncodedRecord)>,
+    remaining_faults: u32,
 }
 
-/// Something that happens.
+/// A transition.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// Time passes for all.
+    /// Time advances for all processes.
     Tick,
-    /// A process does what is due.
-    Act(usize),
+    /// A process handles what is due.
+    HandleDue(usize),
     /// A process reads one record.
     ReadOne(usize),
-    /// A process reads to the end of the log.
+    /// A process reads the log to its end.
     ReadAll(usize),
-    /// A record on its way lands.
-    Land(usize),
-    /// It lands, and a copy stays on its way.
-    LandTwice(usize),
-    /// It gets lost.
+    /// An append in flight is committed.
+    Commit(usize),
+    /// An append in flight is committed, and a copy stays in flight.
+    CommitTwice(usize),
+    /// An append in flight is lost.
     Lose(usize),
-    /// A process crashes and starts again.
+    /// A process crashes and restarts.
     Crash(usize),
     /// A process shuts down.
     Leave(usize),
@@ -125,19 +126,19 @@
 const LEASE: Duration = Duration::from_millis(3000);
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-fn term(config: &Config, which: usize) -> Term {
-    let impatient = config.mutant == Some(Mutant::ShortWait) && which > 0;
-    let mut figures = TermConfig {
-        lease: if impatient { LEASE / 3 } else { LEASE },
+fn lease_term(config: &Config, which: usize) -> Term {
+    let short_wait = config.mutant == Some(Mutant::ShortWait) && which > 0;
+    let mut settings = TermConfig {
+        lease: if short_wait { LEASE / 3 } else { LEASE },
         margin: Duration::ZERO,
         drift_ppm: 100_000,
         stagger: Duration::ZERO,
-        retry: if impatient { LEASE / 9 } else { LEASE / 3 },
+        retry: if short_wait { LEASE / 9 } else { LEASE / 3 },
     };
     if config.mutant == Some(Mutant::NoDrift) {
-        figures.drift_ppm = 0;
+        settings.drift_ppm = 0;
     }
-    Term::try_from(figures).expect("the figures are within their bounds")
+    Term::try_from(settings).expect("the settings are within their bounds")
 }
 
 fn process(config: &Config, which: usize, incarnation: u64) -> Process {
@@ -146,31 +147,36 @@
         incarnation,
     };
     let seed = which as u64 * 16 + incarnation;
-    let lease = Lease::new(SCOPE.to_owned(), author.clone(), term(config, which), seed);
+    let lease = Lease::new(
+        SCOPE.to_owned(),
+        author.clone(),
+        lease_term(config, which),
+        seed,
+    );
     Process {
         author,
         lease,
         folded: 0,
-        read_back: Moment::ZERO,
-        left: false,
-        left_until: Moment::ZERO,
+        read_back_at: Moment::ZERO,
+        leaving: false,
+        lease_end_at_leave: Moment::ZERO,
     }
 }
 
 /// The model within these bounds.
 pub fn model(config: Config) -> Model<Config, World, Event> {
-    let processes = 0..config.rates.len();
+    let processes = 0..config.clock_rates.len();
     let processes = processes.map(|which| process(&config, which, 1)).collect();
     let mut start = World {
         now: 0,
         log: Log::new(),
         processes,
-        flight: Vec::new(),
-        faults: config.faults,
+        in_flight: Vec::new(),
+        remaining_faults: config.max_faults,
     };
-    if config.held {
-        let first = [Event::ReadAll(0), Event::Land(0), Event::ReadAll(0)];
-        let readers = (1..config.rates.len()).map(Event::ReadAll);
+    if config.initially_held {
+        let first = [Event::ReadAll(0), Event::Commit(0), Event::ReadAll(0)];
+        let readers = (1..config.clock_rates.len()).map(Event::ReadAll);
         for event in first.into_iter().chain(readers) {
             start = apply(&config, &start, &event);
         }
@@ -181,12 +187,12 @@
         next,
         describe: describe::describe,
         violation,
-        shows,
+        coverage,
     }
 }
 
-fn local(config: &Config, world: &World, which: usize) -> Moment {
-    Duration::from_millis(u64::from(world.now * config.rates[which]))
+fn local_time(config: &Config, world: &World, which: usize) -> Moment {
+    Duration::from_millis(u64::from(world.now * config.clock_rates[which]))
 }
 
 fn events(config: &Config, world: &World) -> Vec<Event> {
@@ -195,45 +201,45 @@
         events.push(Event::Tick);
     }
     for (which, process) in world.processes.iter().enumerate() {
-        let sent = world.flight.iter().filter(|(from, _)| *from == which);
-        let free = sent.count() < config.flight;
-        if free {
+        let sent = world.in_flight.iter().filter(|(from, _)| *from == which);
+        let may_append = sent.count() < config.max_in_flight;
+        if may_append {
             events.push(Event::ReadAll(which));
         }
-        if free && process.lease.holds() {
-            events.push(Event::Act(which));
+        if may_append && process.lease.holds() {
+            events.push(Event::HandleDue(which));
         }
         if process.folded < world.log.end() {
             events.push(Event::ReadOne(which));
         }
-        if world.faults > 0 {
+        if world.remaining_faults > 0 {
             events.push(Event::Crash(which));
         }
-        if world.faults > 0 && !process.left {
+        if world.remaining_faults > 0 && !process.leaving {
             events.push(Event::Leave(which));
         }
     }
-    for index in 0..world.flight.len() {
-        if world.faults > 0 {
+    for index in 0..world.in_flight.len() {
+        if world.remaining_faults > 0 {
             events.push(Event::Lose(index));
         }
-        if world.log.end() < config.records {
-            events.push(Event::Land(index));
+        if world.log.end() < config.max_records {
+            events.push(Event::Commit(index));
         }
-        if world.log.end() < config.records && world.faults > 0 {
-            events.push(Event::LandTwice(index));
+        if world.log.end() < config.max_records && world.remaining_faults > 0 {
+            events.push(Event::CommitTwice(index));
         }
     }
     events
 }
 
-/// A read that brings nothing, and a step in which nothing is due, are left out: they only move
-/// the moment of the last read, which counts when something is due.
+/// Reads that return nothing and steps in which nothing is due are skipped to reduce the state
+/// space: they only change the time of the last read, which matters only when something is due.
 fn is_idle(world: &World, event: Event, next: &World) -> bool {
     match event {
-        Event::Act(which) | Event::ReadAll(which) => {
+        Event::HandleDue(which) | Event::ReadAll(which) => {
             let (before, after) = (&world.processes[which], &next.processes[which]);
-            next.flight.len() == world.flight.len()
+            next.in_flight.len() == world.in_flight.len()
                 && after.folded == before.folded
                 && after.lease.holds() == before.lease.holds()
         }
@@ -252,7 +258,7 @@
     let mut next = world.clone();
     match *event {
         Event::Tick => next.now += 1,
-        Event::Act(which) => {
+        Event::HandleDue(which) => {
             let outputs = step(config, &mut next, which, &Input::Tick);
             send(&mut next, which, outputs);
         }
@@ -263,33 +269,33 @@
             while next.processes[which].folded < next.log.end() {
                 read(config, &mut next, which);
             }
-            let asked = local(config, &next, which);
-            let outputs = step(config, &mut next, which, &Input::Read { sent_at: asked });
+            let sent_at = local_time(config, &next, which);
+            let outputs = step(config, &mut next, which, &Input::Read { sent_at });
             send(&mut next, which, outputs);
         }
-        Event::Land(index) => {
-            let (_, parcel) = next.flight.remove(index);
-            land(config, &mut next, &parcel);
+        Event::Commit(index) => {
+            let (_, encoded) = next.in_flight.remove(index);
+            commit(config, &mut next, &encoded);
         }
-        Event::LandTwice(index) => {
-            next.faults -= 1;
-            let parcel = next.flight[index].1.clone();
-            land(config, &mut next, &parcel);
+        Event::CommitTwice(index) => {
+            next.remaining_faults -= 1;
+            let encoded = next.in_flight[index].1.clone();
+            commit(config, &mut next, &encoded);
         }
         Event::Lose(index) => {
-            next.faults -= 1;
-            next.flight.remove(index);
+            next.remaining_faults -= 1;
+            next.in_flight.remove(index);
         }
         Event::Crash(which) => {
-            next.faults -= 1;
+            next.remaining_faults -= 1;
             let incarnation = next.processes[which].author.incarnation + 1;
             next.processes[which] = process(config, which, incarnation);
         }
         Event::Leave(which) => {
-            next.faults -= 1;
+            next.remaining_faults -= 1;
             let process = &mut next.processes[which];
-            process.left = true;
-            process.left_until = process
+            process.leaving = true;
+            process.lease_end_at_leave = process
                 .lease
                 .grant()
                 .map_or(Moment::ZERO, |grant| grant.until);
@@ -301,7 +307,7 @@
 }
 
 fn step(config: &Config, world: &mut World, which: usize, input: &Input<'_>) -> Outputs {
-    let now = local(config, world, which);
+    let now = local_time(config, world, which);
     world.processes[which].lease.step(now, input)
 }
 
@@ -309,14 +315,16 @@
     for output in outputs {
         if let Output::Append { nonce, body } = output {
             let author = &world.processes[which].author;
-            world.flight.push((which, Parcel::new(author, nonce, body)));
+            world
+                .in_flight
+                .push((which, EncodedRecord::new(author, nonce, body)));
         }
     }
-    world.flight.sort();
+    world.in_flight.sort();
 }
 
 fn read(config: &Config, world: &mut World, which: usize) {
-    let now = local(config, world, which);
+    let now = local_time(config, world, which);
     let process = &mut world.processes[which];
     let offset = process.folded + 1;
     let Some(record) = world.log.record(offset) else {
@@ -327,15 +335,15 @@
     process.lease.apply(now, offset as u64, record, state);
     process.folded = offset;
     if process.lease.grant() != before {
-        process.read_back = now;
+        process.read_back_at = now;
     }
 }
 
-/// A removed guard of the fold is a record that is made valid when it lands.
-fn land(config: &Config, world: &mut World, parcel: &Parcel) {
-    let held = world.log.newest().current_claim(SCOPE);
+/// Mutants that remove a guard of the fold are modelled by making the record valid on commit.
+fn commit(config: &Config, world: &mut World, encoded: &EncodedRecord) {
+    let held = world.log.latest_state().current_claim(SCOPE);
     let (fence, renewed) = held.map_or((0, 0), |held| (held.fence, held.renewed));
-    let mut record = parcel.record().clone();
+    let mut record = encoded.record().clone();
     if let Some(Body::ScopeClaim(claim)) = &mut record.body {
         match config.mutant {
             Some(Mutant::ClaimUnseen) if claim.replaces == fence => claim.seen = renewed,
@@ -343,18 +351,18 @@
             _ => (),
         }
     }
-    world.log.land(Parcel::from(record));
+    world.log.commit(EncodedRecord::from(record));
 }
 
 fn may_act(config: &Config, world: &World, which: usize) -> bool {
     let process = &world.processes[which];
-    let now = local(config, world, which);
+    let now = local_time(config, world, which);
     match config.mutant {
         Some(Mutant::FromReadBack) => {
-            let until = process.read_back + LEASE;
+            let until = process.read_back_at + LEASE;
             process.lease.grant().is_some() && now < until
         }
-        Some(Mutant::ActAfterRelease) if process.left => now < process.left_until,
+        Some(Mutant::ActAfterRelease) if process.leaving => now < process.lease_end_at_leave,
         _ => process.lease.may_act(now, Duration::ZERO),
     }
 }
@@ -365,18 +373,18 @@
     (acting.count() > 1).then_some("two processes may act at once")
 }
 
-fn shows(config: &Config, world: &World) -> Vec<&'static str> {
-    let mut shown = Vec::new();
+fn coverage(config: &Config, world: &World) -> Vec<&'static str> {
+    let mut covered = Vec::new();
     let acting = (0..world.processes.len()).find(|which| may_act(config, world, *which));
     let Some(acting) = acting else {
-        return shown;
+        return covered;
     };
-    shown.push("a holder acts");
-    let held = world.log.newest().current_claim(SCOPE);
+    covered.push("a holder acts");
+    let held = world.log.latest_state().current_claim(SCOPE);
     let others = world.processes.iter().enumerate();
     let mut others = others.filter(|(which, _)| *which != acting);
     if held.is_some_and(|held| held.fence > 1) && others.any(|(_, other)| other.folded > 0) {
-        shown.push("a second claim acts");
+        covered.push("a second claim acts");
     }
-    shown
+    covered
 }
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,7 +1,7 @@
-//! Model checking of the control protocol: small configurations of the very transition functions
-//! that the daemon runs, explored exhaustively. For each guard there is a mutant without it, which
-//! must yield a counterexample, so that a property that holds holds because of the guards. Bounds,
-//! counts and what is not covered stand in `docs/PROOFS.md`.
+//! Model checking of the control protocol: small configurations of the transition functions that
+//! the daemon runs, explored exhaustively. Each guard has a mutant without it that must yield a
+//! counterexample, which shows that the property depends on the guard. `docs/PROOFS.md` lists the
+//! bounds, the state counts and what is not covered.
 
 pub mod calls;
 pub mod edits;
--- a/crates/spec/src/log.rs
+++ b/crates/spec/src/log.rs
@@ -1,5 +1,5 @@
-//! The log of a model. The folded state after each record is kept beside it, because it is a
-//! function of the prefix: a process is described by how far it has read.
+//! The log of a model. It stores the folded state after each record, since that state depends only
+//! on the prefix of the log; a process therefore stores only the offset up to which it has read.
 
 use authority::author::Author;
 use authority::nonce::Nonce;
@@ -10,15 +10,15 @@
 use wire::Message;
 use wire::record::{Record, record::Body};
 
-/// A record with its encoding, by which it is compared.
+/// A record with its encoding, which is used for comparison and hashing.
 #[derive(Clone)]
-pub struct Parcel {
+pub struct EncodedRecord {
     record: Rc<Record>,
     bytes: Rc<[u8]>,
 }
 
-impl Parcel {
-    /// The record that `author` appends.
+impl EncodedRecord {
+    /// A record by `author`.
     pub fn new(author: &Author, nonce: Nonce, body: Body) -> Self {
         Self::from(Record {
             nonce: nonce.to_vec(),
@@ -28,12 +28,12 @@
         })
     }
 
-    /// The record.
+    /// The record without its encoding.
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// What the record is, in a word.
+    /// Text for the kind of record, used in traces.
     pub fn kind(&self) -> &'static str {
         match &self.record.body {
             Some(Body::KeyClaims(_)) => "a claim",
@@ -43,7 +43,7 @@
     }
 }
 
-impl From<Record> for Parcel {
+impl From<Record> for EncodedRecord {
     fn from(record: Record) -> Self {
         let bytes = record.encode_to_vec().into();
         let record = Rc::new(record);
@@ -51,33 +51,33 @@
     }
 }
 
-impl PartialEq for Parcel {
+impl PartialEq for EncodedRecord {
     fn eq(&self, other: &Self) -> bool {
         self.bytes == other.bytes
     }
 }
 
-impl Eq for Parcel {}
+impl Eq for EncodedRecord {}
 
-impl PartialOrd for Parcel {
+impl PartialOrd for EncodedRecord {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Parcel {
+impl Ord for EncodedRecord {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.bytes.cmp(&other.bytes)
     }
 }
 
-impl Hash for Parcel {
+impl Hash for EncodedRecord {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.bytes.hash(hasher);
     }
 }
 
-impl fmt::Debug for Parcel {
+impl fmt::Debug for EncodedRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let author = self.record.author.as_ref();
         let author = author.map_or("nobody", |author| &author.instance);
@@ -101,62 +101,65 @@
 }
 
 #[derive(Debug)]
-struct Landed {
-    parcel: Parcel,
+struct LoggedRecord {
+    encoded: EncodedRecord,
     state: State,
 }
 
-/// The records that landed.
+/// The appended records.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
-    landed: Vec<Rc<Landed>>,
+    records: Vec<Rc<LoggedRecord>>,
     empty: Rc<State>,
 }
 
 impl Log {
-    /// A log without records.
+    /// An empty log.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The offset of the last record; 0 for none.
+    /// The offset of the last record; 0 if the log is empty.
     pub fn end(&self) -> usize {
-        self.landed.len()
+        self.records.len()
     }
 
     /// The state after `offset` records.
     pub fn state(&self, offset: usize) -> &State {
-        match offset.checked_sub(1).and_then(|last| self.landed.get(last)) {
-            Some(landed) => &landed.state,
+        match offset
+            .checked_sub(1)
+            .and_then(|last| self.records.get(last))
+        {
+            Some(logged) => &logged.state,
             None => &self.empty,
         }
     }
 
     /// The state after all records.
-    pub fn newest(&self) -> &State {
+    pub fn latest_state(&self) -> &State {
         self.state(self.end())
     }
 
     /// The record at `offset`.
     pub fn record(&self, offset: usize) -> Option<&Record> {
-        let landed = self.landed.get(offset.checked_sub(1)?)?;
-        Some(landed.parcel.record())
+        let logged = self.records.get(offset.checked_sub(1)?)?;
+        Some(logged.encoded.record())
     }
 
-    /// Appends a record.
-    pub fn land(&mut self, parcel: Parcel) {
-        let mut state = self.newest().clone();
-        state.apply(self.end() as u64 + 1, parcel.record());
-        self.landed.push(Rc::new(Landed { parcel, state }));
+    /// Adds a record at the end.
+    pub fn commit(&mut self, encoded: EncodedRecord) {
+        let mut state = self.latest_state().clone();
+        state.apply(self.end() as u64 + 1, encoded.record());
+        self.records.push(Rc::new(LoggedRecord { encoded, state }));
     }
 }
 
 impl PartialEq for Log {
     fn eq(&self, other: &Self) -> bool {
-        let same = |(one, two): (&Rc<Landed>, &Rc<Landed>)| {
-            Rc::ptr_eq(one, two) || one.parcel == two.parcel
+        let same = |(one, two): (&Rc<LoggedRecord>, &Rc<LoggedRecord>)| {
+            Rc::ptr_eq(one, two) || one.encoded == two.encoded
         };
-        self.end() == other.end() && self.landed.iter().zip(&other.landed).all(same)
+        self.end() == other.end() && self.records.iter().zip(&other.records).all(same)
     }
 }
 
@@ -164,8 +167,8 @@
 
 impl Hash for Log {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        for landed in &self.landed {
-            landed.parcel.hash(hasher);
+        for logged in &self.records {
+            logged.encoded.hash(hasher);
         }
     }
 }
--- a/crates/spec/src/orders.rs
+++ b/crates/spec/src/orders.rs
@@ -1,9 +1,9 @@
-//! Orders: two processes with contrary wishes, one engine, one entry with a stream. What is sent to
-//! the engine may be late, doubled or held back by a pause of its sender; answers get lost;
-//! processes and the engine crash at any step.
+//! Model of orders: a holder and its successor, one engine, and one entry with a stream. Messages
+//! to the engine may be delayed, duplicated or held back by a pause of the sender, answers may be
+//! lost, and processes and the engine may crash at any step.
 
 use crate::explore::Model;
-use crate::log::{Log, Parcel};
+use crate::log::{EncodedRecord, Log};
 use authority::change::SendResult;
 use std::rc::Rc;
 use world::{Answer, ENGINE, Entry, Message, SCOPE, process};
@@ -16,48 +16,48 @@
 mod engine;
 mod world;
 
-/// Something that happens.
+/// A transition.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// Time passes.
+    /// Time advances.
     Tick,
-    /// A process reads to the end of the log and does what is due.
+    /// A process reads the log to its end and handles what is due.
     Step(usize),
-    /// A process does what is due without reading.
+    /// A process handles what is due without reading the log.
     StepUnread(usize),
-    /// A record lands.
-    Land(usize),
-    /// A record lands, and a copy stays on its way.
-    LandTwice(usize),
-    /// A record is lost.
+    /// A record in flight is committed.
+    Commit(usize),
+    /// A record in flight is committed, and a copy stays in flight.
+    CommitTwice(usize),
+    /// A record in flight is lost.
     LoseRecord(usize),
-    /// Something arrives at the engine and is answered.
+    /// A message arrives at the engine and is answered.
     Deliver(usize),
-    /// It arrives, and a copy of it stays on its way.
+    /// A message arrives and is answered, and a copy stays in flight.
     DeliverTwice(usize),
-    /// It arrives, and the answer is lost.
+    /// A message arrives, and the answer is lost.
     DeliverUnanswered(usize),
-    /// It is lost.
+    /// A message is lost.
     Lose(usize),
-    /// The engine ends its order.
+    /// The engine completes its order.
     End,
-    /// The engine crashes and starts again.
+    /// The engine crashes and restarts.
     Restart,
     /// A stream ends.
     StreamEnds,
-    /// The entry reads to the end of the log.
+    /// The entry reads the log to its end.
     EntryReads,
-    /// The entry sends a stream to the engine.
+    /// The entry opens a stream at the engine.
     StreamBegins,
-    /// The entry crashes; its stream goes on at the engine.
+    /// The entry crashes, and its stream stays open at the engine.
     EntryCrashes,
-    /// A process crashes and starts again.
+    /// A process crashes and restarts.
     Crash(usize),
 }
 
-/// Messages of one process that may be on their way at once. A process waits for its append to
-/// land or to be lost before it goes on: until then it has nothing else to do.
-const MESSAGES: usize = 2;
+/// Messages of one process that may be in flight at once. Appends need no such bound: a process has
+/// nothing else to do until its append is committed or lost, so it takes no step before that.
+const MAX_MESSAGES: usize = 2;
 
 /// The model within these bounds.
 pub fn model(config: Config) -> Model<Config, World, Event> {
@@ -69,29 +69,29 @@
             .collect(),
         entry: Entry {
             folded: 0,
-            open: false,
+            stream_open: false,
         },
-        engine: engine::Engine::new(config.checks_fence, config.forgets),
+        engine: engine::Engine::new(config.checks_fence, config.forgets_cancellations),
         appends: Vec::new(),
         messages: Vec::new(),
-        streams: config.streams,
-        faults: config.faults,
-        forgot: config.forgets,
-        restarted: false,
-        late: false,
-        broken: None,
+        remaining_streams: config.max_streams,
+        remaining_faults: config.max_faults,
+        cancellations_lost: config.forgets_cancellations,
+        engine_restarted: false,
+        began_late: false,
+        violation: None,
     };
-    // The first process has held the scope for so long that its quarantine is over, and has
-    // just renewed; both know it.
-    for now in [0, config.start()] {
+    // In the initial state the quarantine of the first process is over and its lease has just been
+    // renewed; both processes have read this.
+    for now in [0, config.start_tick()] {
         start.now = now;
-        start.lead();
-        start = apply(&config, &start, &Event::Land(0));
+        start.claim_or_renew();
+        start = apply(&config, &start, &Event::Commit(0));
         start.read(0);
     }
     if config.processes > 1 {
         start.read(1);
-        start.act(&config, 1, true);
+        start.handle_due(&config, 1, true);
     }
     Model {
         config,
@@ -99,7 +99,7 @@
         next,
         describe: describe::describe,
         violation,
-        shows,
+        coverage,
     }
 }
 
@@ -110,9 +110,9 @@
         .collect()
 }
 
-/// What changes nothing that matters now is left out: a step that only moves the moment of the
-/// last read, and the reading of records that concern neither the reader's claim nor its view of
-/// the engine; they are read together with the next that does.
+/// Transitions without a relevant effect are skipped to reduce the state space: steps that only
+/// change the time of the last read, and reads of records that affect neither the claim nor the
+/// reader's view of the engine. Such records are read together with the next relevant one.
 fn is_idle(world: &World, event: Event, next: &World) -> bool {
     match event {
         Event::Step(which) | Event::StepUnread(which) => {
@@ -141,27 +141,27 @@
 
 fn events(config: &Config, world: &World) -> Vec<Event> {
     let mut events = Vec::new();
-    if world.broken.is_some() {
+    if world.violation.is_some() {
         return events;
     }
-    if world.now < config.start() + config.horizon && !is_overdue(config, world) {
+    if world.now < config.start_tick() + config.horizon && !is_overdue(config, world) {
         events.push(Event::Tick);
     }
     process_events(world, &mut events);
     for index in 0..world.appends.len() {
-        if world.log.end() < config.records {
-            events.push(Event::Land(index));
+        if world.log.end() < config.max_records {
+            events.push(Event::Commit(index));
         }
-        if world.faults > 0 {
+        if world.remaining_faults > 0 {
             events.push(Event::LoseRecord(index));
         }
-        if world.faults > 0 && world.log.end() < config.records {
-            events.push(Event::LandTwice(index));
+        if world.remaining_faults > 0 && world.log.end() < config.max_records {
+            events.push(Event::CommitTwice(index));
         }
     }
     for index in 0..world.messages.len() {
         events.push(Event::Deliver(index));
-        if world.faults > 0 {
+        if world.remaining_faults > 0 {
             let faults = [
                 Event::DeliverTwice(index),
                 Event::DeliverUnanswered(index),
@@ -176,19 +176,19 @@
 
 fn process_events(world: &World, events: &mut Vec<Event>) {
     for which in 0..world.processes.len() {
-        let waits = world.appends.iter().any(|(from, _)| *from == which);
+        let waiting = world.appends.iter().any(|(from, _)| *from == which);
         let messages = world.messages.iter();
         let messages = messages.filter(|message| message.from == which);
-        if !waits && messages.count() < MESSAGES {
+        if !waiting && messages.count() < MAX_MESSAGES {
             events.push(Event::Step(which));
         }
-        // With nothing to read the two are the same.
+        // With nothing to read, `StepUnread` is the same as `Step`.
         let unread = world.processes[which].folded < world.log.end();
         let holds = world.processes[which].lease.holds();
-        if !waits && unread && holds {
+        if !waiting && unread && holds {
             events.push(Event::StepUnread(which));
         }
-        if world.faults > 0 && holds {
+        if world.remaining_faults > 0 && holds {
             events.push(Event::Crash(which));
         }
     }
@@ -198,10 +198,10 @@
     if world.engine.is_running() {
         events.push(Event::End);
     }
-    if config.restarts && world.faults > 0 {
+    if config.engine_restarts && world.remaining_faults > 0 {
         events.push(Event::Restart);
     }
-    if world.engine.open > 0 {
+    if world.engine.open_streams > 0 {
         events.push(Event::StreamEnds);
     }
     if world.entry.folded < world.log.end() {
@@ -209,21 +209,22 @@
     }
     let state = world.log.state(world.entry.folded);
     let closed = state.pending_order(ENGINE).is_some() || world.engine.is_running();
-    if world.streams > 0 && !closed && world.engine.open == 0 {
+    if world.remaining_streams > 0 && !closed && world.engine.open_streams == 0 {
         events.push(Event::StreamBegins);
     }
-    if world.faults > 0 && world.entry.open {
+    if world.remaining_faults > 0 && world.entry.stream_open {
         events.push(Event::EntryCrashes);
     }
 }
 
-/// Whether something would arrive later than the procedure for engines that ignore fences assumes.
+/// Whether another tick would delay a message for longer than the procedure for engines that ignore
+/// fences assumes.
 fn is_overdue(config: &Config, world: &World) -> bool {
-    let late = |message: &Message| match message.left {
-        Some(left) => world.now + 1 >= left + config::DELAY,
-        None => world.now >= message.decided + config::LEASE,
+    let late = |message: &Message| match message.sent_at {
+        Some(sent_at) => world.now + 1 >= sent_at + config::MAX_DELAY_TICKS,
+        None => world.now >= message.decided_at + config::LEASE_TICKS,
     };
-    config.bounded && world.messages.iter().any(late)
+    config.bounded_delays && world.messages.iter().any(late)
 }
 
 fn apply(config: &Config, world: &World, event: &Event) -> World {
@@ -232,16 +233,16 @@
         Event::Tick => next.now += 1,
         Event::Step(which) => {
             next.read(which);
-            next.act(config, which, true);
+            next.handle_due(config, which, true);
         }
-        Event::StepUnread(which) => next.act(config, which, false),
-        Event::Land(index) => {
-            let (_, parcel) = next.appends.remove(index);
-            land(&mut next, parcel);
+        Event::StepUnread(which) => next.handle_due(config, which, false),
+        Event::Commit(index) => {
+            let (_, encoded) = next.appends.remove(index);
+            commit(&mut next, encoded);
         }
-        Event::LandTwice(index) => {
-            let parcel = next.appends[index].1.clone();
-            land(&mut next, parcel);
+        Event::CommitTwice(index) => {
+            let encoded = next.appends[index].1.clone();
+            commit(&mut next, encoded);
         }
         Event::Deliver(index) => {
             let message = next.messages.remove(index);
@@ -257,39 +258,40 @@
         }
         Event::LoseRecord(index) => drop(next.appends.remove(index)),
         Event::Lose(index) => drop(next.messages.remove(index)),
-        Event::End => next.engine.end(),
+        Event::End => next.engine.finish_order(),
         Event::Restart => {
             next.engine.restart();
-            next.forgot = true;
-            next.restarted = true;
-            next.entry.open = false;
+            next.cancellations_lost = true;
+            next.engine_restarted = true;
+            next.entry.stream_open = false;
         }
         Event::StreamEnds => {
-            next.engine.open = 0;
-            next.entry.open = false;
+            next.engine.open_streams = 0;
+            next.entry.stream_open = false;
         }
         Event::EntryReads => next.entry.folded = next.log.end(),
         Event::StreamBegins => {
-            next.streams -= 1;
-            next.engine.open = 1;
-            next.entry.open = true;
+            next.remaining_streams -= 1;
+            next.engine.open_streams = 1;
+            next.entry.stream_open = true;
         }
-        Event::EntryCrashes => next.entry.open = false,
+        Event::EntryCrashes => next.entry.stream_open = false,
         Event::Crash(which) => crash(config, &mut next, which),
     }
     if is_fault(event) {
-        next.faults -= 1;
+        next.remaining_faults -= 1;
     }
     next
 }
 
 fn is_fault(event: &Event) -> bool {
     use Event::{
-        Crash, DeliverTwice, DeliverUnanswered, EntryCrashes, LandTwice, Lose, LoseRecord, Restart,
+        CommitTwice, Crash, DeliverTwice, DeliverUnanswered, EntryCrashes, Lose, LoseRecord,
+        Restart,
     };
     matches!(
         event,
-        LandTwice(_)
+        CommitTwice(_)
             | LoseRecord(_)
             | DeliverTwice(_)
             | DeliverUnanswered(_)
@@ -305,68 +307,68 @@
     world.processes[which] = Rc::new(process(config, which, incarnation));
     for message in &mut world.messages {
         if message.from == which {
-            message.left.get_or_insert(world.now);
+            message.sent_at.get_or_insert(world.now);
         }
     }
 }
 
-fn land(world: &mut World, parcel: Parcel) {
+fn commit(world: &mut World, encoded: EncodedRecord) {
     let before = world
         .log
-        .newest()
+        .latest_state()
         .pending_order(ENGINE)
         .map(|known| known.order);
-    world.log.land(parcel);
+    world.log.commit(encoded);
     let after = world
         .log
-        .newest()
+        .latest_state()
         .pending_order(ENGINE)
         .map(|known| known.order);
-    let acting = world.engine.taken.map(|taken| taken.order);
+    let acting = world.engine.last_order.map(|last| last.order);
     if before.is_some() && before != after && acting == before && world.engine.is_running() {
-        world.broken = Some("an engine is opened while it carries out an order");
+        world.violation = Some("an engine is opened while it carries out an order");
     }
 }
 
 fn deliver(config: &Config, world: &mut World, message: &Message, answered: bool) {
-    let pending = world.log.newest().pending_order(ENGINE);
+    let pending = world.log.latest_state().pending_order(ENGINE);
     let in_force = pending.is_some_and(|pending| pending.order == message.order);
     let checks = world.engine.checks_fence;
     if config.mutant == Some(Mutant::NoFence) {
         world.engine.checks_fence = false;
     }
-    let what = message.what.as_ref();
-    let reaction = world.engine.take(message.order, message.fence, what);
+    let action = message.action.as_ref();
+    let response = world.engine.receive(message.order, message.fence, action);
     world.engine.checks_fence = checks;
-    if reaction.began && world.engine.open > 0 {
-        world.broken = Some("a stream is cut by a planned change");
+    if response.began && world.engine.open_streams > 0 {
+        world.violation = Some("a stream is cut by a planned change");
     }
-    if reaction.began && !in_force {
-        world.broken = Some("an order acts that is not in force");
+    if response.began && !in_force {
+        world.violation = Some("an order acts that is not in force");
     }
-    let quarantine = config.lease() + config::DELAY;
-    world.late |= reaction.began && world.now > message.decided + quarantine;
+    let quarantine = config.lease_ticks() + config::MAX_DELAY_TICKS;
+    world.began_late |= response.began && world.now > message.decided_at + quarantine;
     if answered {
         let process = Rc::make_mut(&mut world.processes[message.from]);
         let answer = Answer {
-            cancel: message.what.is_none(),
-            taken: reaction.receipt == SendResult::Accepted,
-            busy: matches!(reaction.receipt, SendResult::Busy { .. }),
+            cancel: message.action.is_none(),
+            accepted: response.result == SendResult::Accepted,
+            busy: matches!(response.result, SendResult::Busy { .. }),
         };
-        process.inbox = [(message.order, message.ticket, answer)]
+        process.inbox = [(message.order, message.request, answer)]
             .into_iter()
             .collect();
     }
 }
 
-/// The only ways that `docs/design/orders.md` leaves open. The engine ignores fences and knows the
-/// cancellation no more, and the order came after the quarantine; or the engine checks fences and
-/// restarted, so that it knows neither token nor cancellation.
-fn is_residue(config: &Config, world: &World) -> bool {
+/// The only violations that `docs/design/orders.md` accepts as possible. Either the engine ignores
+/// fences and has lost the cancellation, and the order began after the quarantine; or the engine
+/// checks fences and has restarted, so that it has lost both the token and the cancellation.
+fn is_residual_case(config: &Config, world: &World) -> bool {
     if config.checks_fence {
-        world.restarted
+        world.engine_restarted
     } else {
-        !config.bounded && world.forgot && world.late
+        !config.bounded_delays && world.cancellations_lost && world.began_late
     }
 }
 
@@ -377,27 +379,27 @@
     if acting.count() > 1 {
         return Some("two processes may act at once");
     }
-    world.broken.filter(|_| !is_residue(config, world))
+    world.violation.filter(|_| !is_residual_case(config, world))
 }
 
-fn shows(config: &Config, world: &World) -> Vec<&'static str> {
-    let state = world.log.newest();
-    let mut shown = Vec::new();
-    if world.broken.is_some() && is_residue(config, world) {
-        shown.push("what remains possible");
+fn coverage(config: &Config, world: &World) -> Vec<&'static str> {
+    let state = world.log.latest_state();
+    let mut covered = Vec::new();
+    if world.violation.is_some() && is_residual_case(config, world) {
+        covered.push("what remains possible");
     }
     if world.engine.is_running() {
-        shown.push("an engine carries out an order");
+        covered.push("an engine carries out an order");
     }
     let claim = state.current_claim(SCOPE).map_or(0, |held| held.fence);
     let taken_over = state
         .recent_orders()
         .any(|ended| ended.intent.fence < claim);
     if taken_over {
-        shown.push("a successor concludes an order");
+        covered.push("a successor concludes an order");
     }
     if state.recent_orders().count() > 1 {
-        shown.push("a second order is concluded");
+        covered.push("a second order is concluded");
     }
-    shown
+    covered
 }
--- a/crates/spec/src/orders/describe.rs
+++ b/crates/spec/src/orders/describe.rs
@@ -1,4 +1,4 @@
-//! The events of the order model in words.
+//! Texts for the events of the model of orders.
 
 use super::world::Message;
 use super::{Config, Event, World, apply};
@@ -6,8 +6,8 @@
 const NAMES: [&str; 2] = ["a", "b"];
 
 pub(super) fn describe(config: &Config, world: &World, event: &Event) -> String {
-    let parcel = |index: usize| format!("{:?}", world.appends[index].1);
-    let message = |index: usize| tell(&world.messages[index]);
+    let append = |index: usize| format!("{:?}", world.appends[index].1);
+    let message = |index: usize| describe_message(&world.messages[index]);
     match *event {
         Event::Tick => "time passes".to_owned(),
         Event::Step(which) => {
@@ -18,29 +18,34 @@
             let sent = sent(config, world, event, which);
             format!("{} acts without reading{sent}", NAMES[which])
         }
-        Event::Land(index) => format!("{} lands", parcel(index)),
-        Event::LandTwice(index) => format!("{} lands, a copy stays", parcel(index)),
-        Event::LoseRecord(index) => format!("{} is lost", parcel(index)),
+        Event::Commit(index) => format!("{} is committed", append(index)),
+        Event::CommitTwice(index) => {
+            format!("{} is committed, a copy stays in flight", append(index))
+        }
+        Event::LoseRecord(index) => format!("{} is lost", append(index)),
         Event::Deliver(index) => format!("{} reaches the engine", message(index)),
         Event::DeliverTwice(index) => {
-            format!("{} reaches the engine, a copy stays", message(index))
+            format!(
+                "{} reaches the engine, a copy stays in flight",
+                message(index)
+            )
         }
         Event::DeliverUnanswered(index) => {
             format!("{} reaches the engine, the answer is lost", message(index))
         }
         Event::Lose(index) => format!("{} is lost", message(index)),
-        Event::End => "the engine ends its order".to_owned(),
-        Event::Restart => "the engine crashes and starts again".to_owned(),
+        Event::End => "the engine completes its order".to_owned(),
+        Event::Restart => "the engine crashes and restarts".to_owned(),
         Event::StreamEnds => "the stream ends".to_owned(),
         Event::EntryReads => "the entry reads to the end".to_owned(),
-        Event::StreamBegins => "the entry sends a stream to the engine".to_owned(),
-        Event::EntryCrashes => "the entry crashes, its stream goes on".to_owned(),
-        Event::Crash(which) => format!("{} crashes and starts again", NAMES[which]),
+        Event::StreamBegins => "the entry opens a stream at the engine".to_owned(),
+        Event::EntryCrashes => "the entry crashes, its stream stays open".to_owned(),
+        Event::Crash(which) => format!("{} crashes and restarts", NAMES[which]),
     }
 }
 
-fn tell(message: &Message) -> String {
-    let kind = match message.what {
+fn describe_message(message: &Message) -> String {
+    let kind = match message.action {
         Some(_) => "order",
         None => "cancellation of order",
     };
@@ -51,15 +56,15 @@
     )
 }
 
-/// What a step puts on its way.
+/// Text for the records and messages that a step sends.
 fn sent(config: &Config, world: &World, event: &Event, which: usize) -> String {
     let next = apply(config, world, event);
     let records = next.appends.iter().filter(|(from, _)| *from == which);
-    let records = records.map(|(_, parcel)| format!("{parcel:?}"));
+    let records = records.map(|(_, append)| format!("{append:?}"));
     let messages = next.messages.iter();
     let messages =
         messages.filter(|message| message.from == which && !world.messages.contains(message));
-    let sent: Vec<String> = records.chain(messages.map(tell)).collect();
+    let sent: Vec<String> = records.chain(messages.map(describe_message)).collect();
     match sent.is_empty() {
         true => String::new(),
         false => format!("; sends {}", sent.join(", ")),
--- a/crates/spec/src/orders/engine.rs
+++ b/crates/spec/src/orders/engine.rs
@@ -1,5 +1,5 @@
-//! The engine of the model: the interface of `docs/PLATFORM.md` at its weakest. It remembers one
-//! order, the cancellations and the greatest token, and all of them only until it restarts.
+//! The engine of the model, with the weakest guarantees that `docs/PLATFORM.md` allows. It stores
+//! the last order, the cancellations and the greatest token, and loses them when it restarts.
 
 use authority::change::SendResult;
 use authority::engine::{LastOrder, Progress, Reading};
@@ -7,11 +7,11 @@
 use authority::{Fence, OrderId};
 use smallvec::SmallVec;
 
-/// What the engine does with an order or a cancellation.
+/// How the engine responds to an order or a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct Reaction {
-    pub(super) receipt: SendResult,
-    /// The order began to act now.
+pub(super) struct Response {
+    pub(super) result: SendResult,
+    /// Whether this message made the engine begin an order.
     pub(super) began: bool,
 }
 
@@ -19,33 +19,33 @@
 pub(super) struct Engine {
     pub(super) checks_fence: bool,
     pub(super) role: Role,
-    pub(super) taken: Option<LastOrder>,
-    pub(super) open: u32,
-    forgets: bool,
+    pub(super) last_order: Option<LastOrder>,
+    pub(super) open_streams: u32,
+    forgets_cancellations: bool,
     incarnation: u64,
     fence: Fence,
-    barred: SmallVec<[OrderId; 2]>,
-    aim: Role,
+    cancelled: SmallVec<[OrderId; 2]>,
+    target_role: Role,
 }
 
 impl Engine {
-    pub(super) fn new(checks_fence: bool, forgets: bool) -> Self {
+    pub(super) fn new(checks_fence: bool, forgets_cancellations: bool) -> Self {
         Self {
             checks_fence,
             role: Role::Mixed,
-            taken: None,
-            open: 0,
-            forgets,
+            last_order: None,
+            open_streams: 0,
+            forgets_cancellations,
             incarnation: 1,
             fence: 0,
-            barred: SmallVec::new(),
-            aim: Role::Mixed,
+            cancelled: SmallVec::new(),
+            target_role: Role::Mixed,
         }
     }
 
     pub(super) fn is_running(&self) -> bool {
-        self.taken
-            .is_some_and(|taken| taken.progress == Progress::Running)
+        self.last_order
+            .is_some_and(|last| last.progress == Progress::Running)
     }
 
     pub(super) fn reading(&self) -> Reading {
@@ -53,63 +53,68 @@
             incarnation: self.incarnation,
             role: self.role,
             models: SmallVec::new(),
-            last_order: self.taken,
+            last_order: self.last_order,
             fence: self.fence,
             checks_fence: self.checks_fence,
-            open_streams: self.open,
+            open_streams: self.open_streams,
         }
     }
 
-    /// An order or, without `what`, its cancellation arrives.
-    pub(super) fn take(&mut self, order: OrderId, fence: Fence, what: Option<&Order>) -> Reaction {
-        let known = self.taken.is_some_and(|taken| taken.order == order);
-        if known || self.barred.contains(&order) {
-            return silent(SendResult::Accepted);
+    /// Receives an order or, without `action`, its cancellation.
+    pub(super) fn receive(
+        &mut self,
+        order: OrderId,
+        fence: Fence,
+        action: Option<&Order>,
+    ) -> Response {
+        let known = self.last_order.is_some_and(|last| last.order == order);
+        if known || self.cancelled.contains(&order) {
+            return without_effect(SendResult::Accepted);
         }
         if self.checks_fence && fence < self.fence {
-            return silent(SendResult::Superseded { fence: self.fence });
+            return without_effect(SendResult::Superseded { fence: self.fence });
         }
-        let Some(what) = what else {
+        let Some(action) = action else {
             self.fence = self.fence.max(fence);
-            if !self.forgets {
-                self.barred.push(order);
+            if !self.forgets_cancellations {
+                self.cancelled.push(order);
             }
-            return silent(SendResult::Accepted);
+            return without_effect(SendResult::Accepted);
         };
-        if let Some(running) = self.taken.filter(|_| self.is_running()) {
-            return silent(SendResult::Busy {
+        if let Some(running) = self.last_order.filter(|_| self.is_running()) {
+            return without_effect(SendResult::Busy {
                 order: running.order,
             });
         }
         self.fence = self.fence.max(fence);
-        if let Order::SetRole(role) = what {
-            self.aim = *role;
+        if let Order::SetRole(role) = action {
+            self.target_role = *role;
         }
         let progress = Progress::Running;
-        self.taken = Some(LastOrder { order, progress });
-        Reaction {
-            receipt: SendResult::Accepted,
+        self.last_order = Some(LastOrder { order, progress });
+        Response {
+            result: SendResult::Accepted,
             began: true,
         }
     }
 
-    pub(super) fn end(&mut self) {
-        if let Some(taken) = &mut self.taken {
-            taken.progress = Progress::Done;
-            self.role = self.aim;
+    pub(super) fn finish_order(&mut self) {
+        if let Some(last) = &mut self.last_order {
+            last.progress = Progress::Done;
+            self.role = self.target_role;
         }
     }
 
     pub(super) fn restart(&mut self) {
         let incarnation = self.incarnation + 1;
-        *self = Self::new(self.checks_fence, self.forgets);
+        *self = Self::new(self.checks_fence, self.forgets_cancellations);
         self.incarnation = incarnation;
     }
 }
 
-fn silent(receipt: SendResult) -> Reaction {
-    Reaction {
-        receipt,
+fn without_effect(result: SendResult) -> Response {
+    Response {
+        result,
         began: false,
     }
 }
--- a/crates/spec/src/orders/world.rs
+++ b/crates/spec/src/orders/world.rs
@@ -1,15 +1,15 @@
-//! The state of the order model.
+//! State of the model of orders.
 
-use super::config::{Config, DELAY, Mutant, TICK};
+use super::config::{Config, MAX_DELAY_TICKS, Mutant, TICK};
 use super::engine::Engine;
-use crate::log::{Log, Parcel};
+use crate::log::{EncodedRecord, Log};
 use authority::author::Author;
-use authority::change::{Input as Told, Output as Act, RequestId, Step, Timing};
+use authority::change::{Input, Output, RequestId, Step, Timing};
 use authority::lease::term::TermConfig;
 use authority::lease::{self, Grant, Lease, Term};
 use authority::nonce::Nonce;
 use authority::order::{Order, Role};
-use authority::planner::{Bounds, Input, Output, Planner, Reason};
+use authority::planner::{Bounds, Input as PlannerInput, Output as PlannerOutput, Planner, Reason};
 use authority::{Fence, OrderId};
 use clock::Moment;
 use smallvec::SmallVec;
@@ -28,70 +28,70 @@
     pub(super) lease: Lease,
     pub(super) planner: Planner,
     pub(super) folded: usize,
-    /// Answers of the engine that were not taken in yet.
+    /// Answers of the engine that have not been handled yet.
     pub(super) inbox: SmallVec<[(OrderId, RequestId, Answer); 1]>,
 }
 
-/// An answer to a send or a cancellation.
+/// The engine's answer to an order or a cancellation.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Answer {
     pub(super) cancel: bool,
-    pub(super) taken: bool,
+    pub(super) accepted: bool,
     pub(super) busy: bool,
 }
 
-/// Something on its way to the engine.
+/// A message in flight to the engine.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(super) struct Message {
     pub(super) from: usize,
-    pub(super) ticket: RequestId,
+    pub(super) request: RequestId,
     pub(super) order: OrderId,
     pub(super) fence: Fence,
     /// `None` for a cancellation.
-    pub(super) what: Option<Order>,
+    pub(super) action: Option<Order>,
     /// When the sender decided to send.
-    pub(super) decided: u32,
-    /// When it left the sender, which may be paused between the two.
-    pub(super) left: Option<u32>,
+    pub(super) decided_at: u32,
+    /// When it was sent; the sender may pause between the decision and the send.
+    pub(super) sent_at: Option<u32>,
 }
 
-/// An entry that sends streams to the engine.
+/// An entry that opens streams at the engine.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Entry {
     pub(super) folded: usize,
-    pub(super) open: bool,
+    pub(super) stream_open: bool,
 }
 
-/// A state.
+/// A state of the model.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct World {
     pub(super) now: u32,
     pub(super) log: Log,
-    /// Shared with the states before, as long as nothing changes them.
+    /// Shared with earlier states until they are modified.
     pub(super) processes: Vec<Rc<Process>>,
     pub(super) entry: Entry,
     pub(super) engine: Engine,
     /// Sorted.
-    pub(super) appends: Vec<(usize, Parcel)>,
+    pub(super) appends: Vec<(usize, EncodedRecord)>,
     /// Sorted.
     pub(super) messages: Vec<Message>,
-    pub(super) streams: u32,
-    pub(super) faults: u32,
-    /// Whether the engine does not know its cancellations any more.
-    pub(super) forgot: bool,
+    pub(super) remaining_streams: u32,
+    pub(super) remaining_faults: u32,
+    /// Whether the engine has lost its cancellations.
+    pub(super) cancellations_lost: bool,
     /// Whether the engine has restarted.
-    pub(super) restarted: bool,
+    pub(super) engine_restarted: bool,
     /// Whether an order began later than the procedure for engines that ignore fences assumes.
-    pub(super) late: bool,
-    pub(super) broken: Option<&'static str>,
+    pub(super) began_late: bool,
+    pub(super) violation: Option<&'static str>,
 }
 
-fn pace() -> Timing {
+fn timing() -> Timing {
     Timing {
         poll_interval: TICK,
         request_timeout: TICK,
         close_timeout: TICK * 100,
-        max_order_delay: TICK * DELAY,
+        max_order_delay: TICK * MAX_DELAY_TICKS,
         max_sends: 1,
     }
 }
@@ -111,23 +111,23 @@
         incarnation,
     };
     let term = Term::try_from(TermConfig {
-        lease: TICK * config.lease(),
+        lease: TICK * config.lease_ticks(),
         margin: Duration::ZERO,
         drift_ppm: 0,
         stagger: Duration::ZERO,
         retry: TICK / 2,
     });
-    let term = term.expect("the figures are within their bounds");
+    let term = term.expect("the settings are within their bounds");
     let seed = which as u64 * 16 + incarnation;
     let scope = SCOPE.to_owned();
     let lease = Lease::new(scope.clone(), author.clone(), term, seed);
-    let mut planner = Planner::new(scope, bounds(), pace(), seed + 8);
+    let mut planner = Planner::new(scope, bounds(), timing(), seed + 8);
     let state = authority::state::State::new();
-    let serving = Input::Serving(BTreeSet::from([ENGINE.to_owned()]));
+    let serving = PlannerInput::Serving(BTreeSet::from([ENGINE.to_owned()]));
     planner.step(Moment::ZERO, &state, None, serving);
-    // The successor concludes what it finds; a wish of its own would only lengthen the traces.
+    // The successor only concludes what it finds; a request of its own would lengthen the traces.
     if which == 0 {
-        planner.step(Moment::ZERO, &state, None, want(Role::Decode));
+        planner.step(Moment::ZERO, &state, None, role_request(Role::Decode));
     }
     Process {
         author,
@@ -138,8 +138,8 @@
     }
 }
 
-fn want(role: Role) -> Input {
-    Input::Request {
+fn role_request(role: Role) -> PlannerInput {
+    PlannerInput::Request {
         upstream: ENGINE.to_owned(),
         action: Order::SetRole(role),
         reason: Reason::Plan,
@@ -151,7 +151,7 @@
         TICK * self.now
     }
 
-    /// What the guards that ask the lease are given.
+    /// The grant that is passed to the guards, changed for the mutants.
     fn grant(&self, config: &Config, which: usize) -> Option<Grant> {
         let mut grant = self.processes[which].lease.grant()?;
         match config.mutant {
@@ -163,23 +163,23 @@
     }
 
     fn append(&mut self, which: usize, nonce: Nonce, body: Body) {
-        let parcel = Parcel::new(&self.processes[which].author, nonce, body);
-        self.appends.push((which, parcel));
+        let encoded = EncodedRecord::new(&self.processes[which].author, nonce, body);
+        self.appends.push((which, encoded));
     }
 
     /// The first process claims or renews.
-    pub(super) fn lead(&mut self) {
-        let asked = self.time();
-        let input = lease::Input::Read { sent_at: asked };
+    pub(super) fn claim_or_renew(&mut self) {
+        let sent_at = self.time();
+        let input = lease::Input::Read { sent_at };
         let lease = &mut Rc::make_mut(&mut self.processes[0]).lease;
-        for output in lease.step(asked, &input) {
+        for output in lease.step(sent_at, &input) {
             if let lease::Output::Append { nonce, body } = output {
                 self.append(0, nonce, body);
             }
         }
     }
 
-    /// A process folds what it has not read, and its lease goes on.
+    /// A process reads the log to its end and applies the records to its lease.
     pub(super) fn read(&mut self, which: usize) {
         let now = self.time();
         while self.processes[which].folded < self.log.end() {
@@ -194,12 +194,12 @@
         }
     }
 
-    /// A process does what is due; `read` tells whether it has just read to the end.
-    pub(super) fn act(&mut self, config: &Config, which: usize, read: bool) {
+    /// A process handles what is due; `read` tells whether it has just read the log to its end.
+    pub(super) fn handle_due(&mut self, config: &Config, which: usize, read: bool) {
         let now = self.time();
         for message in &mut self.messages {
             if message.from == which {
-                message.left.get_or_insert(self.now);
+                message.sent_at.get_or_insert(self.now);
             }
         }
         let input = if read {
@@ -209,7 +209,8 @@
         };
         let lease = &mut Rc::make_mut(&mut self.processes[which]).lease;
         for output in lease.step(now, &input) {
-            // Renewals are left out: leases end as soon as they can. `crate::lease` has them.
+            // Renewals are dropped, so that leases end as early as possible; `crate::lease` covers
+            // renewals.
             if let lease::Output::Append { nonce, body } = output
                 && !matches!(body, Body::Renewal(_))
             {
@@ -217,31 +218,35 @@
             }
         }
         let inbox = std::mem::take(&mut Rc::make_mut(&mut self.processes[which]).inbox);
-        for (order, ticket, answer) in inbox {
-            let told = answer.told(ticket);
-            self.plan(config, which, Input::Change(order, told));
+        for (order, request, answer) in inbox {
+            let input = answer.into_change_input(request);
+            self.step_planner(config, which, PlannerInput::Change(order, input));
         }
-        self.tell_waiting(config, which);
-        self.plan(config, which, Input::Tick);
-        self.tell_waiting(config, which);
+        self.report_blockers(config, which);
+        self.step_planner(config, which, PlannerInput::Tick);
+        self.report_blockers(config, which);
         self.appends.sort();
         self.messages.sort();
     }
 
-    fn tell_waiting(&mut self, config: &Config, which: usize) {
-        let underway = self.processes[which].planner.active_changes();
-        let orders: SmallVec<[OrderId; 1]> = underway.map(|underway| underway.order).collect();
+    fn report_blockers(&mut self, config: &Config, which: usize) {
+        let active = self.processes[which].planner.active_changes();
+        let orders: SmallVec<[OrderId; 1]> = active.map(|active| active.order).collect();
         for order in orders {
-            let confirmed = self.entry.folded as u64 >= order && !self.entry.open;
-            let mut waits = SmallVec::new();
+            let confirmed = self.entry.folded as u64 >= order && !self.entry.stream_open;
+            let mut blockers = SmallVec::new();
             if !confirmed && config.mutant != Some(Mutant::NoClosing) {
-                waits.push("x".to_owned());
+                blockers.push("x".to_owned());
             }
-            self.plan(config, which, Input::Change(order, Told::Blockers(waits)));
+            self.step_planner(
+                config,
+                which,
+                PlannerInput::Change(order, Input::Blockers(blockers)),
+            );
         }
     }
 
-    fn plan(&mut self, config: &Config, which: usize, input: Input) {
+    fn step_planner(&mut self, config: &Config, which: usize, input: PlannerInput) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             let grant = self.grant(config, which);
@@ -250,60 +255,69 @@
             let state = self.log.state(process.folded);
             let outputs = process.planner.step(now, state, grant, input);
             for output in outputs {
-                inputs.extend(self.carry_out(config, which, output));
+                inputs.extend(self.handle_output(config, which, output));
             }
         }
     }
 
-    fn carry_out(&mut self, config: &Config, which: usize, output: Output) -> Option<Input> {
+    fn handle_output(
+        &mut self,
+        config: &Config,
+        which: usize,
+        output: PlannerOutput,
+    ) -> Option<PlannerInput> {
         match output {
-            Output::Append { nonce, body } => {
+            PlannerOutput::Append { nonce, body } => {
                 self.append(which, nonce, body);
                 None
             }
-            Output::Change { order, output, .. } => {
-                let told = self.tell(config, which, order, output)?;
-                Some(Input::Change(order, told))
+            PlannerOutput::Change { order, output, .. } => {
+                let input = self.handle_change_output(config, which, order, output)?;
+                Some(PlannerInput::Change(order, input))
             }
-            Output::Concluded { .. } if which == 0 && config.second => Some(want(Role::Prefill)),
-            Output::Check { .. } | Output::Mismatch { .. } | Output::Concluded { .. } => None,
+            PlannerOutput::Concluded { .. } if which == 0 && config.second_order => {
+                Some(role_request(Role::Prefill))
+            }
+            PlannerOutput::Check { .. }
+            | PlannerOutput::Mismatch { .. }
+            | PlannerOutput::Concluded { .. } => None,
         }
     }
 
-    fn tell(&mut self, config: &Config, which: usize, order: OrderId, act: Act) -> Option<Told> {
-        let (ticket, fence, what) = match act {
-            Act::Read { request } => return Some(Told::Reading(request, self.reading(config))),
-            Act::Send {
-                request: ticket,
+    fn handle_change_output(
+        &mut self,
+        config: &Config,
+        which: usize,
+        order: OrderId,
+        output: Output,
+    ) -> Option<Input> {
+        let (request, fence, action) = match output {
+            Output::Read { request } => return Some(Input::Reading(request, self.reading(config))),
+            Output::Send {
+                request,
                 fence,
-                action: what,
+                action,
                 ..
-            } => (ticket, fence, Some(what)),
-            Act::Cancel {
-                request: ticket, ..
-            } if config.mutant == Some(Mutant::NoCancel) => {
-                return Some(Told::Cancelled(
-                    ticket,
+            } => (request, fence, Some(action)),
+            Output::Cancel { request, .. } if config.mutant == Some(Mutant::NoCancel) => {
+                return Some(Input::Cancelled(
+                    request,
                     authority::change::SendResult::Accepted,
                 ));
             }
-            Act::Cancel {
-                request: ticket,
-                fence,
-                ..
-            } => (ticket, fence, None),
-            Act::Conclude { .. } => return None,
+            Output::Cancel { request, fence, .. } => (request, fence, None),
+            Output::Conclude { .. } => return None,
         };
         let claim = self.processes[which].lease.grant()?.fence;
         let claim_token = config.mutant == Some(Mutant::ClaimToken);
         self.messages.push(Message {
             from: which,
-            ticket,
+            request,
             order,
             fence: if claim_token { claim } else { fence },
-            what,
-            decided: self.now,
-            left: None,
+            action,
+            decided_at: self.now,
+            sent_at: None,
         });
         None
     }
@@ -319,12 +333,12 @@
         reading
     }
 
-    /// What tells whether a step of a process changed more than the moment of its last read.
+    /// Values that differ if a step of a process changed more than the time of its last read.
     pub(super) fn signature(&self, which: usize) -> impl PartialEq + use<> {
         let process = &self.processes[which];
         let steps = process.planner.active_changes();
         let steps: SmallVec<[(OrderId, Step); 1]> = steps
-            .map(|underway| (underway.order, underway.change.current_step()))
+            .map(|active| (active.order, active.change.current_step()))
             .collect();
         (
             process.folded,
@@ -337,17 +351,17 @@
 }
 
 impl Answer {
-    fn told(self, ticket: RequestId) -> Told {
+    fn into_change_input(self, request: RequestId) -> Input {
         use authority::change::SendResult;
-        let receipt = match (self.taken, self.busy) {
+        let result = match (self.accepted, self.busy) {
             (true, _) => SendResult::Accepted,
             (false, true) => SendResult::Busy { order: 0 },
             (false, false) => SendResult::Superseded { fence: 0 },
         };
         if self.cancel {
-            Told::Cancelled(ticket, receipt)
+            Input::Cancelled(request, result)
         } else {
-            Told::Sent(ticket, receipt)
+            Input::Sent(request, result)
         }
     }
 }
--- a/crates/spec/src/suite.rs
+++ b/crates/spec/src/suite.rs
@@ -1,43 +1,43 @@
-//! All explorations: for each case the real protocol, which must hold, and the mutants, each of
-//! which must not.
+//! All explorations: the real protocol, which must satisfy its properties, and the mutants, each of
+//! which must violate one.
 
 use crate::explore::Report;
 use crate::{calls, edits, lease, orders};
 
-/// States after which an exploration gives up; none of the cases comes near it.
-pub const LIMIT: usize = 1_000_000;
+/// States after which an exploration stops as incomplete; all cases are far below it.
+pub const MAX_STATES: usize = 1_000_000;
 
 /// One exploration.
 pub struct Case {
-    /// Its name.
+    /// Name by which `spec check --property` selects the case.
     pub name: &'static str,
     /// The removed guard, if any.
     pub mutant: Option<&'static str>,
-    /// What the exploration must have seen, or it proves nothing.
-    pub must_show: &'static [&'static str],
-    /// Explores.
+    /// Coverage markers that the exploration must reach; without them it proves nothing.
+    pub must_cover: &'static [&'static str],
+    /// Runs the exploration.
     pub explore: Box<dyn Fn() -> Report>,
 }
 
 impl Case {
-    /// What is wrong with the report, if anything: a violation of the real protocol, states left
-    /// out, something not seen; or a mutant without a violation.
-    pub fn judge(&self, report: &Report) -> Result<(), String> {
+    /// Fails if the real protocol has a violation, unexplored states or missing coverage, or if a
+    /// mutant has no violation.
+    pub fn verify(&self, report: &Report) -> Result<(), String> {
         match (self.mutant, &report.violation) {
             (Some(_), Some(_)) => return Ok(()),
-            (Some(mutant), None) => return Err(format!("{}: nothing shows {mutant}", self.name)),
+            (Some(mutant), None) => return Err(format!("{}: {mutant} is undetected", self.name)),
             (None, Some(trace)) => return Err(format!("{}: {}", self.name, trace.property)),
             (None, None) => (),
         }
         if !report.complete {
-            return Err(format!("{}: states were left out", self.name));
+            return Err(format!("{}: not all states were explored", self.name));
         }
         let missing = self
-            .must_show
+            .must_cover
             .iter()
-            .find(|shown| !report.seen.contains(*shown));
+            .find(|marker| !report.covered.contains(*marker));
         match missing {
-            Some(missing) => Err(format!("{}: never seen: {missing}", self.name)),
+            Some(missing) => Err(format!("{}: never reached: {missing}", self.name)),
             None => Ok(()),
         }
     }
@@ -45,14 +45,14 @@
 
 const ACTS: &str = "a holder acts";
 const SECOND_CLAIM: &str = "a second claim acts";
-const CARRIED_OUT: &str = "an engine carries out an order";
+const ORDER_RUNS: &str = "an engine carries out an order";
 const TAKEN_OVER: &str = "a successor concludes an order";
 const SECOND_ORDER: &str = "a second order is concluded";
 const EXECUTED: &str = "a call is executed";
-const LATER: &str = "a later call is executed";
-const REPEAT: &str = "a repeat is answered";
+const LATER_CALL: &str = "a later call is executed";
+const REPEAT_ANSWERED: &str = "a repeat is answered";
 const EVERYWHERE: &str = "a second edit is in force everywhere";
-const AFTER_FORGETTING: &str = "an edit is in force after the log forgot it";
+const AFTER_TRUNCATION: &str = "an edit is in force after the log forgot it";
 const RESIDUE: &str = "what remains possible";
 
 /// All cases.
@@ -68,21 +68,21 @@
     use lease::{Config, Mutant};
     let handover = Config::default();
     let race = Config {
-        held: false,
+        initially_held: false,
         horizon: 2,
         ..Config::default()
     };
     let long = Config {
         horizon: 7,
-        records: 4,
-        faults: 0,
+        max_records: 4,
+        max_faults: 0,
         ..Config::default()
     };
     let three = Config {
-        rates: vec![900, 1000, 1100],
+        clock_rates: vec![900, 1000, 1100],
         horizon: 5,
-        records: 3,
-        faults: 0,
+        max_records: 3,
+        max_faults: 0,
         ..Config::default()
     };
     let mutants = [
@@ -117,7 +117,7 @@
 
 fn lease_case(
     name: &'static str,
-    must_show: &'static [&'static str],
+    must_cover: &'static [&'static str],
     mut config: lease::Config,
     mutant: Option<(lease::Mutant, &'static str)>,
 ) -> Case {
@@ -125,8 +125,8 @@
     Case {
         name,
         mutant: mutant.map(|(_, name)| name),
-        must_show,
-        explore: Box::new(move || lease::model(config.clone()).check(LIMIT)),
+        must_cover,
+        explore: Box::new(move || lease::model(config.clone()).check(MAX_STATES)),
     }
 }
 
@@ -135,13 +135,13 @@
     let takeover = Config::takeover();
     let faulty = Config {
         horizon: 2,
-        faults: 2,
+        max_faults: 2,
         ..Config::takeover()
     };
     let sequence = Config::sequence();
     let unfenced = Config::unfenced_takeover();
-    let takeovers: &[&str] = &[CARRIED_OUT, TAKEN_OVER];
-    let sequences: &[&str] = &[CARRIED_OUT, SECOND_ORDER];
+    let takeovers: &[&str] = &[ORDER_RUNS, TAKEN_OVER];
+    let sequences: &[&str] = &[ORDER_RUNS, SECOND_ORDER];
     let mut cases = vec![
         order_case("order-takeover", takeovers, takeover.clone(), None),
         order_case("order-takeover-faulty", takeovers, faulty, None),
@@ -185,8 +185,8 @@
             "no-lease",
         ),
     ];
-    let mutants = mutants.map(|(name, config, mutant, called)| {
-        order_case(name, &[], config.clone(), Some((mutant, called)))
+    let mutants = mutants.map(|(name, config, mutant, mutant_name)| {
+        order_case(name, &[], config.clone(), Some((mutant, mutant_name)))
     });
     cases.extend(mutants);
     cases
@@ -194,7 +194,7 @@
 
 fn order_case(
     name: &'static str,
-    must_show: &'static [&'static str],
+    must_cover: &'static [&'static str],
     mut config: orders::Config,
     mutant: Option<(orders::Mutant, &'static str)>,
 ) -> Case {
@@ -202,29 +202,34 @@
     Case {
         name,
         mutant: mutant.map(|(_, name)| name),
-        must_show,
-        explore: Box::new(move || orders::model(config.clone()).check(LIMIT)),
+        must_cover,
+        explore: Box::new(move || orders::model(config.clone()).check(MAX_STATES)),
     }
 }
 
 fn call_cases() -> Vec<Case> {
     use calls::{Config, Mutant};
     use claims::OutagePolicy::{FirstAttempt, Refuse};
-    let seen: &[&str] = &[EXECUTED, LATER, REPEAT];
+    let markers: &[&str] = &[EXECUTED, LATER_CALL, REPEAT_ANSWERED];
     let mut cases = vec![
-        call_case("call-refuse", seen, Config::new(Refuse), None),
-        call_case("call-refuse-faulty", seen, Config::faulty(Refuse), None),
-        call_case("call-refuse-long", seen, Config::long(Refuse), None),
-        call_case("call-first-attempt", seen, Config::new(FirstAttempt), None),
+        call_case("call-refuse", markers, Config::new(Refuse), None),
+        call_case("call-refuse-faulty", markers, Config::faulty(Refuse), None),
+        call_case("call-refuse-long", markers, Config::long(Refuse), None),
+        call_case(
+            "call-first-attempt",
+            markers,
+            Config::new(FirstAttempt),
+            None,
+        ),
         call_case(
             "call-first-attempt-faulty",
-            seen,
+            markers,
             Config::faulty(FirstAttempt),
             None,
         ),
         call_case(
             "call-first-attempt-long",
-            seen,
+            markers,
             Config::long(FirstAttempt),
             None,
         ),
@@ -280,20 +285,22 @@
             "always-first-twice",
         ),
     ];
-    let mutants = mutants.map(|(name, policy, twice_only, mutant, called)| {
-        let config = Config {
-            twice_only,
-            ..Config::faulty(policy)
-        };
-        call_case(name, &[], config, Some((mutant, called)))
-    });
+    let mutants = mutants.map(
+        |(name, policy, only_double_execution, mutant, mutant_name)| {
+            let config = Config {
+                only_double_execution,
+                ..Config::faulty(policy)
+            };
+            call_case(name, &[], config, Some((mutant, mutant_name)))
+        },
+    );
     cases.extend(mutants);
     cases
 }
 
 fn call_case(
     name: &'static str,
-    must_show: &'static [&'static str],
+    must_cover: &'static [&'static str],
     mut config: calls::Config,
     mutant: Option<(calls::Mutant, &'static str)>,
 ) -> Case {
@@ -301,26 +308,26 @@
     Case {
         name,
         mutant: mutant.map(|(_, name)| name),
-        must_show,
-        explore: Box::new(move || calls::model(config.clone()).check(LIMIT)),
+        must_cover,
+        explore: Box::new(move || calls::model(config.clone()).check(MAX_STATES)),
     }
 }
 
 fn edit_cases() -> Vec<Case> {
     use edits::{Config, Mutant};
-    let seen: &[&str] = &[EVERYWHERE, AFTER_FORGETTING];
+    let markers: &[&str] = &[EVERYWHERE, AFTER_TRUNCATION];
     let mutants = [
         (Mutant::AdoptAny, "adopt-any"),
         (Mutant::AnyBase, "any-base"),
         (Mutant::NoSnapshot, "no-snapshot"),
     ];
     let faulty = Config {
-        faults: 2,
+        max_faults: 2,
         ..Config::default()
     };
     let mut cases = vec![
-        edit_case("edit-race", seen, Config::default(), None),
-        edit_case("edit-race-faulty", seen, faulty, None),
+        edit_case("edit-race", markers, Config::default(), None),
+        edit_case("edit-race-faulty", markers, faulty, None),
     ];
     let mutants =
         mutants.map(|mutant| edit_case("edit-race", &[], Config::default(), Some(mutant)));
@@ -329,7 +336,7 @@
 
     fn edit_case(
         name: &'static str,
-        must_show: &'static [&'static str],
+        must_cover: &'static [&'static str],
         mut config: Config,
         mutant: Option<(Mutant, &'static str)>,
     ) -> Case {
@@ -337,8 +344,8 @@
         Case {
             name,
             mutant: mutant.map(|(_, name)| name),
-            must_show,
-            explore: Box::new(move || edits::model(config.clone()).check(LIMIT)),
+            must_cover,
+            explore: Box::new(move || edits::model(config.clone()).check(MAX_STATES)),
         }
     }
 }
