--- a/crates/entry/src/command.rs
+++ b/crates/entry/src/command.rs
@@ -107,8 +107,8 @@
         .change_context(Failure::Settings)
         .attach_with(|| path.display().to_string())?;
     let mut source = Source::from_yaml(&text);
-    source.set(set);
-    source.environment(|name| std::env::var(name).ok());
+    source.apply_overrides(set);
+    source.apply_environment(|name| std::env::var(name).ok());
     let settings = source
         .check()
         .change_context(Failure::Settings)
--- a/crates/entry/src/policy.rs
+++ b/crates/entry/src/policy.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use routing::choice::Policy;
-use settings::{Finding, Findings, Place, Problem};
+use settings::{Finding, Findings, Origin, Problem};
 
 /// What may be overridden.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -67,7 +67,7 @@
                 _ => Problem::Unknown { nearest: None },
             };
             findings.push(Finding {
-                place: Place::Nowhere,
+                origin: Origin::NotGiven,
                 key: format!("policy.{key}"),
                 problem,
             });
--- a/crates/settings/examples/page.rs
+++ b/crates/settings/examples/page.rs
@@ -1,5 +1,5 @@
 //! Prints `docs/SETTINGS.md`.
 
 fn main() {
-    print!("{}", settings::page::text());
+    print!("{}", settings::page::render());
 }
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -4,7 +4,7 @@
 
 /// Where a value was given.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Place {
+pub enum Origin {
     /// Line and column of the file, both from 1.
     File {
         /// Line, from 1.
@@ -17,16 +17,16 @@
     /// A variable of the environment.
     Environment(&'static str),
     /// It was given nowhere.
-    Nowhere,
+    NotGiven,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Origin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::File { line, column } => write!(f, "line {line}, column {column}"),
             Self::Flag(n) => write!(f, "--set number {n}"),
             Self::Environment(name) => write!(f, "environment {name}"),
-            Self::Nowhere => write!(f, "not given"),
+            Self::NotGiven => write!(f, "not given"),
         }
     }
 }
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
     /// Where the value was given.
-    pub place: Place,
+    pub origin: Origin,
     /// Path of the key, for example `lease.term`.
     pub key: String,
     /// What is wrong.
@@ -82,7 +82,7 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}: {}", self.place, self.key, self.problem)
+        write!(f, "{}: {}: {}", self.origin, self.key, self.problem)
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,6 +14,6 @@
 pub mod source;
 pub mod table;
 
-pub use finding::{Finding, Findings, Place, Problem};
+pub use finding::{Finding, Findings, Origin, Problem};
 pub use sections::Settings;
 pub use source::Source;
--- a/crates/settings/src/page.rs
+++ b/crates/settings/src/page.rs
@@ -23,14 +23,14 @@
 ";
 
 /// The whole text of `docs/SETTINGS.md`.
-pub fn text() -> String {
+pub fn render() -> String {
     let mut text = String::from(HEAD);
     for row in ROWS {
         let _ = writeln!(
             text,
             "| `{}` | {} | {} | {} | {} |",
             row.key,
-            row.kind.words(),
+            row.kind.label(),
             default(row),
             row.environment
                 .map_or(String::new(), |name| format!("`{name}`")),
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -5,8 +5,8 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use crate::finding::{Finding, Place, Problem};
-use crate::source::{Given, Source};
+use crate::finding::{Finding, Origin, Problem};
+use crate::source::{GivenValue, Source};
 use crate::{duration, size, table};
 
 /// Reads settings by key from a [`Source`].
@@ -24,7 +24,7 @@
     /// The findings so far, in the order of their places.
     pub fn finish(self) -> Vec<Finding> {
         let mut findings = self.source.findings;
-        findings.sort_by(|a, b| a.place.cmp(&b.place));
+        findings.sort_by(|a, b| a.origin.cmp(&b.origin));
         findings
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Every value under a section whose keys belong to another crate.
-    pub fn section(&mut self, section: &str) -> Vec<(String, Given)> {
+    pub fn section(&mut self, section: &str) -> Vec<(String, GivenValue)> {
         let prefix = format!("{section}.");
         self.source
             .values
@@ -101,21 +101,21 @@
     }
 
     /// Tells that two settings contradict each other, at the place of the first.
-    pub fn contradiction(&mut self, key: &'static str, words: &str) {
-        let place = self.place(key);
-        self.report(place, key, Problem::Contradiction(words.to_owned()));
+    pub fn report_contradiction(&mut self, key: &'static str, words: &str) {
+        let origin = self.origin(key);
+        self.report(origin, key, Problem::Contradiction(words.to_owned()));
     }
 
-    fn place(&self, key: &str) -> Place {
+    fn origin(&self, key: &str) -> Origin {
         self.source
             .values
             .get(key)
-            .map_or(Place::Nowhere, |given| given.place.clone())
+            .map_or(Origin::NotGiven, |given| given.origin.clone())
     }
 
-    fn report(&mut self, place: Place, key: &str, problem: Problem) {
+    fn report(&mut self, origin: Origin, key: &str, problem: Problem) {
         self.source.findings.push(Finding {
-            place,
+            origin,
             key: key.to_owned(),
             problem,
         });
@@ -129,7 +129,7 @@
     ) -> Option<T> {
         let value = self.optional(key, expected, read);
         if value.is_none() && !self.source.values.contains_key(key) {
-            self.report(Place::Nowhere, key, Problem::Missing);
+            self.report(Origin::NotGiven, key, Problem::Missing);
         }
         value
     }
@@ -153,7 +153,7 @@
                 given.text
             };
             self.report(
-                given.place,
+                given.origin,
                 key,
                 Problem::Invalid {
                     given: given_text,
--- a/crates/settings/src/sections/read.rs
+++ b/crates/settings/src/sections/read.rs
@@ -125,7 +125,7 @@
         }),
         (None, None, None) => None,
         _ => {
-            reader.contradiction(
+            reader.report_contradiction(
                 "peer.certificate",
                 "peer.certificate, peer.key and peer.authority are given all three or not at all",
             );
@@ -159,31 +159,31 @@
 /// Settings that are fine alone and wrong together.
 fn relate(settings: &Settings, reader: &mut Reader) {
     if settings.lease.renewal * 2 > settings.lease.term {
-        reader.contradiction(
+        reader.report_contradiction(
             "lease.renewal",
             "lease.renewal is at most half of lease.term, or one lost renewal ends the lease",
         );
     }
     if settings.peer.heartbeat * 3 > settings.peer.silence {
-        reader.contradiction(
+        reader.report_contradiction(
             "peer.heartbeat",
             "peer.heartbeat is at most a third of peer.silence, or one lost datagram looks like silence",
         );
     }
     if settings.shutdown.balancer >= settings.shutdown.limit {
-        reader.contradiction(
+        reader.report_contradiction(
             "shutdown.balancer",
             "shutdown.balancer is shorter than shutdown.limit, or no time is left for work in hand",
         );
     }
     if settings.limits.head_time < LEAST_HTTP_TIME {
-        reader.contradiction("limits.head_time", "limits.head_time is at least 1s");
+        reader.report_contradiction("limits.head_time", "limits.head_time is at least 1s");
     }
     if settings.listen.keep_alive < LEAST_HTTP_TIME {
-        reader.contradiction("listen.keep_alive", "listen.keep_alive is at least 1s");
+        reader.report_contradiction("listen.keep_alive", "listen.keep_alive is at least 1s");
     }
     let short = |secret: &Secret| secret.expose().len() < LEAST_SECRET;
     if settings.resume.secret.as_ref().is_some_and(short) {
-        reader.contradiction("resume.secret", "resume.secret has at least 16 bytes");
+        reader.report_contradiction("resume.secret", "resume.secret has at least 16 bytes");
     }
 }
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -5,23 +5,23 @@
 
 use serde_saphyr::{Location, Spanned};
 
-use crate::finding::{Finding, Findings, Place, Problem};
+use crate::finding::{Finding, Findings, Origin, Problem};
 use crate::node::Node;
 use crate::table::{self, Row};
 
 /// A value as it was given.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct GivenValue {
     /// The text of the value; the items of a list are joined by commas.
     pub text: String,
     /// Where it was given.
-    pub place: Place,
+    pub origin: Origin,
 }
 
 /// All given values and the findings met on the way.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
-    pub(crate) values: BTreeMap<String, Given>,
+    pub(crate) values: BTreeMap<String, GivenValue>,
     pub(crate) findings: Vec<Finding>,
 }
 
@@ -33,7 +33,7 @@
         match serde_saphyr::from_str::<Spanned<Node>>(text) {
             Ok(root) => source.fold("", &root),
             Err(error) => source.findings.push(Finding {
-                place: error.location().map_or(Place::Nowhere, file_place),
+                origin: error.location().map_or(Origin::NotGiven, file_origin),
                 key: "settings".to_owned(),
                 problem: Problem::Syntax(error.without_snippet().to_string()),
             }),
@@ -42,13 +42,13 @@
     }
 
     /// Lays the `key=value` of each `--set` over what was given before.
-    pub fn set(&mut self, assignments: &[String]) {
+    pub fn apply_overrides(&mut self, assignments: &[String]) {
         for (index, assignment) in assignments.iter().enumerate() {
-            let place = Place::Flag(index + 1);
+            let origin = Origin::Flag(index + 1);
             match assignment.split_once('=') {
-                Some((key, value)) => self.put(key.trim(), value.trim().to_owned(), place),
+                Some((key, value)) => self.put(key.trim(), value.trim().to_owned(), origin),
                 None => self.findings.push(Finding {
-                    place,
+                    origin,
                     key: assignment.clone(),
                     problem: Problem::Invalid {
                         given: assignment.clone(),
@@ -60,13 +60,13 @@
     }
 
     /// Takes the settings that may come from the environment; `variable` looks one up by name.
-    pub fn environment(&mut self, variable: impl Fn(&str) -> Option<String>) {
+    pub fn apply_environment(&mut self, variable: impl Fn(&str) -> Option<String>) {
         for row in table::ROWS {
             let Some(name) = row.environment else {
                 continue;
             };
             if let Some(value) = variable(name) {
-                self.put(row.key, value, Place::Environment(name));
+                self.put(row.key, value, Origin::Environment(name));
             }
         }
     }
@@ -83,10 +83,10 @@
     fn fold(&mut self, path: &str, node: &Spanned<Node>) {
         match &node.value {
             Node::Empty => {}
-            Node::Scalar(text) => self.put(path, text.clone(), file_place(node.referenced)),
+            Node::Scalar(text) => self.put(path, text.clone(), file_origin(node.referenced)),
             Node::List(items) => {
                 let text = join(items);
-                self.put(path, text, file_place(node.referenced));
+                self.put(path, text, file_origin(node.referenced));
             }
             Node::Map(pairs) => {
                 for (key, value) in pairs {
@@ -103,23 +103,24 @@
             format!("{path}.{}", key.value)
         };
         if !table::is_known(&path) && !table::is_section(&path) {
-            self.unknown(&path, file_place(key.referenced));
+            self.unknown(&path, file_origin(key.referenced));
             return;
         }
         self.fold(&path, value);
     }
 
-    fn put(&mut self, key: &str, text: String, place: Place) {
+    fn put(&mut self, key: &str, text: String, origin: Origin) {
         if table::is_known(key) {
-            self.values.insert(key.to_owned(), Given { text, place });
+            self.values
+                .insert(key.to_owned(), GivenValue { text, origin });
         } else {
-            self.unknown(key, place);
+            self.unknown(key, origin);
         }
     }
 
-    fn unknown(&mut self, key: &str, place: Place) {
+    fn unknown(&mut self, key: &str, origin: Origin) {
         self.findings.push(Finding {
-            place,
+            origin,
             key: key.to_owned(),
             problem: Problem::Unknown {
                 nearest: nearest(key),
@@ -128,8 +129,8 @@
     }
 }
 
-fn file_place(location: Location) -> Place {
-    Place::File {
+fn file_origin(location: Location) -> Origin {
+    Origin::File {
         line: location.line(),
         column: location.column(),
     }
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -7,7 +7,7 @@
 
 /// The kind of value that a setting takes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kind {
+pub enum ValueKind {
     /// Any text that is not empty.
     Text,
     /// IP number and port.
@@ -22,9 +22,9 @@
     Level,
 }
 
-impl Kind {
+impl ValueKind {
     /// The kind in words, for the page.
-    pub const fn words(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::Text => "text",
             Self::Address => "address",
@@ -42,7 +42,7 @@
     /// Path of the key.
     pub key: &'static str,
     /// Kind of its value.
-    pub kind: Kind,
+    pub kind: ValueKind,
     /// Default as it would be written; `None` with `required` unset means "off".
     pub default: Option<&'static str>,
     /// Whether the process refuses to start without it.
--- a/crates/settings/src/table/rows.rs
+++ b/crates/settings/src/table/rows.rs
@@ -1,8 +1,8 @@
 //! The rows of the table.
 
-use super::{Kind, Row};
+use super::{Row, ValueKind};
 
-const fn required(key: &'static str, kind: Kind, meaning: &'static str) -> Row {
+const fn required(key: &'static str, kind: ValueKind, meaning: &'static str) -> Row {
     Row {
         key,
         kind,
@@ -13,7 +13,7 @@
     }
 }
 
-const fn optional(key: &'static str, kind: Kind, meaning: &'static str) -> Row {
+const fn optional(key: &'static str, kind: ValueKind, meaning: &'static str) -> Row {
     Row {
         key,
         kind,
@@ -24,7 +24,12 @@
     }
 }
 
-const fn given(key: &'static str, kind: Kind, default: &'static str, meaning: &'static str) -> Row {
+const fn given(
+    key: &'static str,
+    kind: ValueKind,
+    default: &'static str,
+    meaning: &'static str,
+) -> Row {
     Row {
         key,
         kind,
@@ -38,7 +43,7 @@
 const fn secret(key: &'static str, environment: &'static str, meaning: &'static str) -> Row {
     Row {
         key,
-        kind: Kind::Text,
+        kind: ValueKind::Text,
         default: None,
         required: false,
         environment: Some(environment),
@@ -50,41 +55,41 @@
 pub const ROWS: &[Row] = &[
     required(
         "instance.id",
-        Kind::Text,
+        ValueKind::Text,
         "Id of this instance, unique in the fleet; it names the instance in the log, the instance list and the metrics.",
     ),
     required(
         "instance.data_centre",
-        Kind::Text,
+        ValueKind::Text,
         "Data centre in which the instance runs; routing prefers upstreams of the same one.",
     ),
     given(
         "listen.address",
-        Kind::Address,
+        ValueKind::Address,
         "0.0.0.0:8080",
         "Address for callers. Port 0 takes a free port, which the log names.",
     ),
     given(
         "listen.workers",
-        Kind::Count,
+        ValueKind::Count,
         "1",
         "Threads of the data plane.",
     ),
     given(
         "listen.connections",
-        Kind::Count,
+        ValueKind::Count,
         "8192",
         "Connections of callers that one worker holds at most; more wait in the backlog.",
     ),
     given(
         "listen.keep_alive",
-        Kind::Duration,
+        ValueKind::Duration,
         "75s",
         "How long an idle connection of a caller is kept.",
     ),
     given(
         "admin.address",
-        Kind::Address,
+        ValueKind::Address,
         "127.0.0.1:8081",
         "Address of the administration API.",
     ),
@@ -95,157 +100,157 @@
     ),
     given(
         "peer.address",
-        Kind::Address,
+        ValueKind::Address,
         "0.0.0.0:8082",
         "UDP address for the other entries.",
     ),
     optional(
         "peer.advertise",
-        Kind::Address,
+        ValueKind::Address,
         "Address under which the other entries reach this one, if it differs from `peer.address`.",
     ),
     optional(
         "peer.certificate",
-        Kind::Text,
+        ValueKind::Text,
         "Path of the PEM file with this instance's certificate chain; without the three TLS files the mesh is off.",
     ),
     optional(
         "peer.key",
-        Kind::Text,
+        ValueKind::Text,
         "Path of the PEM file with the private key of the certificate.",
     ),
     optional(
         "peer.authority",
-        Kind::Text,
+        ValueKind::Text,
         "Path of the PEM file with the certificate authority that peers must present.",
     ),
     given(
         "peer.reload",
-        Kind::Duration,
+        ValueKind::Duration,
         "10s",
         "How often the three TLS files are looked at again, so that keys rotate without a restart.",
     ),
     given(
         "peer.heartbeat",
-        Kind::Duration,
+        ValueKind::Duration,
         "500ms",
         "Time between two heartbeats to a peer.",
     ),
     given(
         "peer.silence",
-        Kind::Duration,
+        ValueKind::Duration,
         "3s",
         "Silence after which a peer counts as not reachable.",
     ),
     required(
         "platform.log",
-        Kind::Address,
+        ValueKind::Address,
         "Address of the platform's log.",
     ),
     optional(
         "platform.instances",
-        Kind::Address,
+        ValueKind::Address,
         "Address of the instance list, if it differs from `platform.log`.",
     ),
     given(
         "platform.timeout",
-        Kind::Duration,
+        ValueKind::Duration,
         "2s",
         "Time limit of one call to the platform.",
     ),
     given(
         "platform.poll",
-        Kind::Duration,
+        ValueKind::Duration,
         "1s",
         "Time between two readings of the instance list.",
     ),
     given(
         "platform.retention",
-        Kind::Duration,
+        ValueKind::Duration,
         "1h",
         "How long the platform keeps a record; snapshots are written when a third of it has passed.",
     ),
     given(
         "lease.term",
-        Kind::Duration,
+        ValueKind::Duration,
         "3s",
         "Term of the lease on a pool's control.",
     ),
     given(
         "lease.renewal",
-        Kind::Duration,
+        ValueKind::Duration,
         "1s",
         "Time between two renewals of a lease.",
     ),
     given(
         "lease.margin",
-        Kind::Duration,
+        ValueKind::Duration,
         "500ms",
         "What a challenger waits beyond the term; it covers the drift between two clocks' rates.",
     ),
     given(
         "limits.deadline",
-        Kind::Duration,
+        ValueKind::Duration,
         "10m",
         "Longest deadline of a request; the contract of the catalogue entry may only shorten it.",
     ),
     given(
         "limits.body",
-        Kind::Size,
+        ValueKind::Size,
         "8MiB",
         "Largest body of a request.",
     ),
     given(
         "limits.answer",
-        Kind::Size,
+        ValueKind::Size,
         "16MiB",
         "Largest whole answer of an upstream that is buffered or held.",
     ),
     given(
         "limits.head",
-        Kind::Size,
+        ValueKind::Size,
         "32KiB",
         "Largest sum of names and values of the headers of a request.",
     ),
     given(
         "limits.head_time",
-        Kind::Duration,
+        ValueKind::Duration,
         "5s",
         "Time that a caller has to send the head of a request.",
     ),
     given(
         "limits.body_time",
-        Kind::Duration,
+        ValueKind::Duration,
         "15s",
         "Longest silence of a caller in the middle of a body.",
     ),
     given(
         "upstream.connect",
-        Kind::Duration,
+        ValueKind::Duration,
         "500ms",
         "Time limit of a connection to an upstream; a call that waited for one was not run and goes to another.",
     ),
     given(
         "upstream.idle",
-        Kind::Duration,
+        ValueKind::Duration,
         "15s",
         "How long an idle connection to an upstream is kept.",
     ),
     given(
         "upstream.resume",
-        Kind::Duration,
+        ValueKind::Duration,
         "2s",
         "How long an entry tries to resume a broken stream at its engine before it gives the caller an error.",
     ),
     given(
         "hold.bytes",
-        Kind::Size,
+        ValueKind::Size,
         "8MiB",
         "Memory for held answers of calls with an `Idempotency-Key`; the oldest are dropped first.",
     ),
     given(
         "hold.time",
-        Kind::Duration,
+        ValueKind::Duration,
         "10m",
         "How long an answer is held for a repeat.",
     ),
@@ -256,36 +261,36 @@
     ),
     given(
         "resume.time",
-        Kind::Duration,
+        ValueKind::Duration,
         "5m",
         "How long an event id may be used to resume its stream.",
     ),
     given(
         "shutdown.balancer",
-        Kind::Duration,
+        ValueKind::Duration,
         "5s",
         "Wait between readiness off and refusing new connections, so that the balancer notices.",
     ),
     given(
         "shutdown.limit",
-        Kind::Duration,
+        ValueKind::Duration,
         "60s",
         "Time within which the process ends after SIGTERM or SIGINT, whatever is still open.",
     ),
     given(
         "log.level",
-        Kind::Level,
+        ValueKind::Level,
         "info",
         "Least level of the lines that are logged.",
     ),
     optional(
         "statsd.address",
-        Kind::Address,
+        ValueKind::Address,
         "UDP address of the statsd collector; without it metrics go nowhere.",
     ),
     given(
         "statsd.prefix",
-        Kind::Text,
+        ValueKind::Text,
         "tarragon",
         "Prefix of all metric names.",
     ),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use settings::{Findings, Place, Problem, Settings, Source};
+use settings::{Findings, Origin, Problem, Settings, Source};
 
 const LEAST: &str = "\
 instance:
@@ -33,7 +33,7 @@
     for row in settings::table::ROWS {
         if let Some(default) = row.default {
             let mut source = Source::from_yaml(LEAST);
-            source.set(&[format!("{}={default}", row.key)]);
+            source.apply_overrides(&[format!("{}={default}", row.key)]);
             assert_matches!(source.check(), Ok(_), "{}", row.key);
         }
     }
@@ -69,16 +69,16 @@
 #[test]
 fn set_goes_over_the_file_and_the_environment_over_both() {
     let mut source = Source::from_yaml(LEAST);
-    source.set(&[
+    source.apply_overrides(&[
         "listen.workers=4".to_owned(),
         "policy.choice=least".to_owned(),
         "lease.trem=1s".to_owned(),
         "nonsense".to_owned(),
     ]);
-    source.environment(|name| (name == "TARRAGON_ADMIN_TOKEN").then(|| "s3cret".to_owned()));
+    source.apply_environment(|name| (name == "TARRAGON_ADMIN_TOKEN").then(|| "s3cret".to_owned()));
     let findings = source.clone().check().unwrap_err().0;
     assert_eq!(findings.len(), 2);
-    assert_eq!(findings[0].place, Place::Flag(3));
+    assert_eq!(findings[0].origin, Origin::Flag(3));
     assert_matches!(
         findings[0].problem,
         Problem::Unknown {
@@ -87,11 +87,11 @@
     );
 
     let mut source = Source::from_yaml(LEAST);
-    source.set(&[
+    source.apply_overrides(&[
         "listen.workers=4".to_owned(),
         "policy.choice=least".to_owned(),
     ]);
-    source.environment(|name| (name == "TARRAGON_ADMIN_TOKEN").then(|| "s3cret".to_owned()));
+    source.apply_environment(|name| (name == "TARRAGON_ADMIN_TOKEN").then(|| "s3cret".to_owned()));
     let settings = source.check().unwrap();
     assert_eq!(settings.listen.workers, 4);
     assert_eq!(settings.policy["choice"], "least");
@@ -114,7 +114,7 @@
 fn a_broken_file_names_its_line() {
     let findings = check("instance: [1, 2\nlisten: {").unwrap_err().0;
     assert_matches!(findings[0].problem, Problem::Syntax(_));
-    assert_matches!(findings[0].place, Place::File { .. });
+    assert_matches!(findings[0].origin, Origin::File { .. });
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let page = std::fs::read_to_string(path).unwrap();
     assert_eq!(
         page,
-        settings::page::text(),
+        settings::page::render(),
         "write it with: cargo run -p settings --example page > docs/SETTINGS.md"
     );
 }
