--- a/crates/catalogue/src/document.rs
+++ b/crates/catalogue/src/document.rs
@@ -51,16 +51,16 @@
         let document: Self = match serde_saphyr::from_str(text) {
             Ok(document) => document,
             Err(error) => {
-                findings.add_edit("", error.to_string());
+                findings.add_edit_finding("", error.to_string());
                 return Err(findings);
             }
         };
-        let kinds = Kind::ALL.map(Kind::word);
+        let kinds = Kind::ALL.map(Kind::label);
         for (position, change) in document.changes.iter().enumerate() {
-            if Kind::from_word(&change.kind).is_none() {
+            if Kind::from_label(&change.kind).is_none() {
                 let near = nearest(&change.kind, &kinds).unwrap_or("entry");
                 let problem = format!("`{}` is no kind, perhaps `{near}` was meant", change.kind);
-                findings.add_edit(&format!("changes[{position}].kind"), problem);
+                findings.add_edit_finding(&format!("changes[{position}].kind"), problem);
             }
         }
         if findings.is_empty() {
--- a/crates/catalogue/src/drain.rs
+++ b/crates/catalogue/src/drain.rs
@@ -1,7 +1,7 @@
 //! Operators' drains of upstreams.
 
 use crate::fields::Fields;
-use crate::{Findings, Raw};
+use crate::{Findings, RawEntity};
 
 /// An upstream that gets no new work while this stands; its name is the id of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -12,10 +12,10 @@
     pub reason: String,
 }
 
-impl TryFrom<&Raw<'_>> for Drain {
+impl TryFrom<&RawEntity<'_>> for Drain {
     type Error = Findings;
 
-    fn try_from(raw: &Raw<'_>) -> Result<Self, Findings> {
+    fn try_from(raw: &RawEntity<'_>) -> Result<Self, Findings> {
         let mut fields = Fields::open(raw)?;
         let reason = fields.required("reason").unwrap_or_default();
         fields.close(Self {
--- a/crates/catalogue/src/entity.rs
+++ b/crates/catalogue/src/entity.rs
@@ -35,7 +35,7 @@
     ];
 
     /// The word that stands in records and files.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Owner => "owner",
             Self::Pool => "pool",
@@ -46,14 +46,14 @@
     }
 
     /// The kind for the word in records and files.
-    pub fn from_word(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|kind| kind.word() == word)
+    pub fn from_label(word: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|kind| kind.label() == word)
     }
 }
 
 impl fmt::Display for Kind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.label())
     }
 }
 
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -6,7 +6,7 @@
 
 use crate::fields::Fields;
 use crate::owner::limits;
-use crate::{Findings, Key, Kind, Limits, Raw};
+use crate::{Findings, Key, Kind, Limits, RawEntity};
 
 /// What kind of work an entry is; it orders the work when not all fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -36,7 +36,7 @@
     }
 
     /// The word that stands in the catalogue, in metrics and in reports.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Authorisation => "authorisation",
             Self::Status => "status",
@@ -155,10 +155,10 @@
     ("first-attempt", Outage::FirstAttempt),
 ];
 
-impl TryFrom<&Raw<'_>> for Entry {
+impl TryFrom<&RawEntity<'_>> for Entry {
     type Error = Findings;
 
-    fn try_from(raw: &Raw<'_>) -> Result<Self, Findings> {
+    fn try_from(raw: &RawEntity<'_>) -> Result<Self, Findings> {
         let mut fields = Fields::open(raw)?;
         let class = fields
             .required_word("class", &CLASSES)
--- a/crates/catalogue/src/fields.rs
+++ b/crates/catalogue/src/fields.rs
@@ -7,7 +7,7 @@
 use serde_json::{Map, Value};
 
 use crate::finding::nearest;
-use crate::{Finding, Findings, Kind, Raw};
+use crate::{Finding, Findings, Kind, RawEntity};
 
 /// An object that is being read. Fields that nobody asked for are findings in the end.
 pub(crate) struct Fields<'r> {
@@ -22,7 +22,7 @@
 
 impl<'r> Fields<'r> {
     /// Opens an entity; fails if its JSON is no object at all.
-    pub(crate) fn open(raw: &Raw<'r>) -> Result<Self, Findings> {
+    pub(crate) fn open(raw: &RawEntity<'r>) -> Result<Self, Findings> {
         let mut findings = Findings::new();
         if let Some(problem) = name_fault(raw.name) {
             findings.add(raw.kind, raw.name, "", problem);
--- a/crates/catalogue/src/finding.rs
+++ b/crates/catalogue/src/finding.rs
@@ -75,7 +75,7 @@
     }
 
     /// Adds a fault of the edit itself.
-    pub fn add_edit(&mut self, path: &str, problem: impl Into<String>) {
+    pub fn add_edit_finding(&mut self, path: &str, problem: impl Into<String>) {
         self.push(Finding {
             kind: String::new(),
             name: String::new(),
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -26,13 +26,13 @@
 pub use entry::{Class, Contract, Entry, Method, Outage, Target};
 pub use finding::{Finding, Findings};
 pub use owner::{Limits, Owner};
-pub use pool::{Choice, Model, Planner, Pool, PoolKind, Role, RoleChange, Span};
-pub use rules::{Raw, Rules, Set};
-pub use serving::{Found, digest};
-pub use snapshot::{Unfit, seal, verify};
+pub use pool::{Choice, Model, Planner, Pool, PoolKind, Role, RoleChange, RoleRange};
+pub use rules::{RawEntity, RuleSet, Rules};
+pub use serving::{PathMatch, digest};
+pub use snapshot::{SnapshotError, seal, verify};
 pub use state::{Applied, Frozen, State, check};
 pub use table::{Slot, View};
-pub use verdict::{Conflict, Judgement, Refusal, Verdict};
+pub use verdict::{Conflict, DecidedEdit, Refusal, Verdict};
 
 /// Offset of a record in the platform's log; it starts at 1, and 0 stands for "none yet".
 pub type Offset = u64;
--- a/crates/catalogue/src/owner.rs
+++ b/crates/catalogue/src/owner.rs
@@ -3,7 +3,7 @@
 use smallvec::SmallVec;
 
 use crate::fields::Fields;
-use crate::{Findings, Raw};
+use crate::{Findings, RawEntity};
 
 /// Upper bounds of load over all entry instances together; `None` leaves a dimension unbounded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,10 +27,10 @@
     pub limits: Limits,
 }
 
-impl TryFrom<&Raw<'_>> for Owner {
+impl TryFrom<&RawEntity<'_>> for Owner {
     type Error = Findings;
 
-    fn try_from(raw: &Raw<'_>) -> Result<Self, Findings> {
+    fn try_from(raw: &RawEntity<'_>) -> Result<Self, Findings> {
         let mut fields = Fields::open(raw)?;
         let keys = digests(&mut fields);
         let limits = limits(&mut fields);
--- a/crates/catalogue/src/pool.rs
+++ b/crates/catalogue/src/pool.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 
 use crate::fields::Fields;
-use crate::{Findings, Raw};
+use crate::{Findings, RawEntity};
 
 /// What the upstreams of a pool are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 /// How many engines may have a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct RoleRange {
     /// Planned changes never go below.
     pub min: u32,
     /// Planned changes never go above.
@@ -87,7 +87,7 @@
     /// Engines or services.
     pub kind: PoolKind,
     /// How many engines may have each role; a role that is missing is not used.
-    pub roles: SmallVec<[(Role, Span); 3]>,
+    pub roles: SmallVec<[(Role, RoleRange); 3]>,
     /// What a change of role costs; engines only.
     pub role_change: RoleChange,
     /// True if the engines refuse orders with an old fence; false also where it is not known.
@@ -104,7 +104,7 @@
 
 impl Pool {
     /// The span of a role, if the pool uses it.
-    pub fn span(&self, role: Role) -> Option<Span> {
+    pub fn role_range(&self, role: Role) -> Option<RoleRange> {
         self.roles
             .iter()
             .find(|(used, _)| *used == role)
@@ -140,10 +140,10 @@
     ("gain", Planner::Gain),
 ];
 
-impl TryFrom<&Raw<'_>> for Pool {
+impl TryFrom<&RawEntity<'_>> for Pool {
     type Error = Findings;
 
-    fn try_from(raw: &Raw<'_>) -> Result<Self, Findings> {
+    fn try_from(raw: &RawEntity<'_>) -> Result<Self, Findings> {
         let mut fields = Fields::open(raw)?;
         let kind = fields.required_word("kind", &KINDS);
         if kind == Some(PoolKind::Service) {
@@ -170,7 +170,7 @@
     }
 }
 
-fn roles(fields: &mut Fields<'_>) -> SmallVec<[(Role, Span); 3]> {
+fn roles(fields: &mut Fields<'_>) -> SmallVec<[(Role, RoleRange); 3]> {
     let read = |inner: &mut Fields<'_>| {
         ROLES
             .iter()
@@ -180,7 +180,7 @@
     fields.nested("roles", read).unwrap_or_default()
 }
 
-fn span(fields: &mut Fields<'_>) -> Span {
+fn span(fields: &mut Fields<'_>) -> RoleRange {
     let min = fields.optional("min").unwrap_or(0);
     let max = fields.optional("max").unwrap_or(u32::MAX);
     let initial = fields.optional("initial").unwrap_or(min);
@@ -189,7 +189,7 @@
     } else if initial < min || initial > max {
         fields.fault("initial", "must be from min to max");
     }
-    Span { min, max, initial }
+    RoleRange { min, max, initial }
 }
 
 fn role_change(fields: &mut Fields<'_>) -> RoleChange {
@@ -215,10 +215,10 @@
     pub pools: SmallVec<[String; 2]>,
 }
 
-impl TryFrom<&Raw<'_>> for Model {
+impl TryFrom<&RawEntity<'_>> for Model {
     type Error = Findings;
 
-    fn try_from(raw: &Raw<'_>) -> Result<Self, Findings> {
+    fn try_from(raw: &RawEntity<'_>) -> Result<Self, Findings> {
         let mut fields = Fields::open(raw)?;
         let model = Self {
             name: raw.name.to_owned(),
--- a/crates/catalogue/src/rules.rs
+++ b/crates/catalogue/src/rules.rs
@@ -9,7 +9,7 @@
 
 /// An entity as a record gives it.
 #[derive(Clone, Copy, Debug)]
-pub struct Raw<'a> {
+pub struct RawEntity<'a> {
     /// Kind of the entity.
     pub kind: Kind,
     /// Name of the entity.
@@ -21,19 +21,19 @@
 /// One version of the rules. A version that has ever been in force never changes; software that
 /// drops it can no longer read entities that were accepted under it.
 #[derive(Clone, Copy, Debug)]
-pub struct Set {
+pub struct RuleSet {
     /// The version.
     pub version: Version,
     /// Reads one entity by itself.
-    pub read: fn(&Raw<'_>) -> Result<Entity, Findings>,
+    pub parse: fn(&RawEntity<'_>) -> Result<Entity, Findings>,
     /// Checks an entity against the others, as they would be with the edit.
-    pub relate: fn(&View, &Entity, &mut Findings),
+    pub validate: fn(&View, &Entity, &mut Findings),
 }
 
 /// All versions that this software knows.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    sets: Vec<Set>,
+    sets: Vec<RuleSet>,
 }
 
 /// Version in force until a record raises it.
@@ -41,12 +41,12 @@
 
 impl Rules {
     /// Rules of the given versions, for tests of mixed software.
-    pub fn new(sets: Vec<Set>) -> Self {
+    pub fn new(sets: Vec<RuleSet>) -> Self {
         Self { sets }
     }
 
     /// The rules of a version, if this software knows them.
-    pub fn get(&self, version: Version) -> Option<&Set> {
+    pub fn get(&self, version: Version) -> Option<&RuleSet> {
         self.sets.iter().find(|set| set.version == version)
     }
 
@@ -58,15 +58,15 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Self::new(vec![Set {
+        Self::new(vec![RuleSet {
             version: FIRST,
-            read,
-            relate,
+            parse,
+            validate,
         }])
     }
 }
 
-fn read(raw: &Raw<'_>) -> Result<Entity, Findings> {
+fn parse(raw: &RawEntity<'_>) -> Result<Entity, Findings> {
     Ok(match raw.kind {
         Kind::Owner => Entity::Owner(raw.try_into()?),
         Kind::Pool => Entity::Pool(raw.try_into()?),
@@ -76,16 +76,16 @@
     })
 }
 
-fn relate(view: &View, entity: &Entity, findings: &mut Findings) {
+fn validate(view: &View, entity: &Entity, findings: &mut Findings) {
     match entity {
-        Entity::Owner(owner) => relate_owner(view, owner, findings),
-        Entity::Model(model) => relate_model(view, model, findings),
-        Entity::Entry(entry) => relate_entry(view, entry, findings),
+        Entity::Owner(owner) => validate_owner(view, owner, findings),
+        Entity::Model(model) => validate_model(view, model, findings),
+        Entity::Entry(entry) => validate_entry(view, entry, findings),
         Entity::Pool(_) | Entity::Drain(_) => {}
     }
 }
 
-fn relate_owner(view: &View, owner: &Owner, findings: &mut Findings) {
+fn validate_owner(view: &View, owner: &Owner, findings: &mut Findings) {
     for (position, key) in owner.keys.iter().enumerate() {
         for other in view.index().owners_of(key) {
             if **other != *owner.name {
@@ -97,7 +97,7 @@
     }
 }
 
-fn relate_model(view: &View, model: &Model, findings: &mut Findings) {
+fn validate_model(view: &View, model: &Model, findings: &mut Findings) {
     for (position, name) in model.pools.iter().enumerate() {
         let path = format!("pools[{position}]");
         engine_pool(
@@ -110,7 +110,7 @@
     }
 }
 
-fn relate_entry(view: &View, entry: &Entry, findings: &mut Findings) {
+fn validate_entry(view: &View, entry: &Entry, findings: &mut Findings) {
     let key = Key::new(Kind::Entry, &entry.name);
     match view.owner(&entry.owner) {
         Some(owner) => within(entry, owner, findings),
@@ -120,7 +120,7 @@
         Target::Model { model, .. } => {
             engine_pool(view, &key, "pool", &entry.pool, findings);
             match view.model(model) {
-                Some(model) => relate_target(entry, model, findings),
+                Some(model) => validate_target(entry, model, findings),
                 None => missing(view, &key, "model", Kind::Model, model, findings),
             }
         }
@@ -134,12 +134,12 @@
                 }
                 None => missing(view, &key, "pool", Kind::Pool, &entry.pool, findings),
             }
-            relate_path(view, entry, findings);
+            validate_path(view, entry, findings);
         }
     }
 }
 
-fn relate_target(entry: &Entry, model: &Model, findings: &mut Findings) {
+fn validate_target(entry: &Entry, model: &Model, findings: &mut Findings) {
     let Target::Model {
         version, adapter, ..
     } = &entry.target
@@ -173,7 +173,7 @@
 
 /// Two entries with the same path and method would leave it to chance which owner's limits and
 /// which rule on repeats hold for a call.
-fn relate_path(view: &View, entry: &Entry, findings: &mut Findings) {
+fn validate_path(view: &View, entry: &Entry, findings: &mut Findings) {
     let Target::Path { prefix, .. } = &entry.target else {
         return;
     };
--- a/crates/catalogue/src/serving.rs
+++ b/crates/catalogue/src/serving.rs
@@ -11,13 +11,13 @@
 
 /// What a path leads to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Found<'v> {
+pub enum PathMatch<'v> {
     /// The entry that serves it.
     Entry(&'v Entry),
     /// The longest prefix is served, but not with this method.
-    OtherMethod,
+    MethodNotAllowed,
     /// No entry has a prefix of it.
-    Nothing,
+    NotFound,
 }
 
 impl View {
@@ -31,7 +31,7 @@
     /// The entry with the longest prefix of `path` in whole segments. The longest one decides
     /// alone: a method that it does not serve never falls through to a shorter prefix, which
     /// might allow repeats that the longer one forbids.
-    pub fn entry_at(&self, method: &str, path: &str) -> Found<'_> {
+    pub fn entry_at(&self, method: &str, path: &str) -> PathMatch<'_> {
         let mut prefix = path;
         loop {
             if let Some(methods) = self.index().at_path(prefix) {
@@ -39,12 +39,12 @@
                 let entry = names
                     .and_then(|names| names.first())
                     .and_then(|name| self.entry(name));
-                return entry.map_or(Found::OtherMethod, Found::Entry);
+                return entry.map_or(PathMatch::MethodNotAllowed, PathMatch::Entry);
             }
             prefix = match prefix.rfind('/') {
                 Some(0) if prefix.len() > 1 => "/",
                 Some(cut) if cut > 0 => &prefix[..cut],
-                _ => return Found::Nothing,
+                _ => return PathMatch::NotFound,
             };
         }
     }
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -7,11 +7,11 @@
 use wire::record::{Entity as Stored, Snapshot};
 
 use crate::table::{Slot, View};
-use crate::{Findings, Key, Kind, Raw, Rules, State, Version};
+use crate::{Findings, Key, Kind, RawEntity, Rules, State, Version};
 
 /// Why a snapshot cannot be taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum SnapshotError {
     /// Its digest is not that of its fields: it was damaged or written by faulty software.
     Digest,
     /// It needs a version of the rules that this software does not know.
@@ -20,7 +20,7 @@
     Entities(Findings),
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Digest => f.write_str("the digest of the snapshot is wrong"),
@@ -30,7 +30,7 @@
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for SnapshotError {}
 
 /// Sets the digest of a snapshot whose other fields are complete.
 pub fn seal(snapshot: &mut Snapshot) {
@@ -38,11 +38,11 @@
 }
 
 /// Checks the digest of a snapshot.
-pub fn verify(snapshot: &Snapshot) -> Result<(), Unfit> {
+pub fn verify(snapshot: &Snapshot) -> Result<(), SnapshotError> {
     if snapshot.digest == digest(snapshot) {
         Ok(())
     } else {
-        Err(Unfit::Digest)
+        Err(SnapshotError::Digest)
     }
 }
 
@@ -77,10 +77,10 @@
     /// # Errors
     ///
     /// If the digest is wrong or this software does not know the rules that it needs.
-    pub fn restore(rules: Arc<Rules>, snapshot: &Snapshot) -> Result<Self, Unfit> {
+    pub fn restore(rules: Arc<Rules>, snapshot: &Snapshot) -> Result<Self, SnapshotError> {
         verify(snapshot)?;
         if rules.get(snapshot.rules).is_none() {
-            return Err(Unfit::Rules(snapshot.rules));
+            return Err(SnapshotError::Rules(snapshot.rules));
         }
         let view = read(&rules, snapshot)?;
         Ok(Self::restored(rules, snapshot, view))
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// As [`State::restore`]; the state is then as before.
-    pub fn adopt(&mut self, snapshot: &Snapshot) -> Result<bool, Unfit> {
+    pub fn adopt(&mut self, snapshot: &Snapshot) -> Result<bool, SnapshotError> {
         if snapshot.upto <= self.folded() {
             return Ok(false);
         }
@@ -128,12 +128,12 @@
     }
 }
 
-fn read(rules: &Rules, snapshot: &Snapshot) -> Result<View, Unfit> {
+fn read(rules: &Rules, snapshot: &Snapshot) -> Result<View, SnapshotError> {
     let mut view = View::default();
     let mut findings = Findings::new();
     for stored in &snapshot.entities {
-        let Some(kind) = Kind::from_word(&stored.kind) else {
-            findings.add_edit("entities", format!("`{}` is no kind", stored.kind));
+        let Some(kind) = Kind::from_label(&stored.kind) else {
+            findings.add_edit_finding("entities", format!("`{}` is no kind", stored.kind));
             continue;
         };
         let mut slot = Slot {
@@ -144,13 +144,15 @@
             entity: None,
         };
         if !stored.json.is_empty() {
-            let raw = Raw {
+            let raw = RawEntity {
                 kind,
                 name: &stored.name,
                 json: &stored.json,
             };
-            let set = rules.get(stored.rules).ok_or(Unfit::Rules(stored.rules))?;
-            match (set.read)(&raw) {
+            let set = rules
+                .get(stored.rules)
+                .ok_or(SnapshotError::Rules(stored.rules))?;
+            match (set.parse)(&raw) {
                 Ok(entity) => slot.entity = Some(entity),
                 Err(faults) => faults.iter().for_each(|fault| findings.push(fault.clone())),
             }
@@ -160,6 +162,6 @@
     if findings.is_empty() {
         Ok(view)
     } else {
-        Err(Unfit::Entities(findings))
+        Err(SnapshotError::Entities(findings))
     }
 }
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -8,7 +8,7 @@
 
 use crate::rules::FIRST;
 use crate::table::View;
-use crate::{Findings, Judgement, Key, Offset, Refusal, Revision, Rules, Verdict, Version};
+use crate::{DecidedEdit, Findings, Key, Offset, Refusal, Revision, Rules, Verdict, Version};
 
 mod judge;
 
@@ -33,7 +33,7 @@
     /// A snapshot that cannot have been folded from this log; its writer must be looked at.
     SnapshotDiffers,
     /// It concerns others.
-    Nothing,
+    NoEffect,
     /// Records before it were left out, so that it cannot be judged. A snapshot must be adopted
     /// that covers them.
     Gap {
@@ -41,7 +41,7 @@
         missing: Offset,
     },
     /// It was folded before; a catalogue never goes back.
-    Old,
+    AlreadyFolded,
 }
 
 /// The folded catalogue.
@@ -54,7 +54,7 @@
     revision: Revision,
     horizon: Revision,
     tombstones: BTreeSet<(Revision, Key)>,
-    history: VecDeque<Judgement>,
+    history: VecDeque<DecidedEdit>,
     view: View,
 }
 
@@ -116,7 +116,7 @@
     }
 
     /// Judgements, newest first. They are kept from the start of this process and bounded.
-    pub fn history(&self) -> impl Iterator<Item = &Judgement> {
+    pub fn history(&self) -> impl Iterator<Item = &DecidedEdit> {
         self.history.iter().rev()
     }
 
@@ -126,7 +126,7 @@
         // A reader that starts over may hand in records again. Folding an old edit a second time
         // would bring an older value back, and show as a revision that falls.
         if offset <= self.folded {
-            return Applied::Old;
+            return Applied::AlreadyFolded;
         }
         if let Some(frozen) = self.frozen {
             return match &record.body {
@@ -153,7 +153,7 @@
             Some(Body::Snapshot(snapshot)) if self.contradicts(snapshot) => {
                 Applied::SnapshotDiffers
             }
-            _ => Applied::Nothing,
+            _ => Applied::NoEffect,
         };
         // A frozen state keeps its offset, so that nobody takes it for a newer one than it is.
         if self.frozen.is_none() {
@@ -164,7 +164,7 @@
 
     fn raise(&mut self, offset: Offset, raise: RulesRaise) -> Applied {
         if raise.rules <= self.version {
-            return Applied::Nothing;
+            return Applied::NoEffect;
         }
         if self.rules.get(raise.rules).is_some() {
             self.version = raise.rules;
--- a/crates/catalogue/src/state/judge.rs
+++ b/crates/catalogue/src/state/judge.rs
@@ -10,7 +10,8 @@
 use crate::finding::nearest;
 use crate::table::Slot;
 use crate::{
-    Conflict, Entity, Findings, Judgement, Key, Kind, Offset, Raw, Refusal, Revision, Verdict,
+    Conflict, DecidedEdit, Entity, Findings, Key, Kind, Offset, RawEntity, Refusal, Revision,
+    Verdict,
 };
 
 /// Judgements that are kept for operators.
@@ -123,14 +124,14 @@
     }
 
     fn read_entity(&self, change: &Change, key: &Key, findings: &mut Findings) -> Option<Entity> {
-        let raw = Raw {
+        let raw = RawEntity {
             kind: key.kind,
             name: &key.name,
             json: &change.json,
         };
         // `frozen` is set where the version is unknown, and then nothing is judged.
         let set = self.rules.get(self.version)?;
-        let read = (set.read)(&raw);
+        let read = (set.parse)(&raw);
         let note = |faults: &Findings| faults.iter().cloned().for_each(|one| findings.push(one));
         read.inspect_err(note).ok()
     }
@@ -146,7 +147,7 @@
             if let Some(entity) = self.view.entity(kind, name)
                 && !entity.references().iter().any(|key| faulty.contains(&key))
             {
-                (set.relate)(&self.view, entity, findings);
+                (set.validate)(&self.view, entity, findings);
             }
         };
         for key in touched {
@@ -179,7 +180,7 @@
             self.history.pop_front();
         }
         let name = |change: &Change| format!("{} {}", change.kind, change.name);
-        self.history.push_back(Judgement {
+        self.history.push_back(DecidedEdit {
             offset,
             operator: edit.operator.clone(),
             note: edit.note.clone(),
@@ -196,19 +197,19 @@
     let mut findings = Findings::new();
     let mut keys: SmallVec<[Key; 4]> = SmallVec::new();
     if edit.operator.is_empty() {
-        findings.add_edit("operator", "is missing");
+        findings.add_edit_finding("operator", "is missing");
     }
     if edit.base_revision >= offset {
-        findings.add_edit("base_revision", "lies in the future");
+        findings.add_edit_finding("base_revision", "lies in the future");
     }
     if edit.changes.is_empty() {
-        findings.add_edit("changes", "are missing");
+        findings.add_edit_finding("changes", "are missing");
     }
     let mut seen = BTreeSet::new();
     for (position, change) in edit.changes.iter().enumerate() {
-        let Some(kind) = Kind::from_word(&change.kind) else {
+        let Some(kind) = Kind::from_label(&change.kind) else {
             let problem = unknown_kind(&change.kind);
-            findings.add_edit(&format!("changes[{position}].kind"), problem);
+            findings.add_edit_finding(&format!("changes[{position}].kind"), problem);
             continue;
         };
         let key = Key::new(kind, &change.name);
@@ -225,7 +226,7 @@
 }
 
 fn unknown_kind(word: &str) -> String {
-    let known = Kind::ALL.map(Kind::word);
+    let known = Kind::ALL.map(Kind::label);
     match nearest(word, &known) {
         Some(near) => format!("`{word}` is no kind, perhaps `{near}` was meant"),
         None => format!("`{word}` is no kind, the kinds are {}", known.join(", ")),
--- a/crates/catalogue/src/verdict.rs
+++ b/crates/catalogue/src/verdict.rs
@@ -85,7 +85,7 @@
 /// A verdict with the edit that it is on, for the history that operators read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct Judgement {
+pub struct DecidedEdit {
     /// Offset of the edit.
     pub offset: Offset,
     /// Who made it.
--- a/crates/catalogue/tests/common/mod.rs
+++ b/crates/catalogue/tests/common/mod.rs
@@ -68,7 +68,7 @@
 /// Folds records of other matters up to `offset`.
 pub fn pass(state: &mut State, offset: Offset) {
     for between in state.folded() + 1..offset {
-        assert_eq!(state.apply(between, &Record::default()), Applied::Nothing);
+        assert_eq!(state.apply(between, &Record::default()), Applied::NoEffect);
     }
 }
 
--- a/crates/catalogue/tests/edits.rs
+++ b/crates/catalogue/tests/edits.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use assert_matches::assert_matches;
-use catalogue::{Applied, Found, Kind, Refusal, State, Verdict};
+use catalogue::{Applied, Kind, PathMatch, Refusal, State, Verdict};
 use common::{accept, change, edit, engines, owner, pass, pool, removal, service_entry};
 
 fn problems(state: &mut State, changes: &[wire::record::Change]) -> Vec<String> {
@@ -41,10 +41,10 @@
     assert_eq!(state.revision(), 5);
     assert_eq!(view.owner_of_key("key-1").map(|o| &*o.name), Some("kiosks"));
     assert_eq!(view.owner_of_key("key-2"), None);
-    assert_matches!(view.entry_at("POST", "/cards/17"), Found::Entry(entry) if entry.name == "cards");
-    assert_matches!(view.entry_at("POST", "/cards"), Found::Entry(_));
-    assert_matches!(view.entry_at("POST", "/cardsharp"), Found::Nothing);
-    assert_matches!(view.entry_at("POST", "cards"), Found::Nothing);
+    assert_matches!(view.entry_at("POST", "/cards/17"), PathMatch::Entry(entry) if entry.name == "cards");
+    assert_matches!(view.entry_at("POST", "/cards"), PathMatch::Entry(_));
+    assert_matches!(view.entry_at("POST", "/cardsharp"), PathMatch::NotFound);
+    assert_matches!(view.entry_at("POST", "cards"), PathMatch::NotFound);
 }
 
 /// Symptom: an operator's change is gone although it was accepted.
@@ -167,7 +167,7 @@
 entry pings: path: `/cards` is taken by entry cards with the same method";
     assert_eq!(found, expected);
     assert_eq!(state.view(), &before);
-    assert_matches!(state.view().entry_at("POST", "/cards"), Found::Entry(_));
+    assert_matches!(state.view().entry_at("POST", "/cards"), PathMatch::Entry(_));
 }
 
 #[test]
@@ -230,8 +230,8 @@
         service_entry("new-cards", "kiosks", "kiosk-api", "/cards"),
     ];
     accept(&mut state, 9, &moved);
-    assert_matches!(state.view().entry_at("POST", "/cards/1"), Found::Entry(entry) if entry.name == "new-cards");
-    assert_matches!(state.view().entry_at("POST", "/old-cards"), Found::Entry(entry) if entry.name == "cards");
+    assert_matches!(state.view().entry_at("POST", "/cards/1"), PathMatch::Entry(entry) if entry.name == "new-cards");
+    assert_matches!(state.view().entry_at("POST", "/old-cards"), PathMatch::Entry(entry) if entry.name == "cards");
 }
 
 #[test]
--- a/crates/catalogue/tests/examples.rs
+++ b/crates/catalogue/tests/examples.rs
@@ -1,7 +1,7 @@
 //! The example catalogues are accepted, and say what their users need.
 
 use assert_matches::assert_matches;
-use catalogue::{Class, Document, Found, Outage, State, check};
+use catalogue::{Class, Document, Outage, PathMatch, State, check};
 use wire::record::Edit;
 use wire::record::record::Body;
 
@@ -26,14 +26,14 @@
         .owner_of_key("lima-kiosk-key")
         .expect("owner of the key");
     assert_eq!(owner.name, "kiosks");
-    assert_matches!(view.entry_at("POST", "/cards/authorisations"), Found::Entry(entry) => {
+    assert_matches!(view.entry_at("POST", "/cards/authorisations"), PathMatch::Entry(entry) => {
         assert_eq!(entry.class, Class::Authorisation);
         assert!(!entry.repeatable);
         assert_eq!(entry.outage, Outage::FirstAttempt);
     });
     assert_matches!(
         view.entry_at("GET", "/cards/authorisations"),
-        Found::OtherMethod
+        PathMatch::MethodNotAllowed
     );
     let entry = view.entry_for_model("kiosks", "field-language");
     assert_eq!(entry.map(|entry| &*entry.name), Some("kiosk-questions"));
@@ -48,7 +48,7 @@
     let lima = load(include_str!("../../../examples/lima/catalogue.yaml"));
     let price = |state: &State, pool: &str| state.view().pool(pool).map(|p| p.role_change.price);
     assert!(price(&state, "verdict-llm") > price(&lima, "llm-pool"));
-    assert_matches!(view.entry_at("POST", "/consent/notices/9"), Found::Entry(entry) => {
+    assert_matches!(view.entry_at("POST", "/consent/notices/9"), PathMatch::Entry(entry) => {
         assert!(!entry.repeatable && entry.require_key);
         assert_eq!(entry.outage, Outage::Refuse);
     });
--- a/crates/catalogue/tests/random.rs
+++ b/crates/catalogue/tests/random.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::sync::Arc;
 
-use catalogue::{Applied, Found, Rules, State, Verdict, seal};
+use catalogue::{Applied, PathMatch, Rules, State, Verdict, seal};
 use common::{change, edit, engines, owner, pool, removal, service_entry};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -68,9 +68,9 @@
     }
     for path in ["/", "/x", "/x/y/z", "/z"] {
         let found = match view.entry_at("GET", path) {
-            Found::Entry(entry) => entry.name.as_str(),
-            Found::OtherMethod => "other method",
-            Found::Nothing => "nothing",
+            PathMatch::Entry(entry) => entry.name.as_str(),
+            PathMatch::MethodNotAllowed => "other method",
+            PathMatch::NotFound => "nothing",
         };
         lines.push(found.to_owned());
     }
@@ -83,7 +83,7 @@
     let mut findings = catalogue::Findings::new();
     for (_, _, slot) in state.view().slots() {
         if let Some(entity) = &slot.entity {
-            (set.relate)(state.view(), entity, &mut findings);
+            (set.validate)(state.view(), entity, &mut findings);
         }
     }
     assert!(findings.is_empty(), "{findings}");
--- a/crates/catalogue/tests/versions.rs
+++ b/crates/catalogue/tests/versions.rs
@@ -6,7 +6,8 @@
 
 use assert_matches::assert_matches;
 use catalogue::{
-    Applied, Entity, Findings, Frozen, Kind, Offset, Raw, Rules, Set, State, Unfit, Verdict, seal,
+    Applied, Entity, Findings, Frozen, Kind, Offset, RawEntity, RuleSet, Rules, SnapshotError,
+    State, Verdict, seal,
 };
 use common::{accept, edit, owner, pool, raise, record, removal, service_entry};
 use wire::record::Snapshot;
@@ -14,23 +15,23 @@
 
 /// Version 2 for these tests: nothing may be called `old`, and there is nothing else to it.
 fn newer() -> Arc<Rules> {
-    fn read(raw: &Raw<'_>) -> Result<Entity, Findings> {
+    fn parse(raw: &RawEntity<'_>) -> Result<Entity, Findings> {
         if raw.name == "old" {
             let mut findings = Findings::new();
             findings.add(raw.kind, raw.name, "", "is a forbidden name");
             return Err(findings);
         }
-        (first().read)(raw)
+        (first().parse)(raw)
     }
-    let second = Set {
+    let second = RuleSet {
         version: 2,
-        read,
-        relate: first().relate,
+        parse,
+        validate: first().validate,
     };
     Arc::new(Rules::new(vec![first(), second]))
 }
 
-fn first() -> Set {
+fn first() -> RuleSet {
     *Rules::default().get(1).expect("version 1")
 }
 
@@ -109,8 +110,8 @@
 fn version_never_falls() {
     let mut state = State::new(newer());
     assert_eq!(state.apply(1, &raise(2)), Applied::Raised(2));
-    assert_eq!(state.apply(2, &raise(1)), Applied::Nothing);
-    assert_eq!(state.apply(3, &raise(2)), Applied::Nothing);
+    assert_eq!(state.apply(2, &raise(1)), Applied::NoEffect);
+    assert_eq!(state.apply(3, &raise(2)), Applied::NoEffect);
     assert_eq!(state.version(), 2);
 }
 
@@ -157,11 +158,17 @@
     let state = filled(Arc::new(Rules::default()));
     let mut snapshot = sealed(&state);
     snapshot.entities[0].operator = "luis".to_owned();
-    assert_matches!(State::restore(newer(), &snapshot), Err(Unfit::Digest));
+    assert_matches!(
+        State::restore(newer(), &snapshot),
+        Err(SnapshotError::Digest)
+    );
     let mut snapshot = sealed(&state);
     snapshot.rules = 3;
     seal(&mut snapshot);
-    assert_matches!(State::restore(newer(), &snapshot), Err(Unfit::Rules(3)));
+    assert_matches!(
+        State::restore(newer(), &snapshot),
+        Err(SnapshotError::Rules(3))
+    );
 }
 
 /// Symptom: an older catalogue is in force again.
@@ -175,10 +182,10 @@
     let record = edit(4, "ana", &[pool("new")]);
     let _ = state.apply(5, &record);
     assert_eq!(state.adopt(&old), Ok(false));
-    assert_eq!(state.apply(5, &record), Applied::Old);
+    assert_eq!(state.apply(5, &record), Applied::AlreadyFolded);
     assert_eq!(
         state.apply(4, &edit(3, "ana", &[pool("kiosk-api")])),
-        Applied::Old
+        Applied::AlreadyFolded
     );
     assert_eq!(state.revision(), 5);
     let mut behind = State::restore(newer(), &old).expect("restored");
@@ -215,7 +222,7 @@
     seal(&mut bad);
     assert_eq!(
         state.apply(5, &record(Body::Snapshot(good.clone()))),
-        Applied::Nothing
+        Applied::NoEffect
     );
     assert_eq!(
         state.apply(6, &record(Body::Snapshot(bad.clone()))),
@@ -225,7 +232,7 @@
     accept(&mut state, 7, &[pool("new")]);
     assert_eq!(
         state.apply(8, &record(Body::Snapshot(good))),
-        Applied::Nothing
+        Applied::NoEffect
     );
     assert!(state.view().entity(Kind::Pool, "new").is_some());
 }
--- a/crates/control/src/core/ask.rs
+++ b/crates/control/src/core/ask.rs
@@ -2,7 +2,7 @@
 
 use authority::order::Order;
 use authority::planner::Reason;
-use catalogue::{Findings, Judgement};
+use catalogue::{DecidedEdit, Findings};
 use claims::{Call, CallEnd, CallId, Decision};
 use clock::Clock as _;
 use tokio::sync::oneshot;
@@ -44,7 +44,7 @@
         catalogue::check(self.ledger.catalogue(), changes)
     }
 
-    pub(crate) fn history(&self) -> Vec<Judgement> {
+    pub(crate) fn history(&self) -> Vec<DecidedEdit> {
         self.ledger.catalogue().history().cloned().collect()
     }
 
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use authority::order::Order;
-use catalogue::{Document, Findings, Judgement, Revision};
+use catalogue::{DecidedEdit, Document, Findings, Revision};
 use claims::{Call, CallEnd, CallId, Decision, Digest, OutagePolicy};
 use clock::Moment;
 use fleet::upstream::Observation;
@@ -221,13 +221,13 @@
         let checked = self.ask(move |core| core.check(&changes)).await;
         checked.unwrap_or_else(|| {
             let mut findings = Findings::new();
-            findings.add_edit("", "the control has stopped");
+            findings.add_edit_finding("", "the control has stopped");
             findings
         })
     }
 
-    /// Judgements on edits, newest first.
-    pub async fn history(&self) -> Vec<Judgement> {
+    /// Decided edits, newest first.
+    pub async fn history(&self) -> Vec<DecidedEdit> {
         self.ask(|core| core.history()).await.unwrap_or_default()
     }
 
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use catalogue::{Applied, Unfit};
+use catalogue::{Applied, SnapshotError};
 use platform::Chunk;
 use wire::Message as _;
 use wire::record::record::Body;
@@ -228,7 +228,7 @@
                 return false;
             }
         };
-        let adopted: Result<bool, Unfit> = self.catalogue.adopt(snapshot);
+        let adopted: Result<bool, SnapshotError> = self.catalogue.adopt(snapshot);
         match adopted {
             Ok(true) => {
                 self.authority = authority;
--- a/crates/control/src/roles.rs
+++ b/crates/control/src/roles.rs
@@ -157,7 +157,7 @@
 
     fn config(&self, pool: &catalogue::Pool) -> Config {
         let span = |role| {
-            let span = pool.span(role);
+            let span = pool.role_range(role);
             span.map_or(RoleBounds { min: 0, max: 0 }, |span| RoleBounds {
                 min: span.min,
                 max: span.max,
--- a/crates/entry/src/front/handler.rs
+++ b/crates/entry/src/front/handler.rs
@@ -10,7 +10,7 @@
     ConnectionType, HttpMessage as _, Method, Payload, Request, Response, StatusCode,
 };
 use bytes::Bytes;
-use catalogue::{Entry, Found, Owner, View as Catalogue};
+use catalogue::{Entry, Owner, PathMatch, View as Catalogue};
 use control::View;
 use routing::decision::Execution;
 
@@ -323,13 +323,13 @@
     path: &str,
 ) -> Result<&'v Entry, Problem> {
     match catalogue.entry_at(method.as_str(), path) {
-        Found::Entry(entry) if entry.owner == owner.name => Ok(entry),
-        Found::Entry(_) => Err(Problem::not_run(
+        PathMatch::Entry(entry) if entry.owner == owner.name => Ok(entry),
+        PathMatch::Entry(_) => Err(Problem::not_run(
             Kind::Forbidden,
             "the path belongs to another owner",
         )),
-        Found::OtherMethod => Err(wrong_method("another method")),
-        Found::Nothing => Err(Problem::not_run(
+        PathMatch::MethodNotAllowed => Err(wrong_method("another method")),
+        PathMatch::NotFound => Err(Problem::not_run(
             Kind::NotFound,
             "no entry serves this path",
         )),
--- a/crates/filetests/src/process/fold.rs
+++ b/crates/filetests/src/process/fold.rs
@@ -134,6 +134,6 @@
         }
         Applied::SnapshotDiffers => format!("snapshot {offset} differs from the fold"),
         Applied::Gap { missing } => format!("cannot judge {offset}, {missing} is missing"),
-        Applied::Frozen(_) | Applied::Nothing | Applied::Old => return None,
+        Applied::Frozen(_) | Applied::NoEffect | Applied::AlreadyFolded => return None,
     })
 }
--- a/crates/filetests/src/world/catalogue.rs
+++ b/crates/filetests/src/world/catalogue.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ::catalogue::{Entity, Findings, Raw, Rules, Set};
+use ::catalogue::{Entity, Findings, RawEntity, RuleSet, Rules};
 use wire::record::record::Body;
 use wire::record::{Change, Edit, Record, RulesRaise};
 
@@ -147,21 +147,21 @@
 
 /// The rules of newer software, with a version 2 that does not allow `_` in names.
 pub(super) fn newer_rules() -> Arc<Rules> {
-    fn first() -> Set {
+    fn first() -> RuleSet {
         *Rules::default().get(1).expect("version 1 is built in")
     }
-    fn read(raw: &Raw<'_>) -> Result<Entity, Findings> {
+    fn read(raw: &RawEntity<'_>) -> Result<Entity, Findings> {
         if raw.name.contains('_') {
             let mut findings = Findings::new();
             findings.add(raw.kind, raw.name, "", "must have no `_` in its name");
             return Err(findings);
         }
-        (first().read)(raw)
+        (first().parse)(raw)
     }
-    let second = Set {
+    let second = RuleSet {
         version: 2,
-        read,
-        relate: first().relate,
+        parse: read,
+        validate: first().validate,
     };
     Arc::new(Rules::new(vec![first(), second]))
 }
--- a/crates/filetests/src/world/show.rs
+++ b/crates/filetests/src/world/show.rs
@@ -1,6 +1,6 @@
 //! Output of the `show` command.
 
-use catalogue::{Found, Kind};
+use catalogue::{Kind, PathMatch};
 
 use super::World;
 use crate::command::{Command, CommandError};
@@ -87,9 +87,9 @@
     fn show_path(&self, path: &str) -> Vec<Line> {
         let line = |(name, process): (&Name, &crate::process::Process)| {
             let entry = match process.catalogue.view().entry_at("POST", path) {
-                Found::Entry(entry) => entry.name.clone(),
-                Found::OtherMethod => "other method".to_owned(),
-                Found::Nothing => "nothing".to_owned(),
+                PathMatch::Entry(entry) => entry.name.clone(),
+                PathMatch::MethodNotAllowed => "other method".to_owned(),
+                PathMatch::NotFound => "nothing".to_owned(),
             };
             format!("{name}: {entry}")
         };
