--- a/crates/settings/src/page.rs
+++ b/crates/settings/src/page.rs
@@ -4,7 +4,7 @@
 
 use crate::table::{ROWS, Row};
 
-const HEAD: &str = "# Settings
+const HEADER: &str = "# Settings
 
 One YAML file; `--set key=value` lays single values over it; secrets may come from the environment.
 Unknown keys are errors. `tarragon-entry check SETTINGS` prints every finding with its place. A key
@@ -16,7 +16,7 @@
 | --- | --- | --- | --- | --- |
 ";
 
-const TAIL: &str = "
+const FOOTER: &str = "
 Keys under `policy` override, on this instance and for trials only, what the catalogue's pools say:
 `policy.choice` (`round-robin`, `random`, `least-outstanding`, `two-choices`, `drill`, `scan`, `prefix-hash`,
 `affinity`) for all pools, and `policy.transfer` (`false` keeps prefill and decode on one engine).
@@ -24,24 +24,24 @@
 
 /// The whole text of `docs/SETTINGS.md`.
 pub fn render() -> String {
-    let mut text = String::from(HEAD);
+    let mut text = String::from(HEADER);
     for row in ROWS {
         let _ = writeln!(
             text,
             "| `{}` | {} | {} | {} | {} |",
             row.key,
             row.kind.label(),
-            default(row),
+            default_cell(row),
             row.environment
                 .map_or(String::new(), |name| format!("`{name}`")),
             row.meaning,
         );
     }
-    text.push_str(TAIL);
+    text.push_str(FOOTER);
     text
 }
 
-fn default(row: &Row) -> String {
+fn default_cell(row: &Row) -> String {
     match (row.default, row.required) {
         (Some(default), _) => format!("`{default}`"),
         (None, true) => "required".to_owned(),
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -30,7 +30,7 @@
 
     /// A text that must not be empty.
     pub fn text(&mut self, key: &'static str) -> String {
-        self.value(key, "a text that is not empty", |text| {
+        self.required(key, "a text that is not empty", |text| {
             (!text.is_empty()).then(|| text.to_owned())
         })
         .unwrap_or_default()
@@ -45,18 +45,22 @@
 
     /// An address such as `127.0.0.1:8080`.
     pub fn address(&mut self, key: &'static str) -> SocketAddr {
-        self.value(key, ADDRESS, |text| SocketAddr::from_str(text).ok())
-            .unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
+        self.required(key, EXPECTED_ADDRESS, |text| {
+            SocketAddr::from_str(text).ok()
+        })
+        .unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
 
     /// An address that may be left out.
     pub fn optional_address(&mut self, key: &'static str) -> Option<SocketAddr> {
-        self.optional(key, ADDRESS, |text| SocketAddr::from_str(text).ok())
+        self.optional(key, EXPECTED_ADDRESS, |text| {
+            SocketAddr::from_str(text).ok()
+        })
     }
 
     /// A duration with its unit.
     pub fn duration(&mut self, key: &'static str) -> Duration {
-        self.value(
+        self.required(
             key,
             "a duration with its unit, for example 250ms or 3s",
             duration::parse,
@@ -66,7 +70,7 @@
 
     /// A size in bytes.
     pub fn size(&mut self, key: &'static str) -> usize {
-        self.value(
+        self.required(
             key,
             "a size in bytes, for example 64KiB or 8MiB",
             size::parse,
@@ -76,7 +80,7 @@
 
     /// A whole number of at least one.
     pub fn count(&mut self, key: &'static str) -> usize {
-        self.value(key, "a whole number of at least 1", |text| {
+        self.required(key, "a whole number of at least 1", |text| {
             text.parse().ok().filter(|count| *count > 0)
         })
         .unwrap_or(1)
@@ -84,8 +88,8 @@
 
     /// A level of logging.
     pub fn level(&mut self, key: &'static str) -> String {
-        self.value(key, "one of off, error, warn, info, debug, trace", |text| {
-            LEVELS.contains(&text).then(|| text.to_owned())
+        self.required(key, "one of off, error, warn, info, debug, trace", |text| {
+            LOG_LEVELS.contains(&text).then(|| text.to_owned())
         })
         .unwrap_or_default()
     }
@@ -121,7 +125,7 @@
         });
     }
 
-    fn value<T>(
+    fn required<T>(
         &mut self,
         key: &'static str,
         expected: &'static str,
@@ -165,5 +169,5 @@
     }
 }
 
-const ADDRESS: &str = "an address, for example 127.0.0.1:8080";
-const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
+const EXPECTED_ADDRESS: &str = "an address, for example 127.0.0.1:8080";
+const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
--- a/crates/settings/src/sections/read.rs
+++ b/crates/settings/src/sections/read.rs
@@ -13,10 +13,10 @@
 
 /// Shortest time limit towards callers. The HTTP library counts such times from a clock that moves
 /// in steps of half a second, so that a shorter limit may be over when a connection begins.
-const LEAST_HTTP_TIME: Duration = Duration::from_secs(1);
+const MIN_HTTP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Shortest secret that authenticates event ids, in bytes.
-const LEAST_SECRET: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
 impl TryFrom<Source> for Settings {
     type Error = Findings;
@@ -24,7 +24,7 @@
     fn try_from(source: Source) -> Result<Self, Findings> {
         let mut reader = Reader::new(source);
         let settings = read(&mut reader);
-        relate(&settings, &mut reader);
+        check_relations(&settings, &mut reader);
         let findings = reader.finish();
         if findings.is_empty() {
             Ok(settings)
@@ -157,7 +157,7 @@
 }
 
 /// Settings that are fine alone and wrong together.
-fn relate(settings: &Settings, reader: &mut Reader) {
+fn check_relations(settings: &Settings, reader: &mut Reader) {
     if settings.lease.renewal * 2 > settings.lease.term {
         reader.report_contradiction(
             "lease.renewal",
@@ -176,13 +176,13 @@
             "shutdown.balancer is shorter than shutdown.limit, or no time is left for work in hand",
         );
     }
-    if settings.limits.head_time < LEAST_HTTP_TIME {
+    if settings.limits.head_time < MIN_HTTP_TIMEOUT {
         reader.report_contradiction("limits.head_time", "limits.head_time is at least 1s");
     }
-    if settings.listen.keep_alive < LEAST_HTTP_TIME {
+    if settings.listen.keep_alive < MIN_HTTP_TIMEOUT {
         reader.report_contradiction("listen.keep_alive", "listen.keep_alive is at least 1s");
     }
-    let short = |secret: &Secret| secret.expose().len() < LEAST_SECRET;
+    let short = |secret: &Secret| secret.expose().len() < MIN_SECRET_BYTES;
     if settings.resume.secret.as_ref().is_some_and(short) {
         reader.report_contradiction("resume.secret", "resume.secret has at least 16 bytes");
     }
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -31,7 +31,7 @@
     pub fn from_yaml(text: &str) -> Self {
         let mut source = Self::default();
         match serde_saphyr::from_str::<Spanned<Node>>(text) {
-            Ok(root) => source.fold("", &root),
+            Ok(root) => source.insert_node("", &root),
             Err(error) => source.findings.push(Finding {
                 origin: error.location().map_or(Origin::NotGiven, file_origin),
                 key: "settings".to_owned(),
@@ -46,7 +46,7 @@
         for (index, assignment) in assignments.iter().enumerate() {
             let origin = Origin::Flag(index + 1);
             match assignment.split_once('=') {
-                Some((key, value)) => self.put(key.trim(), value.trim().to_owned(), origin),
+                Some((key, value)) => self.insert(key.trim(), value.trim().to_owned(), origin),
                 None => self.findings.push(Finding {
                     origin,
                     key: assignment.clone(),
@@ -66,7 +66,7 @@
                 continue;
             };
             if let Some(value) = variable(name) {
-                self.put(row.key, value, Origin::Environment(name));
+                self.insert(row.key, value, Origin::Environment(name));
             }
         }
     }
@@ -80,45 +80,45 @@
         crate::Settings::try_from(self)
     }
 
-    fn fold(&mut self, path: &str, node: &Spanned<Node>) {
+    fn insert_node(&mut self, path: &str, node: &Spanned<Node>) {
         match &node.value {
             Node::Empty => {}
-            Node::Scalar(text) => self.put(path, text.clone(), file_origin(node.referenced)),
+            Node::Scalar(text) => self.insert(path, text.clone(), file_origin(node.referenced)),
             Node::List(items) => {
-                let text = join(items);
-                self.put(path, text, file_origin(node.referenced));
+                let text = join_items(items);
+                self.insert(path, text, file_origin(node.referenced));
             }
             Node::Map(pairs) => {
                 for (key, value) in pairs {
-                    self.fold_pair(path, key, value);
+                    self.insert_pair(path, key, value);
                 }
             }
         }
     }
 
-    fn fold_pair(&mut self, path: &str, key: &Spanned<String>, value: &Spanned<Node>) {
+    fn insert_pair(&mut self, path: &str, key: &Spanned<String>, value: &Spanned<Node>) {
         let path = if path.is_empty() {
             key.value.clone()
         } else {
             format!("{path}.{}", key.value)
         };
         if !table::is_known(&path) && !table::is_section(&path) {
-            self.unknown(&path, file_origin(key.referenced));
+            self.report_unknown(&path, file_origin(key.referenced));
             return;
         }
-        self.fold(&path, value);
+        self.insert_node(&path, value);
     }
 
-    fn put(&mut self, key: &str, text: String, origin: Origin) {
+    fn insert(&mut self, key: &str, text: String, origin: Origin) {
         if table::is_known(key) {
             self.values
                 .insert(key.to_owned(), GivenValue { text, origin });
         } else {
-            self.unknown(key, origin);
+            self.report_unknown(key, origin);
         }
     }
 
-    fn unknown(&mut self, key: &str, origin: Origin) {
+    fn report_unknown(&mut self, key: &str, origin: Origin) {
         self.findings.push(Finding {
             origin,
             key: key.to_owned(),
@@ -136,7 +136,7 @@
     }
 }
 
-fn join(items: &[Spanned<Node>]) -> String {
+fn join_items(items: &[Spanned<Node>]) -> String {
     let texts: Vec<&str> = items
         .iter()
         .map(|item| match &item.value {
@@ -148,13 +148,13 @@
 }
 
 /// Similarity under which a suggestion would mislead more than help.
-const LEAST_SIMILARITY: f64 = 0.6;
+const MIN_SIMILARITY: f64 = 0.6;
 
 fn nearest(key: &str) -> Option<&'static str> {
     table::ROWS
         .iter()
         .map(|row: &Row| (strsim::normalized_levenshtein(key, row.key), row.key))
-        .filter(|(similarity, _)| *similarity >= LEAST_SIMILARITY)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, known)| known)
 }
--- a/crates/settings/src/table/rows.rs
+++ b/crates/settings/src/table/rows.rs
@@ -24,7 +24,7 @@
     }
 }
 
-const fn given(
+const fn with_default(
     key: &'static str,
     kind: ValueKind,
     default: &'static str,
@@ -63,31 +63,31 @@
         ValueKind::Text,
         "Data centre in which the instance runs; routing prefers upstreams of the same one.",
     ),
-    given(
+    with_default(
         "listen.address",
         ValueKind::Address,
         "0.0.0.0:8080",
         "Address for callers. Port 0 takes a free port, which the log names.",
     ),
-    given(
+    with_default(
         "listen.workers",
         ValueKind::Count,
         "1",
         "Threads of the data plane.",
     ),
-    given(
+    with_default(
         "listen.connections",
         ValueKind::Count,
         "8192",
         "Connections of callers that one worker holds at most; more wait in the backlog.",
     ),
-    given(
+    with_default(
         "listen.keep_alive",
         ValueKind::Duration,
         "75s",
         "How long an idle connection of a caller is kept.",
     ),
-    given(
+    with_default(
         "admin.address",
         ValueKind::Address,
         "127.0.0.1:8081",
@@ -98,7 +98,7 @@
         "TARRAGON_ADMIN_TOKEN",
         "Bearer token of the administration API; without it the API is off.",
     ),
-    given(
+    with_default(
         "peer.address",
         ValueKind::Address,
         "0.0.0.0:8082",
@@ -124,19 +124,19 @@
         ValueKind::Text,
         "Path of the PEM file with the certificate authority that peers must present.",
     ),
-    given(
+    with_default(
         "peer.reload",
         ValueKind::Duration,
         "10s",
         "How often the three TLS files are looked at again, so that keys rotate without a restart.",
     ),
-    given(
+    with_default(
         "peer.heartbeat",
         ValueKind::Duration,
         "500ms",
         "Time between two heartbeats to a peer.",
     ),
-    given(
+    with_default(
         "peer.silence",
         ValueKind::Duration,
         "3s",
@@ -152,103 +152,103 @@
         ValueKind::Address,
         "Address of the instance list, if it differs from `platform.log`.",
     ),
-    given(
+    with_default(
         "platform.timeout",
         ValueKind::Duration,
         "2s",
         "Time limit of one call to the platform.",
     ),
-    given(
+    with_default(
         "platform.poll",
         ValueKind::Duration,
         "1s",
         "Time between two readings of the instance list.",
     ),
-    given(
+    with_default(
         "platform.retention",
         ValueKind::Duration,
         "1h",
         "How long the platform keeps a record; snapshots are written when a third of it has passed.",
     ),
-    given(
+    with_default(
         "lease.term",
         ValueKind::Duration,
         "3s",
         "Term of the lease on a pool's control.",
     ),
-    given(
+    with_default(
         "lease.renewal",
         ValueKind::Duration,
         "1s",
         "Time between two renewals of a lease.",
     ),
-    given(
+    with_default(
         "lease.margin",
         ValueKind::Duration,
         "500ms",
         "What a challenger waits beyond the term; it covers the drift between two clocks' rates.",
     ),
-    given(
+    with_default(
         "limits.deadline",
         ValueKind::Duration,
         "10m",
         "Longest deadline of a request; the contract of the catalogue entry may only shorten it.",
     ),
-    given(
+    with_default(
         "limits.body",
         ValueKind::Size,
         "8MiB",
         "Largest body of a request.",
     ),
-    given(
+    with_default(
         "limits.answer",
         ValueKind::Size,
         "16MiB",
         "Largest whole answer of an upstream that is buffered or held.",
     ),
-    given(
+    with_default(
         "limits.head",
         ValueKind::Size,
         "32KiB",
         "Largest sum of names and values of the headers of a request.",
     ),
-    given(
+    with_default(
         "limits.head_time",
         ValueKind::Duration,
         "5s",
         "Time that a caller has to send the head of a request.",
     ),
-    given(
+    with_default(
         "limits.body_time",
         ValueKind::Duration,
         "15s",
         "Longest silence of a caller in the middle of a body.",
     ),
-    given(
+    with_default(
         "upstream.connect",
         ValueKind::Duration,
         "500ms",
         "Time limit of a connection to an upstream; a call that waited for one was not run and goes to another.",
     ),
-    given(
+    with_default(
         "upstream.idle",
         ValueKind::Duration,
         "15s",
         "How long an idle connection to an upstream is kept.",
     ),
-    given(
+    with_default(
         "upstream.resume",
         ValueKind::Duration,
         "2s",
         "How long an entry tries to resume a broken stream at its engine before it gives the caller an error.",
     ),
-    given(
+    with_default(
         "hold.bytes",
         ValueKind::Size,
         "8MiB",
         "Memory for held answers of calls with an `Idempotency-Key`; the oldest are dropped first.",
     ),
-    given(
+    with_default(
         "hold.time",
         ValueKind::Duration,
         "10m",
@@ -259,25 +259,25 @@
         "TARRAGON_RESUME_SECRET",
         "Secret shared by all entries, of at least 16 bytes, that authenticates the event ids of streams; without it streams resume at the same entry only.",
     ),
-    given(
+    with_default(
         "resume.time",
         ValueKind::Duration,
         "5m",
         "How long an event id may be used to resume its stream.",
     ),
-    given(
+    with_default(
         "shutdown.balancer",
         ValueKind::Duration,
         "5s",
         "Wait between readiness off and refusing new connections, so that the balancer notices.",
     ),
-    given(
+    with_default(
         "shutdown.limit",
         ValueKind::Duration,
         "60s",
         "Time within which the process ends after SIGTERM or SIGINT, whatever is still open.",
     ),
-    given(
+    with_default(
         "log.level",
         ValueKind::Level,
         "info",
@@ -288,7 +288,7 @@
         ValueKind::Address,
         "UDP address of the statsd collector; without it metrics go nowhere.",
     ),
-    given(
+    with_default(
         "statsd.prefix",
         ValueKind::Text,
         "tarragon",
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use settings::{Findings, Origin, Problem, Settings, Source};
 
-const LEAST: &str = "\
+const MINIMAL: &str = "\
 instance:
   id: entry-1
   data_centre: callao
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn defaults_fill_what_is_not_given() {
-    let settings = check(LEAST).unwrap();
+fn defaults_apply_to_settings_not_given() {
+    let settings = check(MINIMAL).unwrap();
     assert_eq!(settings.instance.id, "entry-1");
     assert_eq!(settings.listen.workers, 1);
     assert_eq!(settings.lease.term, Duration::from_secs(3));
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn every_default_of_the_table_reads() {
+fn every_default_in_the_table_parses() {
     for row in settings::table::ROWS {
         if let Some(default) = row.default {
-            let mut source = Source::from_yaml(LEAST);
+            let mut source = Source::from_yaml(MINIMAL);
             source.apply_overrides(&[format!("{}={default}", row.key)]);
             assert_matches!(source.check(), Ok(_), "{}", row.key);
         }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn all_findings_come_together_with_their_places() {
+fn all_findings_are_reported_with_their_origins() {
     let text = "\
 instance:
   id: entry-1
@@ -53,9 +53,9 @@
   log: localhost
 ";
     let findings = check(text).unwrap_err().0;
-    let told: Vec<String> = findings.iter().map(ToString::to_string).collect();
+    let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
     assert_eq!(
-        told,
+        lines,
         [
             "line 4, column 3: lease.terms: unknown setting; did you mean lease.term?",
             "line 5, column 12: lease.renewal: \"soon\" is not a duration with its unit, for example 250ms or 3s",
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn set_goes_over_the_file_and_the_environment_over_both() {
-    let mut source = Source::from_yaml(LEAST);
+fn overrides_replace_the_file_and_the_environment_replaces_both() {
+    let mut source = Source::from_yaml(MINIMAL);
     source.apply_overrides(&[
         "listen.workers=4".to_owned(),
         "policy.choice=least".to_owned(),
@@ -86,7 +86,7 @@
         }
     );
 
-    let mut source = Source::from_yaml(LEAST);
+    let mut source = Source::from_yaml(MINIMAL);
     source.apply_overrides(&[
         "listen.workers=4".to_owned(),
         "policy.choice=least".to_owned(),
@@ -101,8 +101,8 @@
 }
 
 #[test]
-fn settings_that_contradict_each_other_are_told() {
-    let text = format!("{LEAST}lease:\n  term: 1s\n  renewal: 900ms\npeer:\n  key: key.pem\n");
+fn contradicting_settings_are_reported() {
+    let text = format!("{MINIMAL}lease:\n  term: 1s\n  renewal: 900ms\npeer:\n  key: key.pem\n");
     let findings = check(&text).unwrap_err().0;
     assert_eq!(findings.len(), 2);
     for finding in &findings {
@@ -111,14 +111,14 @@
 }
 
 #[test]
-fn a_broken_file_names_its_line() {
+fn syntax_error_is_reported_with_its_position() {
     let findings = check("instance: [1, 2\nlisten: {").unwrap_err().0;
     assert_matches!(findings[0].problem, Problem::Syntax(_));
     assert_matches!(findings[0].origin, Origin::File { .. });
 }
 
 #[test]
-fn the_page_of_settings_is_fresh() {
+fn settings_page_is_up_to_date() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/SETTINGS.md");
     let page = std::fs::read_to_string(path).unwrap();
     assert_eq!(
