--- a/crates/catalogue/examples/fold.rs
+++ b/crates/catalogue/examples/fold.rs
@@ -19,11 +19,11 @@
     let entries = arguments.next().transpose()?.unwrap_or(2_000);
     let edits = arguments.next().transpose()?.unwrap_or(10_000);
 
-    let before = resident()?;
+    let before = resident_kib()?;
     let mut state = State::default();
     let filled = fill(&mut state, owners, entries)?;
     println!("filled {} entities in {filled:?}", state.view().len());
-    println!("resident after filling: +{} KiB", resident()? - before);
+    println!("resident after filling: +{} KiB", resident_kib()? - before);
 
     let records: Vec<Record> = (0..edits)
         .map(|number| update(number, entries, &state))
@@ -175,7 +175,7 @@
 }
 
 /// Resident memory in KiB.
-fn resident() -> Result<u64, Box<dyn Error>> {
+fn resident_kib() -> Result<u64, Box<dyn Error>> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
         .lines()
--- a/crates/catalogue/src/drain.rs
+++ b/crates/catalogue/src/drain.rs
@@ -18,7 +18,7 @@
     fn try_from(raw: &RawEntity<'_>) -> Result<Self, Findings> {
         let mut fields = Fields::open(raw)?;
         let reason = fields.required("reason").unwrap_or_default();
-        fields.close(Self {
+        fields.finish(Self {
             name: raw.name.to_owned(),
             reason,
         })
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -161,7 +161,7 @@
     fn try_from(raw: &RawEntity<'_>) -> Result<Self, Findings> {
         let mut fields = Fields::open(raw)?;
         let class = fields
-            .required_word("class", &CLASSES)
+            .required_keyword("class", &CLASSES)
             .unwrap_or(Class::Batch);
         let target = target(&mut fields);
         let entry = Self {
@@ -174,22 +174,22 @@
             contract: contract(&mut fields, &target),
             target,
             repeatable: fields.required("repeatable").unwrap_or(false),
-            outage: fields.word("outage", &OUTAGES).unwrap_or(Outage::Refuse),
+            outage: fields.keyword("outage", &OUTAGES).unwrap_or(Outage::Refuse),
             require_key: fields.optional("require_key").unwrap_or(false),
             max_body: fields.optional("max_body").unwrap_or(DEFAULT_MAX_BODY),
             hold_answer: fields
                 .duration("hold_answer")
                 .unwrap_or(DEFAULT_HOLD_ANSWER),
         };
-        check_repeats(&mut fields, &entry);
-        fields.close(entry)
+        check_entry(&mut fields, &entry);
+        fields.finish(entry)
     }
 }
 
 fn priority(fields: &mut Fields<'_>) -> Option<u8> {
     let priority = fields.optional("priority")?;
     if priority > LOWEST_PRIORITY {
-        fields.fault("priority", "must be from 0 (highest) to 4");
+        fields.report("priority", "must be from 0 (highest) to 4");
         return None;
     }
     Some(priority)
@@ -204,9 +204,9 @@
         };
     }
     let prefix: String = fields.required("path").unwrap_or_default();
-    let whole = prefix.starts_with('/') && (prefix.len() == 1 || !prefix.ends_with('/'));
-    if !whole || prefix.contains("//") || prefix.contains(['?', '#', '%', ' ']) {
-        fields.fault(
+    let valid = prefix.starts_with('/') && (prefix.len() == 1 || !prefix.ends_with('/'));
+    if !valid || prefix.contains("//") || prefix.contains(['?', '#', '%', ' ']) {
+        fields.report(
             "path",
             "must be a plain path that begins with `/` and does not end with one",
         );
@@ -215,9 +215,9 @@
     for (position, method) in methods.iter().enumerate() {
         let path = format!("methods[{position}]");
         if method.is_empty() || !method.bytes().all(|b| b.is_ascii_uppercase()) {
-            fields.fault(&path, "must be an HTTP method in capitals");
+            fields.report(&path, "must be an HTTP method in capitals");
         } else if methods[..position].contains(method) {
-            fields.fault(&path, format!("`{method}` stands twice"));
+            fields.report(&path, format!("`{method}` stands twice"));
         }
     }
     Target::Path { prefix, methods }
@@ -249,14 +249,14 @@
 
 fn check_contract(fields: &mut Fields<'_>, contract: &Contract, streams: bool) {
     if !(contract.objective > 0.0 && contract.objective < 1.0) {
-        fields.fault("objective", "must be above 0 and below 1");
+        fields.report("objective", "must be above 0 and below 1");
     }
     for (field, time) in [
         ("first_token", contract.first_token),
         ("between_tokens", contract.between_tokens),
     ] {
         if time.is_some() && !streams {
-            fields.fault(field, "is for entries that name a model only");
+            fields.report(field, "is for entries that name a model only");
         }
     }
     for (field, time) in [
@@ -264,26 +264,26 @@
         ("whole", contract.whole),
     ] {
         if time.is_some_and(|time| time > contract.deadline) {
-            fields.fault(field, "must not be above the deadline");
+            fields.report(field, "must not be above the deadline");
         }
     }
 }
 
 /// A caller that may attempt a call again without a key cannot be told apart from a new call, so
 /// running first attempts in an outage needs the key on every call.
-fn check_repeats(fields: &mut Fields<'_>, entry: &Entry) {
+fn check_entry(fields: &mut Fields<'_>, entry: &Entry) {
     if entry.max_body == 0 {
-        fields.fault("max_body", "must be above 0");
+        fields.report("max_body", "must be above 0");
     }
     if entry.outage == Outage::FirstAttempt {
         if entry.repeatable {
-            fields.fault(
+            fields.report(
                 "outage",
                 "`first-attempt` is for calls that are not repeatable only",
             );
         }
         if !entry.require_key {
-            fields.fault("outage", "`first-attempt` needs `require_key: true`");
+            fields.report("outage", "`first-attempt` needs `require_key: true`");
         }
     }
 }
--- a/crates/catalogue/src/fields.rs
+++ b/crates/catalogue/src/fields.rs
@@ -15,7 +15,7 @@
     name: &'r str,
     /// Path of this object with its closing dot, empty for the outermost.
     path: String,
-    rest: Map<String, Value>,
+    remaining: Map<String, Value>,
     known: Vec<&'static str>,
     findings: Findings,
 }
@@ -24,15 +24,15 @@
     /// Opens an entity; fails if its JSON is no object at all.
     pub(crate) fn open(raw: &RawEntity<'r>) -> Result<Self, Findings> {
         let mut findings = Findings::new();
-        if let Some(problem) = name_fault(raw.name) {
+        if let Some(problem) = name_problem(raw.name) {
             findings.add(raw.kind, raw.name, "", problem);
         }
         match serde_json::from_str::<Value>(raw.json) {
-            Ok(Value::Object(rest)) => Ok(Self {
+            Ok(Value::Object(remaining)) => Ok(Self {
                 kind: raw.kind,
                 name: raw.name,
                 path: String::new(),
-                rest,
+                remaining,
                 known: Vec::new(),
                 findings,
             }),
@@ -48,7 +48,7 @@
     }
 
     /// Gives the entity if nothing was found, else all findings.
-    pub(crate) fn close<T>(mut self, entity: T) -> Result<T, Findings> {
+    pub(crate) fn finish<T>(mut self, entity: T) -> Result<T, Findings> {
         self.report_unknown();
         if self.findings.is_empty() {
             Ok(entity)
@@ -58,24 +58,27 @@
     }
 
     /// Reports a fault of a field of this object.
-    pub(crate) fn fault(&mut self, field: &str, problem: impl Into<String>) {
+    pub(crate) fn report(&mut self, field: &str, problem: impl Into<String>) {
         let path = format!("{}{field}", self.path);
         self.findings.add(self.kind, self.name, &path, problem);
     }
 
     /// True if the object still holds the field; for fields that exclude each other.
     pub(crate) fn has(&self, field: &str) -> bool {
-        self.rest.contains_key(field)
+        self.remaining.contains_key(field)
     }
 
     /// Reads a field that may be missing; `null` counts as missing.
     pub(crate) fn optional<T: DeserializeOwned>(&mut self, field: &'static str) -> Option<T> {
         self.known.push(field);
-        let value = self.rest.remove(field).filter(|value| !value.is_null())?;
+        let value = self
+            .remaining
+            .remove(field)
+            .filter(|value| !value.is_null())?;
         match serde_json::from_value(value) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.fault(field, error.to_string());
+                self.report(field, error.to_string());
                 None
             }
         }
@@ -96,15 +99,15 @@
         if number.is_finite() && number > 0.0 {
             return Some(number);
         }
-        self.fault(field, "must be above 0");
+        self.report(field, "must be above 0");
         None
     }
 
     /// Reads a whole number above zero.
-    pub(crate) fn positive_whole(&mut self, field: &'static str) -> Option<u32> {
+    pub(crate) fn positive_integer(&mut self, field: &'static str) -> Option<u32> {
         let number: u32 = self.optional(field)?;
         if number == 0 {
-            self.fault(field, "must be above 0");
+            self.report(field, "must be above 0");
             return None;
         }
         Some(number)
@@ -116,11 +119,11 @@
         match humantime::parse_duration(&text) {
             Ok(duration) if !duration.is_zero() => Some(duration),
             Ok(_) => {
-                self.fault(field, "must be longer than 0s");
+                self.report(field, "must be longer than 0s");
                 None
             }
             Err(error) => {
-                self.fault(field, format!("is no time span such as 250ms: {error}"));
+                self.report(field, format!("is no time span such as 250ms: {error}"));
                 None
             }
         }
@@ -136,7 +139,7 @@
     }
 
     /// Reads one of a list of words.
-    pub(crate) fn word<T: Copy>(
+    pub(crate) fn keyword<T: Copy>(
         &mut self,
         field: &'static str,
         words: &[(&'static str, T)],
@@ -146,18 +149,18 @@
             return Some(*value);
         }
         let known: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-        self.fault(field, unknown_word(&text, &known));
+        self.report(field, unknown_keyword(&text, &known));
         None
     }
 
     /// Reads one of a list of words that must be there.
-    pub(crate) fn required_word<T: Copy>(
+    pub(crate) fn required_keyword<T: Copy>(
         &mut self,
         field: &'static str,
         words: &[(&'static str, T)],
     ) -> Option<T> {
         if self.require(field) {
-            self.word(field, words)
+            self.keyword(field, words)
         } else {
             None
         }
@@ -169,12 +172,12 @@
         field: &'static str,
         read: impl FnOnce(&mut Fields<'r>) -> T,
     ) -> Option<T> {
-        let rest = self.optional::<Map<String, Value>>(field)?;
+        let remaining = self.optional::<Map<String, Value>>(field)?;
         let mut inner = Fields {
             kind: self.kind,
             name: self.name,
             path: format!("{}{field}.", self.path),
-            rest,
+            remaining,
             known: Vec::new(),
             findings: Findings::new(),
         };
@@ -200,17 +203,20 @@
     }
 
     fn require(&mut self, field: &'static str) -> bool {
-        let present = self.rest.get(field).is_some_and(|value| !value.is_null());
+        let present = self
+            .remaining
+            .get(field)
+            .is_some_and(|value| !value.is_null());
         if !present {
             self.known.push(field);
-            self.rest.remove(field);
-            self.fault(field, "is missing");
+            self.remaining.remove(field);
+            self.report(field, "is missing");
         }
         present
     }
 
     fn report_unknown(&mut self) {
-        let unknown: Vec<String> = self.rest.keys().cloned().collect();
+        let unknown: Vec<String> = self.remaining.keys().cloned().collect();
         for field in unknown {
             let problem = match nearest(&field, &self.known) {
                 Some(known) => format!("is no known key, perhaps `{known}` was meant"),
@@ -228,10 +234,10 @@
 }
 
 /// What is wrong with a name, if anything. Names stand in paths, log lines and metric names.
-pub(crate) fn name_fault(name: &str) -> Option<&'static str> {
-    const LONGEST: usize = 64;
+pub(crate) fn name_problem(name: &str) -> Option<&'static str> {
+    const MAX_NAME_LEN: usize = 64;
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if name.is_empty() || name.len() > LONGEST {
+    if name.is_empty() || name.len() > MAX_NAME_LEN {
         return Some("its name must have 1 to 64 characters");
     }
     if !name.chars().all(plain) || !name.starts_with(|c: char| c.is_ascii_alphanumeric()) {
@@ -242,7 +248,7 @@
     None
 }
 
-fn unknown_word(text: &str, known: &[&str]) -> String {
+fn unknown_keyword(text: &str, known: &[&str]) -> String {
     match nearest(text, known) {
         Some(word) => format!("`{text}` is unknown, perhaps `{word}` was meant"),
         None => format!(
--- a/crates/catalogue/src/finding.rs
+++ b/crates/catalogue/src/finding.rs
@@ -116,11 +116,11 @@
 
 /// The known word nearest to `word`, if one is near enough to have been meant.
 pub(crate) fn nearest<'a>(word: &str, known: &[&'a str]) -> Option<&'a str> {
-    const NEAR: f64 = 0.7;
+    const MIN_SIMILARITY: f64 = 0.7;
     known
         .iter()
         .map(|&candidate| (strsim::jaro_winkler(word, candidate), candidate))
-        .filter(|(score, _)| *score >= NEAR)
+        .filter(|(score, _)| *score >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, candidate)| candidate)
 }
--- a/crates/catalogue/src/index.rs
+++ b/crates/catalogue/src/index.rs
@@ -10,29 +10,31 @@
 type Name = Arc<str>;
 /// Entries at one path by method, `""` standing for all methods. While an edit is checked there
 /// may be several for one method.
-type Methods = BTreeMap<Box<str>, SmallVec<[Name; 1]>>;
+type EntriesByMethod = BTreeMap<Box<str>, SmallVec<[Name; 1]>>;
 
 /// Method under which an entry without methods stands.
-pub(crate) const ANY: &str = "";
+pub(crate) const ANY_METHOD: &str = "";
 
 /// Lookups that the data plane and the checks need.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
-    keys: BTreeMap<[u8; 32], SmallVec<[Name; 1]>>,
-    paths: BTreeMap<Arc<str>, Methods>,
-    by_owner: BTreeMap<Name, BTreeSet<Name>>,
+    owners_by_key: BTreeMap<[u8; 32], SmallVec<[Name; 1]>>,
+    entries_by_path: BTreeMap<Arc<str>, EntriesByMethod>,
+    entries_by_owner: BTreeMap<Name, BTreeSet<Name>>,
     dependents: BTreeMap<Key, BTreeSet<(Kind, Name)>>,
 }
 
 impl Index {
     /// Owners that have a key with this digest: one, but while an edit is checked.
-    pub(crate) fn owners_of(&self, digest: &[u8; 32]) -> &[Name] {
-        self.keys.get(digest).map_or(&[], SmallVec::as_slice)
+    pub(crate) fn owners_with_key(&self, digest: &[u8; 32]) -> &[Name] {
+        self.owners_by_key
+            .get(digest)
+            .map_or(&[], SmallVec::as_slice)
     }
 
     /// The entries at exactly this path by method.
-    pub(crate) fn at_path(&self, prefix: &str) -> Option<&Methods> {
-        self.paths.get(prefix)
+    pub(crate) fn entries_at(&self, prefix: &str) -> Option<&EntriesByMethod> {
+        self.entries_by_path.get(prefix)
     }
 
     /// Other entries that have the path of this one and one of its methods.
@@ -41,10 +43,10 @@
         let Target::Path { prefix, .. } = &entry.target else {
             return others;
         };
-        let Some(methods) = self.at_path(prefix) else {
+        let Some(methods) = self.entries_at(prefix) else {
             return others;
         };
-        for method in served(entry) {
+        for method in indexed_methods(entry) {
             for other in methods.get(method).into_iter().flatten() {
                 if **other != *entry.name && !others.contains(other) {
                     others.push(Arc::clone(other));
@@ -56,7 +58,7 @@
 
     /// Names of the entries of an owner, in order.
     pub(crate) fn entries_of(&self, owner: &str) -> impl Iterator<Item = &str> {
-        self.by_owner
+        self.entries_by_owner
             .get(owner)
             .into_iter()
             .flatten()
@@ -102,27 +104,33 @@
 
     fn insert_owner(&mut self, name: &Name, owner: &Owner) {
         for digest in &owner.keys {
-            self.keys.entry(*digest).or_default().push(Arc::clone(name));
+            self.owners_by_key
+                .entry(*digest)
+                .or_default()
+                .push(Arc::clone(name));
         }
     }
 
     fn remove_owner(&mut self, name: &Name, owner: &Owner) {
         for digest in &owner.keys {
-            if let Some(names) = self.keys.get_mut(digest) {
+            if let Some(names) = self.owners_by_key.get_mut(digest) {
                 names.retain(|other| other != name);
                 if names.is_empty() {
-                    self.keys.remove(digest);
+                    self.owners_by_key.remove(digest);
                 }
             }
         }
     }
 
     fn insert_entry(&mut self, name: &Name, entry: &Entry) {
-        let owned = self.by_owner.entry(Arc::from(entry.owner.as_str()));
+        let owned = self.entries_by_owner.entry(Arc::from(entry.owner.as_str()));
         owned.or_default().insert(Arc::clone(name));
         if let Target::Path { prefix, .. } = &entry.target {
-            let methods = self.paths.entry(Arc::from(prefix.as_str())).or_default();
-            for method in served(entry) {
+            let methods = self
+                .entries_by_path
+                .entry(Arc::from(prefix.as_str()))
+                .or_default();
+            for method in indexed_methods(entry) {
                 let names = methods.entry(Box::from(method)).or_default();
                 names.push(Arc::clone(name));
             }
@@ -130,19 +138,19 @@
     }
 
     fn remove_entry(&mut self, name: &Name, entry: &Entry) {
-        if let Some(owned) = self.by_owner.get_mut(entry.owner.as_str()) {
+        if let Some(owned) = self.entries_by_owner.get_mut(entry.owner.as_str()) {
             owned.remove(name);
             if owned.is_empty() {
-                self.by_owner.remove(entry.owner.as_str());
+                self.entries_by_owner.remove(entry.owner.as_str());
             }
         }
         let Target::Path { prefix, .. } = &entry.target else {
             return;
         };
-        let Some(methods) = self.paths.get_mut(prefix.as_str()) else {
+        let Some(methods) = self.entries_by_path.get_mut(prefix.as_str()) else {
             return;
         };
-        for method in served(entry) {
+        for method in indexed_methods(entry) {
             if let Some(names) = methods.get_mut(method) {
                 names.retain(|other| other != name);
                 if names.is_empty() {
@@ -151,18 +159,18 @@
             }
         }
         if methods.is_empty() {
-            self.paths.remove(prefix.as_str());
+            self.entries_by_path.remove(prefix.as_str());
         }
     }
 }
 
 /// Methods under which an entry stands in the index.
-fn served(entry: &Entry) -> SmallVec<[&str; 2]> {
+fn indexed_methods(entry: &Entry) -> SmallVec<[&str; 2]> {
     match &entry.target {
         Target::Path { methods, .. } if !methods.is_empty() => {
             methods.iter().map(String::as_str).collect()
         }
-        _ => SmallVec::from_slice(&[ANY]),
+        _ => SmallVec::from_slice(&[ANY_METHOD]),
     }
 }
 
--- a/crates/catalogue/src/owner.rs
+++ b/crates/catalogue/src/owner.rs
@@ -34,7 +34,7 @@
         let mut fields = Fields::open(raw)?;
         let keys = digests(&mut fields);
         let limits = limits(&mut fields);
-        fields.close(Self {
+        fields.finish(Self {
             name: raw.name.to_owned(),
             keys,
             limits,
@@ -49,10 +49,10 @@
         let path = format!("keys[{position}]");
         match blake3::Hash::from_hex(word) {
             Ok(hash) if digests.contains(hash.as_bytes()) => {
-                fields.fault(&path, "stands twice");
+                fields.report(&path, "stands twice");
             }
             Ok(hash) => digests.push(*hash.as_bytes()),
-            Err(_) => fields.fault(&path, "must be the blake3 digest of the key, 64 hex digits"),
+            Err(_) => fields.report(&path, "must be the blake3 digest of the key, 64 hex digits"),
         }
     }
     digests
@@ -64,7 +64,7 @@
         .nested("limits", |node| Limits {
             requests_per_second: node.positive("requests_per_second"),
             tokens_per_second: node.positive("tokens_per_second"),
-            concurrent: node.positive_whole("concurrent"),
+            concurrent: node.positive_integer("concurrent"),
         })
         .unwrap_or_default()
 }
--- a/crates/catalogue/src/pool.rs
+++ b/crates/catalogue/src/pool.rs
@@ -145,11 +145,11 @@
 
     fn try_from(raw: &RawEntity<'_>) -> Result<Self, Findings> {
         let mut fields = Fields::open(raw)?;
-        let kind = fields.required_word("kind", &KINDS);
+        let kind = fields.required_keyword("kind", &KINDS);
         if kind == Some(PoolKind::Service) {
             for field in ["roles", "role_change", "checks_fence", "planner"] {
                 if fields.has(field) {
-                    fields.fault(field, "is for pools of engines only");
+                    fields.report(field, "is for pools of engines only");
                 }
             }
         }
@@ -159,14 +159,18 @@
             roles: roles(&mut fields),
             role_change: role_change(&mut fields),
             checks_fence: fields.optional("checks_fence").unwrap_or(false),
-            choice: fields.word("choice", &CHOICES).unwrap_or(Choice::Affinity),
-            planner: fields.word("planner", &PLANNERS).unwrap_or(Planner::Gain),
+            choice: fields
+                .keyword("choice", &CHOICES)
+                .unwrap_or(Choice::Affinity),
+            planner: fields
+                .keyword("planner", &PLANNERS)
+                .unwrap_or(Planner::Gain),
             queue_limit: fields
-                .positive_whole("queue_limit")
+                .positive_integer("queue_limit")
                 .unwrap_or(DEFAULT_QUEUE_LIMIT),
             lease: fields.duration("lease").unwrap_or(DEFAULT_LEASE),
         };
-        fields.close(pool)
+        fields.finish(pool)
     }
 }
 
@@ -174,20 +178,20 @@
     let read = |inner: &mut Fields<'_>| {
         ROLES
             .iter()
-            .filter_map(|(word, role)| Some((*role, inner.nested(word, span)?)))
+            .filter_map(|(word, role)| Some((*role, inner.nested(word, role_range)?)))
             .collect()
     };
     fields.nested("roles", read).unwrap_or_default()
 }
 
-fn span(fields: &mut Fields<'_>) -> RoleRange {
+fn role_range(fields: &mut Fields<'_>) -> RoleRange {
     let min = fields.optional("min").unwrap_or(0);
     let max = fields.optional("max").unwrap_or(u32::MAX);
     let initial = fields.optional("initial").unwrap_or(min);
     if min > max {
-        fields.fault("min", "must not be above max");
+        fields.report("min", "must not be above max");
     } else if initial < min || initial > max {
-        fields.fault("initial", "must be from min to max");
+        fields.report("initial", "must be from min to max");
     }
     RoleRange { min, max, initial }
 }
@@ -229,7 +233,7 @@
         distinct(&mut fields, "versions", &model.versions);
         distinct(&mut fields, "adapters", &model.adapters);
         distinct(&mut fields, "pools", &model.pools);
-        fields.close(model)
+        fields.finish(model)
     }
 }
 
@@ -237,9 +241,9 @@
     for (position, word) in words.iter().enumerate() {
         let path = format!("{field}[{position}]");
         if word.is_empty() {
-            fields.fault(&path, "must not be empty");
+            fields.report(&path, "must not be empty");
         } else if words[..position].contains(word) {
-            fields.fault(&path, format!("`{word}` stands twice"));
+            fields.report(&path, format!("`{word}` stands twice"));
         }
     }
 }
--- a/crates/catalogue/src/rules.rs
+++ b/crates/catalogue/src/rules.rs
@@ -2,7 +2,7 @@
 //! force, whatever newer version their own software knows, so that mixed software accepts alike;
 //! see `docs/design/catalogue.md`.
 
-use crate::fields::name_fault;
+use crate::fields::name_problem;
 use crate::finding::nearest;
 use crate::table::View;
 use crate::{Entity, Entry, Findings, Key, Kind, Limits, Model, Owner, PoolKind, Target, Version};
@@ -37,7 +37,7 @@
 }
 
 /// Version in force until a record raises it.
-pub(crate) const FIRST: Version = 1;
+pub(crate) const FIRST_VERSION: Version = 1;
 
 impl Rules {
     /// Rules of the given versions, for tests of mixed software.
@@ -59,7 +59,7 @@
 impl Default for Rules {
     fn default() -> Self {
         Self::new(vec![RuleSet {
-            version: FIRST,
+            version: FIRST_VERSION,
             parse,
             validate,
         }])
@@ -87,7 +87,7 @@
 
 fn validate_owner(view: &View, owner: &Owner, findings: &mut Findings) {
     for (position, key) in owner.keys.iter().enumerate() {
-        for other in view.index().owners_of(key) {
+        for other in view.index().owners_with_key(key) {
             if **other != *owner.name {
                 let path = format!("keys[{position}]");
                 let problem = format!("is also a key of owner {other}");
@@ -100,7 +100,7 @@
 fn validate_model(view: &View, model: &Model, findings: &mut Findings) {
     for (position, name) in model.pools.iter().enumerate() {
         let path = format!("pools[{position}]");
-        engine_pool(
+        check_engine_pool(
             view,
             &Key::new(Kind::Model, &model.name),
             &path,
@@ -113,15 +113,15 @@
 fn validate_entry(view: &View, entry: &Entry, findings: &mut Findings) {
     let key = Key::new(Kind::Entry, &entry.name);
     match view.owner(&entry.owner) {
-        Some(owner) => within(entry, owner, findings),
-        None => missing(view, &key, "owner", Kind::Owner, &entry.owner, findings),
+        Some(owner) => check_owner_limits(entry, owner, findings),
+        None => report_missing(view, &key, "owner", Kind::Owner, &entry.owner, findings),
     }
     match &entry.target {
         Target::Model { model, .. } => {
-            engine_pool(view, &key, "pool", &entry.pool, findings);
+            check_engine_pool(view, &key, "pool", &entry.pool, findings);
             match view.model(model) {
                 Some(model) => validate_target(entry, model, findings),
-                None => missing(view, &key, "model", Kind::Model, model, findings),
+                None => report_missing(view, &key, "model", Kind::Model, model, findings),
             }
         }
         Target::Path { .. } => {
@@ -132,7 +132,7 @@
                         format!("{} is a pool of engines, a path needs services", entry.pool);
                     findings.add(Kind::Entry, &entry.name, "pool", problem);
                 }
-                None => missing(view, &key, "pool", Kind::Pool, &entry.pool, findings),
+                None => report_missing(view, &key, "pool", Kind::Pool, &entry.pool, findings),
             }
             validate_path(view, entry, findings);
         }
@@ -146,11 +146,11 @@
     else {
         return;
     };
-    let mut fault = |path: &str, problem: String| {
+    let mut report = |path: &str, problem: String| {
         findings.add(Kind::Entry, &entry.name, path, problem);
     };
     if !model.versions.contains(version) {
-        fault(
+        report(
             "version",
             format!("model {} has no version `{version}`", model.name),
         );
@@ -158,13 +158,13 @@
     if let Some(adapter) = adapter
         && !model.adapters.contains(adapter)
     {
-        fault(
+        report(
             "adapter",
             format!("model {} has no adapter `{adapter}`", model.name),
         );
     }
     if !model.pools.contains(&entry.pool) {
-        fault(
+        report(
             "pool",
             format!("model {} is not served by pool {}", model.name, entry.pool),
         );
@@ -184,7 +184,7 @@
 }
 
 /// Limits above the owner's are a mistake: they could never be reached.
-fn within(entry: &Entry, owner: &Owner, findings: &mut Findings) {
+fn check_owner_limits(entry: &Entry, owner: &Owner, findings: &mut Findings) {
     let above = |ours: Option<f64>, bound: Option<f64>| match (ours, bound) {
         (Some(ours), Some(bound)) => ours > bound,
         _ => false,
@@ -212,19 +212,26 @@
     }
 }
 
-fn engine_pool(view: &View, key: &Key, path: &str, name: &str, findings: &mut Findings) {
+fn check_engine_pool(view: &View, key: &Key, path: &str, name: &str, findings: &mut Findings) {
     match view.pool(name).map(|pool| pool.kind) {
         Some(PoolKind::Engine) => {}
         Some(PoolKind::Service) => {
             let problem = format!("{name} is a pool of services, a model needs engines");
             findings.add(key.kind, &key.name, path, problem);
         }
-        None => missing(view, key, path, Kind::Pool, name, findings),
+        None => report_missing(view, key, path, Kind::Pool, name, findings),
     }
 }
 
-fn missing(view: &View, key: &Key, path: &str, kind: Kind, name: &str, findings: &mut Findings) {
-    if name.is_empty() || name_fault(name).is_some() {
+fn report_missing(
+    view: &View,
+    key: &Key,
+    path: &str,
+    kind: Kind,
+    name: &str,
+    findings: &mut Findings,
+) {
+    if name.is_empty() || name_problem(name).is_some() {
         findings.add(
             key.kind,
             &key.name,
--- a/crates/catalogue/src/serving.rs
+++ b/crates/catalogue/src/serving.rs
@@ -1,6 +1,6 @@
 //! How the data plane finds owners and entries.
 
-use crate::index::ANY;
+use crate::index::ANY_METHOD;
 use crate::table::View;
 use crate::{Entry, Owner, Target};
 
@@ -24,7 +24,7 @@
     /// The owner of a bearer key. Only digests are compared, so the time that it takes tells
     /// nothing about the keys.
     pub fn owner_of_key(&self, bearer_key: &str) -> Option<&Owner> {
-        let name = self.index().owners_of(&digest(bearer_key)).first()?;
+        let name = self.index().owners_with_key(&digest(bearer_key)).first()?;
         self.owner(name)
     }
 
@@ -34,8 +34,8 @@
     pub fn entry_at(&self, method: &str, path: &str) -> PathMatch<'_> {
         let mut prefix = path;
         loop {
-            if let Some(methods) = self.index().at_path(prefix) {
-                let names = methods.get(method).or_else(|| methods.get(ANY));
+            if let Some(methods) = self.index().entries_at(prefix) {
+                let names = methods.get(method).or_else(|| methods.get(ANY_METHOD));
                 let entry = names
                     .and_then(|names| names.first())
                     .and_then(|name| self.entry(name));
@@ -52,13 +52,13 @@
     /// The entry of an owner that a request's `model` means: the entry of that name, or else the
     /// owner's first entry, by name, that serves the model of that name.
     pub fn entry_for_model(&self, owner: &str, name: &str) -> Option<&Entry> {
-        let serves = |entry: &&Entry| matches!(&entry.target, Target::Model { .. });
-        let means =
+        let is_model = |entry: &&Entry| matches!(&entry.target, Target::Model { .. });
+        let serves_model =
             |entry: &&Entry| matches!(&entry.target, Target::Model { model, .. } if model == name);
         self.entry(name)
             .filter(|entry| entry.owner == owner)
-            .filter(serves)
-            .or_else(|| self.entries_of(owner).find(means))
+            .filter(is_model)
+            .or_else(|| self.entries_of(owner).find(serves_model))
     }
 
     /// The entries of an owner by name.
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -48,11 +48,11 @@
 
 /// The encoding is canonical: fields in the order of their numbers, lists in a fixed order.
 fn digest(snapshot: &Snapshot) -> [u8; 32] {
-    let bare = Snapshot {
+    let without_digest = Snapshot {
         digest: Vec::new(),
         ..snapshot.clone()
     };
-    *blake3::hash(&bare.encode_to_vec()).as_bytes()
+    *blake3::hash(&without_digest.encode_to_vec()).as_bytes()
 }
 
 impl State {
@@ -66,7 +66,7 @@
             upto: self.folded(),
             rules: self.version(),
             revision: self.revision(),
-            entities: self.view().slots().map(stored).collect(),
+            entities: self.view().slots().map(to_record).collect(),
             horizon: self.horizon(),
             ..Snapshot::default()
         })
@@ -82,8 +82,8 @@
         if rules.get(snapshot.rules).is_none() {
             return Err(SnapshotError::Rules(snapshot.rules));
         }
-        let view = read(&rules, snapshot)?;
-        Ok(Self::restored(rules, snapshot, view))
+        let view = parse_entities(&rules, snapshot)?;
+        Ok(Self::from_snapshot(rules, snapshot, view))
     }
 
     /// Takes a sealed snapshot, from the log or from a peer, if it is newer than what was folded;
@@ -108,7 +108,7 @@
             && self.revision() <= snapshot.upto
             && self.version() == snapshot.rules;
         let same = || {
-            let ours = self.view().slots().map(stored);
+            let ours = self.view().slots().map(to_record);
             snapshot.revision == self.revision()
                 && snapshot.horizon == self.horizon()
                 && ours.eq(snapshot.entities.iter().cloned())
@@ -117,7 +117,7 @@
     }
 }
 
-fn stored((kind, name, slot): (Kind, &str, &Slot)) -> Stored {
+fn to_record((kind, name, slot): (Kind, &str, &Slot)) -> Stored {
     Stored {
         kind: kind.to_string(),
         name: name.to_owned(),
@@ -128,7 +128,7 @@
     }
 }
 
-fn read(rules: &Rules, snapshot: &Snapshot) -> Result<View, SnapshotError> {
+fn parse_entities(rules: &Rules, snapshot: &Snapshot) -> Result<View, SnapshotError> {
     let mut view = View::default();
     let mut findings = Findings::new();
     for stored in &snapshot.entities {
@@ -157,7 +157,7 @@
                 Err(faults) => faults.iter().for_each(|fault| findings.push(fault.clone())),
             }
         }
-        view.put(&Key::new(kind, &stored.name), Some(&Arc::new(slot)));
+        view.replace(&Key::new(kind, &stored.name), Some(&Arc::new(slot)));
     }
     if findings.is_empty() {
         Ok(view)
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -6,11 +6,11 @@
 use wire::record::record::Body;
 use wire::record::{Change, Edit, Record, RulesRaise, Snapshot};
 
-use crate::rules::FIRST;
+use crate::rules::FIRST_VERSION;
 use crate::table::View;
 use crate::{DecidedEdit, Findings, Key, Offset, Refusal, Revision, Rules, Verdict, Version};
 
-mod judge;
+mod acceptance;
 
 /// Where and why the fold stopped. What was in force stays in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     pub fn new(rules: Arc<Rules>) -> Self {
         Self {
             rules,
-            version: FIRST,
+            version: FIRST_VERSION,
             frozen: None,
             folded: 0,
             revision: 0,
@@ -134,7 +134,7 @@
                     let verdict = Verdict::Undecided {
                         rules: frozen.rules,
                     };
-                    self.keep(offset, edit, &verdict);
+                    self.add_to_history(offset, edit, &verdict);
                     Applied::Edit(verdict)
                 }
                 _ => Applied::Frozen(frozen),
@@ -148,7 +148,7 @@
             };
         }
         let applied = match &record.body {
-            Some(Body::Edit(edit)) => Applied::Edit(self.judge(offset, edit)),
+            Some(Body::Edit(edit)) => Applied::Edit(self.decide(offset, edit)),
             Some(Body::RulesRaise(raise)) => self.raise(offset, *raise),
             Some(Body::Snapshot(snapshot)) if self.contradicts(snapshot) => {
                 Applied::SnapshotDiffers
@@ -179,7 +179,7 @@
     }
 
     /// The state as of a snapshot whose entities were read into `view`.
-    pub(crate) fn restored(rules: Arc<Rules>, snapshot: &Snapshot, view: View) -> Self {
+    pub(crate) fn from_snapshot(rules: Arc<Rules>, snapshot: &Snapshot, view: View) -> Self {
         let mut state = Self::new(rules);
         state.tombstones = view
             .slots()
--- a/crates/catalogue/src/state/acceptance.rs
+++ b/crates/catalogue/src/state/acceptance.rs
@@ -15,23 +15,23 @@
 };
 
 /// Judgements that are kept for operators.
-const HISTORY: usize = 256;
+const MAX_HISTORY: usize = 256;
 /// Tombstones that are kept. An edit that is based on a revision before the oldest dropped one is
 /// refused as stale.
-const TOMBSTONES: usize = 1024;
+const MAX_TOMBSTONES: usize = 1024;
 
 impl State {
-    pub(super) fn judge(&mut self, offset: Offset, edit: &Edit) -> Verdict {
+    pub(super) fn decide(&mut self, offset: Offset, edit: &Edit) -> Verdict {
         let verdict = match self.accept(offset, edit) {
             Ok(()) => Verdict::Accepted { revision: offset },
             Err(refusal) => Verdict::Refused(refusal),
         };
-        self.keep(offset, edit, &verdict);
+        self.add_to_history(offset, edit, &verdict);
         verdict
     }
 
     pub(super) fn accept(&mut self, offset: Offset, edit: &Edit) -> Result<(), Refusal> {
-        let touched = touched(offset, edit).map_err(Refusal::Invalid)?;
+        let touched = touched_keys(offset, edit).map_err(Refusal::Invalid)?;
         if edit.base_revision < self.horizon {
             let horizon = self.horizon;
             return Err(Refusal::Stale { horizon });
@@ -40,7 +40,7 @@
         if !conflicts.is_empty() {
             return Err(Refusal::Conflict(conflicts));
         }
-        self.replace(offset, edit, &touched)
+        self.apply_changes(offset, edit, &touched)
             .map_err(Refusal::Invalid)
     }
 
@@ -58,13 +58,18 @@
 
     /// Puts the changes in place, checks what they concern and takes them back if anything is
     /// wrong, so that an edit costs what it touches and not the size of the catalogue.
-    fn replace(&mut self, offset: Offset, edit: &Edit, touched: &[Key]) -> Result<(), Findings> {
+    fn apply_changes(
+        &mut self,
+        offset: Offset,
+        edit: &Edit,
+        touched: &[Key],
+    ) -> Result<(), Findings> {
         let mut findings = Findings::new();
-        let slots = self.read(offset, edit, touched, &mut findings);
+        let slots = self.parse_changes(offset, edit, touched, &mut findings);
         let mut replaced: SmallVec<[Option<Arc<Slot>>; 4]> = SmallVec::new();
         for (key, slot) in touched.iter().zip(&slots) {
             replaced.push(match slot {
-                Some(slot) => self.view.put(key, Some(slot)),
+                Some(slot) => self.view.replace(key, Some(slot)),
                 None => self.view.slot(key.kind, &key.name).cloned(),
             });
         }
@@ -74,22 +79,22 @@
             .filter(|(_, slot)| slot.is_none())
             .map(|(key, _)| key)
             .collect();
-        self.relate(touched, &faulty, &mut findings);
+        self.validate(touched, &faulty, &mut findings);
         if !findings.is_empty() {
             for (key, old) in touched.iter().zip(replaced).rev() {
-                self.view.put(key, old.as_ref());
+                self.view.replace(key, old.as_ref());
             }
             return Err(findings);
         }
         for (key, old) in touched.iter().zip(&replaced) {
-            self.bury(offset, key, old.as_deref());
+            self.track_tombstones(offset, key, old.as_deref());
         }
         self.revision = offset;
         Ok(())
     }
 
     /// Reads the changed entities; one with findings gives `None` and is left as it was.
-    fn read(
+    fn parse_changes(
         &self,
         offset: Offset,
         edit: &Edit,
@@ -98,10 +103,10 @@
     ) -> SmallVec<[Option<Arc<Slot>>; 4]> {
         let read = |(change, key): (&Change, &Key)| {
             let entity = if change.json.is_empty() {
-                self.read_removal(key, findings)?;
+                self.check_removal(key, findings)?;
                 None
             } else {
-                Some(self.read_entity(change, key, findings)?)
+                Some(self.parse_entity(change, key, findings)?)
             };
             Some(Arc::new(Slot {
                 revision: offset,
@@ -115,7 +120,7 @@
     }
 
     /// `None` if there is nothing to remove.
-    fn read_removal(&self, key: &Key, findings: &mut Findings) -> Option<()> {
+    fn check_removal(&self, key: &Key, findings: &mut Findings) -> Option<()> {
         if self.view.entity(key.kind, &key.name).is_none() {
             findings.add(key.kind, &key.name, "", "cannot be removed, there is none");
             return None;
@@ -123,7 +128,7 @@
         Some(())
     }
 
-    fn read_entity(&self, change: &Change, key: &Key, findings: &mut Findings) -> Option<Entity> {
+    fn parse_entity(&self, change: &Change, key: &Key, findings: &mut Findings) -> Option<Entity> {
         let raw = RawEntity {
             kind: key.kind,
             name: &key.name,
@@ -139,11 +144,11 @@
     /// Checks the changed entities against all others, and those that name them. Nothing else
     /// can have become invalid. What names a faulty entity is left out: that a new pool is
     /// missing is no news where the pool itself was found faulty.
-    fn relate(&self, touched: &[Key], faulty: &[&Key], findings: &mut Findings) {
+    fn validate(&self, touched: &[Key], faulty: &[&Key], findings: &mut Findings) {
         let Some(set) = self.rules.get(self.version) else {
             return;
         };
-        let mut relate = |kind: Kind, name: &str| {
+        let mut validate = |kind: Kind, name: &str| {
             if let Some(entity) = self.view.entity(kind, name)
                 && !entity.references().iter().any(|key| faulty.contains(&key))
             {
@@ -151,32 +156,32 @@
             }
         };
         for key in touched {
-            relate(key.kind, &key.name);
+            validate(key.kind, &key.name);
             for (kind, name) in self.view.index().dependents(key) {
-                relate(*kind, name);
+                validate(*kind, name);
             }
         }
     }
 
     /// Keeps count of tombstones. A removed entity must be remembered: otherwise an edit that was
     /// made before the removal would be accepted after it and silently bring the entity back.
-    fn bury(&mut self, offset: Offset, key: &Key, old: Option<&Slot>) {
+    fn track_tombstones(&mut self, offset: Offset, key: &Key, old: Option<&Slot>) {
         if let Some(old) = old.filter(|old| old.entity.is_none()) {
             self.tombstones.remove(&(old.revision, key.clone()));
         }
         if self.view.entity(key.kind, &key.name).is_none() {
             self.tombstones.insert((offset, key.clone()));
         }
-        while self.tombstones.len() > TOMBSTONES {
+        while self.tombstones.len() > MAX_TOMBSTONES {
             if let Some((revision, key)) = self.tombstones.pop_first() {
-                self.view.put(&key, None);
+                self.view.replace(&key, None);
                 self.horizon = revision;
             }
         }
     }
 
-    pub(super) fn keep(&mut self, offset: Offset, edit: &Edit, verdict: &Verdict) {
-        if self.history.len() == HISTORY {
+    pub(super) fn add_to_history(&mut self, offset: Offset, edit: &Edit, verdict: &Verdict) {
+        if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
         let name = |change: &Change| format!("{} {}", change.kind, change.name);
@@ -193,7 +198,7 @@
 
 /// The entities that an edit touches, if its form is right. This much is the same under all
 /// versions of the rules.
-fn touched(offset: Offset, edit: &Edit) -> Result<SmallVec<[Key; 4]>, Findings> {
+fn touched_keys(offset: Offset, edit: &Edit) -> Result<SmallVec<[Key; 4]>, Findings> {
     let mut findings = Findings::new();
     let mut keys: SmallVec<[Key; 4]> = SmallVec::new();
     if edit.operator.is_empty() {
--- a/crates/catalogue/src/table.rs
+++ b/crates/catalogue/src/table.rs
@@ -121,7 +121,7 @@
 
     /// Puts a slot in place of another and gives that back, so that a refused edit is undone by
     /// putting back what it replaced.
-    pub(crate) fn put(&mut self, key: &Key, slot: Option<&Arc<Slot>>) -> Option<Arc<Slot>> {
+    pub(crate) fn replace(&mut self, key: &Key, slot: Option<&Arc<Slot>>) -> Option<Arc<Slot>> {
         let table = &mut self.slots[key.kind as usize];
         let name: Arc<str> = match table.get_key_value(key.name.as_str()) {
             Some((name, _)) => Arc::clone(name),
--- a/crates/catalogue/tests/common/mod.rs
+++ b/crates/catalogue/tests/common/mod.rs
@@ -29,11 +29,11 @@
         .collect()
 }
 
-pub fn pool(name: &str) -> Change {
+pub fn service_pool(name: &str) -> Change {
     change("pool", name, r#"{"kind": "service"}"#)
 }
 
-pub fn engines(name: &str) -> Change {
+pub fn engine_pool(name: &str) -> Change {
     change("pool", name, r#"{"kind": "engine"}"#)
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// Folds records of other matters up to `offset`.
-pub fn pass(state: &mut State, offset: Offset) {
+pub fn skip_to(state: &mut State, offset: Offset) {
     for between in state.folded() + 1..offset {
         assert_eq!(state.apply(between, &Record::default()), Applied::NoEffect);
     }
@@ -74,7 +74,7 @@
 
 #[track_caller]
 pub fn accept(state: &mut State, offset: Offset, changes: &[Change]) {
-    pass(state, offset);
+    skip_to(state, offset);
     let record = edit(state.revision().max(state.horizon()), "ana", changes);
     let applied = state.apply(offset, &record);
     assert_eq!(
--- a/crates/catalogue/tests/edits.rs
+++ b/crates/catalogue/tests/edits.rs
@@ -4,9 +4,11 @@
 
 use assert_matches::assert_matches;
 use catalogue::{Applied, Kind, PathMatch, Refusal, State, Verdict};
-use common::{accept, change, edit, engines, owner, pass, pool, removal, service_entry};
+use common::{
+    accept, change, edit, engine_pool, owner, removal, service_entry, service_pool, skip_to,
+};
 
-fn problems(state: &mut State, changes: &[wire::record::Change]) -> Vec<String> {
+fn refuse_as_invalid(state: &mut State, changes: &[wire::record::Change]) -> Vec<String> {
     let offset = state.folded() + 1;
     let record = edit(state.revision(), "ana", changes);
     match state.apply(offset, &record) {
@@ -17,12 +19,12 @@
     }
 }
 
-fn kiosks() -> State {
+fn kiosk_catalogue() -> State {
     let mut state = State::default();
     let changes = [
         owner("kiosks", "key-1"),
-        pool("kiosk-api"),
-        engines("llm-pool"),
+        service_pool("kiosk-api"),
+        engine_pool("llm-pool"),
         change(
             "model",
             "m",
@@ -36,7 +38,7 @@
 
 #[test]
 fn first_edit_is_in_force() {
-    let state = kiosks();
+    let state = kiosk_catalogue();
     let view = state.view();
     assert_eq!(state.revision(), 5);
     assert_eq!(view.owner_of_key("key-1").map(|o| &*o.name), Some("kiosks"));
@@ -51,11 +53,11 @@
 /// Sequence: two operators edit the same pool on the same base, both edits reach the log.
 /// Cause: the second edit would overwrite what its author has never seen.
 #[test]
-fn of_two_edits_on_one_base_the_first_wins_and_the_second_learns_it() {
+fn second_edit_on_the_same_base_is_refused_as_conflict() {
     let mut state = State::default();
-    accept(&mut state, 1, &[pool("kiosk-api")]);
-    let first = edit(1, "ana", &[pool("kiosk-api")]);
-    let second = edit(1, "luis", &[pool("kiosk-api")]);
+    accept(&mut state, 1, &[service_pool("kiosk-api")]);
+    let first = edit(1, "ana", &[service_pool("kiosk-api")]);
+    let second = edit(1, "luis", &[service_pool("kiosk-api")]);
     assert_matches!(
         state.apply(2, &first),
         Applied::Edit(Verdict::Accepted { revision: 2 })
@@ -71,9 +73,9 @@
 
 #[test]
 fn edits_of_different_entities_on_one_base_are_both_accepted() {
-    let mut state = kiosks();
-    let first = edit(5, "ana", &[pool("one")]);
-    let second = edit(5, "luis", &[pool("two")]);
+    let mut state = kiosk_catalogue();
+    let first = edit(5, "ana", &[service_pool("one")]);
+    let second = edit(5, "luis", &[service_pool("two")]);
     assert_matches!(
         state.apply(6, &first),
         Applied::Edit(Verdict::Accepted { .. })
@@ -88,14 +90,14 @@
 /// Sequence: one operator removes a pool, another edits it on the older base.
 /// Cause: without a tombstone the removal leaves no trace, and the edit looks like a creation.
 #[test]
-fn edit_made_before_a_removal_does_not_bring_the_entity_back() {
+fn edit_based_before_a_removal_does_not_restore_the_entity() {
     let mut state = State::default();
-    accept(&mut state, 1, &[pool("kiosk-api")]);
+    accept(&mut state, 1, &[service_pool("kiosk-api")]);
     accept(&mut state, 2, &[removal("pool", "kiosk-api")]);
-    let late = state.apply(3, &edit(1, "luis", &[pool("kiosk-api")]));
+    let late = state.apply(3, &edit(1, "luis", &[service_pool("kiosk-api")]));
     assert_matches!(late, Applied::Edit(Verdict::Refused(Refusal::Conflict(_))));
     assert!(state.view().pool("kiosk-api").is_none());
-    accept(&mut state, 4, &[pool("kiosk-api")]);
+    accept(&mut state, 4, &[service_pool("kiosk-api")]);
     assert!(state.view().pool("kiosk-api").is_some());
 }
 
@@ -105,18 +107,18 @@
 #[test]
 fn edit_older_than_the_dropped_tombstones_is_stale() {
     let mut state = State::default();
-    accept(&mut state, 1, &[pool("first")]);
+    accept(&mut state, 1, &[service_pool("first")]);
     accept(&mut state, 2, &[removal("pool", "first")]);
     let mut offset = 2;
     for number in 0..1024 {
         let name = format!("pool-{number}");
-        accept(&mut state, offset + 1, &[pool(&name)]);
+        accept(&mut state, offset + 1, &[service_pool(&name)]);
         accept(&mut state, offset + 2, &[removal("pool", &name)]);
         offset += 2;
     }
     assert!(state.view().slot(Kind::Pool, "first").is_none());
     assert_eq!(state.horizon(), 2);
-    let late = state.apply(offset + 1, &edit(1, "luis", &[pool("first")]));
+    let late = state.apply(offset + 1, &edit(1, "luis", &[service_pool("first")]));
     assert_matches!(
         late,
         Applied::Edit(Verdict::Refused(Refusal::Stale { horizon: 2 }))
@@ -124,8 +126,8 @@
 }
 
 #[test]
-fn all_findings_come_together_and_nothing_changes() {
-    let mut state = kiosks();
+fn all_findings_are_reported_and_the_catalogue_is_unchanged() {
+    let mut state = kiosk_catalogue();
     let before = state.view().clone();
     let changes = [
         change(
@@ -146,7 +148,7 @@
             r#"{"keys": ["12"], "limits": {"concurrent": 0}}"#,
         ),
     ];
-    let found = problems(&mut state, &changes).join("\n");
+    let found = refuse_as_invalid(&mut state, &changes).join("\n");
     let expected = "\
 pool kiosk-api: kind: `servise` is unknown, perhaps `service` was meant
 pool kiosk-api: lease: is no time span such as 250ms: unknown time unit \"parsecs\", supported units: ns, us/µs, ms, sec, min, hours, days, weeks, months, years (and few variations)
@@ -171,21 +173,21 @@
 }
 
 #[test]
-fn edit_without_form_is_refused() {
-    let mut state = kiosks();
-    let twice = [pool("a"), pool("a")];
+fn malformed_edit_is_refused() {
+    let mut state = kiosk_catalogue();
+    let twice = [service_pool("a"), service_pool("a")];
     assert_eq!(
-        problems(&mut state, &twice),
+        refuse_as_invalid(&mut state, &twice),
         ["pool a: stands twice in the edit"]
     );
-    assert_eq!(problems(&mut state, &[]), ["changes: are missing"]);
+    assert_eq!(refuse_as_invalid(&mut state, &[]), ["changes: are missing"]);
     let unknown = [change("ownr", "a", "{}")];
     assert_eq!(
-        problems(&mut state, &unknown),
+        refuse_as_invalid(&mut state, &unknown),
         ["changes[0].kind: `ownr` is no kind, perhaps `owner` was meant"]
     );
-    pass(&mut state, 20);
-    let future = state.apply(20, &edit(20, "", &[pool("a")]));
+    skip_to(&mut state, 20);
+    let future = state.apply(20, &edit(20, "", &[service_pool("a")]));
     assert_matches!(future, Applied::Edit(Verdict::Refused(Refusal::Invalid(findings))) => {
         assert_eq!(findings.to_string(), "operator: is missing\nbase_revision: lies in the future");
     });
@@ -195,26 +197,29 @@
 /// Sequence: one operator removes the pool, another adds an entry for it on the same base.
 /// Cause: the two edits touch different entities, so that only the result can be found wrong.
 #[test]
-fn removal_of_a_named_entity_is_refused() {
-    let mut state = kiosks();
+fn removal_of_a_referenced_entity_is_refused() {
+    let mut state = kiosk_catalogue();
     assert_eq!(
-        problems(&mut state, &[removal("pool", "kiosk-api")]),
+        refuse_as_invalid(&mut state, &[removal("pool", "kiosk-api")]),
         ["entry cards: pool: there is no pool kiosk-api"]
     );
     let both = [removal("entry", "cards"), removal("pool", "kiosk-api")];
     accept(&mut state, 10, &both);
     let late = service_entry("pings", "kiosks", "kiosk-api", "/pings");
     assert_eq!(
-        problems(&mut state, &[late]),
+        refuse_as_invalid(&mut state, &[late]),
         ["entry pings: pool: there is no pool kiosk-api"]
     );
 }
 
 #[test]
-fn kind_of_a_pool_must_fit_those_that_name_it() {
-    let mut state = kiosks();
+fn pool_kind_must_match_its_references() {
+    let mut state = kiosk_catalogue();
     assert_eq!(
-        problems(&mut state, &[engines("kiosk-api"), pool("llm-pool")]),
+        refuse_as_invalid(
+            &mut state,
+            &[engine_pool("kiosk-api"), service_pool("llm-pool")]
+        ),
         [
             "entry cards: pool: kiosk-api is a pool of engines, a path needs services",
             "model m: pools[0]: llm-pool is a pool of services, a model needs engines",
@@ -224,7 +229,7 @@
 
 #[test]
 fn path_moves_between_entries_in_one_edit() {
-    let mut state = kiosks();
+    let mut state = kiosk_catalogue();
     let moved = [
         service_entry("cards", "kiosks", "kiosk-api", "/old-cards"),
         service_entry("new-cards", "kiosks", "kiosk-api", "/cards"),
@@ -236,9 +241,9 @@
 
 #[test]
 fn bearer_key_belongs_to_one_owner() {
-    let mut state = kiosks();
+    let mut state = kiosk_catalogue();
     assert_eq!(
-        problems(&mut state, &[owner("desk", "key-1")]),
+        refuse_as_invalid(&mut state, &[owner("desk", "key-1")]),
         ["owner desk: keys[0]: is also a key of owner kiosks"]
     );
     assert_eq!(
@@ -248,8 +253,8 @@
 }
 
 #[test]
-fn entry_limits_stay_within_the_owner() {
-    let mut state = kiosks();
+fn entry_limits_must_not_exceed_the_owners() {
+    let mut state = kiosk_catalogue();
     let mut json: serde_json::Value =
         serde_json::from_str(&service_entry("p", "kiosks", "kiosk-api", "/p").json).expect("JSON");
     json["limits"] = serde_json::json!({"concurrent": 50});
@@ -260,19 +265,19 @@
     );
     let changes = [bounded, change("entry", "p", json.to_string())];
     assert_eq!(
-        problems(&mut state, &changes),
+        refuse_as_invalid(&mut state, &changes),
         ["entry p: limits.concurrent: is above the limit of owner kiosks"]
     );
 }
 
 #[test]
-fn first_attempts_need_a_key_and_a_call_that_is_not_repeatable() {
-    let mut state = kiosks();
+fn first_attempt_requires_a_key_and_a_non_repeatable_entry() {
+    let mut state = kiosk_catalogue();
     let mut json: serde_json::Value =
         serde_json::from_str(&service_entry("p", "kiosks", "kiosk-api", "/p").json).expect("JSON");
     json["outage"] = "first-attempt".into();
     assert_eq!(
-        problems(&mut state, &[change("entry", "p", json.to_string())]),
+        refuse_as_invalid(&mut state, &[change("entry", "p", json.to_string())]),
         [
             "entry p: outage: `first-attempt` is for calls that are not repeatable only",
             "entry p: outage: `first-attempt` needs `require_key: true`",
@@ -281,10 +286,10 @@
 }
 
 #[test]
-fn history_tells_the_newest_first() {
-    let mut state = kiosks();
-    pass(&mut state, 8);
-    let _ = state.apply(8, &edit(1, "luis", &[pool("kiosk-api")]));
-    let told: Vec<_> = state.history().map(|j| (j.offset, &*j.operator)).collect();
-    assert_eq!(told, [(8, "luis"), (5, "ana")]);
+fn history_lists_the_newest_first() {
+    let mut state = kiosk_catalogue();
+    skip_to(&mut state, 8);
+    let _ = state.apply(8, &edit(1, "luis", &[service_pool("kiosk-api")]));
+    let history: Vec<_> = state.history().map(|j| (j.offset, &*j.operator)).collect();
+    assert_eq!(history, [(8, "luis"), (5, "ana")]);
 }
--- a/crates/catalogue/tests/random.rs
+++ b/crates/catalogue/tests/random.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use catalogue::{Applied, PathMatch, Rules, State, Verdict, seal};
-use common::{change, edit, engines, owner, pool, removal, service_entry};
+use common::{change, edit, engine_pool, owner, removal, service_entry, service_pool};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 use wire::record::Change;
@@ -19,7 +19,7 @@
     prop::sample::select(&NAMES[..])
 }
 
-fn one_change() -> impl Strategy<Value = Change> {
+fn any_change() -> impl Strategy<Value = Change> {
     let kinds = prop::sample::select(vec!["owner", "pool", "model", "entry"]);
     let model = |(model, pool)| {
         let json = format!(r#"{{"versions": ["1"], "pools": ["{pool}"]}}"#);
@@ -36,8 +36,8 @@
     prop_oneof![
         (kinds, name()).prop_map(|(kind, name)| removal(kind, name)),
         (name(), name()).prop_map(|(name, key)| owner(name, key)),
-        name().prop_map(pool),
-        name().prop_map(engines),
+        name().prop_map(service_pool),
+        name().prop_map(engine_pool),
         (name(), name()).prop_map(model),
         (name(), name(), name(), name()).prop_map(entry),
         (name(), name(), name(), prop::sample::select(&PATHS[..]))
@@ -89,7 +89,7 @@
     assert!(findings.is_empty(), "{findings}");
 }
 
-fn restored(state: &State) -> State {
+fn restore_from_snapshot(state: &State) -> State {
     let mut snapshot = state.snapshot().expect("not frozen");
     seal(&mut snapshot);
     State::restore(Arc::new(Rules::default()), &snapshot).expect("restored")
@@ -109,7 +109,7 @@
         } else {
             prop_assert_eq!((state.view().clone(), lookups(&state)), before);
         }
-        let again = restored(&state);
+        let again = restore_from_snapshot(&state);
         prop_assert_eq!(again.view(), state.view());
         prop_assert_eq!(lookups(&again), lookups(&state));
     }
@@ -117,8 +117,8 @@
 }
 
 #[test]
-fn what_is_in_force_is_valid() {
-    let changes = prop::collection::vec(one_change(), 1..5);
+fn random_edits_keep_the_catalogue_valid() {
+    let changes = prop::collection::vec(any_change(), 1..5);
     let edits = prop::collection::vec((0u64..4, changes), 1..60);
     let mut runner = TestRunner::new(ProptestConfig {
         cases: 256,
--- a/crates/catalogue/tests/versions.rs
+++ b/crates/catalogue/tests/versions.rs
@@ -9,33 +9,33 @@
     Applied, Entity, Findings, Frozen, Kind, Offset, RawEntity, RuleSet, Rules, SnapshotError,
     State, Verdict, seal,
 };
-use common::{accept, edit, owner, pool, raise, record, removal, service_entry};
+use common::{accept, edit, owner, raise, record, removal, service_entry, service_pool};
 use wire::record::Snapshot;
 use wire::record::record::Body;
 
 /// Version 2 for these tests: nothing may be called `old`, and there is nothing else to it.
-fn newer() -> Arc<Rules> {
+fn newer_rules() -> Arc<Rules> {
     fn parse(raw: &RawEntity<'_>) -> Result<Entity, Findings> {
         if raw.name == "old" {
             let mut findings = Findings::new();
             findings.add(raw.kind, raw.name, "", "is a forbidden name");
             return Err(findings);
         }
-        (first().parse)(raw)
+        (first_rules().parse)(raw)
     }
     let second = RuleSet {
         version: 2,
         parse,
-        validate: first().validate,
+        validate: first_rules().validate,
     };
-    Arc::new(Rules::new(vec![first(), second]))
+    Arc::new(Rules::new(vec![first_rules(), second]))
 }
 
-fn first() -> RuleSet {
+fn first_rules() -> RuleSet {
     *Rules::default().get(1).expect("version 1")
 }
 
-fn sealed(state: &State) -> Snapshot {
+fn sealed_snapshot(state: &State) -> Snapshot {
     let mut snapshot = state.snapshot().expect("not frozen");
     seal(&mut snapshot);
     snapshot
@@ -45,8 +45,8 @@
     let mut state = State::new(rules);
     let changes = [
         owner("kiosks", "key-1"),
-        pool("kiosk-api"),
-        pool("old"),
+        service_pool("kiosk-api"),
+        service_pool("old"),
         service_entry("cards", "kiosks", "kiosk-api", "/cards"),
     ];
     accept(&mut state, 3, &changes);
@@ -60,12 +60,12 @@
 #[test]
 fn newer_software_applies_the_version_in_force() {
     let mut old_software = State::default();
-    let mut new_software = State::new(newer());
+    let mut new_software = State::new(newer_rules());
     let mut fold = |offset: Offset, record: &wire::record::Record| {
         let old = old_software.apply(offset, record);
         (old, new_software.apply(offset, record))
     };
-    let (old, new) = fold(1, &edit(0, "ana", &[pool("old")]));
+    let (old, new) = fold(1, &edit(0, "ana", &[service_pool("old")]));
     assert_eq!(old, Applied::Edit(Verdict::Accepted { revision: 1 }));
     assert_eq!(new, old);
     let (old, new) = fold(2, &raise(2));
@@ -77,7 +77,7 @@
         })
     );
     assert_eq!(new, Applied::Raised(2));
-    let (old, new) = fold(3, &edit(1, "ana", &[pool("old")]));
+    let (old, new) = fold(3, &edit(1, "ana", &[service_pool("old")]));
     assert_eq!(old, Applied::Edit(Verdict::Undecided { rules: 2 }));
     assert_matches!(new, Applied::Edit(Verdict::Refused(_)));
     assert_eq!(old_software.view(), new_software.view());
@@ -92,7 +92,7 @@
     let mut state = filled(Arc::new(Rules::default()));
     let before = state.view().clone();
     let _ = state.apply(5, &raise(2));
-    let _ = state.apply(6, &edit(4, "ana", &[pool("another")]));
+    let _ = state.apply(6, &edit(4, "ana", &[service_pool("another")]));
     let _ = state.apply(7, &raise(1));
     assert_eq!(state.view(), &before);
     assert_eq!((state.revision(), state.folded()), (4, 4));
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn version_never_falls() {
-    let mut state = State::new(newer());
+fn rules_version_never_decreases() {
+    let mut state = State::new(newer_rules());
     assert_eq!(state.apply(1, &raise(2)), Applied::Raised(2));
     assert_eq!(state.apply(2, &raise(1)), Applied::NoEffect);
     assert_eq!(state.apply(3, &raise(2)), Applied::NoEffect);
@@ -120,29 +120,29 @@
 /// snapshot is written, an instance starts from it.
 /// Cause: an entity must be read by the rules under which it was accepted.
 #[test]
-fn snapshot_holds_what_newer_rules_would_refuse() {
-    let mut state = State::new(newer());
-    accept(&mut state, 1, &[pool("old")]);
+fn snapshot_keeps_entities_that_newer_rules_refuse() {
+    let mut state = State::new(newer_rules());
+    accept(&mut state, 1, &[service_pool("old")]);
     let _ = state.apply(2, &raise(2));
-    let restored = State::restore(newer(), &sealed(&state)).expect("restored");
+    let restored = State::restore(newer_rules(), &sealed_snapshot(&state)).expect("restored");
     assert!(restored.view().pool("old").is_some());
     assert_eq!(restored.version(), 2);
 }
 
 #[test]
-fn restored_state_judges_as_the_folded_one() {
+fn restored_state_decides_as_the_folded_one() {
     let mut folded = filled(Arc::new(Rules::default()));
     let mut restored =
-        State::restore(Arc::clone(folded.rules()), &sealed(&folded)).expect("restored");
+        State::restore(Arc::clone(folded.rules()), &sealed_snapshot(&folded)).expect("restored");
     assert_eq!(restored.view(), folded.view());
     assert!(restored.view().owner_of_key("key-1").is_some());
     // The tombstone must have come along.
     for (offset, record) in [
-        (5, edit(3, "luis", &[pool("old")])),
+        (5, edit(3, "luis", &[service_pool("old")])),
         (6, edit(4, "luis", &[removal("pool", "kiosk-api")])),
         (
             7,
-            edit(4, "luis", &[pool("old"), removal("entry", "cards")]),
+            edit(4, "luis", &[service_pool("old"), removal("entry", "cards")]),
         ),
     ] {
         assert_eq!(
@@ -150,23 +150,23 @@
             folded.apply(offset, &record)
         );
     }
-    assert_eq!(sealed(&restored), sealed(&folded));
+    assert_eq!(sealed_snapshot(&restored), sealed_snapshot(&folded));
 }
 
 #[test]
-fn damaged_snapshot_is_not_taken() {
+fn damaged_snapshot_is_rejected() {
     let state = filled(Arc::new(Rules::default()));
-    let mut snapshot = sealed(&state);
+    let mut snapshot = sealed_snapshot(&state);
     snapshot.entities[0].operator = "luis".to_owned();
     assert_matches!(
-        State::restore(newer(), &snapshot),
+        State::restore(newer_rules(), &snapshot),
         Err(SnapshotError::Digest)
     );
-    let mut snapshot = sealed(&state);
+    let mut snapshot = sealed_snapshot(&state);
     snapshot.rules = 3;
     seal(&mut snapshot);
     assert_matches!(
-        State::restore(newer(), &snapshot),
+        State::restore(newer_rules(), &snapshot),
         Err(SnapshotError::Rules(3))
     );
 }
@@ -178,18 +178,18 @@
 #[test]
 fn older_snapshot_and_older_records_change_nothing() {
     let mut state = filled(Arc::new(Rules::default()));
-    let old = sealed(&state);
-    let record = edit(4, "ana", &[pool("new")]);
+    let old = sealed_snapshot(&state);
+    let record = edit(4, "ana", &[service_pool("new")]);
     let _ = state.apply(5, &record);
     assert_eq!(state.adopt(&old), Ok(false));
     assert_eq!(state.apply(5, &record), Applied::AlreadyFolded);
     assert_eq!(
-        state.apply(4, &edit(3, "ana", &[pool("kiosk-api")])),
+        state.apply(4, &edit(3, "ana", &[service_pool("kiosk-api")])),
         Applied::AlreadyFolded
     );
     assert_eq!(state.revision(), 5);
-    let mut behind = State::restore(newer(), &old).expect("restored");
-    assert_eq!(behind.adopt(&sealed(&state)), Ok(true));
+    let mut behind = State::restore(newer_rules(), &old).expect("restored");
+    assert_eq!(behind.adopt(&sealed_snapshot(&state)), Ok(true));
     assert!(behind.view().pool("new").is_some());
 }
 
@@ -198,10 +198,10 @@
 /// software is older; it reads on from the first retained record.
 /// Cause: the edits in the hole are missing, and nothing else would show it.
 #[test]
-fn records_after_a_hole_are_not_folded() {
+fn records_after_a_gap_are_not_folded() {
     let mut state = filled(Arc::new(Rules::default()));
     let before = state.view().clone();
-    let record = edit(4, "ana", &[pool("new")]);
+    let record = edit(4, "ana", &[service_pool("new")]);
     assert_eq!(state.apply(6, &record), Applied::Gap { missing: 5 });
     assert_eq!((state.view(), state.folded()), (&before, 4));
     assert_eq!(
@@ -214,9 +214,9 @@
 /// Sequence: faulty software writes a snapshot that no prefix of the log gives.
 /// Cause: a snapshot is believed by those who have nothing else, so the others must speak up.
 #[test]
-fn snapshot_that_differs_from_the_fold_is_noticed() {
+fn snapshot_that_differs_from_the_fold_is_reported() {
     let mut state = filled(Arc::new(Rules::default()));
-    let good = sealed(&state);
+    let good = sealed_snapshot(&state);
     let mut bad = good.clone();
     bad.entities.pop();
     seal(&mut bad);
@@ -229,7 +229,7 @@
         Applied::SnapshotDiffers
     );
     // Once a newer edit is accepted, an older snapshot can no longer be compared.
-    accept(&mut state, 7, &[pool("new")]);
+    accept(&mut state, 7, &[service_pool("new")]);
     assert_eq!(
         state.apply(8, &record(Body::Snapshot(good))),
         Applied::NoEffect
