--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -6,25 +6,25 @@
 use serde_json::Value;
 
 use crate::args::{Connection, Reports};
-use crate::client::Admin;
+use crate::client::AdminClient;
 use crate::failure::Failure;
-use crate::told::Told;
+use crate::output::Output;
 
 /// Does what was asked.
 ///
 /// # Errors
 /// See [`Failure`].
-pub async fn run(action: &Reports, connection: &Connection) -> Result<Told, Report<Failure>> {
-    let admin = Admin::new(connection);
+pub async fn run(action: &Reports, connection: &Connection) -> Result<Output, Report<Failure>> {
+    let admin = AdminClient::new(connection);
     let Reports::Burn { html, local } = action;
     let path = if *local { "burn" } else { "burn?merged=1" };
     let value: Value = admin.get(path).await?;
     let burn: report::Report = serde_json::from_value(value.clone())
-        .map_err(|error| Report::new(Failure::Misunderstood(error.to_string())))?;
+        .map_err(|error| Report::new(Failure::UnexpectedAnswer(error.to_string())))?;
     if let Some(file) = html {
         write_page(file, &burn)?;
     }
-    Ok(Told::new(value, burn.text()))
+    Ok(Output::new(value, burn.text()))
 }
 
 fn write_page(file: &Path, burn: &report::Report) -> Result<(), Report<Failure>> {
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -10,16 +10,16 @@
 use crate::failure::Failure;
 
 /// Most bytes of an answer.
-const LONGEST_ANSWER: usize = 256 << 20;
+const MAX_ANSWER_BYTES: usize = 256 << 20;
 
 /// A client of one entry's administration API.
-pub struct Admin {
+pub struct AdminClient {
     client: Client,
     root: String,
     token: String,
 }
 
-impl Admin {
+impl AdminClient {
     /// A client for this connection.
     pub fn new(connection: &Connection) -> Self {
         let address = connection.address.trim_end_matches('/');
@@ -46,10 +46,10 @@
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Report<Failure>> {
         let request = self.client.get(format!("{}/{path}", self.root));
         let sent = request.bearer_auth(&self.token).send().await;
-        let mut answer = sent.map_err(|error| self.unanswered(&error.to_string()))?;
-        let body = answer.body().limit(LONGEST_ANSWER).await;
-        let body = body.map_err(|error| self.unanswered(&error.to_string()))?;
-        read(answer.status(), &body)
+        let mut answer = sent.map_err(|error| self.no_answer(&error.to_string()))?;
+        let body = answer.body().limit(MAX_ANSWER_BYTES).await;
+        let body = body.map_err(|error| self.no_answer(&error.to_string()))?;
+        parse(answer.status(), &body)
     }
 
     /// Sends a value to a resource.
@@ -63,18 +63,18 @@
     ) -> Result<T, Report<Failure>> {
         let request = self.client.post(format!("{}/{path}", self.root));
         let sent = request.bearer_auth(&self.token).send_json(value).await;
-        let mut answer = sent.map_err(|error| self.unanswered(&error.to_string()))?;
-        let body = answer.body().limit(LONGEST_ANSWER).await;
-        let body = body.map_err(|error| self.unanswered(&error.to_string()))?;
-        read(answer.status(), &body)
+        let mut answer = sent.map_err(|error| self.no_answer(&error.to_string()))?;
+        let body = answer.body().limit(MAX_ANSWER_BYTES).await;
+        let body = body.map_err(|error| self.no_answer(&error.to_string()))?;
+        parse(answer.status(), &body)
     }
 
-    fn unanswered(&self, detail: &str) -> Report<Failure> {
-        Report::new(Failure::Unanswered(format!("{}: {detail}", self.root)))
+    fn no_answer(&self, detail: &str) -> Report<Failure> {
+        Report::new(Failure::NoAnswer(format!("{}: {detail}", self.root)))
     }
 }
 
-fn read<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, Report<Failure>> {
+fn parse<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, Report<Failure>> {
     if !status.is_success() {
         let text = || Value::String(String::from_utf8_lossy(body).into_owned());
         let value = serde_json::from_slice(body).unwrap_or_else(|_| text());
@@ -82,5 +82,5 @@
     }
     let body = if body.is_empty() { b"null" } else { body };
     serde_json::from_slice(body)
-        .map_err(|error| Report::new(Failure::Misunderstood(error.to_string())))
+        .map_err(|error| Report::new(Failure::UnexpectedAnswer(error.to_string())))
 }
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -7,10 +7,10 @@
 use error_stack::Report;
 
 use crate::args::{Action, Command};
-use crate::client::Admin;
+use crate::client::AdminClient;
 use crate::edit::to_json;
 use crate::failure::Failure;
-use crate::told::Told;
+use crate::output::Output;
 use crate::{burn, drain, entities, keys, order};
 
 /// Does what the command line asks; the result goes to standard output, a failure to standard
@@ -21,8 +21,8 @@
         clap_complete::generate(shell, &mut described, "tarragonctl", &mut io::stdout());
         return ExitCode::SUCCESS;
     }
-    match actix_rt::System::new().block_on(act(command)) {
-        Ok(told) => tell(command, &told),
+    match actix_rt::System::new().block_on(execute(command)) {
+        Ok(output) => print_output(command, &output),
         Err(report) => {
             let failure = report.current_context();
             if command.json {
@@ -37,25 +37,27 @@
     }
 }
 
-async fn act(command: &Command) -> Result<Told, Report<Failure>> {
+async fn execute(command: &Command) -> Result<Output, Report<Failure>> {
     let connection = &command.connection;
     match &command.action {
         Action::Catalogue(action) => entities::run(action, connection).await,
-        Action::Status => Ok(Told::tree(Admin::new(connection).get("status").await?)),
+        Action::Status => Ok(Output::from_value(
+            AdminClient::new(connection).get("status").await?,
+        )),
         Action::Drain(action) => drain::run(action, connection).await,
         Action::Report(action) => burn::run(action, connection).await,
         Action::Order(action) => order::run(action, connection).await,
         Action::Keys(action) => keys::run(action),
         // Handled before a runtime is started, since it asks nobody.
-        Action::Completions { .. } => Ok(Told::new(serde_json::Value::Null, String::new())),
+        Action::Completions { .. } => Ok(Output::new(serde_json::Value::Null, String::new())),
     }
 }
 
-fn tell(command: &Command, told: &Told) -> ExitCode {
+fn print_output(command: &Command, output: &Output) -> ExitCode {
     if command.json {
-        print(&to_json(&told.value));
+        print(&to_json(&output.value));
     } else {
-        print(&told.text);
+        print(&output.text);
     }
     ExitCode::SUCCESS
 }
--- a/crates/cli/src/difference.rs
+++ b/crates/cli/src/difference.rs
@@ -10,7 +10,7 @@
 
 /// Kinds that `--prune` removes. Drains are made by hand in the moment and seldom kept in files,
 /// so a file that lacks one says nothing of it.
-const PRUNED: [&str; 4] = ["owner", "pool", "model", "entry"];
+const PRUNED_KINDS: [&str; 4] = ["owner", "pool", "model", "entry"];
 
 /// The catalogue in force, as the administration API tells it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Act {
+pub enum ChangeKind {
     /// It is new.
     Add,
     /// It gets other fields.
@@ -54,7 +54,7 @@
     Remove,
 }
 
-impl Act {
+impl ChangeKind {
     /// The sign in front of a line of a listing.
     pub fn sign(self) -> char {
         match self {
@@ -70,7 +70,7 @@
 #[derive(Serialize)]
 pub struct Difference {
     /// What happens to it.
-    pub act: Act,
+    pub act: ChangeKind,
     /// The change to send.
     pub change: Change,
 }
@@ -85,7 +85,7 @@
         .collect();
     let wanted = file.changes.iter().filter_map(|change| {
         let old = known.get(&(change.kind.as_str(), change.name.as_str()));
-        let act = act(old.copied(), change.value.as_ref())?;
+        let act = change_kind(old.copied(), change.value.as_ref())?;
         Some(Difference {
             act,
             change: change.clone(),
@@ -93,56 +93,56 @@
     });
     let mut differences: Vec<_> = wanted.collect();
     if prune {
-        differences.extend(missing(file, in_force));
+        differences.extend(removals(file, in_force));
     }
     differences
 }
 
-fn act(old: Option<&Value>, new: Option<&Value>) -> Option<Act> {
+fn change_kind(old: Option<&Value>, new: Option<&Value>) -> Option<ChangeKind> {
     match (old, new) {
-        (None, Some(_)) => Some(Act::Add),
-        (Some(_), None) => Some(Act::Remove),
-        (Some(old), Some(new)) if !alike(old, new) => Some(Act::Change),
+        (None, Some(_)) => Some(ChangeKind::Add),
+        (Some(_), None) => Some(ChangeKind::Remove),
+        (Some(old), Some(new)) if !same_value(old, new) => Some(ChangeKind::Change),
         _ => None,
     }
 }
 
 /// Whether two values are alike. `1` and `1.0` are, since YAML writers do not keep them apart.
-fn alike(old: &Value, new: &Value) -> bool {
+fn same_value(old: &Value, new: &Value) -> bool {
     match (old, new) {
         (Value::Number(old), Value::Number(new)) => old == new || old.as_f64() == new.as_f64(),
         (Value::Array(old), Value::Array(new)) => {
-            old.len() == new.len() && old.iter().zip(new).all(|(old, new)| alike(old, new))
+            old.len() == new.len() && old.iter().zip(new).all(|(old, new)| same_value(old, new))
         }
         (Value::Object(old), Value::Object(new)) => {
             old.len() == new.len()
                 && old
                     .iter()
-                    .all(|(name, old)| new.get(name).is_some_and(|new| alike(old, new)))
+                    .all(|(name, old)| new.get(name).is_some_and(|new| same_value(old, new)))
         }
         (old, new) => old == new,
     }
 }
 
-fn missing(file: &Document, in_force: &Catalogue) -> Vec<Difference> {
+fn removals(file: &Document, in_force: &Catalogue) -> Vec<Difference> {
     let named = |entity: &Entity| {
         file.changes
             .iter()
             .any(|change| change.kind == entity.kind && change.name == entity.name)
     };
-    let pruned = |entity: &&Entity| PRUNED.contains(&entity.kind.as_str()) && !named(entity);
-    let mut gone: Vec<_> = in_force.entities.iter().filter(pruned).collect();
-    gone.sort_by_key(|entity| {
-        let rank = PRUNED.iter().position(|kind| *kind == entity.kind);
+    let pruned = |entity: &&Entity| PRUNED_KINDS.contains(&entity.kind.as_str()) && !named(entity);
+    let mut removed: Vec<_> = in_force.entities.iter().filter(pruned).collect();
+    removed.sort_by_key(|entity| {
+        let rank = PRUNED_KINDS.iter().position(|kind| *kind == entity.kind);
         (std::cmp::Reverse(rank), entity.name.clone())
     });
     let remove = |entity: &Entity| Difference {
-        act: Act::Remove,
+        act: ChangeKind::Remove,
         change: Change {
             kind: entity.kind.clone(),
             name: entity.name.clone(),
             value: None,
         },
     };
-    gone.into_iter().map(remove).collect()
+    removed.into_iter().map(remove).collect()
 }
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -6,11 +6,11 @@
 use serde_json::{Value, json};
 
 use crate::args::{Connection, Drain};
-use crate::client::Admin;
+use crate::client::AdminClient;
 use crate::difference::Catalogue;
 use crate::edit::Edit;
 use crate::failure::Failure;
-use crate::told::Told;
+use crate::output::Output;
 
 /// Kind of the entity.
 const KIND: &str = "drain";
@@ -19,8 +19,8 @@
 ///
 /// # Errors
 /// See [`Failure`].
-pub async fn run(action: &Drain, connection: &Connection) -> Result<Told, Report<Failure>> {
-    let admin = Admin::new(connection);
+pub async fn run(action: &Drain, connection: &Connection) -> Result<Output, Report<Failure>> {
+    let admin = AdminClient::new(connection);
     let catalogue: Catalogue = admin.get("catalogue").await?;
     match action {
         Drain::On { upstream, reason } => {
@@ -44,13 +44,13 @@
 }
 
 async fn set(
-    admin: &Admin,
+    admin: &AdminClient,
     connection: &Connection,
     catalogue: &Catalogue,
     upstream: &str,
     value: Option<Value>,
     note: String,
-) -> Result<Told, Report<Failure>> {
+) -> Result<Output, Report<Failure>> {
     let edit = Edit {
         base_revision: catalogue.revision,
         note,
@@ -61,13 +61,13 @@
         }],
     };
     let accepted = edit.send(admin, connection).await?;
-    Ok(Told::new(
+    Ok(Output::new(
         json!({ "revision": accepted.revision, "upstream": upstream }),
         format!("{upstream}: accepted as revision {}\n", accepted.revision),
     ))
 }
 
-fn list(catalogue: &Catalogue) -> Told {
+fn list(catalogue: &Catalogue) -> Output {
     let drains = catalogue
         .entities
         .iter()
@@ -83,7 +83,7 @@
         })
         .collect();
     if rows.is_empty() {
-        return Told::new(json!([]), "no drains\n".to_owned());
+        return Output::new(json!([]), "no drains\n".to_owned());
     }
-    Told::tree(Value::Array(rows))
+    Output::from_value(Value::Array(rows))
 }
--- a/crates/cli/src/edit.rs
+++ b/crates/cli/src/edit.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use crate::args::Connection;
-use crate::client::Admin;
+use crate::client::AdminClient;
 use crate::failure::Failure;
 
 /// The answer to an accepted edit.
@@ -35,7 +35,7 @@
     /// The findings, or who won against it.
     pub async fn send(
         &self,
-        admin: &Admin,
+        admin: &AdminClient,
         connection: &Connection,
     ) -> Result<Accepted, Report<Failure>> {
         let body = json!({
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// The file cannot be read.
-pub fn read(path: &std::path::Path) -> Result<String, Report<Failure>> {
+pub fn read_file(path: &std::path::Path) -> Result<String, Report<Failure>> {
     std::fs::read_to_string(path)
         .change_context_lazy(|| Failure::Usage(format!("cannot read {}", path.display())))
 }
--- a/crates/cli/src/entities.rs
+++ b/crates/cli/src/entities.rs
@@ -7,27 +7,27 @@
 use serde_json::{Value, json};
 
 use crate::args::{Apply, Catalogue, Connection};
-use crate::client::Admin;
+use crate::client::AdminClient;
 use crate::difference::{self, Difference};
-use crate::edit::{Edit, read};
+use crate::edit::{Edit, read_file};
 use crate::failure::Failure;
-use crate::told::Told;
+use crate::output::Output;
 
 /// Does what was asked.
 ///
 /// # Errors
 /// See [`Failure`].
-pub async fn run(action: &Catalogue, connection: &Connection) -> Result<Told, Report<Failure>> {
-    let admin = Admin::new(connection);
+pub async fn run(action: &Catalogue, connection: &Connection) -> Result<Output, Report<Failure>> {
+    let admin = AdminClient::new(connection);
     match action {
         Catalogue::Check { file } => check(&admin, file).await,
         Catalogue::Apply(options) => apply(&admin, connection, options).await,
         Catalogue::Get { kind, name } => get(&admin, kind.as_deref(), name.as_deref()).await,
-        Catalogue::History => Ok(Told::tree(admin.get("catalogue/history").await?)),
+        Catalogue::History => Ok(Output::from_value(admin.get("catalogue/history").await?)),
     }
 }
 
-async fn check(admin: &Admin, file: &Path) -> Result<Told, Report<Failure>> {
+async fn check(admin: &AdminClient, file: &Path) -> Result<Output, Report<Failure>> {
     let document = parse(file)?;
     let body = json!({ "changes": document.changes });
     let answer: Value = admin.post("catalogue/check", &body).await?;
@@ -39,17 +39,17 @@
         return Err(Report::new(Failure::Refused(findings)));
     }
     let count = document.changes.len();
-    Ok(Told::new(
+    Ok(Output::new(
         json!({ "findings": [], "entities": count }),
         format!("{count} entities, no findings\n"),
     ))
 }
 
 async fn apply(
-    admin: &Admin,
+    admin: &AdminClient,
     connection: &Connection,
     options: &Apply,
-) -> Result<Told, Report<Failure>> {
+) -> Result<Output, Report<Failure>> {
     let document = parse(&options.file)?;
     let in_force: difference::Catalogue = admin.get("catalogue").await?;
     let differences = difference::between(&document, &in_force, options.prune);
@@ -57,7 +57,7 @@
     if differences.is_empty() || options.dry_run {
         let text = format!("{listing}nothing sent, revision {}\n", in_force.revision);
         let value = json!({ "revision": in_force.revision, "sent": false, "changes": differences });
-        return Ok(Told::new(value, text));
+        return Ok(Output::new(value, text));
     }
     let note = options
         .note
@@ -74,14 +74,14 @@
     let accepted = edit.send(admin, connection).await?;
     let text = format!("{listing}accepted as revision {}\n", accepted.revision);
     let value = json!({ "revision": accepted.revision, "sent": true, "changes": differences });
-    Ok(Told::new(value, text))
+    Ok(Output::new(value, text))
 }
 
 async fn get(
-    admin: &Admin,
+    admin: &AdminClient,
     kind: Option<&str>,
     name: Option<&str>,
-) -> Result<Told, Report<Failure>> {
+) -> Result<Output, Report<Failure>> {
     let mut catalogue: difference::Catalogue = admin.get("catalogue").await?;
     catalogue.entities.retain(|entity| {
         kind.is_none_or(|kind| entity.kind == kind) && name.is_none_or(|name| entity.name == name)
@@ -96,11 +96,11 @@
         let change = json!({"kind": entity.kind, "name": entity.name, "value": entity.value});
         text.push_str(&format!("  - {change}\n"));
     }
-    Ok(Told::new(json!(catalogue), text))
+    Ok(Output::new(json!(catalogue), text))
 }
 
 fn parse(file: &Path) -> Result<Document, Report<Failure>> {
-    Document::parse(&read(file)?).map_err(|findings| {
+    Document::parse(&read_file(file)?).map_err(|findings| {
         let lines = findings.iter().map(ToString::to_string).collect();
         Report::new(Failure::Refused(lines))
     })
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -14,18 +14,18 @@
     /// The command line or a file cannot be used.
     Usage(String),
     /// Another operator changed the same entity first.
-    Conflict(Vec<Winner>),
+    Conflict(Vec<ConflictingEdit>),
     /// No answer, so nobody knows whether an edit was taken.
-    Unanswered(String),
+    NoAnswer(String),
     /// The token is missing or wrong.
     Forbidden,
     /// The answer is not what the interface promises.
-    Misunderstood(String),
+    UnexpectedAnswer(String),
 }
 
 /// Whose edit won against ours.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Winner {
+pub struct ConflictingEdit {
     /// The entity, as kind and name.
     pub entity: String,
     /// Who edited it.
@@ -41,9 +41,9 @@
             Self::Refused(_) => 1,
             Self::Usage(_) => 2,
             Self::Conflict(_) => 3,
-            Self::Unanswered(_) => 4,
+            Self::NoAnswer(_) => 4,
             Self::Forbidden => 5,
-            Self::Misunderstood(_) => 6,
+            Self::UnexpectedAnswer(_) => 6,
         }
     }
 
@@ -51,10 +51,10 @@
     pub fn from_answer(status: u16, body: &Value) -> Self {
         match status {
             401 | 403 => Self::Forbidden,
-            409 if !winners(body).is_empty() => Self::Conflict(winners(body)),
+            409 if !conflicting_edits(body).is_empty() => Self::Conflict(conflicting_edits(body)),
             400..=499 => Self::Refused(findings(body)),
-            503 => Self::Unanswered(detail(body)),
-            _ => Self::Misunderstood(format!("status {status}: {}", detail(body))),
+            503 => Self::NoAnswer(detail(body)),
+            _ => Self::UnexpectedAnswer(format!("status {status}: {}", detail(body))),
         }
     }
 }
@@ -70,20 +70,20 @@
         match self {
             Self::Refused(findings) => write!(f, "refused:\n{}", findings.join("\n")),
             Self::Usage(detail) => f.write_str(detail),
-            Self::Conflict(winners) => {
+            Self::Conflict(edits) => {
                 f.write_str("another edit won; read the catalogue again and decide anew")?;
-                for winner in winners {
+                for edit in edits {
                     write!(
                         f,
                         "\n{}: changed by {} in revision {}",
-                        winner.entity, winner.operator, winner.revision
+                        edit.entity, edit.operator, edit.revision
                     )?;
                 }
                 Ok(())
             }
-            Self::Unanswered(detail) => write!(f, "no answer: {detail}"),
+            Self::NoAnswer(detail) => write!(f, "no answer: {detail}"),
             Self::Forbidden => f.write_str("the token is missing or wrong"),
-            Self::Misunderstood(detail) => write!(f, "an answer that makes no sense: {detail}"),
+            Self::UnexpectedAnswer(detail) => write!(f, "an answer that makes no sense: {detail}"),
         }
     }
 }
@@ -96,7 +96,7 @@
         .as_array()
         .into_iter()
         .flatten()
-        .map(finding)
+        .map(finding_line)
         .collect();
     if listed.is_empty() {
         vec![detail(body)]
@@ -105,34 +105,34 @@
     }
 }
 
-fn finding(finding: &Value) -> String {
+fn finding_line(finding: &Value) -> String {
     let field = |name| finding[name].as_str().unwrap_or_default();
     let entity = format!("{} {}", field("kind"), field("name"));
     let places = [entity.trim(), field("path"), field("problem")];
-    let told: Vec<_> = places
+    let parts: Vec<_> = places
         .into_iter()
         .filter(|place| !place.is_empty())
         .collect();
-    if told.is_empty() {
+    if parts.is_empty() {
         return finding
             .as_str()
             .map_or_else(|| finding.to_string(), str::to_owned);
     }
-    told.join(": ")
+    parts.join(": ")
 }
 
 fn detail(body: &Value) -> String {
-    let told = body["detail"].as_str().or(body["title"].as_str());
-    told.map_or_else(|| body.to_string(), str::to_owned)
+    let text = body["detail"].as_str().or(body["title"].as_str());
+    text.map_or_else(|| body.to_string(), str::to_owned)
 }
 
 /// The winners that a conflict names.
-fn winners(body: &Value) -> Vec<Winner> {
+fn conflicting_edits(body: &Value) -> Vec<ConflictingEdit> {
     let conflicts = body["conflicts"].as_array().into_iter().flatten();
-    conflicts.filter_map(winner).collect()
+    conflicts.filter_map(conflicting_edit).collect()
 }
 
-fn winner(conflict: &Value) -> Option<Winner> {
+fn conflicting_edit(conflict: &Value) -> Option<ConflictingEdit> {
     let entity = match &conflict["entity"] {
         Value::Object(key) => format!(
             "{} {}",
@@ -141,7 +141,7 @@
         ),
         entity => entity.as_str()?.to_owned(),
     };
-    Some(Winner {
+    Some(ConflictingEdit {
         entity,
         operator: conflict["operator"].as_str()?.to_owned(),
         revision: conflict["revision"].as_u64()?,
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -7,19 +7,19 @@
 
 use crate::args::Keys;
 use crate::failure::Failure;
-use crate::told::Told;
+use crate::output::Output;
 
 /// Does what was asked.
 ///
 /// # Errors
 /// See [`Failure`].
-pub fn run(action: &Keys) -> Result<Told, Report<Failure>> {
+pub fn run(action: &Keys) -> Result<Output, Report<Failure>> {
     match action {
         Keys::Make { dir, instances } => {
             let failed = || Failure::Usage(format!("cannot make keys in {}", dir.display()));
             peer::issue::make(dir, instances).change_context_lazy(failed)?;
             let text = format!("{} certificates in {}\n", instances.len(), dir.display());
-            Ok(Told::new(
+            Ok(Output::new(
                 json!({ "dir": dir, "instances": instances }),
                 text,
             ))
@@ -36,10 +36,10 @@
 }
 
 /// The digest that an owner lists for a key.
-fn digest(key: &str) -> Told {
+fn digest(key: &str) -> Output {
     let hex: String = catalogue::digest(key)
         .iter()
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    Told::new(json!({ "digest": hex }), format!("{hex}\n"))
+    Output::new(json!({ "digest": hex }), format!("{hex}\n"))
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod failure;
 pub mod keys;
 pub mod order;
+pub mod output;
 pub mod text;
-pub mod told;
--- a/crates/cli/src/order.rs
+++ b/crates/cli/src/order.rs
@@ -4,19 +4,21 @@
 use serde_json::{Value, json};
 
 use crate::args::{Connection, Model, Order, Submit};
-use crate::client::Admin;
+use crate::client::AdminClient;
 use crate::failure::Failure;
-use crate::told::Told;
+use crate::output::Output;
 
 /// Does what was asked.
 ///
 /// # Errors
 /// See [`Failure`].
-pub async fn run(action: &Order, connection: &Connection) -> Result<Told, Report<Failure>> {
-    let admin = Admin::new(connection);
+pub async fn run(action: &Order, connection: &Connection) -> Result<Output, Report<Failure>> {
+    let admin = AdminClient::new(connection);
     match action {
-        Order::List => Ok(Told::tree(admin.get("orders").await?)),
-        Order::Submit(change) => Ok(Told::tree(admin.post("orders", &body(change)).await?)),
+        Order::List => Ok(Output::from_value(admin.get("orders").await?)),
+        Order::Submit(change) => Ok(Output::from_value(
+            admin.post("orders", &body(change)).await?,
+        )),
     }
 }
 
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -6,22 +6,22 @@
 
 /// What a command tells.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct Output {
     /// For programs.
     pub value: Value,
     /// For people.
     pub text: String,
 }
 
-impl Told {
+impl Output {
     /// A result whose text is written by hand.
     pub fn new(value: Value, text: String) -> Self {
         Self { value, text }
     }
 
     /// A result whose text follows from its value.
-    pub fn tree(value: Value) -> Self {
-        let text = text::tree(&value);
+    pub fn from_value(value: Value) -> Self {
+        let text = text::render(&value);
         Self { value, text }
     }
 }
--- a/crates/cli/src/text.rs
+++ b/crates/cli/src/text.rs
@@ -5,10 +5,10 @@
 use serde_json::{Map, Value};
 
 /// Columns between two columns of a table.
-const GAP: usize = 2;
+const COLUMN_GAP: usize = 2;
 
 /// A value as text, ending with a line feed.
-pub fn tree(value: &Value) -> String {
+pub fn render(value: &Value) -> String {
     let mut out = String::new();
     write_value(&mut out, value, 0);
     out
@@ -70,7 +70,7 @@
             .iter()
             .zip(&widths)
             .fold(String::new(), |mut line, (cell, width)| {
-                let width = width + GAP;
+                let width = width + COLUMN_GAP;
                 write!(line, "{cell:<width$}").ok();
                 line
             });
--- a/crates/cli/tests/difference.rs
+++ b/crates/cli/tests/difference.rs
@@ -1,7 +1,7 @@
 //! What is sent so that the catalogue in force becomes that of a file.
 
 use catalogue::Document;
-use cli::difference::{Act, Catalogue, Difference, Entity, between};
+use cli::difference::{Catalogue, ChangeKind, Difference, Entity, between};
 use serde_json::{Value, json};
 
 fn entity(kind: &str, name: &str, value: Value) -> Entity {
@@ -26,7 +26,7 @@
     }
 }
 
-fn acts(differences: &[Difference]) -> Vec<(Act, &str)> {
+fn kinds_and_names(differences: &[Difference]) -> Vec<(ChangeKind, &str)> {
     differences
         .iter()
         .map(|entry| (entry.act, entry.change.name.as_str()))
@@ -44,25 +44,25 @@
 ";
     let document = Document::parse(file).unwrap();
     let differences = between(&document, &in_force(), false);
-    let expected = [(Act::Change, "old"), (Act::Add, "new")];
-    assert_eq!(acts(&differences), expected);
+    let expected = [(ChangeKind::Change, "old"), (ChangeKind::Add, "new")];
+    assert_eq!(kinds_and_names(&differences), expected);
 }
 
 #[test]
-fn a_change_of_a_nested_field_is_seen() {
+fn change_of_a_nested_field_is_detected() {
     let file = "changes:
   - {kind: pool, name: llm, value: {kind: engine, role_change: {price: 2}}}
 ";
     let document = Document::parse(file).unwrap();
     let differences = between(&document, &in_force(), false);
-    assert_eq!(acts(&differences), [(Act::Change, "llm")]);
+    assert_eq!(kinds_and_names(&differences), [(ChangeKind::Change, "llm")]);
 }
 
 #[test]
 fn pruning_removes_dependents_first_and_leaves_drains() {
     let document = Document::parse("changes: []").unwrap();
     let differences = between(&document, &in_force(), true);
-    let expected = ["old", "llm", "lima"].map(|name| (Act::Remove, name));
-    assert_eq!(acts(&differences), expected);
+    let expected = ["old", "llm", "lima"].map(|name| (ChangeKind::Remove, name));
+    assert_eq!(kinds_and_names(&differences), expected);
     assert!(between(&document, &in_force(), false).is_empty());
 }
--- a/crates/cli/tests/failure.rs
+++ b/crates/cli/tests/failure.rs
@@ -1,7 +1,7 @@
 //! Error answers as failures: their exit codes are a promise to scripts.
 
 use assert_matches::assert_matches;
-use cli::failure::{Failure, Winner};
+use cli::failure::{ConflictingEdit, Failure};
 use serde_json::{Value, json};
 
 fn conflict() -> Value {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn findings_are_told_with_their_place() {
+fn findings_name_entity_and_field() {
     let body = json!({"findings": [
         {"kind": "entry", "name": "a", "path": "pool", "problem": "names no pool"},
         {"kind": "", "name": "", "path": "", "problem": "is empty"},
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn a_conflict_names_the_winner() {
-    let winner = Winner {
+fn conflict_names_the_operator_and_revision() {
+    let conflicting = ConflictingEdit {
         entity: "pool llm".to_owned(),
         operator: "rosa".to_owned(),
         revision: 12,
     };
     let failure = Failure::from_answer(409, &conflict());
-    assert_eq!(failure, Failure::Conflict(vec![winner]));
+    assert_eq!(failure, Failure::Conflict(vec![conflicting]));
 }
--- a/crates/cli/tests/text.rs
+++ b/crates/cli/tests/text.rs
@@ -1,10 +1,10 @@
 //! JSON as text for people.
 
-use cli::text::tree;
+use cli::text::render;
 use serde_json::json;
 
 #[test]
-fn nested_names_are_indented_and_alike_objects_make_a_table() {
+fn nested_objects_are_indented_and_lists_of_objects_form_tables() {
     let value = json!({
         "folded": 17,
         "lease": {"holder": null, "words": ["a", "b"]},
@@ -27,5 +27,5 @@
   entry-1   false
   entry-20  true
 ";
-    assert_eq!(tree(&value), expected);
+    assert_eq!(render(&value), expected);
 }
