--- a/crates/catalogue/src/document.rs
+++ b/crates/catalogue/src/document.rs
@@ -7,7 +7,7 @@
 use crate::finding::nearest;
 use crate::{Findings, Kind, Revision};
 
-/// One change as operators write it.
+/// One change in a catalogue file or an API request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -16,36 +16,36 @@
     pub kind: String,
     /// Name of the entity.
     pub name: String,
-    /// Its fields; `null` removes it.
+    /// Fields of the entity; `null` removes it.
     #[serde(default)]
     pub value: Option<Value>,
 }
 
-/// An edit as operators write it. In files all but the changes may be missing.
+/// An edit in a catalogue file or an API request. Only `changes` is required in files.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The revision that it is based on.
+    /// Revision that the edit is based on.
     #[serde(default)]
     pub base_revision: Revision,
-    /// Who makes it.
+    /// Operator who makes the edit.
     #[serde(default)]
     pub operator: String,
-    /// Why.
+    /// Reason for the edit, shown in the history.
     #[serde(default)]
     pub note: String,
-    /// The changes.
+    /// Changes of the edit.
     pub changes: Vec<Change>,
 }
 
 impl Document {
-    /// Reads YAML or JSON, which is YAML as well.
+    /// Parses YAML, of which JSON is a subset.
     ///
     /// # Errors
     ///
-    /// One finding with line and column if it is no YAML or not of this form, and one for each
-    /// change whose kind is unknown.
+    /// One finding with line and column if the text is not a valid document, and one for each
+    /// change of unknown kind.
     pub fn parse(text: &str) -> Result<Self, Findings> {
         let mut findings = Findings::new();
         let document: Self = match serde_saphyr::from_str(text) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The changes as records carry them.
+    /// Converts the changes to their form in log records.
     pub fn changes(&self) -> Vec<record::Change> {
         let change = |change: &Change| record::Change {
             kind: change.kind.clone(),
--- a/crates/catalogue/src/drain.rs
+++ b/crates/catalogue/src/drain.rs
@@ -1,14 +1,14 @@
-//! Operators' drains of upstreams.
+//! Drains of upstreams, requested by operators.
 
 use crate::fields::Fields;
 use crate::{Findings, RawEntity};
 
-/// An upstream that gets no new work while this stands; its name is the id of the upstream.
+/// Keeps new work away from an upstream for as long as the entity exists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// Id of the upstream in the instance list.
+    /// Id of the upstream in the instance list, which is also the name of the entity.
     pub name: String,
-    /// Why, for the other operators.
+    /// Reason for the drain, shown to other operators.
     pub reason: String,
 }
 
--- a/crates/catalogue/src/entity.rs
+++ b/crates/catalogue/src/entity.rs
@@ -1,4 +1,4 @@
-//! The five kinds of entity and what they have in common.
+//! Entities of the catalogue, their kinds and keys.
 
 use std::fmt;
 
@@ -7,25 +7,25 @@
 
 use crate::{Drain, Entry, Model, Owner, Pool};
 
-/// Kind of an entity; the order is the one in which snapshots list them.
+/// Kind of an entity. Snapshots list entities in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Who may call and within which limits.
+    /// An organisation that may call, with its limits.
     Owner,
-    /// Upstreams that are alike.
+    /// A group of interchangeable upstreams.
     Pool,
-    /// What engines may be told to load.
+    /// A model that engines can load.
     Model,
-    /// What callers may ask for.
+    /// A model or path that callers may request.
     Entry,
-    /// An upstream that must get no new work.
+    /// An upstream that must not receive new work.
     Drain,
 }
 
 impl Kind {
-    /// All kinds in their order.
+    /// All kinds in the order of the variants.
     pub const ALL: [Self; 5] = [
         Self::Owner,
         Self::Pool,
@@ -34,7 +34,7 @@
         Self::Drain,
     ];
 
-    /// The word that stands in records and files.
+    /// Name of the kind in records and files.
     pub fn label(self) -> &'static str {
         match self {
             Self::Owner => "owner",
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The kind for the word in records and files.
+    /// Finds the kind by its name in records and files.
     pub fn from_label(word: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.label() == word)
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// What identifies an entity over its whole life, also across removal and renewed creation.
+/// Identifies an entity, also after it was removed and created again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Key {
@@ -68,7 +68,7 @@
 }
 
 impl Key {
-    /// The key of the entity of this kind and name.
+    /// Creates the key of an entity.
     pub fn new(kind: Kind, name: impl Into<String>) -> Self {
         Self {
             kind,
@@ -83,23 +83,23 @@
     }
 }
 
-/// A checked entity.
+/// An entity whose fields have been validated.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entity {
-    /// Who may call.
+    /// An organisation that may call.
     Owner(Owner),
-    /// Upstreams that are alike.
+    /// A group of interchangeable upstreams.
     Pool(Pool),
-    /// What engines may load.
+    /// A model that engines can load.
     Model(Model),
-    /// What callers may ask for.
+    /// A model or path that callers may request.
     Entry(Entry),
-    /// An upstream without new work.
+    /// An upstream that must not receive new work.
     Drain(Drain),
 }
 
 impl Entity {
-    /// Entities that this one names; they must exist as long as it does.
+    /// Keys of the entities that this one refers to; they must exist as long as it does.
     pub fn references(&self) -> SmallVec<[Key; 4]> {
         match self {
             Self::Owner(_) | Self::Pool(_) | Self::Drain(_) => SmallVec::new(),
--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries, which say what callers may ask for and how it is served.
+//! Entries: what callers may request, how it is served and with which service levels.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 use crate::owner::limits;
 use crate::{Findings, Key, Kind, Limits, RawEntity};
 
-/// What kind of work an entry is; it orders the work when not all fits.
+/// Class of work, which decides what goes first under overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// Short, with a hard deadline: a late answer is worthless.
+    /// Short calls with a hard deadline: a late answer is worthless.
     Authorisation,
     /// Short reports from devices, with a hard deadline.
     Status,
     /// A person waits for the answer or reads its tokens as they come.
     Interactive,
-    /// The result is wanted within hours.
+    /// The result is needed within hours.
     Dispatch,
-    /// The result has no deadline of note; such work may wait long.
+    /// The result has no urgent deadline, so the work may wait for long.
     Batch,
 }
 
 impl Class {
-    /// Priority for upstreams if the entry names none; 0 is the highest.
+    /// Default priority at upstreams; 0 is the highest.
     pub fn priority(self) -> u8 {
         match self {
             Self::Authorisation => 0,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The word that stands in the catalogue, in metrics and in reports.
+    /// Name of the class in the catalogue, metrics and reports.
     pub fn label(self) -> &'static str {
         match self {
             Self::Authorisation => "authorisation",
@@ -47,88 +47,89 @@
     }
 }
 
-/// What a keyed call that may not be repeated meets while the log is out; see
+/// Handling of keyed calls that are not repeatable while the log is unavailable; see
 /// `docs/design/at-most-once.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// It is refused as not run.
+    /// The call is refused as not run.
     Refuse,
-    /// The caller's declared first attempt runs without a claim; later attempts never run.
+    /// The attempt that the caller declares as the first runs without a claim; later ones do not
+    /// run.
     FirstAttempt,
 }
 
-/// What an entry promises. Times that are `None` are not promised.
+/// Service levels of an entry. A time of `None` has no objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Contract {
-    /// Share of requests that must be within the times, above 0 and below 1.
+    /// Share of requests that must meet the times, above 0 and below 1.
     pub objective: f64,
-    /// From the request to its first token.
+    /// Time from the request to the first token.
     pub first_token: Option<Duration>,
     /// Mean time between two tokens of one answer.
     pub between_tokens: Option<Duration>,
-    /// From the request to the end of its answer.
+    /// Time from the request to the end of the answer.
     pub whole: Option<Duration>,
-    /// After this the answer is of no use; work on it is dropped.
+    /// Time after which the answer is useless and work on it is dropped.
     pub deadline: Duration,
 }
 
 /// An HTTP method.
 pub type Method = String;
 
-/// What serves an entry.
+/// Target of an entry within its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A model on a pool of engines.
     Model {
         /// Name of the model in the catalogue.
         model: String,
-        /// Version, one of the model's.
+        /// Version, one of those of the model.
         version: String,
-        /// Adapter, one of the model's, if any.
+        /// Adapter, one of those of the model, if any.
         adapter: Option<String>,
     },
     /// A path on a pool of services.
     Path {
-        /// Paths at and below it are served; begins with `/` and does not end with one.
+        /// Serves this path and all below it. Begins with `/` and does not end with one.
         prefix: String,
-        /// Methods that are served; empty for all.
+        /// Methods that are served; all if empty.
         methods: SmallVec<[Method; 2]>,
     },
 }
 
-/// What callers of one owner may ask for.
+/// A model or path that the callers of one owner may request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// Name within the catalogue.
     pub name: String,
-    /// Whose keys may call it.
+    /// Owner whose keys may call it.
     pub owner: String,
-    /// What kind of work it is.
+    /// Class of its work.
     pub class: Class,
     /// Priority at the upstream, 0 (highest) to 4.
     pub priority: u8,
-    /// Bounds of this entry, within those of its owner.
+    /// Limits of this entry, at most those of its owner.
     pub limits: Limits,
     /// Pool that serves it.
     pub pool: String,
-    /// What serves it there.
+    /// Model or path that serves it.
     pub target: Target,
-    /// What it promises.
+    /// Service levels.
     pub contract: Contract,
-    /// True if running it twice does no harm.
+    /// Whether a call may run twice without harm.
     pub repeatable: bool,
-    /// What happens to keyed calls while the log is out.
+    /// Handling of keyed calls while the log is unavailable.
     pub outage: Outage,
-    /// True if calls without an idempotency key are refused.
+    /// Whether calls without an idempotency key are refused.
     pub require_key: bool,
-    /// Most bytes of a request body.
+    /// Maximum size of a request body in bytes.
     pub max_body: u64,
-    /// How long a finished answer is kept for a repeat with the same key.
+    /// How long a complete answer is kept for repeats with the same key.
     pub hold_answer: Duration,
 }
 
 impl Entry {
-    /// Entities that it names.
+    /// Keys of the entities that the entry refers to.
     pub(crate) fn references(&self) -> SmallVec<[Key; 4]> {
         let mut keys = SmallVec::new();
         keys.push(Key::new(Kind::Owner, &self.owner));
@@ -269,8 +270,8 @@
     }
 }
 
-/// A caller that may attempt a call again without a key cannot be told apart from a new call, so
-/// running first attempts in an outage needs the key on every call.
+/// Checks the fields that depend on each other. Without a key, a retry cannot be told from a new
+/// call, so `first-attempt` requires a key on every call.
 fn check_entry(fields: &mut Fields<'_>, entry: &Entry) {
     if entry.max_body == 0 {
         fields.report("max_body", "must be above 0");
--- a/crates/catalogue/src/fields.rs
+++ b/crates/catalogue/src/fields.rs
@@ -1,5 +1,5 @@
-//! Reads the JSON object of an entity field by field, so that all faults are found in one pass
-//! where a derived reader would stop at the first.
+//! Parses the JSON object of an entity field by field, so that one pass reports all findings. A
+//! derived deserializer would stop at the first.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::finding::nearest;
 use crate::{Finding, Findings, Kind, RawEntity};
 
-/// An object that is being read. Fields that nobody asked for are findings in the end.
+/// An object that is being parsed. Fields that were not read are reported as unknown at the end.
 pub(crate) struct Fields<'r> {
     kind: Kind,
     name: &'r str,
-    /// Path of this object with its closing dot, empty for the outermost.
+    /// Path of this object with a trailing dot; empty for the top level.
     path: String,
     remaining: Map<String, Value>,
     known: Vec<&'static str>,
@@ -21,7 +21,7 @@
 }
 
 impl<'r> Fields<'r> {
-    /// Opens an entity; fails if its JSON is no object at all.
+    /// Starts parsing an entity; fails if its JSON is not an object.
     pub(crate) fn open(raw: &RawEntity<'r>) -> Result<Self, Findings> {
         let mut findings = Findings::new();
         if let Some(problem) = name_problem(raw.name) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Gives the entity if nothing was found, else all findings.
+    /// Returns the entity, or all findings if there are any.
     pub(crate) fn finish<T>(mut self, entity: T) -> Result<T, Findings> {
         self.report_unknown();
         if self.findings.is_empty() {
@@ -57,18 +57,18 @@
         }
     }
 
-    /// Reports a fault of a field of this object.
+    /// Adds a finding for a field of this object.
     pub(crate) fn report(&mut self, field: &str, problem: impl Into<String>) {
         let path = format!("{}{field}", self.path);
         self.findings.add(self.kind, self.name, &path, problem);
     }
 
-    /// True if the object still holds the field; for fields that exclude each other.
+    /// Whether the object has a field that was not read yet; used for mutually exclusive fields.
     pub(crate) fn has(&self, field: &str) -> bool {
         self.remaining.contains_key(field)
     }
 
-    /// Reads a field that may be missing; `null` counts as missing.
+    /// Reads an optional field; `null` counts as missing.
     pub(crate) fn optional<T: DeserializeOwned>(&mut self, field: &'static str) -> Option<T> {
         self.known.push(field);
         let value = self
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reads a field that must be there.
+    /// Reads a required field.
     pub(crate) fn required<T: DeserializeOwned>(&mut self, field: &'static str) -> Option<T> {
         if self.require(field) {
             self.optional(field)
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Reads a number above zero.
+    /// Reads a finite number above zero.
     pub(crate) fn positive(&mut self, field: &'static str) -> Option<f64> {
         let number: f64 = self.optional(field)?;
         if number.is_finite() && number > 0.0 {
@@ -103,7 +103,7 @@
         None
     }
 
-    /// Reads a whole number above zero.
+    /// Reads an integer above zero.
     pub(crate) fn positive_integer(&mut self, field: &'static str) -> Option<u32> {
         let number: u32 = self.optional(field)?;
         if number == 0 {
@@ -113,7 +113,7 @@
         Some(number)
     }
 
-    /// Reads a time span such as `250ms` or `2m`, longer than zero.
+    /// Reads a duration above zero, such as `250ms` or `2m`.
     pub(crate) fn duration(&mut self, field: &'static str) -> Option<Duration> {
         let text: String = self.optional(field)?;
         match humantime::parse_duration(&text) {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Reads a time span that must be there.
+    /// Reads a required duration.
     pub(crate) fn required_duration(&mut self, field: &'static str) -> Option<Duration> {
         if self.require(field) {
             self.duration(field)
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Reads one of a list of words.
+    /// Reads one of a fixed set of keywords.
     pub(crate) fn keyword<T: Copy>(
         &mut self,
         field: &'static str,
@@ -153,7 +153,7 @@
         None
     }
 
-    /// Reads one of a list of words that must be there.
+    /// Reads a required keyword.
     pub(crate) fn required_keyword<T: Copy>(
         &mut self,
         field: &'static str,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Reads an object within this one.
+    /// Reads a nested object.
     pub(crate) fn nested<T>(
         &mut self,
         field: &'static str,
@@ -189,7 +189,7 @@
         Some(value)
     }
 
-    /// Reads an object within this one that must be there.
+    /// Reads a required nested object.
     pub(crate) fn required_nested<T>(
         &mut self,
         field: &'static str,
@@ -233,7 +233,8 @@
     }
 }
 
-/// What is wrong with a name, if anything. Names stand in paths, log lines and metric names.
+/// Returns what is wrong with a name, if anything. Names are used in paths, log lines and metric
+/// names.
 pub(crate) fn name_problem(name: &str) -> Option<&'static str> {
     const MAX_NAME_LEN: usize = 64;
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
--- a/crates/catalogue/src/finding.rs
+++ b/crates/catalogue/src/finding.rs
@@ -1,4 +1,4 @@
-//! What is wrong with an edit, with its place, collected so that all is reported together.
+//! Findings: the problems of an edit, collected so that all are reported at once.
 
 use std::fmt;
 
@@ -6,17 +6,17 @@
 
 use crate::Kind;
 
-/// One fault of an edit and where it is.
+/// One problem of an edit and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Finding {
-    /// Kind of the entity as the operator wrote it; empty if the fault is in the edit itself.
+    /// Kind of the entity as the operator wrote it; empty if the edit itself is at fault.
     pub kind: String,
-    /// Name of the entity; empty if the fault is in the edit itself.
+    /// Name of the entity; empty if the edit itself is at fault.
     pub name: String,
     /// Path of the field, such as `contract.objective`; empty for the entity as a whole.
     pub path: String,
-    /// What is wrong, as a clause that says what would be right.
+    /// The problem, worded as what would be valid.
     pub problem: String,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// All faults of one edit in the order in which they were met.
+/// Findings of one edit in the order in which they were found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(transparent)]
@@ -44,12 +44,12 @@
 }
 
 impl Findings {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// True if nothing is wrong.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
@@ -59,12 +59,12 @@
         self.list.len()
     }
 
-    /// The findings in order.
+    /// Iterates over the findings in order.
     pub fn iter(&self) -> std::slice::Iter<'_, Finding> {
         self.list.iter()
     }
 
-    /// Adds a fault of an entity.
+    /// Adds a finding for an entity.
     pub fn add(&mut self, kind: Kind, name: &str, path: &str, problem: impl Into<String>) {
         self.push(Finding {
             kind: kind.to_string(),
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Adds a fault of the edit itself.
+    /// Adds a finding for the edit itself.
     pub fn add_edit_finding(&mut self, path: &str, problem: impl Into<String>) {
         self.push(Finding {
             kind: String::new(),
@@ -84,8 +84,8 @@
         });
     }
 
-    /// Adds a finding once: dependents of several changed entities are checked once each, but
-    /// an entity that is both changed and dependent would report the same fault twice.
+    /// Adds a finding unless it is already listed. An entity that is both changed and a dependent
+    /// of another changed one is validated twice and would report the same finding twice.
     pub fn push(&mut self, finding: Finding) {
         if !self.list.contains(&finding) {
             self.list.push(finding);
@@ -114,7 +114,7 @@
     }
 }
 
-/// The known word nearest to `word`, if one is near enough to have been meant.
+/// Returns the known word most similar to `word`, if it is similar enough to suggest.
 pub(crate) fn nearest<'a>(word: &str, known: &[&'a str]) -> Option<&'a str> {
     const MIN_SIMILARITY: f64 = 0.7;
     known
--- a/crates/catalogue/src/owner.rs
+++ b/crates/catalogue/src/owner.rs
@@ -1,29 +1,29 @@
-//! Owners and the limits that bound their load.
+//! Owners and their load limits.
 
 use smallvec::SmallVec;
 
 use crate::fields::Fields;
 use crate::{Findings, RawEntity};
 
-/// Upper bounds of load over all entry instances together; `None` leaves a dimension unbounded.
+/// Load limits over all entry instances together; `None` means unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_second: Option<f64>,
-    /// Prompt and generated tokens a second.
+    /// Prompt and generated tokens per second.
     pub tokens_per_second: Option<f64>,
-    /// Requests in hand at the same time.
+    /// Concurrent requests.
     pub concurrent: Option<u32>,
 }
 
-/// An organisation that calls, known by its bearer keys.
+/// An organisation that calls, identified by its bearer keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Owner {
     /// Name within the catalogue.
     pub name: String,
-    /// blake3 digests of its bearer keys; several while a key is being rotated.
+    /// BLAKE3 digests of its bearer keys; several during a key rotation.
     pub keys: SmallVec<[[u8; 32]; 2]>,
-    /// Bounds over all of its entries together.
+    /// Limits over all of its entries together.
     pub limits: Limits,
 }
 
@@ -58,7 +58,7 @@
     digests
 }
 
-/// Reads `limits`, which owners and entries share.
+/// Reads the `limits` of an owner or entry.
 pub(crate) fn limits(fields: &mut Fields<'_>) -> Limits {
     fields
         .nested("limits", |node| Limits {
--- a/crates/catalogue/src/pool.rs
+++ b/crates/catalogue/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pools of upstreams that are alike, and the models that engines may load.
+//! Pools of interchangeable upstreams, and the models that engines can load.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::fields::Fields;
 use crate::{Findings, RawEntity};
 
-/// What the upstreams of a pool are.
+/// Type of the upstreams of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolKind {
     /// Model engines.
@@ -16,94 +16,93 @@
     Service,
 }
 
-/// What an engine does with a request.
+/// Phases of a request that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// Prefill and decode in mixed batches.
     Mixed,
-    /// Prefill only, the KV cache is exported.
+    /// Prefill only; the KV cache is exported.
     Prefill,
-    /// Decode only, the KV cache is imported.
+    /// Decode only; the KV cache is imported.
     Decode,
 }
 
-/// How many engines may have a role.
+/// Number of engines that may have a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoleRange {
-    /// Planned changes never go below.
+    /// Planned changes never leave fewer.
     pub min: u32,
-    /// Planned changes never go above.
+    /// Planned changes never make more.
     pub max: u32,
-    /// The split to begin with.
+    /// Number at the start.
     pub initial: u32,
 }
 
-/// What the change of an engine's role costs.
+/// Cost of changing the role of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoleChange {
-    /// Factor on the engine-seconds lost: a change is worth it only if the expected gain
-    /// exceeds the loss times this price. Low where goodput weighs more, high where each
-    /// absence of an engine hurts.
+    /// Factor on the engine-seconds lost: a change is made only if its expected gain exceeds the
+    /// loss times this price. Low values favour goodput, high values keep engines available.
     pub price: f64,
-    /// How long an engine is away.
+    /// How long an engine is unavailable during the change.
     pub takes: Duration,
 }
 
-/// How an upstream is chosen; `routing` implements them.
+/// Policy that selects an upstream; implemented in `routing`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Sampled upstreams plus the best remembered one.
+    /// The best of sampled upstreams and the remembered best one.
     Drill,
     /// The better of two sampled upstreams.
     TwoChoices,
-    /// The least loaded of all.
+    /// The least loaded of all upstreams.
     Scan,
-    /// Fewest own requests outstanding.
+    /// The one with the fewest outstanding requests of this process.
     LeastOutstanding,
-    /// Each in turn.
+    /// Each upstream in turn.
     RoundRobin,
-    /// Any with equal chance.
+    /// Uniformly at random.
     Random,
-    /// Where the prefix is expected in the cache, with bounded load.
+    /// One that is expected to have the prefix cached, with bounded load.
     Affinity,
 }
 
-/// How roles are planned; `routing` implements them.
+/// Policy that plans roles; implemented in `routing`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planner {
-    /// The initial split for ever.
+    /// Keeps the initial split.
     Static,
     /// Thresholds with hysteresis.
     Threshold,
-    /// Expected gain against the price of a change.
+    /// Weighs the expected gain against the price of a change.
     Gain,
 }
 
-/// Upstreams that are alike. A pool is also the scope of authority.
+/// A group of interchangeable upstreams. Control is leased per pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
     /// Name within the catalogue.
     pub name: String,
-    /// Engines or services.
+    /// Whether the upstreams are engines or services.
     pub kind: PoolKind,
-    /// How many engines may have each role; a role that is missing is not used.
+    /// Number of engines for each role; roles that are not listed are not used.
     pub roles: SmallVec<[(Role, RoleRange); 3]>,
-    /// What a change of role costs; engines only.
+    /// Cost of a role change; for engines only.
     pub role_change: RoleChange,
-    /// True if the engines refuse orders with an old fence; false also where it is not known.
+    /// Whether the engines refuse orders with an outdated fencing token; false if unknown.
     pub checks_fence: bool,
-    /// How an upstream is chosen.
+    /// Policy that selects an upstream.
     pub choice: Choice,
-    /// How roles are planned.
+    /// Policy that plans roles.
     pub planner: Planner,
-    /// Most requests that one entry instance lets wait for the pool.
+    /// Maximum number of requests that one entry instance queues for the pool.
     pub queue_limit: u32,
-    /// How long control of the pool lasts without renewal.
+    /// How long control of the pool lasts without a renewal.
     pub lease: Duration,
 }
 
 impl Pool {
-    /// The span of a role, if the pool uses it.
+    /// Returns the range of a role, if the pool uses it.
     pub fn role_range(&self, role: Role) -> Option<RoleRange> {
         self.roles
             .iter()
@@ -206,14 +205,14 @@
         .unwrap_or(DEFAULT_ROLE_CHANGE)
 }
 
-/// A model that engines may be told to load.
+/// A model that engines can load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
     /// Name within the catalogue.
     pub name: String,
-    /// Versions that entries may name; several while they move from one to the next.
+    /// Versions that entries may use; several during an upgrade.
     pub versions: SmallVec<[String; 2]>,
-    /// Adapters that entries may name.
+    /// Adapters that entries may use.
     pub adapters: SmallVec<[String; 4]>,
     /// Pools of engines that may serve it.
     pub pools: SmallVec<[String; 2]>,
