--- a/crates/catalogue/examples/digest.rs
+++ b/crates/catalogue/examples/digest.rs
@@ -1,4 +1,4 @@
-//! Prints the digest under which a catalogue keeps a bearer key.
+//! Prints the digest under which the catalogue stores a bearer key.
 
 fn main() {
     for key in std::env::args().skip(1) {
--- a/crates/catalogue/examples/fold.rs
+++ b/crates/catalogue/examples/fold.rs
@@ -1,4 +1,4 @@
-//! Measures what the fold of the catalogue costs in time and memory, for `docs/CAPACITY.md`:
+//! Measures the time and memory of folding the catalogue, for `docs/CAPACITY.md`:
 //! `cargo run --release -p catalogue --example fold [OWNERS] [ENTRIES] [EDITS]`.
 
 use std::error::Error;
@@ -110,7 +110,7 @@
 fn update(number: u64, entries: u64, state: &State) -> Record {
     let target = number * 7 % entries;
     let owner = target % state.view().names(catalogue::Kind::Owner).count() as u64;
-    // Bases lie far enough ahead to be newer than any earlier update of the same entry.
+    // Each base revision is newer than every earlier update of the same entry.
     let base = state.folded() + number;
     edit(base, vec![entry(target, owner, 21 + number % 9)])
 }
@@ -174,7 +174,7 @@
     println!("{what}: {count} in {elapsed:?}, {each:.2} us each");
 }
 
-/// Resident memory in KiB.
+/// Resident memory of the process in KiB.
 fn resident_kib() -> Result<u64, Box<dyn Error>> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
--- a/crates/catalogue/src/index.rs
+++ b/crates/catalogue/src/index.rs
@@ -1,4 +1,4 @@
-//! What the entities are found by, kept in step with them.
+//! Secondary indexes of the entities.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,14 +8,14 @@
 use crate::{Entity, Entry, Key, Kind, Owner, Target};
 
 type Name = Arc<str>;
-/// Entries at one path by method, `""` standing for all methods. While an edit is checked there
-/// may be several for one method.
+/// Entries at one path by method, with [`ANY_METHOD`] for all methods. A method has several
+/// entries only while an edit is validated.
 type EntriesByMethod = BTreeMap<Box<str>, SmallVec<[Name; 1]>>;
 
-/// Method under which an entry without methods stands.
+/// Method under which entries that serve all methods are indexed.
 pub(crate) const ANY_METHOD: &str = "";
 
-/// Lookups that the data plane and the checks need.
+/// Lookups for the data plane and for validation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
     owners_by_key: BTreeMap<[u8; 32], SmallVec<[Name; 1]>>,
@@ -25,19 +25,19 @@
 }
 
 impl Index {
-    /// Owners that have a key with this digest: one, but while an edit is checked.
+    /// Owners that have a key with this digest; more than one only while an edit is validated.
     pub(crate) fn owners_with_key(&self, digest: &[u8; 32]) -> &[Name] {
         self.owners_by_key
             .get(digest)
             .map_or(&[], SmallVec::as_slice)
     }
 
-    /// The entries at exactly this path by method.
+    /// Entries at exactly this path, by method.
     pub(crate) fn entries_at(&self, prefix: &str) -> Option<&EntriesByMethod> {
         self.entries_by_path.get(prefix)
     }
 
-    /// Other entries that have the path of this one and one of its methods.
+    /// Other entries with the path of this one and at least one of its methods.
     pub(crate) fn sharing_path(&self, entry: &Entry) -> SmallVec<[Name; 2]> {
         let mut others: SmallVec<[Name; 2]> = SmallVec::new();
         let Target::Path { prefix, .. } = &entry.target else {
@@ -56,7 +56,7 @@
         others
     }
 
-    /// Names of the entries of an owner, in order.
+    /// Names of the entries of an owner, sorted.
     pub(crate) fn entries_of(&self, owner: &str) -> impl Iterator<Item = &str> {
         self.entries_by_owner
             .get(owner)
@@ -65,12 +65,12 @@
             .map(|name| &**name)
     }
 
-    /// Entities that name this one.
+    /// Entities that refer to this one.
     pub(crate) fn dependents(&self, key: &Key) -> impl Iterator<Item = &(Kind, Name)> {
         self.dependents.get(key).into_iter().flatten()
     }
 
-    /// Takes up an entity.
+    /// Adds an entity.
     pub(crate) fn insert(&mut self, name: &Name, entity: &Entity) {
         match entity {
             Entity::Owner(owner) => self.insert_owner(name, owner),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Forgets an entity.
+    /// Removes an entity.
     pub(crate) fn remove(&mut self, name: &Name, entity: &Entity) {
         match entity {
             Entity::Owner(owner) => self.remove_owner(name, owner),
@@ -164,7 +164,7 @@
     }
 }
 
-/// Methods under which an entry stands in the index.
+/// Methods under which an entry is indexed.
 fn indexed_methods(entry: &Entry) -> SmallVec<[&str; 2]> {
     match &entry.target {
         Target::Path { methods, .. } if !methods.is_empty() => {
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,8 +1,8 @@
 //! The catalogue: owners, pools, models, entries and drains, folded from the edits in the
-//! platform's log. It stands between the log reader of `control` and everything that serves or
-//! plans: the data plane looks up entries and owners here, the planner reads the pools. Whether
-//! an edit is accepted is a pure function of the state, the offset and the edit, so that every
-//! process ends up with the same catalogue; see `docs/design/catalogue.md`.
+//! platform's log. The log reader of `control` feeds it; the data plane looks up entries and
+//! owners in it, and the planner reads the pools. Whether an edit is accepted is a pure function
+//! of the state, the offset and the edit, so that all processes arrive at the same catalogue; see
+//! `docs/design/catalogue.md`.
 
 mod document;
 mod drain;
@@ -34,7 +34,7 @@
 pub use table::{Slot, View};
 pub use verdict::{Conflict, DecidedEdit, Refusal, Verdict};
 
-/// Offset of a record in the platform's log; it starts at 1, and 0 stands for "none yet".
+/// Offset of a record in the platform's log. Offsets start at 1; 0 means "none yet".
 pub type Offset = u64;
 /// Revision of the catalogue: the offset of the newest accepted edit.
 pub type Revision = Offset;
--- a/crates/catalogue/src/rules.rs
+++ b/crates/catalogue/src/rules.rs
@@ -1,13 +1,13 @@
-//! The acceptance rules by version. All processes apply the version that the log says is in
-//! force, whatever newer version their own software knows, so that mixed software accepts alike;
-//! see `docs/design/catalogue.md`.
+//! The acceptance rules by version. All processes apply the version that the log declares in
+//! force, even if they know a newer one, so that processes of different software versions accept
+//! the same edits; see `docs/design/catalogue.md`.
 
 use crate::fields::name_problem;
 use crate::finding::nearest;
 use crate::table::View;
 use crate::{Entity, Entry, Findings, Key, Kind, Limits, Model, Owner, PoolKind, Target, Version};
 
-/// An entity as a record gives it.
+/// An entity in a record, not parsed yet.
 #[derive(Clone, Copy, Debug)]
 pub struct RawEntity<'a> {
     /// Kind of the entity.
@@ -18,19 +18,19 @@
     pub json: &'a str,
 }
 
-/// One version of the rules. A version that has ever been in force never changes; software that
-/// drops it can no longer read entities that were accepted under it.
+/// One version of the rules. A version that has been in force must never change; software that
+/// drops it can no longer parse entities that were accepted under it.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleSet {
-    /// The version.
+    /// Version of the rules.
     pub version: Version,
-    /// Reads one entity by itself.
+    /// Parses an entity and checks it on its own.
     pub parse: fn(&RawEntity<'_>) -> Result<Entity, Findings>,
-    /// Checks an entity against the others, as they would be with the edit.
+    /// Validates an entity against the others, with the edit applied.
     pub validate: fn(&View, &Entity, &mut Findings),
 }
 
-/// All versions that this software knows.
+/// All rule sets that this software knows.
 #[derive(Clone, Debug)]
 pub struct Rules {
     sets: Vec<RuleSet>,
@@ -40,17 +40,17 @@
 pub(crate) const FIRST_VERSION: Version = 1;
 
 impl Rules {
-    /// Rules of the given versions, for tests of mixed software.
+    /// Creates rules from given sets, for tests with mixed software versions.
     pub fn new(sets: Vec<RuleSet>) -> Self {
         Self { sets }
     }
 
-    /// The rules of a version, if this software knows them.
+    /// Returns the rule set of a version, if this software knows it.
     pub fn get(&self, version: Version) -> Option<&RuleSet> {
         self.sets.iter().find(|set| set.version == version)
     }
 
-    /// The newest version that this software knows.
+    /// Returns the newest version that this software knows.
     pub fn newest(&self) -> Version {
         self.sets.iter().map(|set| set.version).max().unwrap_or(0)
     }
@@ -171,8 +171,8 @@
     }
 }
 
-/// Two entries with the same path and method would leave it to chance which owner's limits and
-/// which rule on repeats hold for a call.
+/// With two entries at the same path and method, the limits and the retry rule that apply to a
+/// call would be arbitrary.
 fn validate_path(view: &View, entry: &Entry, findings: &mut Findings) {
     let Target::Path { prefix, .. } = &entry.target else {
         return;
@@ -183,7 +183,7 @@
     }
 }
 
-/// Limits above the owner's are a mistake: they could never be reached.
+/// Refuses limits above those of the owner, since they could never be reached.
 fn check_owner_limits(entry: &Entry, owner: &Owner, findings: &mut Findings) {
     let above = |ours: Option<f64>, bound: Option<f64>| match (ours, bound) {
         (Some(ours), Some(bound)) => ours > bound,
--- a/crates/catalogue/src/serving.rs
+++ b/crates/catalogue/src/serving.rs
@@ -1,36 +1,36 @@
-//! How the data plane finds owners and entries.
+//! Lookups of owners and entries for the data plane.
 
 use crate::index::ANY_METHOD;
 use crate::table::View;
 use crate::{Entry, Owner, Target};
 
-/// Digest under which the catalogue keeps a bearer key.
+/// Digest under which the catalogue stores a bearer key.
 pub fn digest(bearer_key: &str) -> [u8; 32] {
     *blake3::hash(bearer_key.as_bytes()).as_bytes()
 }
 
-/// What a path leads to.
+/// Result of looking up a path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PathMatch<'v> {
-    /// The entry that serves it.
+    /// The entry that serves the path.
     Entry(&'v Entry),
-    /// The longest prefix is served, but not with this method.
+    /// The longest matching prefix does not serve the method.
     MethodNotAllowed,
-    /// No entry has a prefix of it.
+    /// No entry has a matching prefix.
     NotFound,
 }
 
 impl View {
-    /// The owner of a bearer key. Only digests are compared, so the time that it takes tells
+    /// Finds the owner of a bearer key. Only digests are compared, so that the timing reveals
     /// nothing about the keys.
     pub fn owner_of_key(&self, bearer_key: &str) -> Option<&Owner> {
         let name = self.index().owners_with_key(&digest(bearer_key)).first()?;
         self.owner(name)
     }
 
-    /// The entry with the longest prefix of `path` in whole segments. The longest one decides
-    /// alone: a method that it does not serve never falls through to a shorter prefix, which
-    /// might allow repeats that the longer one forbids.
+    /// Finds the entry with the longest prefix of `path` in whole segments. A method that it does
+    /// not serve does not fall through to a shorter prefix, which might allow retries that the
+    /// longer one forbids.
     pub fn entry_at(&self, method: &str, path: &str) -> PathMatch<'_> {
         let mut prefix = path;
         loop {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The entry of an owner that a request's `model` means: the entry of that name, or else the
-    /// owner's first entry, by name, that serves the model of that name.
+    /// Resolves the `model` of a request: the owner's entry of that name, or else the owner's first
+    /// entry by name that serves the model of that name.
     pub fn entry_for_model(&self, owner: &str, name: &str) -> Option<&Entry> {
         let is_model = |entry: &&Entry| matches!(&entry.target, Target::Model { .. });
         let serves_model =
@@ -61,7 +61,7 @@
             .or_else(|| self.entries_of(owner).find(serves_model))
     }
 
-    /// The entries of an owner by name.
+    /// Entries of an owner, sorted by name.
     pub fn entries_of(&self, owner: &str) -> impl Iterator<Item = &Entry> {
         self.index()
             .entries_of(owner)
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: the folded catalogue as a record, before the log forgets the edits.
+//! Snapshots: the folded catalogue as a record, written before the log drops the edits.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use crate::table::{Slot, View};
 use crate::{Findings, Key, Kind, RawEntity, Rules, State, Version};
 
-/// Why a snapshot cannot be taken.
+/// Reason why a snapshot is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// Its digest is not that of its fields: it was damaged or written by faulty software.
+    /// The digest does not match the fields: damage, or faulty software wrote it.
     Digest,
-    /// It needs a version of the rules that this software does not know.
+    /// The snapshot requires a version of the rules that this software does not know.
     Rules(Version),
-    /// Entities that the rules under which they were accepted cannot read.
+    /// Entities cannot be parsed by the rules under which they were accepted.
     Entities(Findings),
 }
 
@@ -32,12 +32,12 @@
 
 impl std::error::Error for SnapshotError {}
 
-/// Sets the digest of a snapshot whose other fields are complete.
+/// Sets the digest of a snapshot after all other fields are set.
 pub fn seal(snapshot: &mut Snapshot) {
     snapshot.digest = digest(snapshot).to_vec();
 }
 
-/// Checks the digest of a snapshot.
+/// Verifies the digest of a snapshot.
 pub fn verify(snapshot: &Snapshot) -> Result<(), SnapshotError> {
     if snapshot.digest == digest(snapshot) {
         Ok(())
@@ -46,7 +46,8 @@
     }
 }
 
-/// The encoding is canonical: fields in the order of their numbers, lists in a fixed order.
+/// Hashes the encoding without the digest. The encoding is canonical: fields in the order of
+/// their numbers, lists in a fixed order.
 fn digest(snapshot: &Snapshot) -> [u8; 32] {
     let without_digest = Snapshot {
         digest: Vec::new(),
@@ -56,8 +57,8 @@
 }
 
 impl State {
-    /// The catalogue's part of a snapshot; the caller adds scopes and orders as of the same
-    /// offset and seals it. `None` while frozen: what is in force cannot be known then.
+    /// Creates the catalogue's part of a snapshot; the caller adds scopes and orders as of the same
+    /// offset and seals it. `None` while frozen, since what is in force is unknown then.
     pub fn snapshot(&self) -> Option<Snapshot> {
         if self.frozen().is_some() {
             return None;
@@ -72,11 +73,11 @@
         })
     }
 
-    /// The catalogue as of a sealed snapshot.
+    /// Restores the catalogue from a sealed snapshot.
     ///
     /// # Errors
     ///
-    /// If the digest is wrong or this software does not know the rules that it needs.
+    /// If the digest is wrong, this software does not know the rules, or an entity cannot be parsed.
     pub fn restore(rules: Arc<Rules>, snapshot: &Snapshot) -> Result<Self, SnapshotError> {
         verify(snapshot)?;
         if rules.get(snapshot.rules).is_none() {
@@ -86,13 +87,12 @@
         Ok(Self::from_snapshot(rules, snapshot, view))
     }
 
-    /// Takes a sealed snapshot, from the log or from a peer, if it is newer than what was folded;
-    /// says whether it was. An instance that has a newer catalogue never goes back to an older
-    /// one, whoever offers it.
+    /// Replaces the state by a sealed snapshot, from the log or a peer, if the snapshot is newer;
+    /// returns whether it was. An instance never goes back to an older catalogue, whoever sends it.
     ///
     /// # Errors
     ///
-    /// As [`State::restore`]; the state is then as before.
+    /// As [`State::restore`]; the state is unchanged then.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> Result<bool, SnapshotError> {
         if snapshot.upto <= self.folded() {
             return Ok(false);
@@ -101,8 +101,8 @@
         Ok(true)
     }
 
-    /// True if a snapshot, met in the log, disagrees with what was folded here. It can be told
-    /// only while no newer edit was accepted.
+    /// Whether a snapshot in the log disagrees with the folded state. Content is comparable only
+    /// while no newer edit was accepted.
     pub(crate) fn contradicts(&self, snapshot: &Snapshot) -> bool {
         let comparable = self.folded() >= snapshot.upto
             && self.revision() <= snapshot.upto
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -1,4 +1,4 @@
-//! The fold over the log: which edits are accepted, and what is in force.
+//! The fold over the log, which decides on edits and holds the catalogue in force.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,35 +12,35 @@
 
 mod acceptance;
 
-/// Where and why the fold stopped. What was in force stays in force.
+/// Where and why the fold stopped. The catalogue in force stays in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frozen {
-    /// Offset of the record that raised the rules.
+    /// Offset of the record that raised the rules version.
     pub offset: Offset,
-    /// Version in force since, unknown to this software.
+    /// Version in force since then, unknown to this software.
     pub rules: Version,
 }
 
-/// What a record did to the catalogue.
+/// Effect of a record on the catalogue.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// It was an edit.
+    /// An edit with its verdict.
     Edit(Verdict),
-    /// It raised the rules to this version.
+    /// The rules were raised to this version.
     Raised(Version),
-    /// It raised the rules to a version that this software does not know.
+    /// The rules were raised to a version that this software does not know.
     Frozen(Frozen),
-    /// A snapshot that cannot have been folded from this log; its writer must be looked at.
+    /// A snapshot that cannot have been folded from this log; its writer is faulty.
     SnapshotDiffers,
-    /// It concerns others.
+    /// The record does not change the catalogue.
     NoEffect,
-    /// Records before it were left out, so that it cannot be judged. A snapshot must be adopted
-    /// that covers them.
+    /// Records before this one are missing, so it was not folded. A snapshot that covers them must
+    /// be adopted first.
     Gap {
-        /// The first offset that is missing.
+        /// First missing offset.
         missing: Offset,
     },
-    /// It was folded before; a catalogue never goes back.
+    /// The record was folded before.
     AlreadyFolded,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl State {
-    /// The empty catalogue before the first record.
+    /// Creates the empty catalogue before the first record.
     pub fn new(rules: Arc<Rules>) -> Self {
         Self {
             rules,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The entities in force.
+    /// Entities in force.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -90,12 +90,12 @@
         self.revision
     }
 
-    /// Offset of the newest record that was folded.
+    /// Offset of the newest folded record.
     pub fn folded(&self) -> Offset {
         self.folded
     }
 
-    /// Oldest base revision that is still judged.
+    /// Oldest base revision that an edit may have.
     pub fn horizon(&self) -> Revision {
         self.horizon
     }
@@ -105,26 +105,26 @@
         self.version
     }
 
-    /// The rules that this software knows.
+    /// Rules that this software knows.
     pub fn rules(&self) -> &Arc<Rules> {
         &self.rules
     }
 
-    /// Set once the rules in force are unknown to this software.
+    /// Where the fold stopped, if the rules in force are unknown to this software.
     pub fn frozen(&self) -> Option<Frozen> {
         self.frozen
     }
 
-    /// Judgements, newest first. They are kept from the start of this process and bounded.
+    /// Decided edits, newest first; a bounded number of those since the process started.
     pub fn history(&self) -> impl Iterator<Item = &DecidedEdit> {
         self.history.iter().rev()
     }
 
-    /// Folds one record. All records are handed in, whatever they hold; they may come twice, but
-    /// none may be left out.
+    /// Folds one record. The caller passes every record, whatever its content; repeats are ignored,
+    /// and omissions are reported as a gap.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Applied {
-        // A reader that starts over may hand in records again. Folding an old edit a second time
-        // would bring an older value back, and show as a revision that falls.
+        // A reader that starts over passes records again. Folding an old edit a second time would
+        // bring back an older value and decrease the revision.
         if offset <= self.folded {
             return Applied::AlreadyFolded;
         }
@@ -140,8 +140,8 @@
                 _ => Applied::Frozen(frozen),
             };
         }
-        // A reader that fell behind the retention, and cannot read the snapshot that covers the
-        // hole, would fold on from an older catalogue and give it out as the newest.
+        // A reader that fell behind the retention and cannot read the snapshot that covers the gap
+        // would otherwise continue from an older catalogue and publish it as the newest.
         if offset > self.folded + 1 {
             return Applied::Gap {
                 missing: self.folded + 1,
@@ -155,7 +155,7 @@
             }
             _ => Applied::NoEffect,
         };
-        // A frozen state keeps its offset, so that nobody takes it for a newer one than it is.
+        // A frozen state keeps its offset, so that it is not taken for a newer one.
         if self.frozen.is_none() {
             self.folded = offset;
         }
@@ -178,7 +178,7 @@
         Applied::Frozen(frozen)
     }
 
-    /// The state as of a snapshot whose entities were read into `view`.
+    /// Creates the state of a snapshot whose entities were parsed into `view`.
     pub(crate) fn from_snapshot(rules: Arc<Rules>, snapshot: &Snapshot, view: View) -> Self {
         let mut state = Self::new(rules);
         state.tombstones = view
@@ -195,7 +195,7 @@
     }
 }
 
-/// Says what would be wrong with an edit that is made now, without making it.
+/// Returns the findings that an edit with these changes would have now, without applying it.
 pub fn check(state: &State, changes: &[Change]) -> Findings {
     let mut trial = state.clone();
     let edit = Edit {
@@ -206,7 +206,7 @@
     };
     match trial.accept(state.folded.max(edit.base_revision) + 1, &edit) {
         Err(Refusal::Invalid(findings)) => findings,
-        // The base is the newest revision, so that nothing conflicts and nothing is stale.
+        // The base is the newest revision, so the edit can be neither in conflict nor stale.
         Ok(()) | Err(Refusal::Conflict(_) | Refusal::Stale { .. }) => Findings::new(),
     }
 }
--- a/crates/catalogue/src/state/acceptance.rs
+++ b/crates/catalogue/src/state/acceptance.rs
@@ -1,4 +1,5 @@
-//! Whether an edit is accepted: its form, its base, the changed entities and what they concern.
+//! Acceptance of edits: checks the form, the base revision, the changed entities and their
+//! dependents.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,10 +15,10 @@
     Verdict,
 };
 
-/// Judgements that are kept for operators.
+/// Number of decided edits in the history for operators.
 const MAX_HISTORY: usize = 256;
-/// Tombstones that are kept. An edit that is based on a revision before the oldest dropped one is
-/// refused as stale.
+/// Number of tombstones that are kept. An edit based on a revision before that of the last
+/// dropped one is refused as stale.
 const MAX_TOMBSTONES: usize = 1024;
 
 impl State {
@@ -56,8 +57,8 @@
         touched.iter().filter_map(changed).collect()
     }
 
-    /// Puts the changes in place, checks what they concern and takes them back if anything is
-    /// wrong, so that an edit costs what it touches and not the size of the catalogue.
+    /// Applies the changes, validates the affected entities and rolls back if there are findings.
+    /// The cost depends on the entities touched and not on the size of the catalogue.
     fn apply_changes(
         &mut self,
         offset: Offset,
@@ -93,7 +94,7 @@
         Ok(())
     }
 
-    /// Reads the changed entities; one with findings gives `None` and is left as it was.
+    /// Parses the changed entities; one with findings yields `None` and is left unchanged.
     fn parse_changes(
         &self,
         offset: Offset,
@@ -119,7 +120,7 @@
         edit.changes.iter().zip(touched).map(read).collect()
     }
 
-    /// `None` if there is nothing to remove.
+    /// Adds a finding and returns `None` if the entity does not exist.
     fn check_removal(&self, key: &Key, findings: &mut Findings) -> Option<()> {
         if self.view.entity(key.kind, &key.name).is_none() {
             findings.add(key.kind, &key.name, "", "cannot be removed, there is none");
@@ -134,16 +135,16 @@
             name: &key.name,
             json: &change.json,
         };
-        // `frozen` is set where the version is unknown, and then nothing is judged.
+        // An unknown version freezes the state, and then no edit is decided.
         let set = self.rules.get(self.version)?;
         let read = (set.parse)(&raw);
         let note = |faults: &Findings| faults.iter().cloned().for_each(|one| findings.push(one));
         read.inspect_err(note).ok()
     }
 
-    /// Checks the changed entities against all others, and those that name them. Nothing else
-    /// can have become invalid. What names a faulty entity is left out: that a new pool is
-    /// missing is no news where the pool itself was found faulty.
+    /// Validates the changed entities and their dependents; no others can have become invalid.
+    /// Entities that refer to a faulty one are skipped: a new pool need not be reported as missing
+    /// where the pool itself has findings.
     fn validate(&self, touched: &[Key], faulty: &[&Key], findings: &mut Findings) {
         let Some(set) = self.rules.get(self.version) else {
             return;
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Keeps count of tombstones. A removed entity must be remembered: otherwise an edit that was
-    /// made before the removal would be accepted after it and silently bring the entity back.
+    /// Updates the tombstones and drops the oldest beyond the limit. Without a tombstone, an edit
+    /// based on a revision before the removal would be accepted and silently restore the entity.
     fn track_tombstones(&mut self, offset: Offset, key: &Key, old: Option<&Slot>) {
         if let Some(old) = old.filter(|old| old.entity.is_none()) {
             self.tombstones.remove(&(old.revision, key.clone()));
@@ -196,7 +197,7 @@
     }
 }
 
-/// The entities that an edit touches, if its form is right. This much is the same under all
+/// Returns the keys that an edit touches, if it is well-formed. This check is the same in all
 /// versions of the rules.
 fn touched_keys(offset: Offset, edit: &Edit) -> Result<SmallVec<[Key; 4]>, Findings> {
     let mut findings = Findings::new();
--- a/crates/catalogue/src/table.rs
+++ b/crates/catalogue/src/table.rs
@@ -9,19 +9,19 @@
 /// An entity in force, or the tombstone of a removed one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slot {
-    /// The edit that put it there or removed it.
+    /// Revision of the edit that last changed or removed the entity.
     pub revision: Revision,
-    /// Who made that edit.
+    /// Operator who made that edit.
     pub operator: Box<str>,
     /// Version of the rules under which that edit was accepted.
     pub rules: Version,
-    /// JSON as in that edit; empty for a tombstone.
+    /// JSON of the fields in that edit; empty for a tombstone.
     pub json: Box<str>,
-    /// The checked entity; `None` for a tombstone.
+    /// The parsed entity; `None` for a tombstone.
     pub entity: Option<Entity>,
 }
 
-/// All entities. A clone shares them, so that readers can keep one while the fold goes on.
+/// All entities. Clones share them, so that readers can keep one while the fold continues.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     slots: [BTreeMap<Arc<str>, Arc<Slot>>; Kind::ALL.len()],
@@ -29,24 +29,24 @@
 }
 
 impl PartialEq for View {
-    /// Compares the slots only: the index follows from them.
+    /// Compares the slots only, since the index is derived from them.
     fn eq(&self, other: &Self) -> bool {
         self.slots == other.slots
     }
 }
 
 impl View {
-    /// The slot of an entity, also if it is a tombstone.
+    /// Returns the slot of an entity, including tombstones.
     pub fn slot(&self, kind: Kind, name: &str) -> Option<&Arc<Slot>> {
         self.table(kind).get(name)
     }
 
-    /// An entity in force.
+    /// Returns an entity in force.
     pub fn entity(&self, kind: Kind, name: &str) -> Option<&Entity> {
         self.slot(kind, name)?.entity.as_ref()
     }
 
-    /// The owner of this name.
+    /// Returns the owner of this name.
     pub fn owner(&self, name: &str) -> Option<&Owner> {
         match self.entity(Kind::Owner, name)? {
             Entity::Owner(owner) => Some(owner),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The pool of this name.
+    /// Returns the pool of this name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         match self.entity(Kind::Pool, name)? {
             Entity::Pool(pool) => Some(pool),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The model of this name.
+    /// Returns the model of this name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         match self.entity(Kind::Model, name)? {
             Entity::Model(model) => Some(model),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The entry of this name.
+    /// Returns the entry of this name.
     pub fn entry(&self, name: &str) -> Option<&Entry> {
         match self.entity(Kind::Entry, name)? {
             Entity::Entry(entry) => Some(entry),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The drain of this upstream, if it stands.
+    /// Returns the drain of this upstream, if one is in force.
     pub fn drain(&self, upstream: &str) -> Option<&Drain> {
         match self.entity(Kind::Drain, upstream)? {
             Entity::Drain(drain) => Some(drain),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Names of the entities in force of a kind, in order.
+    /// Names of the entities of a kind in force, sorted.
     pub fn names(&self, kind: Kind) -> impl Iterator<Item = &str> {
         self.table(kind)
             .iter()
@@ -94,7 +94,7 @@
             .map(|(name, _)| &**name)
     }
 
-    /// All slots with their tombstones, by kind and name.
+    /// All slots including tombstones, sorted by kind and name.
     pub fn slots(&self) -> impl Iterator<Item = (Kind, &str, &Slot)> {
         Kind::ALL.into_iter().flat_map(|kind| {
             self.table(kind)
@@ -110,7 +110,7 @@
             .count()
     }
 
-    /// True if no entity is in force.
+    /// Whether no entity is in force.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -119,8 +119,7 @@
         &self.index
     }
 
-    /// Puts a slot in place of another and gives that back, so that a refused edit is undone by
-    /// putting back what it replaced.
+    /// Replaces a slot and returns the previous one, which is put back if the edit is refused.
     pub(crate) fn replace(&mut self, key: &Key, slot: Option<&Arc<Slot>>) -> Option<Arc<Slot>> {
         let table = &mut self.slots[key.kind as usize];
         let name: Arc<str> = match table.get_key_value(key.name.as_str()) {
--- a/crates/catalogue/src/verdict.rs
+++ b/crates/catalogue/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What becomes of an edit.
+//! Verdicts on edits.
 
 use std::fmt;
 
@@ -6,31 +6,31 @@
 
 use crate::{Findings, Key, Offset, Revision, Version};
 
-/// An entity of a refused edit that somebody else changed after the edit's base revision.
+/// An entity of a refused edit that another edit changed after the base revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Conflict {
     /// The entity.
     pub entity: Key,
-    /// Whose edit won.
+    /// Operator of the other edit.
     pub operator: String,
-    /// The revision of the edit that won.
+    /// Revision of the other edit.
     pub revision: Revision,
 }
 
-/// Why an edit was refused. Every process refuses it for the same reason.
+/// Reason for refusing an edit, the same in every process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// Others changed entities that it touches; they are told all together.
+    /// Other edits changed entities that this one touches; all of them are listed.
     Conflict(Vec<Conflict>),
-    /// Its base is so old that conflicts can no longer be ruled out.
+    /// The base revision is so old that conflicts can no longer be ruled out.
     Stale {
-        /// The oldest base that is still judged.
+        /// Oldest base revision that an edit may have.
         horizon: Revision,
     },
-    /// The catalogue would not be valid with it.
+    /// The catalogue would be invalid with the edit.
     Invalid(Findings),
 }
 
@@ -63,39 +63,39 @@
     }
 }
 
-/// What this process makes of an edit.
+/// Decision of this process on an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// In force from here on.
+    /// The edit is in force.
     Accepted {
-        /// The new revision, which is the edit's offset.
+        /// New revision, which is the offset of the edit.
         revision: Revision,
     },
-    /// Without effect.
+    /// The edit has no effect.
     Refused(Refusal),
-    /// This process does not know the rules in force and must not guess; others decide.
+    /// This process does not know the rules in force and cannot decide; others do.
     Undecided {
-        /// The version in force.
+        /// Version of the rules in force.
         rules: Version,
     },
 }
 
-/// A verdict with the edit that it is on, for the history that operators read.
+/// An edit with its verdict, for the history that operators read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct DecidedEdit {
     /// Offset of the edit.
     pub offset: Offset,
-    /// Who made it.
+    /// Operator who made the edit.
     pub operator: String,
-    /// What the operator noted.
+    /// Note of the operator.
     pub note: String,
-    /// The revision that it was based on.
+    /// Revision that the edit is based on.
     pub base_revision: Revision,
-    /// The entities that it touches, as it names them.
+    /// Entities that the edit touches, as written in it.
     pub touched: Vec<String>,
-    /// What became of it.
+    /// Verdict on the edit.
     pub verdict: Verdict,
 }
--- a/crates/catalogue/tests/common/mod.rs
+++ b/crates/catalogue/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to write edits.
+//! Helpers that build and apply edits.
 #![allow(dead_code, unreachable_pub)]
 
 use catalogue::{Applied, Offset, State, Verdict, digest};
@@ -65,7 +65,7 @@
     record(Body::RulesRaise(RulesRaise { rules }))
 }
 
-/// Folds records of other matters up to `offset`.
+/// Folds records that do not change the catalogue, up to but excluding `offset`.
 pub fn skip_to(state: &mut State, offset: Offset) {
     for between in state.folded() + 1..offset {
         assert_eq!(state.apply(between, &Record::default()), Applied::NoEffect);
--- a/crates/catalogue/tests/edits.rs
+++ b/crates/catalogue/tests/edits.rs
@@ -1,4 +1,4 @@
-//! Acceptance of edits: who wins, what is found, what stays in force.
+//! Acceptance of edits: conflicts, findings and the catalogue in force.
 
 mod common;
 
@@ -49,9 +49,8 @@
     assert_matches!(view.entry_at("POST", "cards"), PathMatch::NotFound);
 }
 
-/// Symptom: an operator's change is gone although it was accepted.
-/// Sequence: two operators edit the same pool on the same base, both edits reach the log.
-/// Cause: the second edit would overwrite what its author has never seen.
+/// Guards against a lost update. Two operators edit the same pool on the same base revision and
+/// both edits reach the log; the second would overwrite a change that its author has not seen.
 #[test]
 fn second_edit_on_the_same_base_is_refused_as_conflict() {
     let mut state = State::default();
@@ -86,9 +85,8 @@
     );
 }
 
-/// Symptom: a removed entity is back although nobody meant to create it again.
-/// Sequence: one operator removes a pool, another edits it on the older base.
-/// Cause: without a tombstone the removal leaves no trace, and the edit looks like a creation.
+/// Guards against restoring a removed entity by accident. One operator removes a pool and another
+/// edits it on the older base; without a tombstone the edit would look like a creation.
 #[test]
 fn edit_based_before_a_removal_does_not_restore_the_entity() {
     let mut state = State::default();
@@ -101,9 +99,8 @@
     assert!(state.view().pool("kiosk-api").is_some());
 }
 
-/// Symptom: as above, after very many removals.
-/// Sequence: so many entities are removed that the oldest tombstone is dropped.
-/// Cause: a dropped tombstone can no longer show the conflict, so old bases must be refused.
+/// Guards against the same after so many removals that the oldest tombstone was dropped. It can
+/// no longer show the conflict, so edits on older bases must be refused.
 #[test]
 fn edit_older_than_the_dropped_tombstones_is_stale() {
     let mut state = State::default();
@@ -193,9 +190,9 @@
     });
 }
 
-/// Symptom: an entry points to a pool that is gone; its calls fail everywhere.
-/// Sequence: one operator removes the pool, another adds an entry for it on the same base.
-/// Cause: the two edits touch different entities, so that only the result can be found wrong.
+/// Guards against an entry whose pool does not exist, so that all its calls fail. One operator
+/// removes the pool and another adds an entry for it on the same base; the edits touch different
+/// entities, so only validating the result shows the problem.
 #[test]
 fn removal_of_a_referenced_entity_is_refused() {
     let mut state = kiosk_catalogue();
--- a/crates/catalogue/tests/examples.rs
+++ b/crates/catalogue/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example catalogues are accepted, and say what their users need.
+//! The example catalogues are accepted and serve the requests of their users.
 
 use assert_matches::assert_matches;
 use catalogue::{Class, Document, Outage, PathMatch, State, check};
--- a/crates/catalogue/tests/random.rs
+++ b/crates/catalogue/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random edits on a small world: what is in force stays valid as a whole, refused edits leave no
-//! trace, and a snapshot gives the same state and lookups as the fold.
+//! Random edits on a small set of names: the catalogue in force stays valid, refused edits change
+//! nothing, and a snapshot restores the same state and lookups as the fold.
 
 mod common;
 
@@ -46,7 +46,7 @@
     ]
 }
 
-/// What can be looked up, by words.
+/// Results of all lookups as text.
 fn lookups(state: &State) -> Vec<String> {
     let view = state.view();
     let mut lines = Vec::new();
@@ -95,7 +95,7 @@
     State::restore(Arc::new(Rules::default()), &snapshot).expect("restored")
 }
 
-/// Folds the edits and checks all of it after each; gives how many were accepted.
+/// Folds the edits, checks the state after each and returns the number that were accepted.
 fn fold(edits: &[(u64, Vec<Change>)]) -> Result<usize, TestCaseError> {
     let mut state = State::default();
     let mut accepted = 0;
@@ -132,6 +132,6 @@
         Ok(())
     });
     run.unwrap_or_else(|failure| panic!("{failure}"));
-    // Edits that are all refused would prove nothing.
+    // The run is only meaningful if enough edits are accepted.
     assert!(accepted.get() > 1_000, "{} accepted", accepted.get());
 }
--- a/crates/catalogue/tests/versions.rs
+++ b/crates/catalogue/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Snapshots, and software of different versions on one log.
+//! Snapshots, and processes of different software versions on one log.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use wire::record::Snapshot;
 use wire::record::record::Body;
 
-/// Version 2 for these tests: nothing may be called `old`, and there is nothing else to it.
+/// Adds a version 2 that differs only in refusing the name `old`.
 fn newer_rules() -> Arc<Rules> {
     fn parse(raw: &RawEntity<'_>) -> Result<Entity, Findings> {
         if raw.name == "old" {
@@ -54,9 +54,8 @@
     state
 }
 
-/// Symptom: two instances answer differently from the same log.
-/// Sequence: newer software knows stricter rules; the log has not raised the version yet.
-/// Cause: a reader that applies all that it knows refuses what older software accepts.
+/// Guards against instances that diverge on the same log. If newer software applied its stricter
+/// rules before the log raises the version, it would refuse what older software accepts.
 #[test]
 fn newer_software_applies_the_version_in_force() {
     let mut old_software = State::default();
@@ -83,10 +82,9 @@
     assert_eq!(old_software.view(), new_software.view());
 }
 
-/// Symptom: an instance that does not know the rules goes on as if it did, or passes its state on
-/// as the newest.
-/// Sequence: the rules are raised beyond its software; edits follow.
-/// Cause: it would have to guess which of them are accepted.
+/// Guards against an instance that does not know the rules in force but continues, or passes its
+/// state on as the newest. After the rules were raised beyond its software, it could only guess
+/// which edits are accepted.
 #[test]
 fn unknown_rules_freeze_the_last_accepted_catalogue() {
     let mut state = filled(Arc::new(Rules::default()));
@@ -115,10 +113,9 @@
     assert_eq!(state.version(), 2);
 }
 
-/// Symptom: a catalogue accepted for years cannot be read back from its snapshot.
-/// Sequence: an entity is accepted, the rules are raised to a version that would refuse it, a
-/// snapshot is written, an instance starts from it.
-/// Cause: an entity must be read by the rules under which it was accepted.
+/// Guards against snapshots that newer rules cannot read. An entity is accepted, the rules are
+/// raised to a version that would refuse it, and an instance starts from a snapshot; the entity
+/// must be parsed by the rules under which it was accepted.
 #[test]
 fn snapshot_keeps_entities_that_newer_rules_refuse() {
     let mut state = State::new(newer_rules());
@@ -136,7 +133,7 @@
         State::restore(Arc::clone(folded.rules()), &sealed_snapshot(&folded)).expect("restored");
     assert_eq!(restored.view(), folded.view());
     assert!(restored.view().owner_of_key("key-1").is_some());
-    // The tombstone must have come along.
+    // The tombstone must be part of the snapshot.
     for (offset, record) in [
         (5, edit(3, "luis", &[service_pool("old")])),
         (6, edit(4, "luis", &[removal("pool", "kiosk-api")])),
@@ -171,10 +168,9 @@
     );
 }
 
-/// Symptom: an older catalogue is in force again.
-/// Sequence: an instance that has folded on is handed an older snapshot by a peer that lags, and
-/// old records by a reader that started over.
-/// Cause: nothing but the offset tells which is newer.
+/// Guards against going back to an older catalogue. An instance receives an older snapshot from a
+/// lagging peer, and old records from a reader that started over; only the offsets show that they
+/// are older.
 #[test]
 fn older_snapshot_and_older_records_change_nothing() {
     let mut state = filled(Arc::new(Rules::default()));
@@ -193,10 +189,9 @@
     assert!(behind.view().pool("new").is_some());
 }
 
-/// Symptom: an older catalogue is given out as the newest.
-/// Sequence: an instance falls behind the retention and cannot read the snapshot, because its
-/// software is older; it reads on from the first retained record.
-/// Cause: the edits in the hole are missing, and nothing else would show it.
+/// Guards against publishing an older catalogue as the newest. An instance with older software
+/// falls behind the retention, cannot read the snapshot and continues from the first retained
+/// record; nothing but the offsets shows that edits are missing.
 #[test]
 fn records_after_a_gap_are_not_folded() {
     let mut state = filled(Arc::new(Rules::default()));
@@ -210,9 +205,9 @@
     );
 }
 
-/// Symptom: instances that start from a snapshot differ for ever from those that folded the log.
-/// Sequence: faulty software writes a snapshot that no prefix of the log gives.
-/// Cause: a snapshot is believed by those who have nothing else, so the others must speak up.
+/// Guards against instances that start from a snapshot and differ permanently from those that
+/// folded the log. Faulty software may write a snapshot that no prefix of the log yields, and
+/// starting instances have to trust it, so those that folded the log must report it.
 #[test]
 fn snapshot_that_differs_from_the_fold_is_reported() {
     let mut state = filled(Arc::new(Rules::default()));
