--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -77,7 +77,8 @@
     ///
     /// # Errors
     ///
-    /// If the digest is wrong, this software does not know the rules, or an entity cannot be parsed.
+    /// If the digest is wrong, the rules are unknown to this software, or an entity cannot be
+    /// parsed.
     pub fn restore(rules: Arc<Rules>, snapshot: &Snapshot) -> Result<Self, SnapshotError> {
         verify(snapshot)?;
         if rules.get(snapshot.rules).is_none() {
