--- a/crates/settings/src/duration.rs
+++ b/crates/settings/src/duration.rs
@@ -1,9 +1,9 @@
-//! Durations as people write them: `250ms`, `3s`, `2m 30s`.
+//! Durations in human-readable form: `250ms`, `3s`, `2m 30s`.
 
 use std::time::Duration;
 
-/// Reads a duration with its unit; a number without a unit is refused, because `5` has been read
-/// as seconds by one person and as milliseconds by the next.
+/// Parses a duration with its unit. A number without a unit is refused, since `5` is ambiguous
+/// between seconds and milliseconds.
 pub fn parse(text: &str) -> Option<Duration> {
     if text.trim() == "0" {
         return Some(Duration::ZERO);
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -1,11 +1,11 @@
-//! What is wrong with the settings, and where.
+//! Findings: the problems of the settings and where the values came from.
 
 use std::fmt;
 
 /// Where a value was given.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Origin {
-    /// Line and column of the file, both from 1.
+    /// Position in the file.
     File {
         /// Line, from 1.
         line: u64,
@@ -14,9 +14,9 @@
     },
     /// The n-th `--set`, from 1.
     Flag(usize),
-    /// A variable of the environment.
+    /// Name of an environment variable.
     Environment(&'static str),
-    /// It was given nowhere.
+    /// The value was not given.
     NotGiven,
 }
 
@@ -31,23 +31,23 @@
     }
 }
 
-/// What is wrong.
+/// What is wrong with a setting.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Problem {
-    /// The text is no YAML mapping; the parser's words.
+    /// The text is not a valid YAML mapping, with the message of the parser.
     Syntax(String),
-    /// No setting has this key.
+    /// There is no setting with this key.
     Unknown {
-        /// The known key that looks most like it.
+        /// The most similar known key.
         nearest: Option<&'static str>,
     },
-    /// The setting has no default and was not given.
+    /// The setting is required and was not given.
     Missing,
-    /// The value does not read as the setting's type.
+    /// The value cannot be parsed as the type of the setting.
     Invalid {
-        /// What was given; secrets are left out.
+        /// The given value; secrets are redacted.
         given: String,
-        /// What is expected, in words.
+        /// Description of the expected value.
         expected: &'static str,
     },
     /// Two settings contradict each other.
@@ -57,26 +57,26 @@
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Syntax(words) => write!(f, "not readable: {words}"),
+            Self::Syntax(message) => write!(f, "cannot be parsed: {message}"),
             Self::Unknown {
                 nearest: Some(nearest),
             } => write!(f, "unknown setting; did you mean {nearest}?"),
             Self::Unknown { nearest: None } => write!(f, "unknown setting"),
             Self::Missing => write!(f, "required"),
             Self::Invalid { given, expected } => write!(f, "{given:?} is not {expected}"),
-            Self::Contradiction(words) => f.write_str(words),
+            Self::Contradiction(message) => f.write_str(message),
         }
     }
 }
 
-/// One finding with its place.
+/// One problem and the origin of the value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
     /// Where the value was given.
     pub origin: Origin,
     /// Path of the key, for example `lease.term`.
     pub key: String,
-    /// What is wrong.
+    /// What is wrong with a setting.
     pub problem: Problem,
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// All findings of one reading, in the order of their places.
+/// All findings of one run, in the order of their origins.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Findings(pub Vec<Finding>);
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! Settings of a process: the border between a YAML file, the command line and the environment on
-//! one side and checked types on the other. It stands first in the pipeline: `tarragon-entry`
-//! reads [`Settings`] before it opens anything, and refuses to start with every finding told at
-//! once. The meaning of each setting stands once, in [`table`], from which `docs/SETTINGS.md` is
-//! written.
+//! Settings of a process, read from a YAML file, the command line and the environment into
+//! checked types. `tarragon-entry` reads [`Settings`] before it opens anything, and reports all
+//! findings at once if it refuses to start. Each setting is described once, in [`table`], from
+//! which `docs/SETTINGS.md` is generated.
 
 pub mod duration;
 pub mod finding;
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,5 +1,5 @@
-//! The YAML tree with the place of each key and value. The settings are read from this tree and
-//! not straight into structs, because a direct reading stops at the first error.
+//! The YAML tree with the position of each key and value. Settings are read from this tree,
+//! because deserializing into structs would stop at the first error.
 
 use std::fmt;
 
@@ -9,13 +9,13 @@
 /// One node of the YAML tree.
 #[derive(Clone, Debug)]
 pub enum Node {
-    /// Nothing, or `null`.
+    /// An empty value or `null`.
     Empty,
     /// Any scalar, as text.
     Scalar(String),
     /// A sequence.
     List(Vec<Spanned<Node>>),
-    /// A mapping, in the order of the file.
+    /// A mapping in the order of the file.
     Map(Vec<(Spanned<String>, Spanned<Node>)>),
 }
 
--- a/crates/settings/src/page.rs
+++ b/crates/settings/src/page.rs
@@ -1,4 +1,4 @@
-//! The page of settings for operators, written from the table so that it cannot disagree with it.
+//! The settings page for operators, generated from the table so that the two agree.
 
 use std::fmt::Write as _;
 
@@ -22,7 +22,7 @@
 `affinity`) for all pools, and `policy.transfer` (`false` keeps prefill and decode on one engine).
 ";
 
-/// The whole text of `docs/SETTINGS.md`.
+/// Renders the text of `docs/SETTINGS.md`.
 pub fn render() -> String {
     let mut text = String::from(HEADER);
     for row in ROWS {
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,5 +1,5 @@
-//! Typed reading of single settings; every failure becomes a finding and reading goes on with a
-//! neutral value, so that all findings come back together.
+//! Typed reading of single settings. A failure becomes a finding and reading continues with a
+//! placeholder value, so that all findings are reported together.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -16,19 +16,19 @@
 }
 
 impl Reader {
-    /// A reader over what was given.
+    /// Creates a reader over the given values.
     pub fn new(source: Source) -> Self {
         Self { source }
     }
 
-    /// The findings so far, in the order of their places.
+    /// Returns the findings in the order of their origins.
     pub fn finish(self) -> Vec<Finding> {
         let mut findings = self.source.findings;
         findings.sort_by(|a, b| a.origin.cmp(&b.origin));
         findings
     }
 
-    /// A text that must not be empty.
+    /// Reads a text that must not be empty.
     pub fn text(&mut self, key: &'static str) -> String {
         self.required(key, "a text that is not empty", |text| {
             (!text.is_empty()).then(|| text.to_owned())
@@ -36,14 +36,14 @@
         .unwrap_or_default()
     }
 
-    /// A text that may be left out.
+    /// Reads an optional text.
     pub fn optional_text(&mut self, key: &'static str) -> Option<String> {
         self.optional(key, "a text that is not empty", |text| {
             (!text.is_empty()).then(|| text.to_owned())
         })
     }
 
-    /// An address such as `127.0.0.1:8080`.
+    /// Reads an address such as `127.0.0.1:8080`.
     pub fn address(&mut self, key: &'static str) -> SocketAddr {
         self.required(key, EXPECTED_ADDRESS, |text| {
             SocketAddr::from_str(text).ok()
@@ -51,14 +51,14 @@
         .unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
 
-    /// An address that may be left out.
+    /// Reads an optional address.
     pub fn optional_address(&mut self, key: &'static str) -> Option<SocketAddr> {
         self.optional(key, EXPECTED_ADDRESS, |text| {
             SocketAddr::from_str(text).ok()
         })
     }
 
-    /// A duration with its unit.
+    /// Reads a duration with its unit.
     pub fn duration(&mut self, key: &'static str) -> Duration {
         self.required(
             key,
@@ -68,7 +68,7 @@
         .unwrap_or_default()
     }
 
-    /// A size in bytes.
+    /// Reads a size in bytes.
     pub fn size(&mut self, key: &'static str) -> usize {
         self.required(
             key,
@@ -78,7 +78,7 @@
         .unwrap_or_default()
     }
 
-    /// A whole number of at least one.
+    /// Reads an integer of at least 1.
     pub fn count(&mut self, key: &'static str) -> usize {
         self.required(key, "a whole number of at least 1", |text| {
             text.parse().ok().filter(|count| *count > 0)
@@ -86,7 +86,7 @@
         .unwrap_or(1)
     }
 
-    /// A level of logging.
+    /// Reads a log level.
     pub fn level(&mut self, key: &'static str) -> String {
         self.required(key, "one of off, error, warn, info, debug, trace", |text| {
             LOG_LEVELS.contains(&text).then(|| text.to_owned())
@@ -94,7 +94,7 @@
         .unwrap_or_default()
     }
 
-    /// Every value under a section whose keys belong to another crate.
+    /// Returns all values of a section whose keys are defined by another crate.
     pub fn section(&mut self, section: &str) -> Vec<(String, GivenValue)> {
         let prefix = format!("{section}.");
         self.source
@@ -104,10 +104,10 @@
             .collect()
     }
 
-    /// Tells that two settings contradict each other, at the place of the first.
-    pub fn report_contradiction(&mut self, key: &'static str, words: &str) {
+    /// Reports that settings contradict each other, at the origin of `key`.
+    pub fn report_contradiction(&mut self, key: &'static str, message: &str) {
         let origin = self.origin(key);
-        self.report(origin, key, Problem::Contradiction(words.to_owned()));
+        self.report(origin, key, Problem::Contradiction(message.to_owned()));
     }
 
     fn origin(&self, key: &str) -> Origin {
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -1,4 +1,4 @@
-//! The checked settings, a struct per section. The meaning of each field stands in
+//! The checked settings, with a struct for each section. The fields are described in
 //! [`crate::table`] and in [docs/SETTINGS.md](../../../docs/SETTINGS.md).
 
 use std::collections::BTreeMap;
@@ -11,37 +11,37 @@
 /// All settings of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who the process is.
+    /// Identity of the process.
     pub instance: Instance,
-    /// Towards callers.
+    /// Listener for callers.
     pub listen: Listen,
     /// The administration API.
     pub admin: Admin,
-    /// Towards the other entries.
+    /// Mesh of entry instances.
     pub peer: Peer,
-    /// The platform's services.
+    /// Services of the platform.
     pub platform: Platform,
-    /// The lease on control.
+    /// Lease on the control of a pool.
     pub lease: Lease,
-    /// What a caller may send.
+    /// Limits on requests and answers.
     pub limits: Limits,
-    /// Towards engines and plain services.
+    /// Connections to engines and plain services.
     pub upstream: Upstream,
     /// Held answers.
     pub hold: Hold,
     /// Resumption of streams.
     pub resume: Resume,
-    /// The end of the process.
+    /// Shutdown of the process.
     pub shutdown: Shutdown,
     /// Logging.
     pub log: Log,
     /// Metrics.
     pub statsd: Statsd,
-    /// Overrides of the routing policy, by key; `routing` checks them.
+    /// Overrides of the routing policy by key, checked by `entry`.
     pub policy: BTreeMap<String, String>,
 }
 
-/// Who the process is.
+/// Identity of the process.
 #[derive(Clone, Debug)]
 pub struct Instance {
     /// `instance.id`.
@@ -50,7 +50,7 @@
     pub data_centre: String,
 }
 
-/// Towards callers.
+/// Listener for callers.
 #[derive(Clone, Debug)]
 pub struct Listen {
     /// `listen.address`.
@@ -68,18 +68,18 @@
 pub struct Admin {
     /// `admin.address`.
     pub address: SocketAddr,
-    /// `admin.token`; `None` turns the API off.
+    /// `admin.token`; `None` disables the API.
     pub token: Option<Secret>,
 }
 
-/// Towards the other entries.
+/// Mesh of entry instances.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// `peer.address`.
     pub address: SocketAddr,
     /// `peer.advertise`.
     pub advertise: Option<SocketAddr>,
-    /// The three TLS files; `None` turns the mesh off.
+    /// The three TLS files; `None` disables the mesh.
     pub tls: Option<Tls>,
     /// `peer.reload`.
     pub reload: Duration,
@@ -89,7 +89,7 @@
     pub silence: Duration,
 }
 
-/// The files of mutual TLS, all PEM.
+/// Files for mutual TLS, in PEM format.
 #[derive(Clone, Debug)]
 pub struct Tls {
     /// `peer.certificate`.
@@ -100,12 +100,12 @@
     pub authority: PathBuf,
 }
 
-/// The platform's services.
+/// Services of the platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
     /// `platform.log`.
     pub log: SocketAddr,
-    /// `platform.instances`, by default the log's.
+    /// `platform.instances`; `platform.log` by default.
     pub instances: SocketAddr,
     /// `platform.timeout`.
     pub timeout: Duration,
@@ -115,7 +115,7 @@
     pub retention: Duration,
 }
 
-/// The lease on control.
+/// Lease on the control of a pool.
 #[derive(Clone, Debug)]
 pub struct Lease {
     /// `lease.term`.
@@ -126,7 +126,7 @@
     pub margin: Duration,
 }
 
-/// What a caller may send and how long it may take.
+/// Limits on the size and time of requests and answers.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// `limits.deadline`.
@@ -143,7 +143,7 @@
     pub body_time: Duration,
 }
 
-/// Towards engines and plain services.
+/// Connections to engines and plain services.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// `upstream.connect`.
@@ -172,7 +172,7 @@
     pub time: Duration,
 }
 
-/// The end of the process.
+/// Shutdown of the process.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
     /// `shutdown.balancer`.
@@ -197,12 +197,12 @@
     pub prefix: String,
 }
 
-/// A secret, which never shows in logs.
+/// A secret, redacted in debug output.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Secret(String);
 
 impl Secret {
-    /// The secret's bytes.
+    /// Returns the bytes of the secret.
     pub fn expose(&self) -> &[u8] {
         self.0.as_bytes()
     }
--- a/crates/settings/src/sections/read.rs
+++ b/crates/settings/src/sections/read.rs
@@ -1,4 +1,4 @@
-//! Reads the sections from their source and checks those that are fine alone and wrong together.
+//! Reads the sections from their source and checks relations between settings.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::source::Source;
 use crate::table;
 
-/// Shortest time limit towards callers. The HTTP library counts such times from a clock that moves
-/// in steps of half a second, so that a shorter limit may be over when a connection begins.
+/// Minimum time limit for callers. The clock of the HTTP library advances in steps of half a
+/// second, so a shorter limit may have expired when a connection begins.
 const MIN_HTTP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Shortest secret that authenticates event ids, in bytes.
+/// Minimum length of the secret that authenticates event ids.
 const MIN_SECRET_BYTES: usize = 16;
 
 impl TryFrom<Source> for Settings {
@@ -127,7 +127,7 @@
         _ => {
             reader.report_contradiction(
                 "peer.certificate",
-                "peer.certificate, peer.key and peer.authority are given all three or not at all",
+                "peer.certificate, peer.key and peer.authority must be given together or not at all",
             );
             None
         }
@@ -156,34 +156,34 @@
     }
 }
 
-/// Settings that are fine alone and wrong together.
+/// Reports settings that are valid alone but not in combination, and those below a minimum.
 fn check_relations(settings: &Settings, reader: &mut Reader) {
     if settings.lease.renewal * 2 > settings.lease.term {
         reader.report_contradiction(
             "lease.renewal",
-            "lease.renewal is at most half of lease.term, or one lost renewal ends the lease",
+            "lease.renewal must be at most half of lease.term, or one lost renewal ends the lease",
         );
     }
     if settings.peer.heartbeat * 3 > settings.peer.silence {
         reader.report_contradiction(
             "peer.heartbeat",
-            "peer.heartbeat is at most a third of peer.silence, or one lost datagram looks like silence",
+            "peer.heartbeat must be at most a third of peer.silence, or one lost datagram counts as silence",
         );
     }
     if settings.shutdown.balancer >= settings.shutdown.limit {
         reader.report_contradiction(
             "shutdown.balancer",
-            "shutdown.balancer is shorter than shutdown.limit, or no time is left for work in hand",
+            "shutdown.balancer must be shorter than shutdown.limit, or no time is left for open requests",
         );
     }
     if settings.limits.head_time < MIN_HTTP_TIMEOUT {
-        reader.report_contradiction("limits.head_time", "limits.head_time is at least 1s");
+        reader.report_contradiction("limits.head_time", "limits.head_time must be at least 1s");
     }
     if settings.listen.keep_alive < MIN_HTTP_TIMEOUT {
-        reader.report_contradiction("listen.keep_alive", "listen.keep_alive is at least 1s");
+        reader.report_contradiction("listen.keep_alive", "listen.keep_alive must be at least 1s");
     }
     let short = |secret: &Secret| secret.expose().len() < MIN_SECRET_BYTES;
     if settings.resume.secret.as_ref().is_some_and(short) {
-        reader.report_contradiction("resume.secret", "resume.secret has at least 16 bytes");
+        reader.report_contradiction("resume.secret", "resume.secret must have at least 16 bytes");
     }
 }
--- a/crates/settings/src/size.rs
+++ b/crates/settings/src/size.rs
@@ -1,4 +1,4 @@
-//! Sizes in bytes as people write them: `512`, `64KiB`, `8MiB`, `1GiB`.
+//! Sizes in bytes in human-readable form: `512`, `64KiB`, `8MiB`, `1GiB`.
 
 const UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
@@ -7,7 +7,7 @@
     ("B", 1),
 ];
 
-/// Reads a size in bytes; only binary units are known, so that one text has one meaning.
+/// Parses a size in bytes. Only binary units are accepted, so that units are unambiguous.
 pub fn parse(text: &str) -> Option<usize> {
     let text = text.trim();
     let (digits, factor) = UNITS
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,5 +1,5 @@
-//! The given values by key path, each with its place: the file first, `--set` over it, and the
-//! environment for secrets.
+//! The given values by key path, each with its origin: first the file, then `--set`, then the
+//! environment for secrets. Later values replace earlier ones.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 use crate::node::Node;
 use crate::table::{self, Row};
 
-/// A value as it was given.
+/// A given value before it is parsed.
 #[derive(Clone, Debug)]
 pub struct GivenValue {
-    /// The text of the value; the items of a list are joined by commas.
+    /// Text of the value; the items of a list are joined by commas.
     pub text: String,
     /// Where it was given.
     pub origin: Origin,
 }
 
-/// All given values and the findings met on the way.
+/// All given values and the findings so far.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
     pub(crate) values: BTreeMap<String, GivenValue>,
@@ -26,8 +26,8 @@
 }
 
 impl Source {
-    /// Reads the text of a settings file. A file that is no YAML yields one finding, since nothing
-    /// after the break can be trusted.
+    /// Parses a settings file. A syntax error yields a single finding, since nothing after it can
+    /// be trusted.
     pub fn from_yaml(text: &str) -> Self {
         let mut source = Self::default();
         match serde_saphyr::from_str::<Spanned<Node>>(text) {
@@ -41,7 +41,7 @@
         source
     }
 
-    /// Lays the `key=value` of each `--set` over what was given before.
+    /// Applies the `key=value` of each `--set`, replacing values given before.
     pub fn apply_overrides(&mut self, assignments: &[String]) {
         for (index, assignment) in assignments.iter().enumerate() {
             let origin = Origin::Flag(index + 1);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes the settings that may come from the environment; `variable` looks one up by name.
+    /// Applies settings from the environment; `variable` looks up a variable by name.
     pub fn apply_environment(&mut self, variable: impl Fn(&str) -> Option<String>) {
         for row in table::ROWS {
             let Some(name) = row.environment else {
@@ -71,11 +71,11 @@
         }
     }
 
-    /// Turns what was given into checked settings.
+    /// Parses and checks the given values.
     ///
     /// # Errors
     ///
-    /// All findings together, in the order of their places.
+    /// All findings, in the order of their origins.
     pub fn check(self) -> Result<crate::Settings, Findings> {
         crate::Settings::try_from(self)
     }
@@ -147,7 +147,7 @@
     texts.join(",")
 }
 
-/// Similarity under which a suggestion would mislead more than help.
+/// Minimum similarity of a suggested key; below it suggestions are misleading.
 const MIN_SIMILARITY: f64 = 0.6;
 
 fn nearest(key: &str) -> Option<&'static str> {
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -1,29 +1,29 @@
-//! The one table of all settings: what `check` knows, what `docs/SETTINGS.md` says and which
-//! defaults apply. A setting that is not here cannot be read.
+//! The table of all settings, from which keys are checked, defaults are taken and
+//! `docs/SETTINGS.md` is generated. A setting that is not listed cannot be read.
 
 mod rows;
 
 pub use rows::ROWS;
 
-/// The kind of value that a setting takes.
+/// Type of the value of a setting.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ValueKind {
-    /// Any text that is not empty.
+    /// A text that is not empty.
     Text,
-    /// IP number and port.
+    /// An IP address and port.
     Address,
     /// A duration with its unit.
     Duration,
     /// A size in bytes, with an optional binary unit.
     Size,
-    /// A whole number of at least one.
+    /// An integer of at least 1.
     Count,
-    /// A level of logging.
+    /// A log level.
     Level,
 }
 
 impl ValueKind {
-    /// The kind in words, for the page.
+    /// Name of the type on the settings page.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Text => "text",
@@ -39,34 +39,34 @@
 /// One setting.
 #[derive(Clone, Copy, Debug)]
 pub struct Row {
-    /// Path of the key.
+    /// Path of the key, such as `lease.term`.
     pub key: &'static str,
-    /// Kind of its value.
+    /// Type of the value.
     pub kind: ValueKind,
-    /// Default as it would be written; `None` with `required` unset means "off".
+    /// Default as it would be written in the file; `None` without `required` means "off".
     pub default: Option<&'static str>,
-    /// Whether the process refuses to start without it.
+    /// Whether the process refuses to start without the setting.
     pub required: bool,
-    /// Variable of the environment that sets it too; only secrets have one.
+    /// Environment variable that also sets it; only secrets have one.
     pub environment: Option<&'static str>,
-    /// What it does, in one or two sentences.
+    /// Description in one or two sentences.
     pub meaning: &'static str,
 }
 
-/// Section whose keys belong to the routing policy and are checked by it.
+/// Section with overrides of the routing policy, whose keys are checked by `entry`.
 pub const POLICY: &str = "policy";
 
-/// The row of a key.
+/// Finds the row of a key.
 pub fn row(key: &str) -> Option<&'static Row> {
     ROWS.iter().find(|row| row.key == key)
 }
 
-/// Whether a key can be given.
+/// Whether a key is accepted.
 pub fn is_known(key: &str) -> bool {
     row(key).is_some() || policy_key(key).is_some()
 }
 
-/// Whether a path is the head of known keys.
+/// Whether a path is a prefix of known keys.
 pub fn is_section(path: &str) -> bool {
     path == POLICY
         || ROWS.iter().any(|row| {
--- a/crates/settings/src/table/rows.rs
+++ b/crates/settings/src/table/rows.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Every setting, in the order of the page.
+/// All settings, in the order of the settings page.
 pub const ROWS: &[Row] = &[
     required(
         "instance.id",
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are read whole or refused with every finding and its place.
+//! Settings are either read completely or refused with all findings and their origins.
 
 use std::time::Duration;
 
