--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -6,26 +6,26 @@
 use clap::{Args, Parser, Subcommand};
 use clap_complete::Shell;
 
-/// Administration of tarragonswitch. Exit codes: 0 done, 1 refused or findings, 2 usage,
-/// 3 another operator's edit won, 4 no answer, 5 not allowed, 6 not understood.
+/// Administration of tarragonswitch. Exit codes: 0 success, 1 refused or findings, 2 usage,
+/// 3 conflict with another edit, 4 no answer, 5 not allowed, 6 unexpected answer.
 #[derive(Clone, Debug)]
 #[derive(Parser)]
 #[command(name = "tarragonctl", version)]
 pub struct Command {
-    /// Where the administration API is.
+    /// How to reach the administration API.
     #[command(flatten)]
     pub connection: Connection,
 
-    /// Tell the result as JSON.
+    /// Print the result as JSON.
     #[arg(long, global = true)]
     pub json: bool,
 
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub action: Action,
 }
 
-/// Where the administration API is, and who asks.
+/// How to reach the administration API, and as which operator.
 #[derive(Clone, Debug)]
 #[derive(Args)]
 pub struct Connection {
@@ -48,59 +48,59 @@
     )]
     pub token: String,
 
-    /// Name under which edits stand in the history.
+    /// Name that the history shows for edits.
     #[arg(long, global = true, env = "TARRAGON_OPERATOR")]
     pub operator: Option<String>,
 
-    /// Longest wait for an answer.
+    /// Time limit for an answer.
     #[arg(long, global = true, default_value = "10s", value_parser = humantime::parse_duration)]
     pub timeout: Duration,
 }
 
-/// What the program can do.
+/// The commands.
 #[derive(Clone, Debug)]
 #[derive(Subcommand)]
 pub enum Action {
-    /// The catalogue of owners, pools, models, entries and drains.
+    /// Manages the catalogue of owners, pools, models, entries and drains.
     #[command(subcommand)]
     Catalogue(Catalogue),
-    /// What one entry sees of the fleet.
+    /// Shows the fleet as seen by one entry.
     Status,
-    /// Upstreams that get no new work.
+    /// Manages drains, which keep new work away from upstreams.
     #[command(subcommand)]
     Drain(Drain),
-    /// Reports.
+    /// Shows reports.
     #[command(subcommand)]
     Report(Reports),
-    /// Planned changes of engines.
+    /// Lists and submits planned changes of engines.
     #[command(subcommand)]
     Order(Order),
-    /// Keys of callers and of instances.
+    /// Manages keys of callers and instances.
     #[command(subcommand)]
     Keys(Keys),
-    /// Writes completions for a shell.
+    /// Prints completions for a shell.
     Completions {
         /// The shell.
         shell: Shell,
     },
 }
 
-/// What can be done with the catalogue.
+/// Commands for the catalogue.
 #[derive(Clone, Debug)]
 #[derive(Subcommand)]
 pub enum Catalogue {
-    /// Checks a file against the catalogue in force and keeps nothing.
+    /// Checks a file against the catalogue in force without applying it.
     Check {
         /// The file, in YAML or JSON.
         file: PathBuf,
     },
-    /// Puts a file in force: only entities that differ are sent, on the revision that was read.
+    /// Applies a file: sends only the entities that differ, based on the revision that was read.
     Apply(Apply),
-    /// Shows the catalogue in force, in the form that `apply` reads.
+    /// Shows the catalogue in force, in the format that `apply` reads.
     Get {
-        /// Only this kind.
+        /// Show only entities of this kind.
         kind: Option<String>,
-        /// Only the entity of this name.
+        /// Show only the entity of this name.
         name: Option<String>,
     },
     /// Shows accepted and refused edits, newest first.
@@ -114,32 +114,32 @@
     /// The file, in YAML or JSON.
     pub file: PathBuf,
 
-    /// Remove owners, pools, models and entries that the file lacks. Drains stay.
+    /// Remove owners, pools, models and entries that are not in the file. Drains are kept.
     #[arg(long)]
     pub prune: bool,
 
-    /// Show what would be sent and send nothing.
+    /// Show what would be sent without sending it.
     #[arg(long)]
     pub dry_run: bool,
 
-    /// Why, for the history.
+    /// Reason for the edit, shown in the history.
     #[arg(long)]
     pub note: Option<String>,
 }
 
-/// What can be done with drains.
+/// Commands for drains.
 #[derive(Clone, Debug)]
 #[derive(Subcommand)]
 pub enum Drain {
-    /// Gives an upstream no new work; what it has in hand goes on.
+    /// Stops new work for an upstream; work in progress continues.
     On {
         /// Id of the upstream.
         upstream: String,
-        /// Why, for the other operators.
+        /// Reason for the drain, shown to other operators.
         #[arg(long)]
         reason: String,
     },
-    /// Gives an upstream new work again.
+    /// Allows new work for an upstream again.
     Off {
         /// Id of the upstream.
         upstream: String,
@@ -148,28 +148,28 @@
     List,
 }
 
-/// Reports.
+/// Commands for reports.
 #[derive(Clone, Debug)]
 #[derive(Subcommand)]
 pub enum Reports {
-    /// How fast the error budgets burn.
+    /// Shows how fast the error budgets burn.
     Burn {
-        /// Write one self-contained HTML page into this file as well.
+        /// Also write a self-contained HTML page to this file.
         #[arg(long)]
         html: Option<PathBuf>,
-        /// Only the counters of the entry that is asked.
+        /// Use only the counters of the entry that answers.
         #[arg(long)]
         local: bool,
     },
 }
 
-/// What can be done with orders.
+/// Commands for orders.
 #[derive(Clone, Debug)]
 #[derive(Subcommand)]
 pub enum Order {
     /// Lists unresolved and recent orders with the step that each waits at.
     List,
-    /// Asks for a planned change of an engine.
+    /// Requests a planned change of an engine.
     #[command(subcommand)]
     Submit(Submit),
 }
@@ -199,18 +199,18 @@
     pub upstream: String,
     /// Name of the model in the catalogue.
     pub model: String,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
-    /// Its adapter.
+    /// Adapter of the model.
     #[arg(long)]
     pub adapter: Option<String>,
 }
 
-/// What can be done with keys. None of it asks an entry.
+/// Commands for keys. None of them contacts an entry.
 #[derive(Clone, Debug)]
 #[derive(Subcommand)]
 pub enum Keys {
-    /// Makes certificates of instances for trials, under an authority of the same folder.
+    /// Creates instance certificates for trials, issued by an authority in the same folder.
     Make {
         /// The folder.
         dir: PathBuf,
@@ -218,6 +218,6 @@
         #[arg(required = true)]
         instances: Vec<String>,
     },
-    /// Reads a caller's key from standard input and tells the digest that its owner lists.
+    /// Reads a caller's key from standard input and prints the digest for its owner's `keys`.
     Digest,
 }
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -10,7 +10,7 @@
 use crate::failure::Failure;
 use crate::output::Output;
 
-/// Does what was asked.
+/// Runs the command.
 ///
 /// # Errors
 /// See [`Failure`].
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the administration API.
+//! HTTP client for the administration API.
 
 use awc::Client;
 use awc::http::StatusCode;
@@ -9,10 +9,10 @@
 use crate::args::Connection;
 use crate::failure::Failure;
 
-/// Most bytes of an answer.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 256 << 20;
 
-/// A client of one entry's administration API.
+/// Client for the administration API of one entry.
 pub struct AdminClient {
     client: Client,
     root: String,
@@ -20,7 +20,7 @@
 }
 
 impl AdminClient {
-    /// A client for this connection.
+    /// Creates a client for a connection.
     pub fn new(connection: &Connection) -> Self {
         let address = connection.address.trim_end_matches('/');
         let root = if address.contains("://") {
@@ -39,10 +39,10 @@
         }
     }
 
-    /// Reads a resource.
+    /// Gets a resource.
     ///
     /// # Errors
-    /// The failure that the answer, or its absence, tells.
+    /// If there is no answer, an error answer or an answer of unexpected form.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Report<Failure>> {
         let request = self.client.get(format!("{}/{path}", self.root));
         let sent = request.bearer_auth(&self.token).send().await;
@@ -52,10 +52,10 @@
         parse(answer.status(), &body)
     }
 
-    /// Sends a value to a resource.
+    /// Posts a value to a resource.
     ///
     /// # Errors
-    /// The failure that the answer, or its absence, tells.
+    /// If there is no answer, an error answer or an answer of unexpected form.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! From the command line to the exit code.
+//! Runs a parsed command line.
 
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -13,8 +13,8 @@
 use crate::output::Output;
 use crate::{burn, drain, entities, keys, order};
 
-/// Does what the command line asks; the result goes to standard output, a failure to standard
-/// error.
+/// Runs the command and returns its exit code. The result is printed to standard output, a
+/// failure to standard error.
 pub fn run(command: &Command) -> ExitCode {
     if let Action::Completions { shell } = command.action {
         let mut described = Command::command();
@@ -48,7 +48,7 @@
         Action::Report(action) => burn::run(action, connection).await,
         Action::Order(action) => order::run(action, connection).await,
         Action::Keys(action) => keys::run(action),
-        // Handled before a runtime is started, since it asks nobody.
+        // Handled before the runtime is started, since it needs no connection.
         Action::Completions { .. } => Ok(Output::new(serde_json::Value::Null, String::new())),
     }
 }
@@ -62,7 +62,8 @@
     ExitCode::SUCCESS
 }
 
-/// Prints; a reader that went away, such as `head`, is no failure of the command.
+/// Prints to standard output. Errors are ignored, since the reader may have closed the pipe, as
+/// `head` does.
 fn print(text: &str) {
     io::stdout().write_all(text.as_bytes()).ok();
 }
--- a/crates/cli/src/difference.rs
+++ b/crates/cli/src/difference.rs
@@ -1,6 +1,5 @@
-//! What must be sent so that the catalogue in force becomes that of a file: nothing for entities
-//! that are alike already. An edit of what did not change would win against another operator's
-//! edit of the same entity for no reason, and lose against it just as needlessly.
+//! Differences between a catalogue file and the catalogue in force. Unchanged entities are not
+//! sent, since they would cause needless conflicts with other operators' edits of them.
 
 use std::collections::BTreeMap;
 
@@ -8,54 +7,54 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Kinds that `--prune` removes. Drains are made by hand in the moment and seldom kept in files,
-/// so a file that lacks one says nothing of it.
+/// Kinds that `--prune` removes. Drains are set by hand and rarely kept in files, so a file
+/// without one does not mean that it should end.
 const PRUNED_KINDS: [&str; 4] = ["owner", "pool", "model", "entry"];
 
-/// The catalogue in force, as the administration API tells it.
+/// The catalogue in force, as returned by the administration API.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Catalogue {
-    /// Its revision.
+    /// Revision in force.
     pub revision: u64,
-    /// Its entities.
+    /// Entities in force.
     #[serde(default)]
     pub entities: Vec<Entity>,
 }
 
-/// One entity in force.
+/// An entity in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Entity {
-    /// Its kind.
+    /// Kind of the entity.
     pub kind: String,
-    /// Its name within the kind.
+    /// Name, unique within the kind.
     pub name: String,
     /// Revision of its last change.
     #[serde(default)]
     pub revision: u64,
-    /// Who changed it last.
+    /// Operator of its last change.
     #[serde(default)]
     pub operator: String,
-    /// Its fields.
+    /// Fields of the entity.
     pub value: Value,
 }
 
-/// What happens to one entity.
+/// How an entity differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
-    /// It is new.
+    /// The entity is added.
     Add,
-    /// It gets other fields.
+    /// The fields of the entity change.
     Change,
-    /// It goes.
+    /// The entity is removed.
     Remove,
 }
 
 impl ChangeKind {
-    /// The sign in front of a line of a listing.
+    /// Sign at the start of a line in the listing.
     pub fn sign(self) -> char {
         match self {
             Self::Add => '+',
@@ -65,18 +64,18 @@
     }
 }
 
-/// One entity that differs.
+/// An entity that differs.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Difference {
-    /// What happens to it.
+    /// How the entity differs.
     pub act: ChangeKind,
-    /// The change to send.
+    /// Change to send.
     pub change: Change,
 }
 
-/// All that differs between a file and the catalogue in force, in the order of the file; removals
-/// come last, dependents before what they name.
+/// Compares a file with the catalogue in force. Differences are in the order of the file; pruned
+/// entities come last, dependents before the entities that they refer to.
 pub fn between(file: &Document, in_force: &Catalogue, prune: bool) -> Vec<Difference> {
     let known: BTreeMap<_, _> = in_force
         .entities
@@ -107,7 +106,7 @@
     }
 }
 
-/// Whether two values are alike. `1` and `1.0` are, since YAML writers do not keep them apart.
+/// Whether two values are equal. `1` equals `1.0`, since YAML writers do not distinguish them.
 fn same_value(old: &Value, new: &Value) -> bool {
     match (old, new) {
         (Value::Number(old), Value::Number(new)) => old == new || old.as_f64() == new.as_f64(),
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -1,5 +1,5 @@
-//! `tarragonctl drain`. A drain is an entity of the catalogue, so it survives entries, shows in the
-//! history and is in force everywhere within seconds.
+//! `tarragonctl drain`. A drain is an entity of the catalogue, so it survives restarts of entries,
+//! appears in the history and takes effect everywhere within seconds.
 
 use catalogue::Change;
 use error_stack::Report;
@@ -12,10 +12,10 @@
 use crate::failure::Failure;
 use crate::output::Output;
 
-/// Kind of the entity.
+/// Kind of the catalogue entity.
 const KIND: &str = "drain";
 
-/// Does what was asked.
+/// Runs the command.
 ///
 /// # Errors
 /// See [`Failure`].
--- a/crates/cli/src/edit.rs
+++ b/crates/cli/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of the catalogue and how their result is told.
+//! Edits of the catalogue, and helpers for files and JSON.
 
 use catalogue::Change;
 use error_stack::{Report, ResultExt};
@@ -9,30 +9,30 @@
 use crate::client::AdminClient;
 use crate::failure::Failure;
 
-/// The answer to an accepted edit.
+/// Answer to an accepted edit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct Accepted {
-    /// The revision that it made.
+    /// Revision of the edit.
     pub revision: u64,
 }
 
-/// An edit about to be sent.
+/// An edit to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
-    /// The revision that it is based on.
+    /// Revision that the edit is based on.
     pub base_revision: u64,
-    /// Why.
+    /// Reason for the edit, shown in the history.
     pub note: String,
-    /// The changes.
+    /// Changes of the edit.
     pub changes: Vec<Change>,
 }
 
 impl Edit {
-    /// Sends it.
+    /// Sends the edit.
     ///
     /// # Errors
-    /// The findings, or who won against it.
+    /// If no operator is given, or the edit is refused, in conflict or not answered.
     pub async fn send(
         &self,
         admin: &AdminClient,
@@ -48,8 +48,8 @@
     }
 }
 
-/// The name under which edits stand in the history. It is never guessed from the account, since
-/// shared accounts would make all edits look like one operator's.
+/// Returns the operator name for the history. It is not derived from the user account, since with
+/// a shared account all edits would appear to be by one operator.
 fn operator(connection: &Connection) -> Result<&str, Report<Failure>> {
     let missing = "an edit needs a name: --operator or TARRAGON_OPERATOR";
     connection
@@ -59,16 +59,16 @@
         .ok_or_else(|| Report::new(Failure::Usage(missing.to_owned())))
 }
 
-/// Reads a file whole.
+/// Reads a text file.
 ///
 /// # Errors
-/// The file cannot be read.
+/// If the file cannot be read.
 pub fn read_file(path: &std::path::Path) -> Result<String, Report<Failure>> {
     std::fs::read_to_string(path)
         .change_context_lazy(|| Failure::Usage(format!("cannot read {}", path.display())))
 }
 
-/// Tells a value as JSON.
+/// Formats a value as JSON.
 pub fn to_json(value: &Value) -> String {
     format!("{value:#}\n")
 }
--- a/crates/cli/src/entities.rs
+++ b/crates/cli/src/entities.rs
@@ -13,7 +13,7 @@
 use crate::failure::Failure;
 use crate::output::Output;
 
-/// Does what was asked.
+/// Runs the command.
 ///
 /// # Errors
 /// See [`Failure`].
@@ -90,7 +90,7 @@
         let finding = format!("{kind} {name}: is not in the catalogue");
         return Err(Report::new(Failure::Refused(vec![finding])));
     }
-    // JSON is YAML too, so the text form of one change a line can be edited and applied.
+    // JSON is valid YAML, so the output with one change per line can be edited and applied.
     let mut text = format!("# revision {}\nchanges:\n", catalogue.revision);
     for entity in &catalogue.entities {
         let change = json!({"kind": entity.kind, "name": entity.name, "value": entity.value});
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -1,41 +1,41 @@
-//! Why a command did not do what it was asked, and its exit code. The codes are a promise to
-//! scripts; see `docs/OPERATORS.md`, "tarragonctl".
+//! Failures of commands and their exit codes. Scripts rely on the codes; see
+//! `docs/OPERATORS.md`, "tarragonctl".
 
 use std::fmt;
 use std::process::ExitCode;
 
 use serde_json::Value;
 
-/// Why a command failed. Details hang on the report as attachments.
+/// Reason why a command failed. Details are attached to the report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Failure {
-    /// What was asked is not acceptable; the findings.
+    /// The request was refused, with findings.
     Refused(Vec<String>),
     /// The command line or a file cannot be used.
     Usage(String),
-    /// Another operator changed the same entity first.
+    /// Other edits changed the same entities first.
     Conflict(Vec<ConflictingEdit>),
-    /// No answer, so nobody knows whether an edit was taken.
+    /// There was no answer, so it is unknown whether an edit was accepted.
     NoAnswer(String),
     /// The token is missing or wrong.
     Forbidden,
-    /// The answer is not what the interface promises.
+    /// The answer does not conform to the API.
     UnexpectedAnswer(String),
 }
 
-/// Whose edit won against ours.
+/// An edit that was accepted before this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConflictingEdit {
-    /// The entity, as kind and name.
+    /// Kind and name of the entity.
     pub entity: String,
-    /// Who edited it.
+    /// Operator of the edit.
     pub operator: String,
-    /// The revision that the edit made.
+    /// Revision of the edit.
     pub revision: u64,
 }
 
 impl Failure {
-    /// The exit code.
+    /// Exit code of the failure.
     pub fn code(&self) -> u8 {
         match self {
             Self::Refused(_) => 1,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The failure that an error answer tells.
+    /// Converts an error answer to a failure.
     pub fn from_answer(status: u16, body: &Value) -> Self {
         match status {
             401 | 403 => Self::Forbidden,
@@ -90,7 +90,7 @@
 
 impl std::error::Error for Failure {}
 
-/// The findings in a problem document, one line each; its detail if it lists none.
+/// Findings of a problem document, one line each; its detail if it lists none.
 pub fn findings(body: &Value) -> Vec<String> {
     let listed: Vec<_> = body["findings"]
         .as_array()
@@ -126,7 +126,7 @@
     text.map_or_else(|| body.to_string(), str::to_owned)
 }
 
-/// The winners that a conflict names.
+/// Edits that a conflict lists.
 fn conflicting_edits(body: &Value) -> Vec<ConflictingEdit> {
     let conflicts = body["conflicts"].as_array().into_iter().flatten();
     conflicts.filter_map(conflicting_edit).collect()
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -9,7 +9,7 @@
 use crate::failure::Failure;
 use crate::output::Output;
 
-/// Does what was asked.
+/// Runs the command.
 ///
 /// # Errors
 /// See [`Failure`].
@@ -35,7 +35,7 @@
     }
 }
 
-/// The digest that an owner lists for a key.
+/// Computes the digest that an owner lists for a key.
 fn digest(key: &str) -> Output {
     let hex: String = catalogue::digest(key)
         .iter()
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,6 +1,5 @@
-//! `tarragonctl`, the operators' program. It stands beside the pipeline, asks the administration
-//! API of any one entry and keeps nothing itself; see
-//! [`docs/OPERATORS.md`](../../../docs/OPERATORS.md), "tarragonctl".
+//! `tarragonctl`, the command-line tool for operators. It uses the administration API of any entry
+//! and keeps no state; see [`docs/OPERATORS.md`](../../../docs/OPERATORS.md), "tarragonctl".
 
 pub mod args;
 pub mod burn;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `tarragonctl`; everything is in the library beside it.
+//! The `tarragonctl` binary; its code is in the library of this crate.
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/order.rs
+++ b/crates/cli/src/order.rs
@@ -1,4 +1,4 @@
-//! `tarragonctl order`: planned changes of engines, which the holder of the pool carries out.
+//! `tarragonctl order`: planned changes of engines, carried out by the holder of the pool's lease.
 
 use error_stack::Report;
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 use crate::failure::Failure;
 use crate::output::Output;
 
-/// Does what was asked.
+/// Runs the command.
 ///
 /// # Errors
 /// See [`Failure`].
@@ -22,7 +22,7 @@
     }
 }
 
-/// The change as the administration API reads it.
+/// Builds the request body of a change.
 pub fn body(change: &Submit) -> Value {
     match change {
         Submit::SetRole { upstream, role } => {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,25 +1,25 @@
-//! A result in its two forms.
+//! Output of commands.
 
 use serde_json::Value;
 
 use crate::text;
 
-/// What a command tells.
+/// Result of a command as JSON and as text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
-    /// For programs.
+    /// Output with `--json`.
     pub value: Value,
-    /// For people.
+    /// Output for people.
     pub text: String,
 }
 
 impl Output {
-    /// A result whose text is written by hand.
+    /// Creates an output with its own text.
     pub fn new(value: Value, text: String) -> Self {
         Self { value, text }
     }
 
-    /// A result whose text follows from its value.
+    /// Creates an output whose text is rendered from the value.
     pub fn from_value(value: Value) -> Self {
         let text = text::render(&value);
         Self { value, text }
--- a/crates/cli/src/text.rs
+++ b/crates/cli/src/text.rs
@@ -1,13 +1,13 @@
-//! JSON as text for people: nested names indented, lists of alike objects as tables.
+//! Renders JSON as text for people: nested objects are indented, lists of flat objects are tables.
 
 use std::fmt::Write;
 
 use serde_json::{Map, Value};
 
-/// Columns between two columns of a table.
+/// Spaces between two columns of a table.
 const COLUMN_GAP: usize = 2;
 
-/// A value as text, ending with a line feed.
+/// Renders a value as text that ends with a line feed.
 pub fn render(value: &Value) -> String {
     let mut out = String::new();
     write_value(&mut out, value, 0);
--- a/crates/cli/tests/difference.rs
+++ b/crates/cli/tests/difference.rs
@@ -1,4 +1,4 @@
-//! What is sent so that the catalogue in force becomes that of a file.
+//! Differences between a catalogue file and the catalogue in force.
 
 use catalogue::Document;
 use cli::difference::{Catalogue, ChangeKind, Difference, Entity, between};
--- a/crates/cli/tests/failure.rs
+++ b/crates/cli/tests/failure.rs
@@ -1,4 +1,4 @@
-//! Error answers as failures: their exit codes are a promise to scripts.
+//! Conversion of error answers to failures, whose exit codes scripts rely on.
 
 use assert_matches::assert_matches;
 use cli::failure::{ConflictingEdit, Failure};
--- a/crates/cli/tests/text.rs
+++ b/crates/cli/tests/text.rs
@@ -1,4 +1,4 @@
-//! JSON as text for people.
+//! Rendering of JSON as text.
 
 use cli::text::render;
 use serde_json::json;
