--- a/crates/catalogue/src/entry.rs
+++ b/crates/catalogue/src/entry.rs
@@ -225,7 +225,7 @@
 }
 
 fn contract(fields: &mut Fields<'_>, target: &Target) -> Contract {
-    let streams = matches!(target, Target::Model { .. });
+    let is_model = matches!(target, Target::Model { .. });
     let read = |inner: &mut Fields<'_>| {
         let contract = Contract {
             objective: inner.required("objective").unwrap_or(0.5),
@@ -234,7 +234,7 @@
             whole: inner.duration("whole"),
             deadline: inner.required_duration("deadline").unwrap_or(Duration::MAX),
         };
-        check_contract(inner, &contract, streams);
+        check_contract(inner, &contract, is_model);
         contract
     };
     fields
@@ -248,7 +248,7 @@
         })
 }
 
-fn check_contract(fields: &mut Fields<'_>, contract: &Contract, streams: bool) {
+fn check_contract(fields: &mut Fields<'_>, contract: &Contract, is_model: bool) {
     if !(contract.objective > 0.0 && contract.objective < 1.0) {
         fields.report("objective", "must be above 0 and below 1");
     }
@@ -256,7 +256,7 @@
         ("first_token", contract.first_token),
         ("between_tokens", contract.between_tokens),
     ] {
-        if time.is_some() && !streams {
+        if time.is_some() && !is_model {
             fields.report(field, "is for entries that name a model only");
         }
     }
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -155,7 +155,7 @@
                 .ok_or(SnapshotError::Rules(stored.rules))?;
             match (set.parse)(&raw) {
                 Ok(entity) => slot.entity = Some(entity),
-                Err(faults) => faults.iter().for_each(|fault| findings.push(fault.clone())),
+                Err(found) => found.iter().for_each(|one| findings.push(one.clone())),
             }
         }
         view.replace(&Key::new(kind, &stored.name), Some(&Arc::new(slot)));
--- a/crates/catalogue/src/state.rs
+++ b/crates/catalogue/src/state.rs
@@ -149,7 +149,7 @@
         }
         let applied = match &record.body {
             Some(Body::Edit(edit)) => Applied::Edit(self.decide(offset, edit)),
-            Some(Body::RulesRaise(raise)) => self.raise(offset, *raise),
+            Some(Body::RulesRaise(raise)) => self.raise_rules(offset, *raise),
             Some(Body::Snapshot(snapshot)) if self.contradicts(snapshot) => {
                 Applied::SnapshotDiffers
             }
@@ -162,7 +162,7 @@
         applied
     }
 
-    fn raise(&mut self, offset: Offset, raise: RulesRaise) -> Applied {
+    fn raise_rules(&mut self, offset: Offset, raise: RulesRaise) -> Applied {
         if raise.rules <= self.version {
             return Applied::NoEffect;
         }
--- a/crates/catalogue/src/state/acceptance.rs
+++ b/crates/catalogue/src/state/acceptance.rs
@@ -102,7 +102,7 @@
         touched: &[Key],
         findings: &mut Findings,
     ) -> SmallVec<[Option<Arc<Slot>>; 4]> {
-        let read = |(change, key): (&Change, &Key)| {
+        let parse = |(change, key): (&Change, &Key)| {
             let entity = if change.json.is_empty() {
                 self.check_removal(key, findings)?;
                 None
@@ -117,7 +117,7 @@
                 entity,
             }))
         };
-        edit.changes.iter().zip(touched).map(read).collect()
+        edit.changes.iter().zip(touched).map(parse).collect()
     }
 
     /// Adds a finding and returns `None` if the entity does not exist.
@@ -137,9 +137,9 @@
         };
         // An unknown version freezes the state, and then no edit is decided.
         let set = self.rules.get(self.version)?;
-        let read = (set.parse)(&raw);
-        let note = |faults: &Findings| faults.iter().cloned().for_each(|one| findings.push(one));
-        read.inspect_err(note).ok()
+        let parsed = (set.parse)(&raw);
+        let report = |found: &Findings| found.iter().cloned().for_each(|one| findings.push(one));
+        parsed.inspect_err(report).ok()
     }
 
     /// Validates the changed entities and their dependents; no others can have become invalid.
--- a/crates/cli/src/text.rs
+++ b/crates/cli/src/text.rs
@@ -65,7 +65,7 @@
             cells.chain([column.chars().count()]).max().unwrap_or(0)
         })
         .collect();
-    let mut line = |cells: Vec<String>| {
+    let mut write_row = |cells: Vec<String>| {
         let padded = cells
             .iter()
             .zip(&widths)
@@ -78,9 +78,9 @@
         out.push_str(padded.trim_end());
         out.push('\n');
     };
-    line(columns.iter().map(|column| (*column).to_owned()).collect());
+    write_row(columns.iter().map(|column| (*column).to_owned()).collect());
     for row in rows {
-        line(columns.iter().map(|column| cell(row, column)).collect());
+        write_row(columns.iter().map(|column| cell(row, column)).collect());
     }
 }
 
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -76,7 +76,7 @@
     pub origin: Origin,
     /// Path of the key, for example `lease.term`.
     pub key: String,
-    /// What is wrong with a setting.
+    /// The problem.
     pub problem: Problem,
 }
 
