--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -17,7 +17,7 @@
     match action {
         Keys::Make { dir, instances } => {
             let failed = || Failure::Usage(format!("cannot make keys in {}", dir.display()));
-            peer::issue::make(dir, instances).change_context_lazy(failed)?;
+            peer::issue::write_keys(dir, instances).change_context_lazy(failed)?;
             let text = format!("{} certificates in {}\n", instances.len(), dir.display());
             Ok(Output::new(
                 json!({ "dir": dir, "instances": instances }),
--- a/crates/control/src/core/peers.rs
+++ b/crates/control/src/core/peers.rs
@@ -23,8 +23,8 @@
             Event::Query {
                 from,
                 query,
-                answer,
-            } => answer.send(self.reply(now, &from.instance, &query)),
+                responder,
+            } => responder.send(self.reply(now, &from.instance, &query)),
             Event::Up(id) => log::info!(peer = id.as_str(); "connected"),
             Event::Down(id) => log::warn!(peer = id.as_str(); "disconnected"),
         }
--- a/crates/control/src/mesh.rs
+++ b/crates/control/src/mesh.rs
@@ -6,7 +6,7 @@
 use error_stack::Report;
 use fleet::Members;
 use fleet::list::{Kind, Mark, View};
-use peer::{Config, Event, Traffic, Unsent};
+use peer::{Config, Event, SendError, Traffic};
 use wire::peer::frame::Body;
 use wire::peer::{Query, Reply};
 use wire::record::Author;
@@ -66,7 +66,7 @@
     pub(crate) fn send(&self, to: &str, body: Body) {
         if let Some(mesh) = &self.mesh {
             // The mesh counts what it could not send; what matters is sent again.
-            let _counted: Result<(), Unsent> = mesh.send(to, body);
+            let _counted: Result<(), SendError> = mesh.send(to, body);
         }
     }
 
--- a/crates/entry/src/command.rs
+++ b/crates/entry/src/command.rs
@@ -6,7 +6,7 @@
 use clap::{Parser, Subcommand};
 use error_stack::{Report, ResultExt as _};
 use settings::{Settings, Source};
-use signals::Early;
+use signals::EarlySignals;
 
 use crate::daemon;
 use crate::policy::Overrides;
@@ -90,7 +90,7 @@
 }
 
 fn serve(path: &Path, set: &[String]) -> Result<(), Report<Failure>> {
-    let early = Early::new().change_context(Failure::Daemon)?;
+    let early = EarlySignals::new().change_context(Failure::Daemon)?;
     let settings = load(path, set)?;
     start_log(&settings.log.level);
     daemon::run(settings, early).change_context(Failure::Daemon)
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -12,7 +12,7 @@
 use rand::RngExt as _;
 use routing::router::{self, Router};
 use settings::Settings;
-use signals::{Early, Request, Signals};
+use signals::{EarlySignals, Request, Signals};
 
 use crate::density::Densities;
 use crate::dispatch::Dispatch;
@@ -68,11 +68,11 @@
 /// # Errors
 ///
 /// The process could not start, or did not come to an orderly end.
-pub fn run(settings: Settings, early: Early) -> Result<(), Report<Failure>> {
+pub fn run(settings: Settings, early: EarlySignals) -> Result<(), Report<Failure>> {
     System::new().block_on(serve(settings, early))
 }
 
-async fn serve(settings: Settings, early: Early) -> Result<(), Report<Failure>> {
+async fn serve(settings: Settings, early: EarlySignals) -> Result<(), Report<Failure>> {
     let mut signals = Signals::new(early).change_context(Failure::Signals)?;
     let shared = Arc::new(shared(settings)?);
     shared.control.set_hooks(hooks(&shared));
--- a/crates/entry/tests/fleet/mod.rs
+++ b/crates/entry/tests/fleet/mod.rs
@@ -73,7 +73,7 @@
     pub(crate) fn mesh(&mut self) {
         self.meshed = true;
         let ids: Vec<String> = (0..9).map(|index| format!("entry-{index}")).collect();
-        peer::issue::make(&self.directory.path().join("keys"), &ids).unwrap();
+        peer::issue::write_keys(&self.directory.path().join("keys"), &ids).unwrap();
     }
 
     /// Lists an entry under the address of its mesh.
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -7,7 +7,7 @@
 use adapter::settings::{self, Settings};
 use clap::{Parser, Subcommand};
 use serving::fingerprint::Fingerprint;
-use signals::Early;
+use signals::EarlySignals;
 
 use crate::{daemon, explain, logging, operator};
 
@@ -220,7 +220,7 @@
 }
 
 fn serve(path: Option<PathBuf>, metrics: Option<u16>) -> ExitCode {
-    let early = match Early::new() {
+    let early = match EarlySignals::new() {
         Ok(early) => early,
         Err(error) => {
             eprintln!("signals cannot be received: {error}");
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -6,7 +6,7 @@
 
 use adapter::settings::{self, Settings};
 use error_stack::{Report, ResultExt as _};
-use signals::{Early, Request, Signals};
+use signals::{EarlySignals, Request, Signals};
 
 use crate::instance::Instance;
 use crate::{connection, duties, mesh, metrics, readiness, status, store_reader};
@@ -34,7 +34,7 @@
     path: PathBuf,
     settings: Settings,
     port: Option<u16>,
-    early: Early,
+    early: EarlySignals,
 ) -> Result<(), Report<Failure>> {
     actix_rt::System::new().block_on(serve(path, settings, port, early))
 }
@@ -43,7 +43,7 @@
     path: PathBuf,
     settings: Settings,
     port: Option<u16>,
-    early: Early,
+    early: EarlySignals,
 ) -> Result<(), Report<Failure>> {
     let mut signals = Signals::new(early).change_context(Failure::Signals)?;
     let instance = Rc::new(Instance::new(settings));
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -13,49 +13,49 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Largest frame on a stream of its own, in bytes.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// Largest query, in bytes.
-    pub query: usize,
+    pub max_query_bytes: usize,
     /// Largest reply, in bytes; a snapshot of the folded state must fit.
-    pub reply: usize,
+    pub max_reply_bytes: usize,
     /// Longest time for which a query of a peer is worked on.
-    pub answer: Duration,
+    pub query_timeout: Duration,
     /// Frames that may wait for a slow peer; more are refused.
-    pub queue: usize,
+    pub send_queue_len: usize,
     /// Streams that a peer may have open at once in each direction.
-    pub streams: u32,
+    pub max_streams: u32,
     /// Silence after which a connection is given up.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Longest time to connect.
-    pub dial: Duration,
-    /// First wait after a failed dial; it doubles up to [`Limits::longest`], with jitter.
-    pub backoff: Duration,
+    pub dial_timeout: Duration,
+    /// First wait after a failed dial; it doubles up to [`Limits::max_backoff`], with jitter.
+    pub initial_backoff: Duration,
     /// Longest wait after a failed dial.
-    pub longest: Duration,
+    pub max_backoff: Duration,
     /// Time over which connections are renewed after a change of keys.
-    pub rotation: Duration,
+    pub rotation_period: Duration,
     /// How long a connection that was replaced is still read, so that frames under way arrive.
     pub linger: Duration,
     /// Handshakes of others that may run at once; more are refused until some end.
-    pub handshakes: usize,
+    pub max_handshakes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            frame: 1 << 20,
-            query: 64 << 10,
-            reply: 32 << 20,
-            answer: Duration::from_secs(10),
-            queue: 256,
-            streams: 32,
-            idle: Duration::from_secs(10),
-            dial: Duration::from_secs(3),
-            backoff: Duration::from_millis(100),
-            longest: Duration::from_secs(5),
-            rotation: Duration::from_secs(10),
+            max_frame_bytes: 1 << 20,
+            max_query_bytes: 64 << 10,
+            max_reply_bytes: 32 << 20,
+            query_timeout: Duration::from_secs(10),
+            send_queue_len: 256,
+            max_streams: 32,
+            idle_timeout: Duration::from_secs(10),
+            dial_timeout: Duration::from_secs(3),
+            initial_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(5),
+            rotation_period: Duration::from_secs(10),
             linger: Duration::from_secs(1),
-            handshakes: 64,
+            max_handshakes: 64,
         }
     }
 }
@@ -77,7 +77,7 @@
 #[derive(Clone)]
 pub struct Config {
     /// This process: instance id, which the certificate must bear, and incarnation.
-    pub own: Author,
+    pub local: Author,
     /// UDP address to listen on; calls go out from it as well.
     pub listen: SocketAddr,
     /// Keys of this instance.
@@ -90,9 +90,9 @@
 
 impl Config {
     /// A configuration with default bounds and no faults.
-    pub fn new(own: Author, listen: SocketAddr, keys: keys::Source) -> Self {
+    pub fn new(local: Author, listen: SocketAddr, keys: keys::Source) -> Self {
         Self {
-            own,
+            local,
             listen,
             keys,
             limits: Limits::default(),
@@ -110,7 +110,7 @@
 impl fmt::Debug for Config {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Config")
-            .field("own", &self.own)
+            .field("own", &self.local)
             .field("listen", &self.listen)
             .field("keys", &self.keys)
             .field("limits", &self.limits)
--- a/crates/peer/src/dial.rs
+++ b/crates/peer/src/dial.rs
@@ -17,7 +17,7 @@
 
 /// Keeps a connection to the peer for as long as the task runs.
 pub(crate) async fn keep(inner: Rc<Inner>, peer: Peer) {
-    let own = &inner.config.own.instance;
+    let own = &inner.config.local.instance;
     let head_start = if *own > peer.id {
         HEAD_START
     } else {
@@ -39,7 +39,7 @@
         }
         // A peer that refuses our certificate does so only after our side takes the connection
         // for made, so only one that lasted shows that dialing works.
-        if began.elapsed() >= inner.config.limits.longest {
+        if began.elapsed() >= inner.config.limits.max_backoff {
             failures = 0;
         }
         failures += 1;
@@ -50,7 +50,7 @@
 /// Accepts calls until the endpoint is closed.
 pub(crate) async fn accept(inner: Rc<Inner>) {
     while let Some(incoming) = inner.endpoint.accept().await {
-        if inner.state.borrow().handshakes >= inner.config.limits.handshakes {
+        if inner.state.borrow().handshakes >= inner.config.limits.max_handshakes {
             incoming.refuse();
             continue;
         }
@@ -61,7 +61,7 @@
 
 /// Makes a connection anew that was made with older keys, and closes the old one if that fails.
 pub(crate) async fn renew(inner: Rc<Inner>, id: Id, generation: u64) {
-    sleep(inner.config.limits.rotation.mul_f64(rand::random())).await;
+    sleep(inner.config.limits.rotation_period.mul_f64(rand::random())).await;
     let is_old = |inner: &Inner| {
         inner
             .link(&id)
@@ -78,7 +78,7 @@
 async fn accept_one(inner: Rc<Inner>, incoming: Incoming) {
     let generation = inner.state.borrow().generation;
     let remote = incoming.remote_address();
-    let handshake = timeout(inner.config.limits.dial, incoming).await;
+    let handshake = timeout(inner.config.limits.dial_timeout, incoming).await;
     inner.state.borrow_mut().handshakes -= 1;
     let error = match handshake {
         Ok(Ok(connection)) => return inner.adopt(connection, false, generation),
@@ -107,7 +107,7 @@
         .endpoint
         .connect_with(client, address, id)
         .map_err(|error| error.to_string())?;
-    match timeout(inner.config.limits.dial, connecting).await {
+    match timeout(inner.config.limits.dial_timeout, connecting).await {
         Ok(connected) => connected.map_err(|error| error.to_string()),
         Err(_) => Err("timed out".to_owned()),
     }
@@ -118,10 +118,10 @@
 fn backoff(inner: &Inner, failures: u32) -> Duration {
     let limits = &inner.config.limits;
     let doubled = limits
-        .backoff
+        .initial_backoff
         .saturating_mul(1 << failures.min(MAX_DOUBLINGS));
     doubled
-        .min(limits.longest)
+        .min(limits.max_backoff)
         .mul_f64(0.5 + rand::random::<f64>())
 }
 
--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -19,7 +19,7 @@
         /// What it asks.
         query: Query,
         /// Where the reply goes.
-        answer: Answer,
+        responder: Responder,
     },
     /// The first connection to this peer stands.
     Up(Id),
@@ -29,11 +29,11 @@
 
 /// Where a reply goes. Dropping it unused lets the peer's query fail at once.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Responder {
     pub(crate) reply: oneshot::Sender<Reply>,
 }
 
-impl Answer {
+impl Responder {
     /// Sends the reply, unless the peer has given up.
     pub fn send(self, reply: Reply) {
         // The receiver is gone only if the query's time is over, and then nobody waits.
--- a/crates/peer/src/inner.rs
+++ b/crates/peer/src/inner.rs
@@ -16,7 +16,7 @@
 use crate::config::{Config, Direction};
 use crate::event::Event;
 use crate::link::{Link, NO_NAME, Origin, REPLACED};
-use crate::mesh::Unsent;
+use crate::mesh::SendError;
 use crate::traffic::{Flow, Kind, Traffic};
 use crate::{Id, dial, keys, receive};
 
@@ -70,7 +70,7 @@
     pub(crate) fn encode(&self, body: Body) -> Encoded {
         let mut state = self.state.borrow_mut();
         state.sequence += 1;
-        codec::encode(&self.config.own, state.sequence, body)
+        codec::encode(&self.config.local, state.sequence, body)
     }
 
     pub(crate) fn count(&self, kind: Kind, direction: Direction, bytes: usize) {
@@ -94,7 +94,7 @@
         self.state.borrow().current.get(id).cloned()
     }
 
-    pub(crate) fn send(&self, to: &str, encoded: Encoded) -> Result<(), Unsent> {
+    pub(crate) fn send(&self, to: &str, encoded: Encoded) -> Result<(), SendError> {
         let sent = self.try_send(to, encoded);
         if sent.is_err() {
             self.unsent();
@@ -102,17 +102,17 @@
         sent
     }
 
-    fn try_send(&self, to: &str, encoded: Encoded) -> Result<(), Unsent> {
-        let link = self.link(to).ok_or(Unsent::NotConnected)?;
+    fn try_send(&self, to: &str, encoded: Encoded) -> Result<(), SendError> {
+        let link = self.link(to).ok_or(SendError::NotConnected)?;
         let (kind, size) = (encoded.kind, encoded.bytes.len());
-        if size > self.config.limits.frame {
-            return Err(Unsent::TooLarge);
+        if size > self.config.limits.max_frame_bytes {
+            return Err(SendError::TooLarge);
         }
         if self.config.drops(Direction::Out, &link.id) {
             return Ok(());
         }
         if !link.send(encoded) {
-            return Err(Unsent::Slow);
+            return Err(SendError::QueueFull);
         }
         self.count(kind, Direction::Out, size);
         Ok(())
@@ -121,12 +121,12 @@
     /// Takes a connection whose handshake is done into the mesh, unless the pair has a better one.
     pub(crate) fn adopt(self: &Rc<Self>, connection: Connection, dialed: bool, generation: u64) {
         let name = keys::identity(&connection);
-        let Some(id) = name.filter(|id| *id != self.config.own.instance) else {
+        let Some(id) = name.filter(|id| *id != self.config.local.instance) else {
             self.fail_handshake();
             connection.close(NO_NAME, b"no usable name");
             return;
         };
-        let (queue, queued) = mpsc::channel(self.config.limits.queue);
+        let (queue, queued) = mpsc::channel(self.config.limits.send_queue_len);
         let link = {
             let mut state = self.state.borrow_mut();
             state.serial += 1;
@@ -150,7 +150,7 @@
 
     /// Keeps one connection of the pair, and closes the other a little later.
     fn choose(self: &Rc<Self>, link: &Rc<Link>) {
-        let own = &self.config.own.instance;
+        let own = &self.config.local.instance;
         let former = self.link(&link.id);
         let kept = former
             .as_ref()
--- a/crates/peer/src/issue.rs
+++ b/crates/peer/src/issue.rs
@@ -103,7 +103,7 @@
 /// # Errors
 ///
 /// [`Error::Issue`] if a file can't be written or an id can't stand in a certificate.
-pub fn make(dir: &Path, ids: &[String]) -> Result<Vec<Source>, Report<Error>> {
+pub fn write_keys(dir: &Path, ids: &[String]) -> Result<Vec<Source>, Report<Error>> {
     fs::create_dir_all(dir).change_context(Error::Issue)?;
     let authority = Authority::open(dir)?;
     ids.iter()
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -226,13 +226,13 @@
 /// off: frames are small, and the probes would cost more than all heartbeats of a minute.
 fn transport(limits: &Limits) -> quinn::TransportConfig {
     let mut transport = quinn::TransportConfig::default();
-    let streams = quinn::VarInt::from_u32(limits.streams);
-    let idle = u32::try_from(limits.idle.as_millis()).unwrap_or(u32::MAX);
+    let streams = quinn::VarInt::from_u32(limits.max_streams);
+    let idle = u32::try_from(limits.idle_timeout.as_millis()).unwrap_or(u32::MAX);
     transport
         .max_concurrent_bidi_streams(streams)
         .max_concurrent_uni_streams(streams)
         .max_idle_timeout(Some(quinn::VarInt::from_u32(idle).into()))
-        .keep_alive_interval(Some(limits.idle.div_f64(KEEP_ALIVE)))
+        .keep_alive_interval(Some(limits.idle_timeout.div_f64(KEEP_ALIVE)))
         .mtu_discovery_config(None)
         .datagram_receive_buffer_size(Some(DATAGRAM_BUFFER))
         .datagram_send_buffer_size(DATAGRAM_BUFFER)
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -17,8 +17,8 @@
 pub mod traffic;
 
 pub use config::Config;
-pub use event::{Answer, Event};
-pub use mesh::{Mesh, Peer, Status, Unsent};
+pub use event::{Event, Responder};
+pub use mesh::{Mesh, Peer, SendError, Status};
 pub use traffic::Traffic;
 
 use std::fmt;
--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -49,12 +49,12 @@
 
 /// Why a frame was not sent. Frames are repeated by their senders, so this is for counts and logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Unsent {
+pub enum SendError {
     /// No connection to the peer stands.
     NotConnected,
     /// The peer takes frames more slowly than they come.
-    Slow,
-    /// It is larger than [`crate::config::Limits::frame`].
+    QueueFull,
+    /// It is larger than [`crate::config::Limits::max_frame_bytes`].
     TooLarge,
 }
 
@@ -73,7 +73,7 @@
     ///
     /// [`Error::Keys`] with all findings, or [`Error::Listen`].
     pub fn start(config: Config, handler: impl Fn(Event) + 'static) -> Result<Self, Report<Error>> {
-        let own = &config.own.instance;
+        let own = &config.local.instance;
         let keys = keys::load(&config.keys, own, &config.limits)
             .map_err(|findings| Report::new(Error::Keys(findings)))?;
         let endpoint = listen(&config, keys.server)?;
@@ -101,7 +101,7 @@
     /// Dials these peers from now on. A connection to one that is left out is kept while it
     /// stands, because the list lags and the peer may still serve.
     pub fn set_members(&self, members: &[Peer]) {
-        let own = &self.inner.config.own.instance;
+        let own = &self.inner.config.local.instance;
         let mut state = self.inner.state.borrow_mut();
         let wanted: BTreeSet<&Id> = members.iter().map(|peer| &peer.id).collect();
         state.dialers.retain(|id, dialer| {
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// Why it can't be sent now; it is not tried again.
-    pub fn send(&self, to: &str, body: Body) -> Result<(), Unsent> {
+    pub fn send(&self, to: &str, body: Body) -> Result<(), SendError> {
         let encoded = self.inner.encode(body);
         self.inner.send(to, encoded)
     }
@@ -178,7 +178,7 @@
     }
 
     /// Reads the keys again and uses them from now on. Connections that stand are renewed one by
-    /// one within [`crate::config::Limits::rotation`], the old one being closed after its
+    /// one within [`crate::config::Limits::rotation_period`], the old one being closed after its
     /// successor stands; a peer that does not accept the new keys is cut off by the end of it.
     ///
     /// # Errors
@@ -186,7 +186,7 @@
     /// [`Error::Keys`] with all findings; the keys in use stay.
     pub fn reload(&self, source: &keys::Source) -> Result<(), Report<Error>> {
         let config = &self.inner.config;
-        let keys = keys::load(source, &config.own.instance, &config.limits)
+        let keys = keys::load(source, &config.local.instance, &config.limits)
             .map_err(|findings| Report::new(Error::Keys(findings)))?;
         self.inner.endpoint.set_server_config(Some(keys.server));
         let mut state = self.inner.state.borrow_mut();
@@ -235,7 +235,7 @@
         self.inner.endpoint.close(STOPPING, b"stopping");
         // A peer that is cut off never acknowledges, so the wait is bounded.
         let _cut_off = timeout(
-            self.inner.config.limits.dial,
+            self.inner.config.limits.dial_timeout,
             self.inner.endpoint.wait_idle(),
         )
         .await;
--- a/crates/peer/src/receive.rs
+++ b/crates/peer/src/receive.rs
@@ -11,7 +11,7 @@
 
 use crate::codec::{self, Encoded};
 use crate::config::Direction;
-use crate::event::{Answer, Event};
+use crate::event::{Event, Responder};
 use crate::inner::Inner;
 use crate::link::{FALSE_NAME, Link};
 use crate::traffic::Kind;
@@ -36,7 +36,7 @@
     while let Ok(stream) = link.connection.accept_uni().await {
         let (inner, link) = (Rc::clone(inner), Rc::clone(link));
         actix_rt::spawn(async move {
-            let limit = inner.config.limits.frame;
+            let limit = inner.config.limits.max_frame_bytes;
             match read(&inner, stream, limit).await {
                 Some(bytes) => receive(&inner, &link, &bytes),
                 None => inner.refuse(),
@@ -49,7 +49,7 @@
     while let Ok((send, stream)) = link.connection.accept_bi().await {
         let (inner, link) = (Rc::clone(inner), Rc::clone(link));
         actix_rt::spawn(async move {
-            let limit = inner.config.limits.query;
+            let limit = inner.config.limits.max_query_bytes;
             match read(&inner, stream, limit).await {
                 Some(bytes) => answer(&inner, &link, &bytes, send).await,
                 None => inner.refuse(),
@@ -81,7 +81,10 @@
 
 async fn read(inner: &Inner, mut stream: RecvStream, limit: usize) -> Option<Vec<u8>> {
     let read = stream.read_to_end(limit);
-    timeout(inner.config.limits.answer, read).await.ok()?.ok()
+    timeout(inner.config.limits.query_timeout, read)
+        .await
+        .ok()?
+        .ok()
 }
 
 /// Counts and decodes a frame, and closes the connection of a peer that uses a false name.
@@ -124,7 +127,7 @@
         return;
     };
     let encoded = inner.encode(body);
-    let fits = encoded.bytes.len() <= inner.config.limits.reply;
+    let fits = encoded.bytes.len() <= inner.config.limits.max_reply_bytes;
     if !fits || inner.config.drops(Direction::Out, &link.id) {
         return;
     }
@@ -137,13 +140,13 @@
 
 async fn ask(inner: &Inner, from: Author, query: Query) -> Option<Body> {
     let (reply, waiting) = oneshot::channel();
-    let answer = Answer { reply };
+    let responder = Responder { reply };
     (inner.handler)(Event::Query {
         from,
         query,
-        answer,
+        responder,
     });
-    let reply = timeout(inner.config.limits.answer, waiting).await;
+    let reply = timeout(inner.config.limits.query_timeout, waiting).await;
     reply.ok()?.ok().map(Body::Reply)
 }
 
@@ -155,7 +158,10 @@
     if send.write_all(&query.bytes).await.is_err() || send.finish().is_err() {
         return Exchange::Broken;
     }
-    let bytes = match stream.read_to_end(inner.config.limits.reply).await {
+    let bytes = match stream
+        .read_to_end(inner.config.limits.max_reply_bytes)
+        .await
+    {
         Ok(bytes) => bytes,
         Err(quinn::ReadToEndError::TooLong) => return Exchange::Malformed,
         Err(quinn::ReadToEndError::Read(_)) => return Exchange::Broken,
--- a/crates/peer/tests/keys.rs
+++ b/crates/peer/tests/keys.rs
@@ -219,8 +219,8 @@
 #[actix_rt::test]
 async fn made_keys_serve_and_the_authority_is_kept() {
     let dir = tempfile::tempdir().unwrap();
-    let first = issue::make(dir.path(), &["a".to_owned()]).unwrap();
-    let second = issue::make(dir.path(), &["b".to_owned()]).unwrap();
+    let first = issue::write_keys(dir.path(), &["a".to_owned()]).unwrap();
+    let second = issue::write_keys(dir.path(), &["b".to_owned()]).unwrap();
     let mut a = Process::with(config("a", 1, first[0].clone()));
     let mut b = Process::with(config("b", 1, second[0].clone()));
     connect(&mut [&mut a, &mut b]).await;
--- a/crates/peer/tests/mesh.rs
+++ b/crates/peer/tests/mesh.rs
@@ -9,7 +9,7 @@
 use assert_matches::assert_matches;
 use peer::issue::Authority;
 use peer::traffic::Kind;
-use peer::{Error, Event, Unsent};
+use peer::{Error, Event, SendError};
 use support::{Process, config, confirm, connect, connected};
 use wire::peer::{Empty, Load, Outstanding, Query, Reply, frame::Body, query, reply};
 
@@ -68,8 +68,8 @@
     let (a, mut b) = connected(&authority).await;
     // The first two are answered in the wrong order.
     let serve = async {
-        let first = b.until(answer).await;
-        let second = b.until(answer).await;
+        let first = b.until(responder).await;
+        let second = b.until(responder).await;
         second.send(status_reply("second"));
         first.send(status_reply("first"));
     };
@@ -92,15 +92,15 @@
     let mut a = Process::start(&authority, "a");
     let keys = authority.issue("b").unwrap();
     let mut small = config("b", 1, keys);
-    small.limits.reply = 8;
+    small.limits.max_reply_bytes = 8;
     let mut b = Process::with(small);
     connect(&mut [&mut a, &mut b]).await;
 
-    let dropped = async { drop(b.until(answer).await) };
+    let dropped = async { drop(b.until(responder).await) };
     let (_, reply) = tokio::join!(dropped, a.mesh.query("b", status_query(), WITHIN));
     assert_matches!(reply.unwrap_err().current_context(), Error::Broken(_));
 
-    let large = async { b.until(answer).await.send(status_reply("0123456789")) };
+    let large = async { b.until(responder).await.send(status_reply("0123456789")) };
     let (_, reply) = tokio::join!(large, a.mesh.query("b", status_query(), WITHIN));
     assert_matches!(reply.unwrap_err().current_context(), Error::Broken(_));
 
@@ -124,7 +124,7 @@
         a.mesh.send("b", confirm(order)).unwrap();
         b.confirmed(order).await;
     }
-    assert_eq!(a.mesh.send("z", confirm(4)), Err(Unsent::NotConnected));
+    assert_eq!(a.mesh.send("z", confirm(4)), Err(SendError::NotConnected));
     let sent = a.mesh.traffic();
     let received = b.mesh.traffic();
     assert_eq!(sent.kinds[&Kind::Confirm].sent.messages, 3);
@@ -165,9 +165,9 @@
     }
 }
 
-fn answer(event: Event) -> Option<peer::Answer> {
+fn responder(event: Event) -> Option<peer::Responder> {
     match event {
-        Event::Query { answer, .. } => Some(answer),
+        Event::Query { responder, .. } => Some(responder),
         _ => None,
     }
 }
--- a/crates/peer/tests/packets.rs
+++ b/crates/peer/tests/packets.rs
@@ -72,8 +72,8 @@
     let authority = Authority::new("test").unwrap();
     let mut nodes = ["a", "b"].map(|id| {
         let mut config = config(id, 1, authority.issue(id).unwrap());
-        config.limits.idle = Duration::from_millis(300);
-        config.limits.dial = Duration::from_millis(300);
+        config.limits.idle_timeout = Duration::from_millis(300);
+        config.limits.dial_timeout = Duration::from_millis(300);
         Process::with(config)
     });
     let [a, b] = &mut nodes;
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -33,9 +33,9 @@
 /// Bounds with short waits, so that tests that need several dials end soon.
 pub fn limits() -> Limits {
     Limits {
-        backoff: Duration::from_millis(20),
-        longest: Duration::from_millis(200),
-        rotation: Duration::from_millis(100),
+        initial_backoff: Duration::from_millis(20),
+        max_backoff: Duration::from_millis(200),
+        rotation_period: Duration::from_millis(100),
         linger: Duration::from_millis(100),
         ..Limits::default()
     }
@@ -64,7 +64,7 @@
     }
 
     pub fn with(config: Config) -> Self {
-        let id = config.own.instance.clone();
+        let id = config.local.instance.clone();
         let (sender, events) = unbounded_channel();
         let handler = move |event| {
             let _test_is_over = sender.send(event);
--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -15,12 +15,12 @@
 /// just starting would see its process die of SIGHUP, before its first line of log. So they are remembered from the
 /// first step on, until [`Signals`] receives them.
 #[derive(Debug)]
-pub struct Early {
+pub struct EarlySignals {
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
 }
 
-impl Early {
+impl EarlySignals {
     /// Remembers signals from now on.
     ///
     /// # Errors
@@ -50,7 +50,7 @@
 /// Signals as they come, the early ones first.
 #[derive(Debug)]
 pub struct Signals {
-    early: Early,
+    early: EarlySignals,
     terminate: Signal,
     interrupt: Signal,
     reload: Signal,
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// If the system takes no handler.
-    pub fn new(early: Early) -> io::Result<Self> {
+    pub fn new(early: EarlySignals) -> io::Result<Self> {
         Ok(Self {
             early,
             terminate: signal(SignalKind::terminate())?,
