--- a/crates/control/src/census.rs
+++ b/crates/control/src/census.rs
@@ -43,7 +43,7 @@
     pub(crate) fn new(now: Moment, options: &Options) -> Self {
         Self {
             list: list::View::new(options.list),
-            members: Members::new(options.own.clone(), options.members, now),
+            members: Members::new(options.local.clone(), options.members, now),
             upstreams: Upstreams::new(options.health),
             drain: Drain::new(options.drain),
             reports: BTreeMap::new(),
@@ -203,9 +203,19 @@
         }
         let at = now.saturating_sub(said.age());
         // An answer that was long under way must not replace a newer one.
-        if self.reports.get(id).is_none_or(|known| known.at <= at) {
+        if self
+            .reports
+            .get(id)
+            .is_none_or(|known| known.measured_at <= at)
+        {
             let said = Arc::new(said);
-            self.reports.insert(id.to_owned(), Report { at, said });
+            self.reports.insert(
+                id.to_owned(),
+                Report {
+                    measured_at: at,
+                    content: said,
+                },
+            );
         }
     }
 
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -132,12 +132,12 @@
         } = wiring;
         let now = clock.now();
         let author = record::Author {
-            instance: options.own.id.clone(),
-            incarnation: options.own.incarnation,
+            instance: options.local.id.clone(),
+            incarnation: options.local.incarnation,
         };
         let me = Author {
-            instance: options.own.id.clone(),
-            incarnation: options.own.incarnation,
+            instance: options.local.id.clone(),
+            incarnation: options.local.incarnation,
         };
         let mesh = Mesh::start(author.clone(), options.mesh.as_ref(), sender.clone())?;
         let rules = catalogue::Rules::default().newest();
@@ -149,16 +149,20 @@
             publisher: Publisher::new(view),
             ledger: Ledger::default(),
             census: Census::new(now, &options),
-            scopes: Scopes::new(me, options.term, options.pace, seed),
+            scopes: Scopes::new(me, options.term, options.change_timing, seed),
             calls: Calls::new(Holder::from(&author), rand::rng().random(), options.claims),
             edits: Edits::default(),
-            keeper: Keeper::new(now, options.retention, &options.own.id),
+            keeper: Keeper::new(now, options.retention, &options.local.id),
             frames: Frames::default(),
             reports: Reports::new(options.report_period),
             roles: Roles::default(),
             planned: now,
             appends: Appends::new(log, author, rules, sender.clone()),
-            engines: Engines::new(options.pace.request_timeout, current, sender.clone()),
+            engines: Engines::new(
+                options.change_timing.request_timeout,
+                current,
+                sender.clone(),
+            ),
             mesh,
             nonces: nonce::NonceSource::new(rand::rng().random()),
             reader: Reader {
@@ -221,7 +225,7 @@
         Tail::spawn(
             self.appends.log().clone(),
             from,
-            self.options.log_wait,
+            self.options.log_poll_wait,
             jitter(),
             Box::new(move || clock.now()),
         )
--- a/crates/control/src/core/ask.rs
+++ b/crates/control/src/core/ask.rs
@@ -35,7 +35,7 @@
 
     pub(crate) fn edit(&mut self, edit: Edit, reply: oneshot::Sender<edits::Answer>) {
         let nonce = self.nonces.next_nonce();
-        let until = self.clock.now() + self.options.edit_patience;
+        let until = self.clock.now() + self.options.edit_timeout;
         self.edits.wait(nonce, until, reply);
         self.appends.send(Source::Edit, nonce, Body::Edit(edit));
     }
@@ -87,7 +87,7 @@
             return;
         }
         let held = self.ledger.authority().current_claim(&scope);
-        let own = &self.options.own.id;
+        let own = &self.options.local.id;
         let holder = held.filter(|held| !held.released && held.holder.instance != *own);
         let Some(holder) = holder.map(|held| held.holder.instance.clone()) else {
             let _gone = reply.send(Err(OrderError::NoHolder));
@@ -129,7 +129,7 @@
     }
 
     pub(crate) fn ask_burn(&mut self, reply: oneshot::Sender<Burn>) {
-        let own = (self.options.own.id.clone(), (self.shared.hooks().burn)());
+        let own = (self.options.local.id.clone(), (self.shared.hooks().burn)());
         let kind = Some(query::Kind::Burn(Empty {}));
         let query = Query { kind };
         let peers: Vec<String> = self.mesh.status().into_iter().map(|one| one.id).collect();
--- a/crates/control/src/core/peers.rs
+++ b/crates/control/src/core/peers.rs
@@ -108,7 +108,9 @@
     /// when something changed, and again while they stand.
     pub(super) fn confirm(&mut self, now: Moment) {
         let hooks = self.shared.hooks();
-        let owed = self.census.owed((hooks.applied)(), |id| (hooks.open)(id));
+        let owed = self.census.owed((hooks.oldest_applied_view)(), |id| {
+            (hooks.open_requests)(id)
+        });
         self.census.confirm_own(&owed);
         let (sent_at, sent) = &self.confirms;
         let due = now >= *sent_at + REPEAT;
--- a/crates/control/src/core/records.rs
+++ b/crates/control/src/core/records.rs
@@ -131,8 +131,8 @@
     pub(super) fn log_state(&self, now: Moment) -> view::Log {
         let heard = self.reader.heard.unwrap_or(self.reader.started);
         let silent = now.saturating_sub(heard);
-        let patience = self.options.log_patience;
-        let slack = self.options.log_wait + patience + READ_SLACK;
+        let patience = self.options.log_down_after;
+        let slack = self.options.log_poll_wait + patience + READ_SLACK;
         let out = (self.reader.failing && silent >= patience) || silent >= slack;
         if out || self.reader.heard.is_none() {
             view::Log::DownSince(heard)
--- a/crates/control/src/core/show.rs
+++ b/crates/control/src/core/show.rs
@@ -31,8 +31,8 @@
     pub(crate) fn status(&self) -> Status {
         let now = self.clock.now();
         Status {
-            instance: self.options.own.id.clone(),
-            incarnation: self.options.own.incarnation,
+            instance: self.options.local.id.clone(),
+            incarnation: self.options.local.incarnation,
             up_s: now.saturating_sub(self.started).as_secs(),
             peer_address: self
                 .mesh
@@ -154,7 +154,7 @@
                 scope: name.clone(),
                 upstream: upstream.clone(),
                 what: describe(what),
-                holder: self.options.own.id.clone(),
+                holder: self.options.local.id.clone(),
                 step: "wanted".to_owned(),
                 waits: format!("{reason:?}").to_lowercase(),
             })
@@ -204,7 +204,7 @@
         let upstream = |one: &fleet::upstream::Upstream| {
             let report = self.census.report(&one.id);
             let settled = self.ledger.authority().settled(&one.id);
-            let role = report.map(|report| report.said.role);
+            let role = report.map(|report| report.content.role);
             let role = role.or(settled.and_then(|known| known.role).map(to_role));
             let role = role.map_or_else(String::new, |role| format!("{role:?}").to_lowercase());
             status::Upstream {
@@ -212,7 +212,7 @@
                 pool: one.pool.clone(),
                 state: format!("{:?}", one.state).to_lowercase(),
                 role,
-                open: (hooks.open)(&one.id),
+                open: (hooks.open_requests)(&one.id),
                 weight: one.health.share(now, health),
                 report_ms: report.map(|report| report.age(now).as_millis() as u64),
             }
--- a/crates/control/src/core/tick.rs
+++ b/crates/control/src/core/tick.rs
@@ -83,7 +83,7 @@
         let listed = upstreams.filter(|one| one.kind == Kind::Engine && one.listed.is_some());
         let engines: Vec<&upstream::Upstream> = listed.collect();
         let everywhere = engines.len() <= REPORTS_EVERYWHERE;
-        let own = &self.options.own.data_centre;
+        let own = &self.options.local.data_centre;
         let near = engines
             .into_iter()
             .filter(|one| everywhere || one.data_centre == *own);
@@ -190,7 +190,7 @@
             census: &self.census,
             frames: &self.frames,
             own: &self.shared.pool_demand(now),
-            open: &|id| (hooks.open)(id),
+            open: &|id| (hooks.open_requests)(id),
         };
         for (pool, wanted) in self.roles.step(&outside) {
             let upstream = wanted.0.clone();
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -18,7 +18,7 @@
 use crate::edits::EditError;
 use crate::hooks::{Hooks, Key};
 use crate::message::{Message, Sender};
-use crate::order::{OrderError, Wish};
+use crate::order::{ChangeRequest, OrderError};
 use crate::status::{Burn, Entities, Orders, Status};
 use crate::view::View;
 
@@ -94,14 +94,14 @@
     /// What its entry says on outages.
     pub policy: OutagePolicy,
     /// When it is no longer worth running.
-    pub give_up: Moment,
+    pub deadline: Moment,
 }
 
 /// What was decided for a call.
 #[derive(Clone, Debug)]
 pub struct Claimed {
     /// Its name for [`Handle::conclude`].
-    pub ticket: CallId,
+    pub call_id: CallId,
     /// What to do with it.
     pub decision: Decision,
 }
@@ -163,7 +163,7 @@
             request: claim.request,
             attempt: claim.attempt,
             policy: claim.policy,
-            deadline: claim.give_up,
+            deadline: claim.deadline,
         };
         let executed = call.executed();
         let (reply, decision) = oneshot::channel();
@@ -177,7 +177,10 @@
         pending.decided = true;
         // The control has stopped: the call was never told to run.
         let decision = decision.unwrap_or(Decision::Refused { executed });
-        Claimed { ticket, decision }
+        Claimed {
+            call_id: ticket,
+            decision,
+        }
     }
 
     /// Tells how a call ended that was to run.
@@ -198,7 +201,7 @@
     /// Counts a request that a caller asks of a pool of engines, whether it is admitted or not:
     /// prompt tokens that are not expected in a cache, and expected tokens of the answer. Roles are
     /// planned by it.
-    pub fn asked(&self, now: Moment, pool: &Arc<str>, prefill: u32, decode: u32) {
+    pub fn record_demand(&self, now: Moment, pool: &Arc<str>, prefill: u32, decode: u32) {
         let shared = &self.shared;
         shared.note(now, pool, f64::from(prefill), f64::from(decode));
     }
@@ -252,10 +255,14 @@
     /// # Errors
     ///
     /// [`OrderError`].
-    pub async fn submit_order(&self, wish: &Wish, operator: &str) -> Result<(), OrderError> {
+    pub async fn submit_order(
+        &self,
+        wish: &ChangeRequest,
+        operator: &str,
+    ) -> Result<(), OrderError> {
         let (reply, answer) = oneshot::channel();
         let (upstream, operator) = (wish.upstream.clone(), operator.to_owned());
-        let what = Order::from(&wish.what);
+        let what = Order::from(&wish.action);
         self.run(move |core| core.wish(upstream, &what, operator, reply));
         answer.await.unwrap_or(Err(OrderError::Stopped))
     }
--- a/crates/control/src/hooks.rs
+++ b/crates/control/src/hooks.rs
@@ -14,10 +14,10 @@
 /// The closures. The default ones stand for a data plane that does not serve.
 pub struct Hooks {
     /// How many requests are open at an upstream, from its choice to the end of its answer.
-    pub open: Box<dyn Fn(&str) -> u32 + Send + Sync>,
+    pub open_requests: Box<dyn Fn(&str) -> u32 + Send + Sync>,
     /// The [`View::sequence`](crate::View::sequence) of the oldest view by which any part of the
     /// data plane may still choose an upstream.
-    pub applied: Box<dyn Fn() -> u64 + Send + Sync>,
+    pub oldest_applied_view: Box<dyn Fn() -> u64 + Send + Sync>,
     /// The held answer of a key.
     pub held_answer: HeldAnswer,
     /// Own outstanding work by upstream, for peers.
@@ -31,8 +31,8 @@
 impl Default for Hooks {
     fn default() -> Self {
         Self {
-            open: Box::new(|_| 0),
-            applied: Box::new(|| u64::MAX),
+            open_requests: Box::new(|_| 0),
+            oldest_applied_view: Box::new(|| u64::MAX),
             held_answer: Box::new(|_| None),
             outstanding: Box::new(Vec::new),
             demand: Box::new(Vec::new),
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Instance id, start and data centre of this process.
-    pub own: member::LocalMember,
+    pub local: member::LocalMember,
     /// The log.
     pub log: platform::Options,
     /// The instance list.
@@ -51,16 +51,16 @@
     /// Closing of upstreams.
     pub drain: drain::Settings,
     /// Planned changes.
-    pub pace: Timing,
+    pub change_timing: Timing,
     /// Claims of idempotency keys.
     pub claims: claims::Limits,
     /// How long the log keeps records.
     pub retention: Duration,
     /// How long a read of the log waits for records. An outage that swallows requests is noticed
     /// this much later.
-    pub log_wait: Duration,
+    pub log_poll_wait: Duration,
     /// Silence of the log after which it counts as out.
-    pub log_patience: Duration,
+    pub log_down_after: Duration,
     /// Time between two readings of the instance list.
     pub list_period: Duration,
     /// Time between two readings of an engine's load report.
@@ -68,15 +68,15 @@
     /// Least time between two frames with own work, or demand, that differ.
     pub load_period: Duration,
     /// How long the answer to an edit may take.
-    pub edit_patience: Duration,
+    pub edit_timeout: Duration,
 }
 
 impl Options {
     /// The usual options of an instance whose platform is at `platform`.
-    pub fn new(own: member::LocalMember, platform: SocketAddr, term: Term) -> Self {
+    pub fn new(local: member::LocalMember, platform: SocketAddr, term: Term) -> Self {
         let platform = platform::Options::new(format!("http://{platform}"));
         Self {
-            own,
+            local,
             log: platform.clone(),
             instances: platform,
             mesh: None,
@@ -85,15 +85,15 @@
             list: list::Settings::default(),
             health: health::Settings::default(),
             drain: drain::Settings::default(),
-            pace: Timing::default(),
+            change_timing: Timing::default(),
             claims: claims::Limits::default(),
             retention: Duration::from_secs(3600),
-            log_wait: Duration::from_secs(1),
-            log_patience: Duration::from_secs(1),
+            log_poll_wait: Duration::from_secs(1),
+            log_down_after: Duration::from_secs(1),
             list_period: Duration::from_secs(1),
             report_period: Duration::from_secs(1),
             load_period: Duration::from_millis(500),
-            edit_patience: Duration::from_secs(10),
+            edit_timeout: Duration::from_secs(10),
         }
     }
 
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -9,19 +9,24 @@
 /// A planned change as an operator asks for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Wish {
+#[serde(expecting = "struct Wish")]
+pub struct ChangeRequest {
     /// Instance id of the engine.
     pub upstream: String,
     /// What it is to do.
     #[serde(flatten)]
-    pub what: What,
+    pub action: Action,
 }
 
 /// What an engine is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-#[serde(tag = "kind", rename_all = "snake_case")]
-pub enum What {
+#[serde(
+    tag = "kind",
+    rename_all = "snake_case",
+    expecting = "internally tagged enum What"
+)]
+pub enum Action {
     /// Take a role.
     SetRole {
         /// The role.
@@ -33,12 +38,12 @@
     UnloadModel(platform::Model),
 }
 
-impl From<&What> for Order {
-    fn from(what: &What) -> Self {
+impl From<&Action> for Order {
+    fn from(what: &Action) -> Self {
         match what {
-            What::SetRole { role } => Self::SetRole(from_role(*role)),
-            What::LoadModel(model) => Self::LoadModel(from_model(model)),
-            What::UnloadModel(model) => Self::UnloadModel(from_model(model)),
+            Action::SetRole { role } => Self::SetRole(from_role(*role)),
+            Action::LoadModel(model) => Self::LoadModel(from_model(model)),
+            Action::UnloadModel(model) => Self::UnloadModel(from_model(model)),
         }
     }
 }
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -86,7 +86,7 @@
         let peers = parts.census.members.iter().map(|one| peer(parts, one));
         View {
             sequence: 0,
-            ready: !parts.reasons.iter().any(|reason| reason.stops_work()),
+            ready: !parts.reasons.iter().any(|reason| reason.blocks_new_work()),
             reasons: parts.reasons.clone(),
             revision: parts.ledger.catalogue().revision(),
             folded: parts.ledger.folded(),
@@ -135,13 +135,13 @@
         address: text(known.map(|known| &known.address), &one.address),
         state: one.state,
         role: match one.kind {
-            Kind::Engine => report.map(|report| report.said.role).or(settled_role),
+            Kind::Engine => report.map(|report| report.content.role).or(settled_role),
             Kind::Entry | Kind::Service => None,
         },
         models: report
-            .map(|report| report.said.models.iter().cloned().collect())
+            .map(|report| report.content.models.iter().cloned().collect())
             .unwrap_or_default(),
-        open: one.takes_work(),
+        takes_work: one.takes_work(),
         weight: one.health.share(parts.now, parts.health),
         up_since: parts.census.up_since(&one.id),
         report: report.cloned(),
--- a/crates/control/src/roles.rs
+++ b/crates/control/src/roles.rs
@@ -135,7 +135,7 @@
                 Order::LoadModel(_) | Order::UnloadModel(_) => None,
             });
             let reported = self.census.report(&one.id);
-            let reported = reported.map(|report| from_authority(from_role(report.said.role)));
+            let reported = reported.map(|report| from_authority(from_role(report.content.role)));
             Some(Engine {
                 id: Arc::from(one.id.as_str()),
                 role: ordered.or(reported)?,
@@ -186,7 +186,7 @@
         let upstreams = self.census.upstreams.iter();
         let reports = upstreams.filter(|one| one.pool == pool);
         let reports = reports.filter_map(|one| self.census.report(&one.id));
-        let all: Vec<&EngineReport> = reports.map(|report| &*report.said).collect();
+        let all: Vec<&EngineReport> = reports.map(|report| &*report.content).collect();
         let prefill = mean(&all, |_| true, mixed_prefill);
         // A prefill engine's few slots say little of what it would decode in another role.
         let decodes = |report: &EngineReport| report.role != platform::Role::Prefill;
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -48,7 +48,7 @@
 
 impl Reason {
     /// Whether new work must be refused because of it. The others freeze the catalogue only.
-    pub fn stops_work(self) -> bool {
+    pub fn blocks_new_work(self) -> bool {
         !matches!(self, Self::FrozenRules | Self::Gap | Self::Leaving)
     }
 }
@@ -57,15 +57,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
     /// When its numbers were true, on this process's clock: arrival less the age that it states.
-    pub at: Moment,
+    pub measured_at: Moment,
     /// What it says.
-    pub said: Arc<platform::EngineReport>,
+    pub content: Arc<platform::EngineReport>,
 }
 
 impl Report {
     /// Its age.
     pub fn age(&self, now: Moment) -> Duration {
-        now.saturating_sub(self.at)
+        now.saturating_sub(self.measured_at)
     }
 }
 
@@ -89,7 +89,7 @@
     /// Loaded models, from the newest report.
     pub models: SmallVec<[Model; 2]>,
     /// Whether new work may go there.
-    pub open: bool,
+    pub takes_work: bool,
     /// Share of the work of a healthy upstream that it should get, from 0 to 1.
     pub weight: f64,
     /// Since when it takes new work without a break; the start of its slow start.
--- a/crates/control/tests/control/claims.rs
+++ b/crates/control/tests/control/claims.rs
@@ -15,7 +15,7 @@
         request: request.to_owned(),
         attempt: None,
         policy: OutagePolicy::Refuse,
-        give_up: Duration::from_secs(3600),
+        deadline: Duration::from_secs(3600),
     }
 }
 
@@ -48,9 +48,9 @@
         "{first:?} {second:?}"
     );
     let (winner, loser, ticket) = if runs(&first.decision) {
-        (one, two, first.ticket)
+        (one, two, first.call_id)
     } else {
-        (two, one, second.ticket)
+        (two, one, second.call_id)
     };
     winner.conclude(ticket, CallEnd::Answered);
     loop {
--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -83,8 +83,8 @@
         };
         let term = Term::try_from(figures).expect("the figures are sound");
         let mut options = Options::new(own, self.platform, term);
-        options.log_wait = Duration::from_millis(200);
-        options.log_patience = Duration::from_millis(300);
+        options.log_poll_wait = Duration::from_millis(200);
+        options.log_down_after = Duration::from_millis(300);
         options.list_period = Duration::from_millis(50);
         options.report_period = Duration::from_millis(200);
         options.members.heartbeat_interval = Duration::from_millis(100);
@@ -93,9 +93,9 @@
         options.members.list_lag = Duration::from_millis(500);
         options.members.pause_threshold = Duration::from_secs(5);
         options.drain.settle = Duration::from_millis(100);
-        options.pace.poll_interval = Duration::from_millis(50);
-        options.pace.request_timeout = Duration::from_millis(200);
-        options.pace.max_order_delay = Duration::from_millis(200);
+        options.change_timing.poll_interval = Duration::from_millis(50);
+        options.change_timing.request_timeout = Duration::from_millis(200);
+        options.change_timing.max_order_delay = Duration::from_millis(200);
         options
     }
 
@@ -116,7 +116,7 @@
 
     /// An entry in the mesh, registered with the platform.
     pub(crate) async fn entry(&self, options: Options) -> Handle {
-        let id = options.own.id.clone();
+        let id = options.local.id.clone();
         let handle = self.control(options);
         let status = handle.status().await.expect("it runs");
         let address = status.peer_address.parse().expect("it has a mesh");
--- a/crates/control/tests/control/orders.rs
+++ b/crates/control/tests/control/orders.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
-use control::order::{What, Wish};
+use control::order::{Action, ChangeRequest};
 use control::{Handle, Hooks};
 
 use crate::fleet::{CATALOGUE, Fleet, document, status, view};
@@ -20,17 +20,17 @@
     fn attach(&self, control: &Handle) {
         let (open, applied) = (self.open.clone(), self.applied.clone());
         control.set_hooks(Hooks {
-            open: Box::new(move |_| open.load(Ordering::SeqCst)),
-            applied: Box::new(move || applied.load(Ordering::SeqCst)),
+            open_requests: Box::new(move |_| open.load(Ordering::SeqCst)),
+            oldest_applied_view: Box::new(move || applied.load(Ordering::SeqCst)),
             ..Hooks::default()
         });
     }
 }
 
-fn wish() -> Wish {
-    Wish {
+fn wish() -> ChangeRequest {
+    ChangeRequest {
         upstream: "engine-0".to_owned(),
-        what: What::SetRole {
+        action: Action::SetRole {
             role: platform::Role::Decode,
         },
     }
@@ -68,7 +68,7 @@
         .await;
     }
     view(&two, |view| {
-        view.upstream("engine-0").is_some_and(|one| one.open)
+        view.upstream("engine-0").is_some_and(|one| one.takes_work)
     })
     .await;
     (fleet, one, two)
@@ -96,14 +96,20 @@
     status(&one, |status| waits(status, "entry-1 to finish 1")).await;
     for control in [&one, &two] {
         let seen = control.view();
-        assert!(seen.upstream("engine-0").is_some_and(|engine| !engine.open));
-        assert!(seen.upstream("engine-1").is_some_and(|engine| engine.open));
+        assert!(
+            seen.upstream("engine-0")
+                .is_some_and(|engine| !engine.takes_work)
+        );
+        assert!(
+            seen.upstream("engine-1")
+                .is_some_and(|engine| engine.takes_work)
+        );
     }
     plane.open.store(0, Ordering::SeqCst);
     for control in [&one, &two] {
         view(control, |view| {
             let engine = view.upstream("engine-0");
-            engine.is_some_and(|one| one.open && one.role == Some(platform::Role::Decode))
+            engine.is_some_and(|one| one.takes_work && one.role == Some(platform::Role::Decode))
         })
         .await;
     }
@@ -126,7 +132,7 @@
     holds(&two).await;
     view(&two, |view| {
         let engine = view.upstream("engine-0");
-        engine.is_some_and(|one| one.open && one.role == Some(platform::Role::Decode))
+        engine.is_some_and(|one| one.takes_work && one.role == Some(platform::Role::Decode))
     })
     .await;
     let orders = two.orders().await.expect("it runs");
@@ -156,7 +162,7 @@
     one.abort();
     holds(&two).await;
     view(&two, |view| {
-        view.upstream("engine-0").is_some_and(|one| one.open)
+        view.upstream("engine-0").is_some_and(|one| one.takes_work)
     })
     .await;
     let orders = two.orders().await.expect("it runs");
@@ -193,7 +199,7 @@
     status(&one, |status| waits(status, "entry-1 to finish 2")).await;
     for control in [&one, &two] {
         view(control, |view| {
-            view.upstream("engine-0").is_some_and(|one| !one.open)
+            view.upstream("engine-0").is_some_and(|one| !one.takes_work)
         })
         .await;
     }
@@ -204,7 +210,7 @@
     one.submit_edit(&lifted).await.expect("it is valid");
     for control in [&one, &two] {
         view(control, |view| {
-            view.upstream("engine-0").is_some_and(|one| one.open)
+            view.upstream("engine-0").is_some_and(|one| one.takes_work)
         })
         .await;
     }
--- a/crates/control/tests/control/outage.rs
+++ b/crates/control/tests/control/outage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use control::order::{OrderError, What, Wish};
+use control::order::{Action, ChangeRequest, OrderError};
 use control::view::{Log, Reason};
 
 use crate::fleet::{CATALOGUE, Fleet, document, status, view};
@@ -84,9 +84,9 @@
         .submit_edit(&document(CATALOGUE))
         .await
         .expect("it is valid");
-    let wish = Wish {
+    let wish = ChangeRequest {
         upstream: "engine-0".to_owned(),
-        what: What::SetRole {
+        action: Action::SetRole {
             role: platform::Role::Decode,
         },
     };
@@ -104,7 +104,7 @@
     assert_eq!(refused, Err(OrderError::NoHolder));
     let seen = control.view();
     assert!(seen.ready && seen.catalogue.is_some());
-    assert!(seen.upstream("engine-0").is_some_and(|one| one.open));
+    assert!(seen.upstream("engine-0").is_some_and(|one| one.takes_work));
     fleet.fault(BACK).await;
     view(&control, |view| view.log == Log::Up).await;
     status(&control, |status| {
@@ -137,5 +137,8 @@
     let revision = first.submit_edit(&drain).await.expect("it is valid");
     let seen = view(&cut_off, |view| view.revision == revision).await;
     assert_ne!(seen.log, Log::Up);
-    assert!(seen.upstream("service-0").is_some_and(|one| !one.open));
+    assert!(
+        seen.upstream("service-0")
+            .is_some_and(|one| !one.takes_work)
+    );
 }
--- a/crates/control/tests/control/roles.rs
+++ b/crates/control/tests/control/roles.rs
@@ -45,7 +45,7 @@
         loop {
             // Somewhat more than three mixed engines prefill in time at their reported rates, and
             // less than two of them and a prefill engine.
-            caller.asked(clock.now(), &pool, 250_000, 100);
+            caller.record_demand(clock.now(), &pool, 250_000, 100);
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
     });
--- a/crates/entry/src/admin/edits.rs
+++ b/crates/entry/src/admin/edits.rs
@@ -1,7 +1,7 @@
 //! Edits of the catalogue and planned changes, as operators send them.
 
 use catalogue::{Document, Findings, Refusal};
-use control::order::{OrderError, Wish};
+use control::order::{ChangeRequest, OrderError};
 use control::{EditError, Handle};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -66,7 +66,7 @@
 struct Asked {
     operator: Option<String>,
     #[serde(flatten)]
-    wish: Wish,
+    wish: ChangeRequest,
 }
 
 /// `POST /admin/v1/orders`.
--- a/crates/entry/src/hooks.rs
+++ b/crates/entry/src/hooks.rs
@@ -13,11 +13,11 @@
 pub fn hooks(shared: &Arc<Shared>) -> Hooks {
     let with = |shared: &Arc<Shared>| Arc::clone(shared);
     Hooks {
-        open: Box::new({
+        open_requests: Box::new({
             let shared = with(shared);
             move |upstream| open(&shared, upstream)
         }),
-        applied: Box::new({
+        oldest_applied_view: Box::new({
             let shared = with(shared);
             move || shared.applied.load(Ordering::Acquire)
         }),
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -44,7 +44,7 @@
             Outage::Refuse => OutagePolicy::Refuse,
             Outage::FirstAttempt => OutagePolicy::FirstAttempt,
         },
-        give_up: work.deadline,
+        deadline: work.deadline,
     }))
 }
 
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -56,7 +56,7 @@
 fn count_demand(work: &Work, entry: &Entry, asked: &Asked) {
     let shared = &work.worker.shared;
     let pool = Arc::from(entry.pool.as_str());
-    shared.control.asked(
+    shared.control.record_demand(
         shared.clock.now(),
         &pool,
         asked.prompt_tokens,
@@ -121,7 +121,7 @@
         Decision::Run { .. } | Decision::RunUnclaimed => {
             let own = Own {
                 claim: &claim,
-                ticket: claimed.ticket,
+                ticket: claimed.call_id,
             };
             run_claimed(work, entry, asked, attempt, &own).await
         }
--- a/crates/entry/src/work.rs
+++ b/crates/entry/src/work.rs
@@ -77,7 +77,9 @@
         if request.model.is_some() {
             let (prompt, answer) = (request.prompt_tokens, request.output_tokens);
             let now = shared.clock.now();
-            shared.control.asked(now, &request.pool, prompt, answer);
+            shared
+                .control
+                .record_demand(now, &request.pool, prompt, answer);
         }
         let dispatch = shared.dispatch.clone();
         dispatch
--- a/crates/entry/src/world.rs
+++ b/crates/entry/src/world.rs
@@ -125,7 +125,7 @@
             },
             role: upstream.role.map_or_else(Default::default, role),
             models: models.map(|model| Arc::from(model_name(model))).collect(),
-            open: upstream.open,
+            open: upstream.takes_work,
             health: upstream::Health::Up,
             up_since: upstream.up_since,
         }
@@ -138,7 +138,7 @@
             };
             let known = self.before.upstream(&upstream.id);
             let known = known.and_then(|known| known.report.as_ref());
-            if known.is_none_or(|known| known.at != report.at) {
+            if known.is_none_or(|known| known.measured_at != report.measured_at) {
                 router.report(&upstream.pool, &upstream.id, routing_report(report));
             }
         }
@@ -206,10 +206,10 @@
 }
 
 fn routing_report(report: &control::view::Report) -> upstream::Report {
-    let said = &report.said;
+    let said = &report.content;
     let kv_total = (said.kv_total as f64).max(1.0);
     upstream::Report {
-        at: report.at,
+        at: report.measured_at,
         load: Load {
             requests: f64::from(said.running) + f64::from(said.waiting),
             prefill: said.prefill_tokens_waiting as f64,
