--- a/crates/peer/examples/mesh.rs
+++ b/crates/peer/examples/mesh.rs
@@ -19,15 +19,15 @@
 use wire::record::Author;
 
 /// Age at which a connection counts as settled: its handshake and spare ones are over.
-const SETTLED: Duration = Duration::from_secs(2);
+const MIN_CONNECTION_AGE: Duration = Duration::from_secs(2);
 /// Looks at the connections, a quarter of a second apart, before giving up.
-const LOOKS: u32 = 80;
+const MAX_POLLS: u32 = 80;
 /// Heartbeats are measured for so many seconds.
-const SECONDS: u32 = 6;
+const MEASURED_SECONDS: u32 = 6;
 /// Bytes of UDP and IPv4 headers of a datagram.
-const HEADERS: u64 = 28;
+const HEADER_BYTES: u64 = 28;
 /// Clock ticks a second of the processor times in `/proc`.
-const TICKS: f64 = 100.0;
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 /// Totals over all endpoints.
 #[derive(Clone, Copy, Default)]
@@ -64,9 +64,9 @@
     let meshes = start(size).await?;
     let first = sample(&meshes)?;
     let mut ticks = interval(Duration::from_secs(1));
-    for second in 0..SECONDS {
+    for second in 0..MEASURED_SECONDS {
         ticks.tick().await;
-        beat(&meshes, u64::from(second));
+        send_heartbeats(&meshes, u64::from(second));
     }
     ticks.tick().await;
     let last = sample(&meshes)?;
@@ -106,11 +106,11 @@
     for mesh in &meshes {
         mesh.set_members(&peers);
     }
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         sleep(Duration::from_millis(250)).await;
         let settled = |mesh: &Mesh| {
             let links = mesh.status();
-            links.len() + 1 == size && links.iter().all(|link| link.age > SETTLED)
+            links.len() + 1 == size && links.iter().all(|link| link.age > MIN_CONNECTION_AGE)
         };
         if meshes.iter().all(settled) {
             return Ok(meshes);
@@ -120,7 +120,7 @@
 }
 
 /// What a membership sends: the same for all but the echo, which is for the addressee.
-fn beat(meshes: &[Mesh], second: u64) {
+fn send_heartbeats(meshes: &[Mesh], second: u64) {
     for mesh in meshes {
         for peer in mesh.status() {
             let heartbeat = Heartbeat {
@@ -142,12 +142,12 @@
 }
 
 fn report(size: usize, before: u64, first: Sample, last: Sample, meshes: &[Mesh]) {
-    let seconds = f64::from(SECONDS);
+    let seconds = f64::from(MEASURED_SECONDS);
     let instances = size as f64;
     let links: usize = meshes.iter().map(|mesh| mesh.status().len()).sum();
     let ends = links as f64;
     let datagrams = (last.datagrams - first.datagrams) as f64;
-    let wire = (last.udp - first.udp) as f64 + datagrams * HEADERS as f64;
+    let wire = (last.udp - first.udp) as f64 + datagrams * HEADER_BYTES as f64;
     let frames = (last.frames - first.frames) as f64;
     let cpu = last.cpu - first.cpu;
     println!(
@@ -191,7 +191,7 @@
     let ticks = |index: usize| -> Result<f64, Box<dyn Error>> {
         Ok(fields.get(index).ok_or("short stat")?.parse::<f64>()?)
     };
-    Ok((ticks(11)? + ticks(12)?) / TICKS)
+    Ok((ticks(11)? + ticks(12)?) / CLOCK_TICKS_PER_S)
 }
 
 /// Resident bytes of this process.
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -40,6 +40,6 @@
 
 /// Whether the newest frame of the kind makes the older ones worthless, so that a lost one need
 /// not be sent again.
-pub(crate) fn lossy(kind: Kind) -> bool {
+pub(crate) fn is_lossy(kind: Kind) -> bool {
     matches!(kind, Kind::Heartbeat | Kind::Load | Kind::Shares)
 }
--- a/crates/peer/src/dial.rs
+++ b/crates/peer/src/dial.rs
@@ -16,7 +16,7 @@
 const HEAD_START: Duration = Duration::from_millis(300);
 
 /// Keeps a connection to the peer for as long as the task runs.
-pub(crate) async fn keep(inner: Rc<Inner>, peer: Peer) {
+pub(crate) async fn maintain_connection(inner: Rc<Inner>, peer: Peer) {
     let own = &inner.config.local.instance;
     let head_start = if *own > peer.id {
         HEAD_START
@@ -85,7 +85,7 @@
         Ok(Err(error)) => error.to_string(),
         Err(_) => "timed out".to_owned(),
     };
-    inner.fail_handshake();
+    inner.count_failed_handshake();
     log::warn!(remote:%, error; "a call was refused");
 }
 
@@ -94,7 +94,7 @@
     match connect(inner, id, address).await {
         Ok(connection) => inner.adopt(connection, true, generation),
         Err(error) => {
-            inner.fail_handshake();
+            inner.count_failed_handshake();
             log::debug!(peer = id.as_str(), address:%, error; "no connection could be made");
         }
     }
--- a/crates/peer/src/inner.rs
+++ b/crates/peer/src/inner.rs
@@ -15,7 +15,7 @@
 use crate::codec::{self, Encoded};
 use crate::config::{Config, Direction};
 use crate::event::Event;
-use crate::link::{Link, NO_NAME, Origin, REPLACED};
+use crate::link::{Link, Origin, REPLACED, UNUSABLE_NAME};
 use crate::mesh::SendError;
 use crate::traffic::{Flow, Kind, Traffic};
 use crate::{Id, dial, keys, receive};
@@ -38,7 +38,7 @@
     /// The connection of each pair that is kept.
     pub(crate) current: BTreeMap<Id, Rc<Link>>,
     /// All connections, also those replaced that are still read.
-    pub(crate) all: BTreeMap<u64, Rc<Link>>,
+    pub(crate) links: BTreeMap<u64, Rc<Link>>,
     pub(crate) dialers: BTreeMap<Id, Dialer>,
     pub(crate) handshakes: usize,
     pub(crate) traffic: Traffic,
@@ -58,7 +58,7 @@
             sequence: 0,
             serial: 0,
             current: BTreeMap::new(),
-            all: BTreeMap::new(),
+            links: BTreeMap::new(),
             dialers: BTreeMap::new(),
             handshakes: 0,
             traffic: Traffic::default(),
@@ -78,15 +78,15 @@
         state.traffic.count(kind, direction, bytes);
     }
 
-    pub(crate) fn refuse(&self) {
+    pub(crate) fn count_refused(&self) {
         self.state.borrow_mut().traffic.refused += 1;
     }
 
-    pub(crate) fn fail_handshake(&self) {
+    pub(crate) fn count_failed_handshake(&self) {
         self.state.borrow_mut().traffic.failed_handshakes += 1;
     }
 
-    pub(crate) fn unsent(&self) {
+    pub(crate) fn count_unsent(&self) {
         self.state.borrow_mut().traffic.unsent += 1;
     }
 
@@ -97,7 +97,7 @@
     pub(crate) fn send(&self, to: &str, encoded: Encoded) -> Result<(), SendError> {
         let sent = self.try_send(to, encoded);
         if sent.is_err() {
-            self.unsent();
+            self.count_unsent();
         }
         sent
     }
@@ -122,8 +122,8 @@
     pub(crate) fn adopt(self: &Rc<Self>, connection: Connection, dialed: bool, generation: u64) {
         let name = keys::identity(&connection);
         let Some(id) = name.filter(|id| *id != self.config.local.instance) else {
-            self.fail_handshake();
-            connection.close(NO_NAME, b"no usable name");
+            self.count_failed_handshake();
+            connection.close(UNUSABLE_NAME, b"no usable name");
             return;
         };
         let (queue, queued) = mpsc::channel(self.config.limits.send_queue_len);
@@ -141,15 +141,15 @@
                 serial: state.serial,
                 queue,
             });
-            state.all.insert(link.serial, Rc::clone(&link));
+            state.links.insert(link.serial, Rc::clone(&link));
             link
         };
-        self.choose(&link);
+        self.keep_one_connection(&link);
         actix_rt::spawn(serve(Rc::clone(self), link, queued));
     }
 
     /// Keeps one connection of the pair, and closes the other a little later.
-    fn choose(self: &Rc<Self>, link: &Rc<Link>) {
+    fn keep_one_connection(self: &Rc<Self>, link: &Rc<Link>) {
         let own = &self.config.local.instance;
         let former = self.link(&link.id);
         let kept = former
@@ -163,8 +163,8 @@
             state.generation
         };
         let first = former.is_none();
-        let spare = if kept { former } else { Some(Rc::clone(link)) };
-        if let Some(spare) = spare {
+        let redundant = if kept { former } else { Some(Rc::clone(link)) };
+        if let Some(spare) = redundant {
             actix_rt::spawn(close_later(spare, self.config.limits.linger));
         }
         // Keys that were reloaded during the handshake did not see this connection.
@@ -177,10 +177,10 @@
         }
     }
 
-    fn forget(&self, link: &Rc<Link>) {
+    fn remove(&self, link: &Rc<Link>) {
         let down = {
             let mut state = self.state.borrow_mut();
-            state.all.remove(&link.serial);
+            state.links.remove(&link.serial);
             merge(&mut state.traffic.udp, link.udp());
             let current = state.current.get(&link.id);
             let was_current = current.is_some_and(|current| current.serial == link.serial);
@@ -197,7 +197,7 @@
 
 async fn serve(inner: Rc<Inner>, link: Rc<Link>, queued: mpsc::Receiver<Encoded>) {
     receive::run(Rc::clone(&inner), Rc::clone(&link), queued).await;
-    inner.forget(&link);
+    inner.remove(&link);
 }
 
 /// Leaves frames under way the time to arrive before a spare connection is closed.
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -112,7 +112,7 @@
     let chain = identity
         .downcast_ref::<Vec<CertificateDer<'static>>>()?
         .first()?;
-    name(chain).ok()
+    certificate_name(chain).ok()
 }
 
 fn finding(place: &'static str, text: String) -> Finding {
@@ -140,7 +140,7 @@
     let first = chain
         .first()
         .ok_or_else(|| "holds no certificate".to_owned())?;
-    let name = name(first)?;
+    let name = certificate_name(first)?;
     if name != own {
         return Err(format!("is for {name}, not for {own}"));
     }
@@ -151,7 +151,7 @@
     PrivateKeyDer::from_pem_slice(&pem.read()?).map_err(|error| error.to_string())
 }
 
-fn name(certificate: &CertificateDer<'_>) -> Result<Id, String> {
+fn certificate_name(certificate: &CertificateDer<'_>) -> Result<Id, String> {
     let parsed = webpki::EndEntityCert::try_from(certificate).map_err(|error| error.to_string())?;
     let mut names = parsed.valid_dns_names();
     match (names.next(), names.next()) {
@@ -232,7 +232,7 @@
         .max_concurrent_bidi_streams(streams)
         .max_concurrent_uni_streams(streams)
         .max_idle_timeout(Some(quinn::VarInt::from_u32(idle).into()))
-        .keep_alive_interval(Some(limits.idle_timeout.div_f64(KEEP_ALIVE)))
+        .keep_alive_interval(Some(limits.idle_timeout.div_f64(KEEP_ALIVE_DIVISOR)))
         .mtu_discovery_config(None)
         .datagram_receive_buffer_size(Some(DATAGRAM_BUFFER))
         .datagram_send_buffer_size(DATAGRAM_BUFFER)
@@ -241,7 +241,7 @@
 }
 
 /// Part of the idle time after which a silent connection is asked for a sign of life.
-const KEEP_ALIVE: f64 = 2.5;
+const KEEP_ALIVE_DIVISOR: f64 = 2.5;
 
 /// Data centres are at most some milliseconds apart.
 const INITIAL_RTT: Duration = Duration::from_millis(20);
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -18,7 +18,7 @@
 /// Close code: a frame bore a name that its sender's certificate doesn't.
 pub(crate) const FALSE_NAME: VarInt = VarInt::from_u32(2);
 /// Close code: the certificate bears no usable name.
-pub(crate) const NO_NAME: VarInt = VarInt::from_u32(3);
+pub(crate) const UNUSABLE_NAME: VarInt = VarInt::from_u32(3);
 /// Close code: made with keys that were replaced since.
 pub(crate) const OLD_KEYS: VarInt = VarInt::from_u32(4);
 
@@ -64,7 +64,7 @@
 impl Link {
     /// Hands a frame over without waiting; `false` if the peer is too slow for it.
     pub(crate) fn send(&self, encoded: Encoded) -> bool {
-        if !codec::lossy(encoded.kind) {
+        if !codec::is_lossy(encoded.kind) {
             return self.queue.try_send(encoded).is_ok();
         }
         match self.connection.send_datagram(encoded.bytes.clone()) {
--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -116,7 +116,10 @@
             if known.is_some_and(|dialer| dialer.address == peer.address) {
                 continue;
             }
-            let task = actix_rt::spawn(dial::keep(Rc::clone(&self.inner), peer.clone()));
+            let task = actix_rt::spawn(dial::maintain_connection(
+                Rc::clone(&self.inner),
+                peer.clone(),
+            ));
             let dialer = Dialer {
                 address: peer.address,
                 task,
@@ -206,7 +209,7 @@
     pub fn traffic(&self) -> Traffic {
         let state = self.inner.state.borrow();
         let mut traffic = state.traffic.clone();
-        for link in state.all.values() {
+        for link in state.links.values() {
             merge(&mut traffic.udp, link.udp());
         }
         traffic
--- a/crates/peer/src/receive.rs
+++ b/crates/peer/src/receive.rs
@@ -19,40 +19,40 @@
 /// Serves a connection until it ends.
 pub(crate) async fn run(inner: Rc<Inner>, link: Rc<Link>, queue: mpsc::Receiver<Encoded>) {
     tokio::join!(
-        datagrams(&inner, &link),
-        streams(&inner, &link),
-        queries(&inner, &link),
+        read_datagrams(&inner, &link),
+        read_streams(&inner, &link),
+        serve_queries(&inner, &link),
         write(&inner, &link, queue),
     );
 }
 
-async fn datagrams(inner: &Rc<Inner>, link: &Rc<Link>) {
+async fn read_datagrams(inner: &Rc<Inner>, link: &Rc<Link>) {
     while let Ok(bytes) = link.connection.read_datagram().await {
         receive(inner, link, &bytes);
     }
 }
 
-async fn streams(inner: &Rc<Inner>, link: &Rc<Link>) {
+async fn read_streams(inner: &Rc<Inner>, link: &Rc<Link>) {
     while let Ok(stream) = link.connection.accept_uni().await {
         let (inner, link) = (Rc::clone(inner), Rc::clone(link));
         actix_rt::spawn(async move {
             let limit = inner.config.limits.max_frame_bytes;
-            match read(&inner, stream, limit).await {
+            match read_stream(&inner, stream, limit).await {
                 Some(bytes) => receive(&inner, &link, &bytes),
-                None => inner.refuse(),
+                None => inner.count_refused(),
             }
         });
     }
 }
 
-async fn queries(inner: &Rc<Inner>, link: &Rc<Link>) {
+async fn serve_queries(inner: &Rc<Inner>, link: &Rc<Link>) {
     while let Ok((send, stream)) = link.connection.accept_bi().await {
         let (inner, link) = (Rc::clone(inner), Rc::clone(link));
         actix_rt::spawn(async move {
             let limit = inner.config.limits.max_query_bytes;
-            match read(&inner, stream, limit).await {
-                Some(bytes) => answer(&inner, &link, &bytes, send).await,
-                None => inner.refuse(),
+            match read_stream(&inner, stream, limit).await {
+                Some(bytes) => answer_query(&inner, &link, &bytes, send).await,
+                None => inner.count_refused(),
             }
         });
     }
@@ -66,7 +66,7 @@
         };
         let Some(encoded) = encoded else { return };
         if write_one(link, &encoded).await.is_err() {
-            inner.unsent();
+            inner.count_unsent();
         }
     }
 }
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-async fn read(inner: &Inner, mut stream: RecvStream, limit: usize) -> Option<Vec<u8>> {
+async fn read_stream(inner: &Inner, mut stream: RecvStream, limit: usize) -> Option<Vec<u8>> {
     let read = stream.read_to_end(limit);
     timeout(inner.config.limits.query_timeout, read)
         .await
@@ -88,12 +88,12 @@
 }
 
 /// Counts and decodes a frame, and closes the connection of a peer that uses a false name.
-fn admit(inner: &Inner, link: &Link, bytes: &[u8]) -> Option<(Author, Frame)> {
+fn decode_frame(inner: &Inner, link: &Link, bytes: &[u8]) -> Option<(Author, Frame)> {
     if inner.config.drops(Direction::In, &link.id) {
         return None;
     }
     let Some((author, frame)) = codec::decode(bytes, &link.id) else {
-        inner.refuse();
+        inner.count_refused();
         log::warn!(peer = link.id.as_str(); "a frame is malformed or bears another name than its sender's certificate");
         link.connection.close(FALSE_NAME, b"false name");
         return None;
@@ -104,26 +104,26 @@
 }
 
 fn receive(inner: &Inner, link: &Link, bytes: &[u8]) {
-    let Some((_, frame)) = admit(inner, link, bytes) else {
+    let Some((_, frame)) = decode_frame(inner, link, bytes) else {
         return;
     };
     // Queries and replies belong on a stream of their own, where they are paired.
     if matches!(frame.body, Some(Body::Query(_) | Body::Reply(_))) {
-        inner.refuse();
+        inner.count_refused();
         return;
     }
     (inner.handler)(Event::Frame(frame));
 }
 
-async fn answer(inner: &Inner, link: &Link, bytes: &[u8], mut send: SendStream) {
-    let Some((from, frame)) = admit(inner, link, bytes) else {
+async fn answer_query(inner: &Inner, link: &Link, bytes: &[u8], mut send: SendStream) {
+    let Some((from, frame)) = decode_frame(inner, link, bytes) else {
         return;
     };
     let Some(Body::Query(query)) = frame.body else {
-        inner.refuse();
+        inner.count_refused();
         return;
     };
-    let Some(body) = ask(inner, from, query).await else {
+    let Some(body) = call_handler(inner, from, query).await else {
         return;
     };
     let encoded = inner.encode(body);
@@ -138,7 +138,7 @@
     }
 }
 
-async fn ask(inner: &Inner, from: Author, query: Query) -> Option<Body> {
+async fn call_handler(inner: &Inner, from: Author, query: Query) -> Option<Body> {
     let (reply, waiting) = oneshot::channel();
     let responder = Responder { reply };
     (inner.handler)(Event::Query {
@@ -169,7 +169,7 @@
     if bytes.is_empty() {
         return Exchange::Broken;
     }
-    match admit(inner, link, &bytes) {
+    match decode_frame(inner, link, &bytes) {
         Some((
             _,
             Frame {
--- a/crates/peer/tests/keys.rs
+++ b/crates/peer/tests/keys.rs
@@ -64,7 +64,7 @@
     let authority = Authority::new("test").unwrap();
     let mut a = Process::start(&authority, "a");
     let connection = connect_by_hand(&authority.issue("c").unwrap(), &a.peer()).await;
-    a.up("c").await;
+    a.wait_up("c").await;
     let frame = Frame {
         from: Some(Author {
             instance: "b".to_owned(),
@@ -77,7 +77,7 @@
     stream.write_all(&frame.encode_to_vec()).await.unwrap();
     stream.finish().unwrap();
     let seen = a
-        .until(|event| match event {
+        .wait_for_event(|event| match event {
             Event::Frame(frame) => Some(format!("taken: {frame:?}")),
             Event::Down(id) => Some(format!("down: {id}")),
             _ => None,
@@ -101,11 +101,11 @@
         address: c.peer().address,
     };
     a.mesh.set_members(&[impostor]);
-    let told = a.handshake_failed().await;
-    assert!(told.is_empty(), "{told:?}");
+    let earlier = a.wait_handshake_failed().await;
+    assert!(earlier.is_empty(), "{earlier:?}");
     a.mesh.set_members(&[b.peer()]);
-    a.up("b").await;
-    b.up("a").await;
+    a.wait_up("b").await;
+    b.wait_up("a").await;
     assert_eq!(a.mesh.status()[0].address, b.peer().address);
 }
 
@@ -118,10 +118,10 @@
     let mut a = Process::start(&ours, "a");
     // It trusts ours, so that only a's check of its certificate can refuse it.
     let stranger = trusting(&theirs.issue("b").unwrap(), &[&ours]);
-    let b = Process::with(config("b", 1, stranger));
+    let b = Process::start_with_config(config("b", 1, stranger));
     b.mesh.set_members(&[a.peer()]);
-    let told = a.handshake_failed().await;
-    assert!(told.is_empty(), "{told:?}");
+    let earlier = a.wait_handshake_failed().await;
+    assert!(earlier.is_empty(), "{earlier:?}");
 }
 
 #[actix_rt::test]
@@ -172,7 +172,7 @@
             order += 1;
             a.mesh.send("b", confirm(order)).unwrap();
             let from = b
-                .until(|event| match event {
+                .wait_for_event(|event| match event {
                     Event::Down(id) => Some(format!("lost {id}")),
                     Event::Frame(frame) => frame.from.map(|from| from.instance),
                     _ => None,
@@ -182,10 +182,11 @@
         }
     }
     while a.events.try_recv().is_ok() {}
-    let late = Process::with(config("c", 1, trusting(&old.issue("c").unwrap(), &[&new])));
+    let late =
+        Process::start_with_config(config("c", 1, trusting(&old.issue("c").unwrap(), &[&new])));
     late.mesh.set_members(&[a.peer()]);
-    let told = a.handshake_failed().await;
-    assert!(told.is_empty(), "{told:?}");
+    let earlier = a.wait_handshake_failed().await;
+    assert!(earlier.is_empty(), "{earlier:?}");
 }
 
 // Symptom: an instance whose authority is no longer trusted goes on confirming for ever.
@@ -199,8 +200,8 @@
     );
     let (mut a, mut b) = connected(&old).await;
     a.mesh.reload(&new.issue("a").unwrap()).unwrap();
-    a.down("b").await;
-    b.down("a").await;
+    a.wait_down("b").await;
+    b.wait_down("a").await;
 }
 
 #[actix_rt::test]
@@ -213,7 +214,7 @@
         Error::Keys(_)
     );
     a.mesh.send("b", confirm(1)).unwrap();
-    assert_eq!(b.confirmed(1).await, "a");
+    assert_eq!(b.wait_confirmed(1).await, "a");
 }
 
 #[actix_rt::test]
@@ -221,7 +222,7 @@
     let dir = tempfile::tempdir().unwrap();
     let first = issue::write_keys(dir.path(), &["a".to_owned()]).unwrap();
     let second = issue::write_keys(dir.path(), &["b".to_owned()]).unwrap();
-    let mut a = Process::with(config("a", 1, first[0].clone()));
-    let mut b = Process::with(config("b", 1, second[0].clone()));
+    let mut a = Process::start_with_config(config("a", 1, first[0].clone()));
+    let mut b = Process::start_with_config(config("b", 1, second[0].clone()));
     connect(&mut [&mut a, &mut b]).await;
 }
--- a/crates/peer/tests/mesh.rs
+++ b/crates/peer/tests/mesh.rs
@@ -13,7 +13,7 @@
 use support::{Process, config, confirm, connect, connected};
 use wire::peer::{Empty, Load, Outstanding, Query, Reply, frame::Body, query, reply};
 
-const WITHIN: Duration = Duration::from_secs(10);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn status_query() -> Query {
     Query {
@@ -35,8 +35,8 @@
     let mut c = Process::start(&authority, "c");
     connect(&mut [&mut a, &mut b, &mut c]).await;
     assert_eq!(a.mesh.broadcast(confirm(7)), 2);
-    assert_eq!(b.confirmed(7).await, "a");
-    assert_eq!(c.confirmed(7).await, "a");
+    assert_eq!(b.wait_confirmed(7).await, "a");
+    assert_eq!(c.wait_confirmed(7).await, "a");
     let peers: Vec<_> = a.mesh.status().into_iter().map(|one| one.id).collect();
     assert_eq!(peers, ["b", "c"]);
 }
@@ -54,7 +54,7 @@
     let load = Body::Load(Load { outstanding });
     assert_eq!(a.mesh.send("b", load.clone()), Ok(()));
     let received = b
-        .until(|event| match event {
+        .wait_for_event(|event| match event {
             Event::Frame(frame) => frame.body,
             _ => None,
         })
@@ -68,16 +68,16 @@
     let (a, mut b) = connected(&authority).await;
     // The first two are answered in the wrong order.
     let serve = async {
-        let first = b.until(responder).await;
-        let second = b.until(responder).await;
+        let first = b.wait_for_event(responder).await;
+        let second = b.wait_for_event(responder).await;
         second.send(status_reply("second"));
         first.send(status_reply("first"));
     };
     let ask = async {
-        let first = a.mesh.query("b", status_query(), WITHIN);
+        let first = a.mesh.query("b", status_query(), QUERY_TIMEOUT);
         let second = async {
             tokio::task::yield_now().await;
-            a.mesh.query("b", status_query(), WITHIN).await
+            a.mesh.query("b", status_query(), QUERY_TIMEOUT).await
         };
         tokio::join!(first, second)
     };
@@ -93,15 +93,19 @@
     let keys = authority.issue("b").unwrap();
     let mut small = config("b", 1, keys);
     small.limits.max_reply_bytes = 8;
-    let mut b = Process::with(small);
+    let mut b = Process::start_with_config(small);
     connect(&mut [&mut a, &mut b]).await;
 
-    let dropped = async { drop(b.until(responder).await) };
-    let (_, reply) = tokio::join!(dropped, a.mesh.query("b", status_query(), WITHIN));
+    let dropped = async { drop(b.wait_for_event(responder).await) };
+    let (_, reply) = tokio::join!(dropped, a.mesh.query("b", status_query(), QUERY_TIMEOUT));
     assert_matches!(reply.unwrap_err().current_context(), Error::Broken(_));
 
-    let large = async { b.until(responder).await.send(status_reply("0123456789")) };
-    let (_, reply) = tokio::join!(large, a.mesh.query("b", status_query(), WITHIN));
+    let large = async {
+        b.wait_for_event(responder)
+            .await
+            .send(status_reply("0123456789"));
+    };
+    let (_, reply) = tokio::join!(large, a.mesh.query("b", status_query(), QUERY_TIMEOUT));
     assert_matches!(reply.unwrap_err().current_context(), Error::Broken(_));
 
     let silent = a.mesh.query("b", status_query(), Duration::from_millis(50));
@@ -109,7 +113,7 @@
         silent.await.unwrap_err().current_context(),
         Error::TimedOut(_)
     );
-    let unknown = a.mesh.query("c", status_query(), WITHIN).await;
+    let unknown = a.mesh.query("c", status_query(), QUERY_TIMEOUT).await;
     assert_matches!(
         unknown.unwrap_err().current_context(),
         Error::NotConnected(_)
@@ -122,7 +126,7 @@
     let (a, mut b) = connected(&authority).await;
     for order in 1..=3 {
         a.mesh.send("b", confirm(order)).unwrap();
-        b.confirmed(order).await;
+        b.wait_confirmed(order).await;
     }
     assert_eq!(a.mesh.send("z", confirm(4)), Err(SendError::NotConnected));
     let sent = a.mesh.traffic();
@@ -149,9 +153,9 @@
     let authority = Authority::new("test").unwrap();
     let (a, _former) = connected(&authority).await;
     // The former b is kept in memory and never closes, so its connection stands at a.
-    let mut successor = Process::with(config("b", 2, authority.issue("b").unwrap()));
+    let mut successor = Process::start_with_config(config("b", 2, authority.issue("b").unwrap()));
     successor.mesh.set_members(&[a.peer()]);
-    successor.up("a").await;
+    successor.wait_up("a").await;
     let wait = async {
         // Sent until it arrives, for a may take the new connection a little later than b.
         loop {
@@ -160,7 +164,7 @@
         }
     };
     tokio::select! {
-        from = successor.confirmed(9) => assert_eq!(from, "a"),
+        from = successor.wait_confirmed(9) => assert_eq!(from, "a"),
         () = wait => {}
     }
 }
--- a/crates/peer/tests/packets.rs
+++ b/crates/peer/tests/packets.rs
@@ -16,7 +16,7 @@
 use tokio::net::UdpSocket;
 
 /// Largest packet that is relayed.
-const PACKET: usize = 2048;
+const MAX_PACKET_BYTES: usize = 2048;
 
 /// Which directions lose their packets.
 #[derive(Clone, Copy, Default)]
@@ -44,7 +44,7 @@
 
 async fn relay(front: UdpSocket, back: UdpSocket, b: SocketAddr, loss: Rc<Cell<Loss>>) {
     let mut a = None;
-    let (mut to_b, mut to_a) = ([0; PACKET], [0; PACKET]);
+    let (mut to_b, mut to_a) = ([0; MAX_PACKET_BYTES], [0; MAX_PACKET_BYTES]);
     loop {
         tokio::select! {
             received = front.recv_from(&mut to_b) => {
@@ -68,13 +68,13 @@
 // Sequence: the network loses the packets of one direction, or of both, and heals later.
 // Cause: QUIC needs both directions; a connection that gets nothing acknowledged has to end on
 // both sides, and be made again by itself.
-async fn partition(lossy: Loss) {
+async fn lose_packets_and_heal(lossy: Loss) {
     let authority = Authority::new("test").unwrap();
     let mut nodes = ["a", "b"].map(|id| {
         let mut config = config(id, 1, authority.issue(id).unwrap());
         config.limits.idle_timeout = Duration::from_millis(300);
         config.limits.dial_timeout = Duration::from_millis(300);
-        Process::with(config)
+        Process::start_with_config(config)
     });
     let [a, b] = &mut nodes;
     let relay = Relay::start(b.peer().address).await;
@@ -82,18 +82,18 @@
         id: "b".to_owned(),
         address: relay.address,
     }]);
-    a.up("b").await;
-    b.up("a").await;
+    a.wait_up("b").await;
+    b.wait_up("a").await;
     relay.loss.set(lossy);
-    a.down("b").await;
-    b.down("a").await;
+    a.wait_down("b").await;
+    b.wait_down("a").await;
     relay.loss.set(Loss::default());
-    a.up("b").await;
-    b.up("a").await;
+    a.wait_up("b").await;
+    b.wait_up("a").await;
     a.mesh.send("b", confirm(3)).unwrap();
-    assert_eq!(b.confirmed(3).await, "a");
+    assert_eq!(b.wait_confirmed(3).await, "a");
     b.mesh.send("a", confirm(4)).unwrap();
-    assert_eq!(a.confirmed(4).await, "b");
+    assert_eq!(a.wait_confirmed(4).await, "b");
 }
 
 #[actix_rt::test]
@@ -102,7 +102,7 @@
         to_b: true,
         to_a: false,
     };
-    partition(to_b).await;
+    lose_packets_and_heal(to_b).await;
 }
 
 #[actix_rt::test]
@@ -111,7 +111,7 @@
         to_b: false,
         to_a: true,
     };
-    partition(to_a).await;
+    lose_packets_and_heal(to_a).await;
 }
 
 #[actix_rt::test]
@@ -120,5 +120,5 @@
         to_b: true,
         to_a: true,
     };
-    partition(both).await;
+    lose_packets_and_heal(both).await;
 }
--- a/crates/peer/tests/partition.rs
+++ b/crates/peer/tests/partition.rs
@@ -19,10 +19,10 @@
 use wire::peer::frame::Body;
 
 /// Which frames are lost; shared by all meshes of a test.
-type Cut = Rc<Cell<Lost>>;
+type Cut = Rc<Cell<LostFrames>>;
 
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Lost {
+enum LostFrames {
     Nothing,
     FromAToB,
     Both,
@@ -41,9 +41,9 @@
         let fault: Fault = Rc::new(move |direction, _peer| {
             direction == Direction::Out
                 && match cut.get() {
-                    Lost::Nothing => false,
-                    Lost::FromAToB => from_a,
-                    Lost::Both => true,
+                    LostFrames::Nothing => false,
+                    LostFrames::FromAToB => from_a,
+                    LostFrames::Both => true,
                 }
         });
         let own = LocalMember {
@@ -52,9 +52,9 @@
             data_centre: "callao".to_owned(),
         };
         let mut members = Members::new(own, Settings::default(), Duration::ZERO);
-        members.step(Duration::ZERO, Input::List(&listed()));
+        members.step(Duration::ZERO, Input::List(&instance_list()));
         Self {
-            process: Process::faulty(authority, id, fault),
+            process: Process::start_with_fault(authority, id, fault),
             members,
             outputs: Vec::new(),
         }
@@ -78,7 +78,7 @@
     async fn receive(&mut self, now: Duration) {
         let frame = self
             .process
-            .until(|event| match event {
+            .wait_for_event(|event| match event {
                 Event::Frame(frame) => Some(frame),
                 _ => None,
             })
@@ -89,7 +89,7 @@
 }
 
 /// The list, which names a and b all the time.
-fn listed() -> View {
+fn instance_list() -> View {
     let mut view = View::default();
     let instances = ["a", "b"].map(|id| Instance {
         id: id.to_owned(),
@@ -117,7 +117,7 @@
 impl Pair {
     async fn start() -> Self {
         let authority = Authority::new("test").unwrap();
-        let cut: Cut = Rc::new(Cell::new(Lost::Nothing));
+        let cut: Cut = Rc::new(Cell::new(LostFrames::Nothing));
         let mut a = Entry::start(&authority, "a", &cut);
         let mut b = Entry::start(&authority, "b", &cut);
         connect(&mut [&mut a.process, &mut b.process]).await;
@@ -136,10 +136,10 @@
             self.a.send(now);
             self.b.send(now);
             let lost = self.cut.get();
-            if lost == Lost::Nothing {
+            if lost == LostFrames::Nothing {
                 self.b.receive(now).await;
             }
-            if lost != Lost::Both {
+            if lost != LostFrames::Both {
                 self.a.receive(now).await;
             }
         }
@@ -160,14 +160,14 @@
     pair.rounds(3).await;
     assert_eq!(Pair::state(&pair.a, "b"), (State::Alive, Hearing::Hears));
     assert_eq!(Pair::state(&pair.b, "a"), (State::Alive, Hearing::Hears));
-    pair.cut.set(Lost::FromAToB);
+    pair.cut.set(LostFrames::FromAToB);
     pair.rounds(6).await;
     assert_eq!(Pair::state(&pair.a, "b"), (State::Alive, Hearing::Deaf));
     assert_eq!(
         Pair::state(&pair.b, "a"),
         (State::Suspect, Hearing::Unknown)
     );
-    pair.cut.set(Lost::Nothing);
+    pair.cut.set(LostFrames::Nothing);
     pair.rounds(2).await;
     assert_eq!(Pair::state(&pair.a, "b"), (State::Alive, Hearing::Hears));
     assert_eq!(Pair::state(&pair.b, "a"), (State::Alive, Hearing::Hears));
@@ -180,13 +180,13 @@
 async fn a_partition_in_both_directions_makes_suspect_and_heals() {
     let mut pair = Pair::start().await;
     pair.rounds(3).await;
-    pair.cut.set(Lost::Both);
+    pair.cut.set(LostFrames::Both);
     pair.rounds(60).await;
     for (entry, peer) in [(&pair.a, "b"), (&pair.b, "a")] {
         assert_eq!(Pair::state(entry, peer), (State::Suspect, Hearing::Unknown));
         assert_eq!(entry.members.senders().len(), 2);
     }
-    pair.cut.set(Lost::Nothing);
+    pair.cut.set(LostFrames::Nothing);
     pair.rounds(2).await;
     for (entry, peer) in [(&pair.a, "b"), (&pair.b, "a")] {
         assert_eq!(Pair::state(entry, peer), (State::Alive, Hearing::Hears));
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -14,10 +14,10 @@
 use wire::record::Author;
 
 /// Far longer than anything awaited here takes; a test that gets here has failed.
-const BOUND: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time between two looks at a state that is waited for.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A mesh and what it tells.
 pub struct Process {
@@ -54,16 +54,16 @@
 
 impl Process {
     pub fn start(authority: &Authority, id: &str) -> Self {
-        Self::with(config(id, 1, authority.issue(id).expect("id is a name")))
+        Self::start_with_config(config(id, 1, authority.issue(id).expect("id is a name")))
     }
 
-    pub fn faulty(authority: &Authority, id: &str, fault: Fault) -> Self {
+    pub fn start_with_fault(authority: &Authority, id: &str, fault: Fault) -> Self {
         let mut config = config(id, 1, authority.issue(id).expect("id is a name"));
         config.fault = Some(fault);
-        Self::with(config)
+        Self::start_with_config(config)
     }
 
-    pub fn with(config: Config) -> Self {
+    pub fn start_with_config(config: Config) -> Self {
         let id = config.local.instance.clone();
         let (sender, events) = unbounded_channel();
         let handler = move |event| {
@@ -81,7 +81,7 @@
     }
 
     /// Waits for an event that the closure picks; other events are dropped.
-    pub async fn until<T>(&mut self, mut pick: impl FnMut(Event) -> Option<T>) -> T {
+    pub async fn wait_for_event<T>(&mut self, mut pick: impl FnMut(Event) -> Option<T>) -> T {
         let wait = async {
             loop {
                 let event = self.events.recv().await.expect("mesh runs");
@@ -90,41 +90,41 @@
                 }
             }
         };
-        tokio::time::timeout(BOUND, wait)
+        tokio::time::timeout(TEST_TIMEOUT, wait)
             .await
             .unwrap_or_else(|_| panic!("{} waited in vain", self.id))
     }
 
     /// Waits until a handshake of this process has failed, and gives back what it told before.
-    pub async fn handshake_failed(&mut self) -> Vec<Event> {
-        let mut told = Vec::new();
+    pub async fn wait_handshake_failed(&mut self) -> Vec<Event> {
+        let mut earlier = Vec::new();
         let wait = async {
             while self.mesh.traffic().failed_handshakes == 0 {
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(BOUND, wait)
+        tokio::time::timeout(TEST_TIMEOUT, wait)
             .await
             .unwrap_or_else(|_| panic!("no handshake of {} failed", self.id));
         while let Ok(event) = self.events.try_recv() {
-            told.push(event);
+            earlier.push(event);
         }
-        told
+        earlier
     }
 
-    pub async fn up(&mut self, peer: &str) {
-        self.until(|event| matches!(event, Event::Up(id) if id == peer).then_some(()))
+    pub async fn wait_up(&mut self, peer: &str) {
+        self.wait_for_event(|event| matches!(event, Event::Up(id) if id == peer).then_some(()))
             .await;
     }
 
-    pub async fn down(&mut self, peer: &str) {
-        self.until(|event| matches!(event, Event::Down(id) if id == peer).then_some(()))
+    pub async fn wait_down(&mut self, peer: &str) {
+        self.wait_for_event(|event| matches!(event, Event::Down(id) if id == peer).then_some(()))
             .await;
     }
 
     /// Waits for a confirmation of this order and says who sent it.
-    pub async fn confirmed(&mut self, order: u64) -> String {
-        self.until(|event| match event {
+    pub async fn wait_confirmed(&mut self, order: u64) -> String {
+        self.wait_for_event(|event| match event {
             Event::Frame(frame) => match frame.body {
                 Some(Body::Confirm(confirm)) if confirm.order == order => {
                     frame.from.map(|from| from.instance)
@@ -146,7 +146,7 @@
     for process in processes.iter_mut() {
         for _ in 1..peers.len() {
             process
-                .until(|event| matches!(event, Event::Up(_)).then_some(()))
+                .wait_for_event(|event| matches!(event, Event::Up(_)).then_some(()))
                 .await;
         }
     }
