--- a/crates/control/src/appends.rs
+++ b/crates/control/src/appends.rs
@@ -29,7 +29,7 @@
 
 /// An append that ended.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct CompletedAppend {
     pub(crate) source: Source,
     pub(crate) nonce: Nonce,
     pub(crate) result: Result<Offset, AppendError>,
@@ -72,7 +72,7 @@
                 log::debug!(source:?, error:? = report; "an append was not answered by an offset");
             }
             let result = result.map_err(|report| *report.current_context());
-            let ended = Ended {
+            let ended = CompletedAppend {
                 source,
                 nonce,
                 result,
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -10,7 +10,7 @@
 use wire::record::Record;
 
 use crate::Offset;
-use crate::appends::{Appends, Ended, Source};
+use crate::appends::{Appends, CompletedAppend, Source};
 
 /// Drives the batcher and carries out what it wants.
 pub(crate) struct Calls {
@@ -20,9 +20,9 @@
 }
 
 impl Calls {
-    pub(crate) fn new(holder: Holder, seed: u64, pace: Limits) -> Self {
+    pub(crate) fn new(holder: Holder, seed: u64, limits: Limits) -> Self {
         Self {
-            batcher: Batcher::new(holder, seed, pace),
+            batcher: Batcher::new(holder, seed, limits),
             waiting: BTreeMap::new(),
             contested: 0,
         }
@@ -32,7 +32,7 @@
         self.batcher.claims().len()
     }
 
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn open_calls(&self) -> usize {
         self.batcher.open_calls()
     }
 
@@ -56,26 +56,32 @@
         self.step(now, Input::Call(call), appends);
     }
 
-    pub(crate) fn gone(&mut self, now: Moment, ticket: CallId, appends: &Appends) {
-        self.waiting.remove(&ticket);
-        self.step(now, Input::CallerGone(ticket), appends);
+    pub(crate) fn caller_gone(&mut self, now: Moment, call_id: CallId, appends: &Appends) {
+        self.waiting.remove(&call_id);
+        self.step(now, Input::CallerGone(call_id), appends);
     }
 
-    pub(crate) fn ended(&mut self, now: Moment, ticket: CallId, end: CallEnd, appends: &Appends) {
-        self.step(now, Input::Ended(ticket, end), appends);
+    pub(crate) fn call_ended(
+        &mut self,
+        now: Moment,
+        call_id: CallId,
+        end: CallEnd,
+        appends: &Appends,
+    ) {
+        self.step(now, Input::Ended(call_id, end), appends);
     }
 
-    pub(crate) fn reach(&mut self, now: Moment, reach: LogStatus, appends: &Appends) {
-        self.step(now, Input::Log(reach), appends);
+    pub(crate) fn set_log_status(&mut self, now: Moment, status: LogStatus, appends: &Appends) {
+        self.step(now, Input::Log(status), appends);
     }
 
     pub(crate) fn tick(&mut self, now: Moment, appends: &Appends) {
         self.step(now, Input::Tick, appends);
     }
 
-    pub(crate) fn appended(&mut self, now: Moment, ended: &Ended, appends: &Appends) {
-        let nonce = ended.nonce;
-        let input = match ended.result {
+    pub(crate) fn appended(&mut self, now: Moment, append: &CompletedAppend, appends: &Appends) {
+        let nonce = append.nonce;
+        let input = match append.result {
             Ok(offset) => Input::Appended(nonce, offset),
             Err(platform::AppendError::Refused { .. }) => Input::Rejected(nonce),
             Err(platform::AppendError::Unknown) => Input::AnswerLost(nonce),
@@ -83,7 +89,7 @@
         self.step(now, input, appends);
     }
 
-    pub(crate) fn forget(&mut self, first: Offset) {
+    pub(crate) fn forget_before(&mut self, first: Offset) {
         self.batcher.forget_before(first);
     }
 
@@ -101,8 +107,8 @@
         for output in outputs {
             match output {
                 Output::Append { nonce, body } => appends.send(Source::Calls, nonce, body),
-                Output::Decide(ticket, decision) => {
-                    if let Some(reply) = self.waiting.remove(&ticket) {
+                Output::Decide(call_id, decision) => {
+                    if let Some(reply) = self.waiting.remove(&call_id) {
                         // The caller has just gone; its `Claimed` tells the batcher so.
                         let _gone = reply.send(decision);
                     }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -17,36 +17,36 @@
 use wire::record;
 
 use crate::Offset;
-use crate::appends::{Appends, Ended, Source};
+use crate::appends::{Appends, CompletedAppend, Source};
+use crate::broadcasts::LastBroadcasts;
 use crate::calls::Calls;
-use crate::census::Census;
-use crate::edits::Edits;
-use crate::engines::{Answer, Engines};
+use crate::edits::PendingEdits;
+use crate::engines::{EngineReply, Engines};
+use crate::fleet_state::FleetState;
 use crate::handle::Shared;
-use crate::keeper::Keeper;
-use crate::ledger::Ledger;
 use crate::mesh::Mesh;
 use crate::message::{Message, Sender, send};
 use crate::options::Options;
-use crate::publisher::{Frames, Parts, Publisher};
-use crate::reports::Reports;
-use crate::roles::Roles;
-use crate::scopes::{Around, Scopes};
-use crate::told::Told;
+use crate::publisher::{PeerFrames, Publisher, ViewInputs};
+use crate::replica::Replica;
+use crate::report_schedule::ReportSchedule;
+use crate::roles::RolePlanners;
+use crate::scopes::{Context, Scopes};
+use crate::snapshot_schedule::SnapshotSchedule;
 use crate::view;
 
-mod ask;
-mod hands;
+mod handover;
 mod peers;
 mod records;
-mod show;
+mod requests;
+mod status;
 mod tick;
 
 /// Time between two looks at everything that time alone moves.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Messages that are taken in before the rest of the work gets its turn.
-const BATCH: usize = 256;
+const MESSAGE_BATCH: usize = 256;
 
 /// What connects a control with its handles.
 pub(crate) struct Wiring {
@@ -57,14 +57,14 @@
 }
 
 /// The reader of the log as seen from here.
-struct Reader {
+struct ReaderState {
     started: Moment,
     /// When the log last answered a read.
-    heard: Option<Moment>,
+    last_answer: Option<Moment>,
     /// Whether the newest read failed.
     failing: bool,
     /// What the claims were told of it.
-    reach: LogStatus,
+    claims_status: LogStatus,
 }
 
 /// What stands in the way of serving or of control, besides what follows from the parts.
@@ -76,17 +76,17 @@
     paused_at: Option<Moment>,
     superseded: bool,
     leaving_since: Option<Moment>,
-    left: bool,
+    scopes_released: bool,
     aborted: bool,
     /// A read without a wait is under way.
-    looking: bool,
+    probing_log: bool,
     /// The view must be published without waiting for the tick.
-    urgent: bool,
+    publish_now: bool,
 }
 
 /// A stop that was asked for.
 struct Stop {
-    until: Moment,
+    deadline: Moment,
     reply: oneshot::Sender<()>,
 }
 
@@ -98,26 +98,26 @@
     sender: Sender,
     shared: Arc<Shared>,
     publisher: Publisher,
-    ledger: Ledger,
-    census: Census,
+    replica: Replica,
+    fleet: FleetState,
     scopes: Scopes,
     calls: Calls,
-    edits: Edits,
-    keeper: Keeper,
-    frames: Frames,
-    reports: Reports,
-    roles: Roles,
-    planned: Moment,
+    edits: PendingEdits,
+    snapshots: SnapshotSchedule,
+    peer_frames: PeerFrames,
+    report_schedule: ReportSchedule,
+    role_planners: RolePlanners,
+    roles_planned_at: Moment,
     appends: Appends,
     engines: Engines,
     mesh: Mesh,
     nonces: nonce::NonceSource,
-    reader: Reader,
+    reader: ReaderState,
     flags: Flags,
     next_tick: Moment,
-    told: Told,
-    confirms: (Moment, Vec<Confirm>),
-    state_asked: Option<Moment>,
+    broadcasts: LastBroadcasts,
+    last_confirms: (Moment, Vec<Confirm>),
+    state_queried_at: Option<Moment>,
     stop: Option<Stop>,
 }
 
@@ -135,7 +135,7 @@
             instance: options.local.id.clone(),
             incarnation: options.local.incarnation,
         };
-        let me = Author {
+        let local = Author {
             instance: options.local.id.clone(),
             incarnation: options.local.incarnation,
         };
@@ -147,16 +147,16 @@
         Ok(Self {
             started: now,
             publisher: Publisher::new(view),
-            ledger: Ledger::default(),
-            census: Census::new(now, &options),
-            scopes: Scopes::new(me, options.term, options.change_timing, seed),
+            replica: Replica::default(),
+            fleet: FleetState::new(now, &options),
+            scopes: Scopes::new(local, options.term, options.change_timing, seed),
             calls: Calls::new(Holder::from(&author), rand::rng().random(), options.claims),
-            edits: Edits::default(),
-            keeper: Keeper::new(now, options.retention, &options.local.id),
-            frames: Frames::default(),
-            reports: Reports::new(options.report_period),
-            roles: Roles::default(),
-            planned: now,
+            edits: PendingEdits::default(),
+            snapshots: SnapshotSchedule::new(now, options.retention, &options.local.id),
+            peer_frames: PeerFrames::default(),
+            report_schedule: ReportSchedule::new(options.report_period),
+            role_planners: RolePlanners::default(),
+            roles_planned_at: now,
             appends: Appends::new(log, author, rules, sender.clone()),
             engines: Engines::new(
                 options.change_timing.request_timeout,
@@ -165,17 +165,17 @@
             ),
             mesh,
             nonces: nonce::NonceSource::new(rand::rng().random()),
-            reader: Reader {
+            reader: ReaderState {
                 started: now,
-                heard: None,
+                last_answer: None,
                 failing: false,
-                reach: LogStatus::Down,
+                claims_status: LogStatus::Down,
             },
             flags: Flags::default(),
             next_tick: now,
-            told: Told::default(),
-            confirms: (now, Vec::new()),
-            state_asked: None,
+            broadcasts: LastBroadcasts::default(),
+            last_confirms: (now, Vec::new()),
+            state_queried_at: None,
             stop: None,
             options,
             clock,
@@ -188,28 +188,28 @@
     pub(crate) async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let poll = Instances::new(&self.options.instances).poll(self.options.list_period, jitter());
         actix_rt::spawn(forward(poll.listing(), self.sender.clone()));
-        let mut tail = self.follow(1);
+        let mut tail = self.tail_log(1);
         while !self.is_done() {
-            let wait = self.wait();
+            let wait = self.time_to_wake();
             tokio::select! {
                 message = receiver.recv() => {
                     let Some(message) = message else { break };
-                    self.take(message);
+                    self.handle(message);
                 }
                 event = tail.next() => {
-                    if let Some(from) = event.and_then(|event| self.log_event(event)) {
-                        tail = self.follow(from);
+                    if let Some(from) = event.and_then(|event| self.handle_log_event(event)) {
+                        tail = self.tail_log(from);
                     }
                 }
                 () = actix_rt::time::sleep(wait) => (),
             }
-            for _ in 0..BATCH {
+            for _ in 0..MESSAGE_BATCH {
                 let Ok(message) = receiver.try_recv() else {
                     break;
                 };
-                self.take(message);
+                self.handle(message);
             }
-            self.settle();
+            self.run_due_work();
         }
         if self.flags.aborted {
             return;
@@ -220,7 +220,7 @@
         }
     }
 
-    fn follow(&self, from: Offset) -> Tail {
+    fn tail_log(&self, from: Offset) -> Tail {
         let clock = self.clock;
         Tail::spawn(
             self.appends.log().clone(),
@@ -231,141 +231,144 @@
         )
     }
 
-    fn wait(&self) -> Duration {
+    fn time_to_wake(&self) -> Duration {
         let wake = self.calls.next_wake().unwrap_or(Moment::MAX);
         wake.min(self.next_tick).saturating_sub(self.clock.now())
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now = self.clock.now();
         match message {
-            Message::Listing(listing) => self.listing(now, &listing),
-            Message::Peer(event) => self.peer(now, event),
-            Message::Appended(ended) => self.appended(now, &ended),
-            Message::Engine(answer) => self.engine(now, answer),
-            Message::Looked { asked, next } => self.looked(now, asked, next),
-            Message::State(snapshot) => self.offered(now, snapshot),
+            Message::Listing(listing) => self.handle_listing(now, &listing),
+            Message::Peer(event) => self.handle_peer_event(now, event),
+            Message::Appended(ended) => self.handle_appended(now, &ended),
+            Message::Engine(answer) => self.handle_engine(now, answer),
+            Message::LogProbed {
+                sent_at: asked,
+                next,
+            } => self.log_probed(now, asked, next),
+            Message::PeerState(snapshot) => self.handle_peer_state(now, snapshot),
             Message::Run(job) => job(self),
         }
     }
 
-    fn settle(&mut self) {
+    fn run_due_work(&mut self) {
         let now = self.clock.now();
         if now >= self.next_tick {
-            self.next_tick = now + TICK;
+            self.next_tick = now + TICK_INTERVAL;
             self.tick(now);
         }
         if self.calls.next_wake().is_some_and(|wake| wake <= now) {
             self.calls.tick(now, &self.appends);
         }
-        if std::mem::take(&mut self.flags.urgent) {
+        if std::mem::take(&mut self.flags.publish_now) {
             self.publish(now);
         }
     }
 
     fn publish(&mut self, now: Moment) {
-        let parts = Parts {
+        let parts = ViewInputs {
             now,
-            ledger: &self.ledger,
-            census: &self.census,
-            frames: &self.frames,
+            replica: &self.replica,
+            fleet: &self.fleet,
+            frames: &self.peer_frames,
             health: &self.options.health,
             log: self.log_state(now),
             reasons: self.reasons(now),
         };
         let sequence = self.publisher.publish(&parts);
-        self.census.published(sequence);
-        self.confirm(now);
+        self.fleet.record_published(sequence);
+        self.broadcast_confirms(now);
     }
 
-    fn listing(&mut self, now: Moment, listing: &platform::Listing) {
-        let (members, upstreams) = self.census.read_list(now, listing);
-        self.mesh.follow(&self.census.list);
+    fn handle_listing(&mut self, now: Moment, listing: &platform::Listing) {
+        let (members, upstreams) = self.fleet.read_list(now, listing);
+        self.mesh.set_members(&self.fleet.list);
         self.member_outputs(now, members);
         self.probe(&upstreams);
-        self.flags.urgent = true;
+        self.flags.publish_now = true;
     }
 
-    fn appended(&mut self, now: Moment, ended: &Ended) {
-        match &ended.source {
+    fn handle_appended(&mut self, now: Moment, append: &CompletedAppend) {
+        match &append.source {
             Source::Lease(scope) => {
                 let scope = scope.clone();
-                let (scopes, around) = self.split(now);
-                scopes.appended(&around, &scope, ended);
+                let (scopes, context) = self.scopes_and_context(now);
+                scopes.appended(&context, &scope, append);
             }
-            Source::Calls => self.calls.appended(now, ended, &self.appends),
-            Source::Edit => self.edits.appended(ended),
+            Source::Calls => self.calls.appended(now, append, &self.appends),
+            Source::Edit => self.edits.appended(append),
             Source::Planner | Source::Snapshot => (),
         }
     }
 
-    fn engine(&mut self, now: Moment, answer: Answer) {
+    fn handle_engine(&mut self, now: Moment, reply: EngineReply) {
         use authority::planner::Input;
-        match answer {
-            Answer::Change {
+        match reply {
+            EngineReply::Change {
                 scope,
                 order,
                 input,
             } => {
-                let (scopes, around) = self.split(now);
-                scopes.plan(&around, &scope, Input::Change(order, input));
+                let (scopes, context) = self.scopes_and_context(now);
+                scopes.step_planner(&context, &scope, Input::Change(order, input));
             }
-            Answer::Checked {
+            EngineReply::Checked {
                 scope,
                 upstream,
                 settled,
                 reading,
             } => {
-                let (scopes, around) = self.split(now);
+                let (scopes, context) = self.scopes_and_context(now);
                 let input = Input::Checked {
                     upstream,
                     settled,
                     reading,
                 };
-                scopes.plan(&around, &scope, input);
+                scopes.step_planner(&context, &scope, input);
             }
-            Answer::Probed {
+            EngineReply::Probed {
                 upstream,
                 observation,
-            } => self.census.probed(now, &upstream, observation),
-            Answer::Reported { upstream, report } => {
-                self.reports.answered(&upstream);
+            } => self.fleet.record_probe(now, &upstream, observation),
+            EngineReply::Reported { upstream, report } => {
+                self.report_schedule.read_ended(&upstream);
                 if let Some(report) = report {
-                    self.census.reported(now, &upstream, report);
+                    self.fleet.record_report(now, &upstream, report);
                 }
             }
         }
     }
 
     /// The scopes, and all that they look at.
-    fn split(&mut self, now: Moment) -> (&mut Scopes, Around<'_>) {
-        let around = Around {
+    fn scopes_and_context(&mut self, now: Moment) -> (&mut Scopes, Context<'_>) {
+        let context = Context {
             now,
-            state: self.ledger.authority(),
-            census: &self.census,
+            state: self.replica.authority(),
+            fleet: &self.fleet,
             appends: &self.appends,
             engines: &self.engines,
         };
-        (&mut self.scopes, around)
+        (&mut self.scopes, context)
     }
 
     fn reasons(&self, now: Moment) -> SmallVec<[view::Reason; 2]> {
         use view::Reason;
         let flags = &self.flags;
-        let empty = !flags.caught_up || self.ledger.catalogue().revision() == 0;
-        let unknown = !self.mesh.is_alone() && !self.census.members.may_serve(now);
+        let empty = !flags.caught_up || self.replica.catalogue().revision() == 0;
+        let unknown = !self.mesh.is_disabled() && !self.fleet.members.may_serve(now);
         let all = [
             (empty, Reason::NoCatalogue),
-            (self.census.list.read_at().is_none(), Reason::NoInstances),
+            (self.fleet.list.read_at().is_none(), Reason::NoInstances),
             (unknown, Reason::Unknown),
             (flags.paused_at.is_some(), Reason::Paused),
             (flags.superseded, Reason::Superseded),
             (flags.leaving_since.is_some(), Reason::Leaving),
             (
-                self.ledger.catalogue().frozen().is_some(),
+                self.replica.catalogue().frozen().is_some(),
                 Reason::FrozenRules,
             ),
-            (self.ledger.has_gap(), Reason::Gap),
+            (self.replica.has_gap(), Reason::Gap),
         ];
         let holding = all.into_iter().filter(|(holds, _)| *holds);
         holding.map(|(_, reason)| reason).collect()
--- a/crates/control/src/core/hands.rs
+++ b/crates/control/src/core/handover.rs
@@ -9,7 +9,7 @@
 
 /// How long a leaving process carries on with changes under way before it gives its scopes up;
 /// the successor resolves what is left then.
-const HANDOVER: Duration = Duration::from_secs(5);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Core {
     pub(crate) fn leave(&mut self) {
@@ -17,14 +17,14 @@
         if self.flags.leaving_since.is_none() {
             log::info!("leaving");
             self.flags.leaving_since = Some(now);
-            self.flags.urgent = true;
+            self.flags.publish_now = true;
         }
     }
 
     pub(crate) fn stop(&mut self, limit: Duration, reply: oneshot::Sender<()>) {
         self.leave();
-        let until = self.clock.now() + limit;
-        self.stop = Some(Stop { until, reply });
+        let deadline = self.clock.now() + limit;
+        self.stop = Some(Stop { deadline, reply });
     }
 
     pub(crate) fn abort(&mut self) {
@@ -34,16 +34,16 @@
     /// Gives the scopes up when the process leaves, or when the rules in force are unknown to it:
     /// it would plan by pools that others see changed.
     pub(super) fn hand_over(&mut self, now: Moment) {
-        let frozen = self.ledger.catalogue().frozen().is_some();
+        let frozen = self.replica.catalogue().frozen().is_some();
         let since = self.flags.leaving_since;
-        if self.flags.left || !(frozen || since.is_some()) {
+        if self.flags.scopes_released || !(frozen || since.is_some()) {
             return;
         }
-        let overdue = since.is_some_and(|since| now >= since + HANDOVER);
+        let overdue = since.is_some_and(|since| now >= since + HANDOVER_TIMEOUT);
         if self.scopes.is_idle() || overdue || self.stop.is_some() || frozen {
-            self.flags.left = true;
-            let (scopes, around) = self.split(now);
-            scopes.leave(&around);
+            self.flags.scopes_released = true;
+            let (scopes, context) = self.scopes_and_context(now);
+            scopes.release_all(&context);
         }
     }
 
@@ -53,8 +53,8 @@
             return self.flags.aborted;
         };
         // A wake-up is due as long as claims or outcomes are to be written or read back.
-        let told = self.calls.held() == 0 && self.calls.next_wake().is_none();
-        let handed = self.flags.left && self.scopes.is_released() && told;
-        handed || self.clock.now() >= stop.until
+        let claims_written = self.calls.open_calls() == 0 && self.calls.next_wake().is_none();
+        let handed_over = self.flags.scopes_released && self.scopes.holds_none() && claims_written;
+        handed_over || self.clock.now() >= stop.deadline
     }
 }
--- a/crates/control/src/core/records.rs
+++ b/crates/control/src/core/records.rs
@@ -8,7 +8,7 @@
 
 use crate::Offset;
 use crate::core::Core;
-use crate::ledger::Fold;
+use crate::replica::FoldStep;
 use crate::view;
 
 /// Silence of the log beyond the wait of a read after which it counts as out although no read has
@@ -18,13 +18,13 @@
 impl Core {
     /// Takes an event of the reader in; gives the offset from which to read anew if the reader has
     /// stopped.
-    pub(super) fn log_event(&mut self, event: Event) -> Option<Offset> {
+    pub(super) fn handle_log_event(&mut self, event: Event) -> Option<Offset> {
         let now = self.clock.now();
         match event {
             Event::Chunk { asked, chunk } => {
-                self.reader.heard = Some(now);
+                self.reader.last_answer = Some(now);
                 self.reader.failing = false;
-                self.chunk(now, asked, chunk);
+                self.handle_chunk(now, asked, chunk);
                 None
             }
             Event::Down => {
@@ -32,110 +32,112 @@
                 None
             }
             Event::Gone { first, next } => {
-                log::warn!(first, next, folded = self.ledger.folded(); "records are past retention");
-                self.reader.heard = Some(now);
-                self.calls.forget(first);
-                self.ledger.forget(first, next);
+                log::warn!(first, next, folded = self.replica.folded(); "records are past retention");
+                self.reader.last_answer = Some(now);
+                self.calls.forget_before(first);
+                self.replica.discard_before(first, next);
                 Some(first)
             }
         }
     }
 
-    fn chunk(&mut self, now: Moment, asked: Moment, chunk: Chunk) {
+    fn handle_chunk(&mut self, now: Moment, sent_at: Moment, chunk: Chunk) {
         let first = chunk.first;
-        let records = self.ledger.push(chunk);
+        let records = self.replica.push(chunk);
         self.calls
-            .forget(first.min(records.first().map_or(first, |(offset, _)| *offset)));
+            .forget_before(first.min(records.first().map_or(first, |(offset, _)| *offset)));
         for (offset, record) in &records {
             self.calls.fold(now, *offset, record, &self.appends);
         }
         self.fold(now);
-        if self.ledger.is_whole() {
-            self.whole(now, asked);
+        if self.replica.is_up_to_date() {
+            self.handle_up_to_date(now, sent_at);
         }
         if !records.is_empty() {
-            let (scopes, around) = self.split(now);
-            scopes.tick(&around);
+            let (scopes, context) = self.scopes_and_context(now);
+            scopes.tick(&context);
         }
     }
 
     /// All that the log held when the read was sent is folded.
-    fn whole(&mut self, now: Moment, asked: Moment) {
+    fn handle_up_to_date(&mut self, now: Moment, sent_at: Moment) {
         if !self.flags.caught_up {
-            log::info!(folded = self.ledger.folded(), revision = self.ledger.catalogue().revision(); "caught up with the log");
+            log::info!(folded = self.replica.folded(), revision = self.replica.catalogue().revision(); "caught up with the log");
             self.flags.caught_up = true;
-            self.flags.urgent = true;
+            self.flags.publish_now = true;
         }
-        if self.flags.paused_at.is_some_and(|at| asked >= at) {
+        if self.flags.paused_at.is_some_and(|at| sent_at >= at) {
             self.flags.paused_at = None;
-            self.flags.urgent = true;
+            self.flags.publish_now = true;
         }
-        self.reach(now);
-        let (scopes, around) = self.split(now);
-        scopes.read(&around, asked);
+        self.update_claims_status(now);
+        let (scopes, context) = self.scopes_and_context(now);
+        scopes.log_read(&context, sent_at);
     }
 
     /// A peer gave its state.
-    pub(super) fn offered(&mut self, now: Moment, snapshot: Box<Snapshot>) {
-        let before = self.ledger.folded();
-        self.ledger.offer(snapshot);
+    pub(super) fn handle_peer_state(&mut self, now: Moment, snapshot: Box<Snapshot>) {
+        let before = self.replica.folded();
+        self.replica.offer_snapshot(snapshot);
         self.fold(now);
-        if self.ledger.folded() > before && !self.flags.caught_up {
-            log::info!(folded = self.ledger.folded(); "state taken from a peer, the log is out");
+        if self.replica.folded() > before && !self.flags.caught_up {
+            log::info!(folded = self.replica.folded(); "state taken from a peer, the log is out");
             self.flags.caught_up = true;
         }
     }
 
     fn fold(&mut self, now: Moment) {
         let mut changed = false;
-        while let Some(fold) = self.ledger.step() {
+        while let Some(fold) = self.replica.step() {
             match fold {
-                Fold::Restored => {
+                FoldStep::Restored => {
                     changed = true;
-                    self.scopes.restore(now, self.ledger.authority());
+                    self.scopes.restore(now, self.replica.authority());
                 }
-                Fold::Record(folded) => {
-                    let authority = self.ledger.authority();
+                FoldStep::Record(folded) => {
+                    let authority = self.replica.authority();
                     let record = &folded.record;
                     self.scopes.apply(now, folded.offset, record, authority);
-                    changed |= changes(&folded.applied, &folded.effect);
+                    changed |= changes_state(&folded.applied, &folded.effect);
                     if let Applied::Edit(verdict) = &folded.applied {
-                        self.edits.judged(&record.nonce, verdict);
+                        self.edits.resolve(&record.nonce, verdict);
                     }
                 }
             }
         }
         if changed {
-            let (catalogue, authority) = (self.ledger.catalogue(), self.ledger.authority());
-            self.scopes.follow(now, catalogue.view(), authority);
-            self.census.follow(now, authority, catalogue.view());
-            self.flags.urgent = true;
+            let (catalogue, authority) = (self.replica.catalogue(), self.replica.authority());
+            self.scopes
+                .follow_catalogue(now, catalogue.view(), authority);
+            self.fleet.apply_closings(now, authority, catalogue.view());
+            self.flags.publish_now = true;
         }
     }
 
     /// Tells the claims whether the log answers. They decide nothing before all that it retains is
     /// folded: a claim that was not read yet could be the first of its key.
-    pub(super) fn reach(&mut self, now: Moment) {
-        let up = self.log_state(now) == view::Log::Up && self.ledger.is_whole();
-        let reach = if up { LogStatus::Up } else { LogStatus::Down };
+    pub(super) fn update_claims_status(&mut self, now: Moment) {
+        let up = self.log_state(now) == view::Log::Up && self.replica.is_up_to_date();
+        let status = if up { LogStatus::Up } else { LogStatus::Down };
         // Between two reads records may stand that are not folded yet, which is no outage.
-        let lagging =
-            !up && self.log_state(now) == view::Log::Up && self.reader.reach == LogStatus::Up;
-        if reach != self.reader.reach && !lagging {
-            self.reader.reach = reach;
-            self.calls.reach(now, reach, &self.appends);
+        let lagging = !up
+            && self.log_state(now) == view::Log::Up
+            && self.reader.claims_status == LogStatus::Up;
+        if status != self.reader.claims_status && !lagging {
+            self.reader.claims_status = status;
+            self.calls.set_log_status(now, status, &self.appends);
         }
     }
 
     /// Whether the log answers. One failed read makes no outage.
     pub(super) fn log_state(&self, now: Moment) -> view::Log {
-        let heard = self.reader.heard.unwrap_or(self.reader.started);
-        let silent = now.saturating_sub(heard);
-        let patience = self.options.log_down_after;
-        let slack = self.options.log_poll_wait + patience + READ_SLACK;
-        let out = (self.reader.failing && silent >= patience) || silent >= slack;
-        if out || self.reader.heard.is_none() {
-            view::Log::DownSince(heard)
+        let last_answer = self.reader.last_answer.unwrap_or(self.reader.started);
+        let silent = now.saturating_sub(last_answer);
+        let down_after = self.options.log_down_after;
+        let max_silence = self.options.log_poll_wait + down_after + READ_SLACK;
+        let down = (self.reader.failing && silent >= down_after) || silent >= max_silence;
+        if down || self.reader.last_answer.is_none() {
+            view::Log::DownSince(last_answer)
         } else {
             view::Log::Up
         }
@@ -143,7 +145,7 @@
 }
 
 /// Whether a record changed what the data plane or the scopes look at.
-fn changes(applied: &Applied, effect: &authority::effect::Effect) -> bool {
+fn changes_state(applied: &Applied, effect: &authority::effect::Effect) -> bool {
     use authority::effect::Effect;
     let catalogue = matches!(
         applied,
--- a/crates/control/src/core/ask.rs
+++ b/crates/control/src/core/requests.rs
@@ -23,33 +23,33 @@
         self.calls.claim(now, call, reply, &self.appends);
     }
 
-    pub(crate) fn conclude(&mut self, ticket: CallId, end: CallEnd) {
+    pub(crate) fn conclude(&mut self, call_id: CallId, end: CallEnd) {
         let now = self.clock.now();
-        self.calls.ended(now, ticket, end, &self.appends);
+        self.calls.call_ended(now, call_id, end, &self.appends);
     }
 
-    pub(crate) fn gone(&mut self, ticket: CallId) {
+    pub(crate) fn caller_gone(&mut self, call_id: CallId) {
         let now = self.clock.now();
-        self.calls.gone(now, ticket, &self.appends);
+        self.calls.caller_gone(now, call_id, &self.appends);
     }
 
-    pub(crate) fn edit(&mut self, edit: Edit, reply: oneshot::Sender<edits::Answer>) {
+    pub(crate) fn edit(&mut self, edit: Edit, reply: oneshot::Sender<edits::EditResult>) {
         let nonce = self.nonces.next_nonce();
-        let until = self.clock.now() + self.options.edit_timeout;
-        self.edits.wait(nonce, until, reply);
+        let deadline = self.clock.now() + self.options.edit_timeout;
+        self.edits.insert(nonce, deadline, reply);
         self.appends.send(Source::Edit, nonce, Body::Edit(edit));
     }
 
     pub(crate) fn check(&self, changes: &[Change]) -> Findings {
-        catalogue::check(self.ledger.catalogue(), changes)
+        catalogue::check(self.replica.catalogue(), changes)
     }
 
     pub(crate) fn history(&self) -> Vec<DecidedEdit> {
-        self.ledger.catalogue().history().cloned().collect()
+        self.replica.catalogue().history().cloned().collect()
     }
 
     pub(crate) fn entities(&self) -> Entities {
-        let catalogue = self.ledger.catalogue();
+        let catalogue = self.replica.catalogue();
         let slots = catalogue.view().slots();
         let entities = slots.filter(|(_, _, slot)| slot.entity.is_some());
         let entities = entities.map(|(kind, name, slot)| Entity {
@@ -66,27 +66,27 @@
     }
 
     /// Hands a wish to the holder of the engine's pool, here or at a peer.
-    pub(crate) fn wish(
+    pub(crate) fn request_change(
         &mut self,
         upstream: String,
-        what: &Order,
+        action: &Order,
         operator: String,
         reply: oneshot::Sender<Result<(), OrderError>>,
     ) {
         let now = self.clock.now();
-        let known = self.census.upstreams.get(&upstream);
+        let known = self.fleet.upstreams.get(&upstream);
         let engine = known.filter(|one| one.kind == fleet::list::Kind::Engine);
         let Some(scope) = engine.map(|one| one.pool.clone()) else {
             let _gone = reply.send(Err(OrderError::UnknownEngine));
             return;
         };
-        let wanted = (upstream.clone(), what.clone());
-        let (scopes, around) = self.split(now);
-        if scopes.want(&around, &scope, wanted, Reason::Operator) {
+        let change = (upstream.clone(), action.clone());
+        let (scopes, context) = self.scopes_and_context(now);
+        if scopes.request_change(&context, &scope, change, Reason::Operator) {
             let _gone = reply.send(Ok(()));
             return;
         }
-        let held = self.ledger.authority().current_claim(&scope);
+        let held = self.replica.authority().current_claim(&scope);
         let own = &self.options.local.id;
         let holder = held.filter(|held| !held.released && held.holder.instance != *own);
         let Some(holder) = holder.map(|held| held.holder.instance.clone()) else {
@@ -96,7 +96,7 @@
         let wish = Wish {
             scope,
             upstream,
-            order: Some(what.into()),
+            order: Some(action.into()),
             operator,
         };
         let kind = Some(query::Kind::Wish(wish));
@@ -111,7 +111,7 @@
         });
     }
 
-    pub(crate) fn ask_answer(
+    pub(crate) fn query_held_answer(
         &mut self,
         instance: &str,
         key: Key,
@@ -128,7 +128,7 @@
         });
     }
 
-    pub(crate) fn ask_burn(&mut self, reply: oneshot::Sender<Burn>) {
+    pub(crate) fn query_burn(&mut self, reply: oneshot::Sender<Burn>) {
         let own = (self.options.local.id.clone(), (self.shared.hooks().burn)());
         let kind = Some(query::Kind::Burn(Empty {}));
         let query = Query { kind };
--- a/crates/control/src/core/show.rs
+++ b/crates/control/src/core/status.rs
@@ -10,7 +10,7 @@
 
 impl Core {
     pub(crate) fn orders(&self) -> Orders {
-        let recent = self.ledger.authority().recent_orders();
+        let recent = self.replica.authority().recent_orders();
         let recent = recent.map(|end| status::Order {
             order: end.intent.order,
             scope: end.intent.scope.clone(),
@@ -42,22 +42,22 @@
             reasons: self.reasons(now).into_iter().collect(),
             log: self.log_status(now),
             catalogue: status::Catalogue {
-                revision: self.ledger.catalogue().revision(),
-                rules: self.ledger.catalogue().version(),
-                entities: self.ledger.catalogue().view().len(),
+                revision: self.replica.catalogue().revision(),
+                rules: self.replica.catalogue().version(),
+                entities: self.replica.catalogue().view().len(),
             },
             instances: status::Instances {
-                version: self.census.list.version(),
+                version: self.fleet.list.version(),
                 age_s: self
-                    .census
+                    .fleet
                     .list
                     .read_at()
                     .map(|at| now.saturating_sub(at).as_secs()),
-                doubted: self.census.doubted(),
+                doubted: self.fleet.rejected_listings(),
             },
             claims: status::Claims {
                 in_force: self.calls.claims_in_force(),
-                held: self.calls.held(),
+                held: self.calls.open_calls(),
                 contested: self.calls.contested(),
             },
             peers: self.peer_status(now),
@@ -76,16 +76,16 @@
             view::Log::Up => None,
             view::Log::DownSince(since) => Some(now.saturating_sub(since).as_secs()),
         };
-        let (first, next) = self.ledger.bounds();
+        let (first, next) = self.replica.retained();
         let traffic = self.appends.log().traffic();
-        let compared = self.ledger.compared();
+        let compared = self.replica.comparisons();
         status::Log {
             up: down.is_none(),
             down_s: down.unwrap_or(0),
-            folded: self.ledger.folded(),
-            behind: next.saturating_sub(self.ledger.folded() + 1),
+            folded: self.replica.folded(),
+            behind: next.saturating_sub(self.replica.folded() + 1),
             first,
-            snapshot: self.ledger.covered(),
+            snapshot: self.replica.snapshot_upto(),
             snapshots_same: compared.same,
             snapshots_different: compared.different,
             appends: traffic.appends,
@@ -100,7 +100,7 @@
             let found = connected.iter().find(|one| one.id == id);
             found.map_or(0, |one| one.round_trip.as_micros() as u64)
         };
-        let members = self.census.members.iter();
+        let members = self.fleet.members.iter();
         let peer = |one: &fleet::member::Member| status::Peer {
             id: one.id.clone(),
             state: format!("{:?}", one.state).to_lowercase(),
@@ -116,7 +116,7 @@
 
     fn scope_status(&self, now: Moment) -> Vec<status::Scope> {
         let scope = |(name, _): (&String, _)| {
-            let held = self.ledger.authority().current_claim(name);
+            let held = self.replica.authority().current_claim(name);
             let grant = self.scopes.grant(name);
             let left = grant.map_or(0, |grant| grant.until.saturating_sub(now).as_millis());
             let lease = self.scopes.get(name).map(|scope| &scope.lease);
@@ -133,10 +133,10 @@
     }
 
     fn unresolved(&self) -> Vec<status::Order> {
-        let authority = self.ledger.authority();
+        let authority = self.replica.authority();
         let pending = authority.pending_orders().map(|(upstream, pending)| {
             let holder = authority.current_claim(&pending.scope);
-            let (step, waits) = self.step_of(&pending.scope, pending.order);
+            let (step, waits) = self.order_step(&pending.scope, pending.order);
             status::Order {
                 order: pending.order,
                 scope: pending.scope.clone(),
@@ -147,9 +147,9 @@
                 waits,
             }
         });
-        let wanted = self.scopes.iter().flat_map(|(name, scope)| {
-            let wanted = scope.planner.requested_changes();
-            wanted.map(|(upstream, what, reason)| status::Order {
+        let requested = self.scopes.iter().flat_map(|(name, scope)| {
+            let requested = scope.planner.requested_changes();
+            requested.map(|(upstream, what, reason)| status::Order {
                 order: 0,
                 scope: name.clone(),
                 upstream: upstream.clone(),
@@ -159,11 +159,11 @@
                 waits: format!("{reason:?}").to_lowercase(),
             })
         });
-        pending.chain(wanted).collect()
+        pending.chain(requested).collect()
     }
 
     /// The step of an order, if this process carries it out.
-    fn step_of(&self, scope: &str, order: u64) -> (String, String) {
+    fn order_step(&self, scope: &str, order: u64) -> (String, String) {
         let scope = self.scopes.get(scope);
         let mut underway = scope
             .into_iter()
@@ -179,8 +179,8 @@
     }
 
     fn drain_status(&self, now: Moment) -> Vec<status::Drain> {
-        let senders = self.census.senders();
-        let closings = self.census.drain.status(now, &senders);
+        let senders = self.fleet.senders();
+        let closings = self.fleet.drain.status(now, &senders);
         let drain = |one: fleet::drain::Status| {
             let confirmed = one
                 .confirmed
@@ -202,8 +202,8 @@
         let hooks = self.shared.hooks();
         let health = &self.options.health;
         let upstream = |one: &fleet::upstream::Upstream| {
-            let report = self.census.report(&one.id);
-            let settled = self.ledger.authority().settled(&one.id);
+            let report = self.fleet.report(&one.id);
+            let settled = self.replica.authority().settled(&one.id);
             let role = report.map(|report| report.content.role);
             let role = role.or(settled.and_then(|known| known.role).map(to_role));
             let role = role.map_or_else(String::new, |role| format!("{role:?}").to_lowercase());
@@ -217,7 +217,7 @@
                 report_ms: report.map(|report| report.age(now).as_millis() as u64),
             }
         };
-        self.census.upstreams.iter().map(upstream).collect()
+        self.fleet.upstreams.iter().map(upstream).collect()
     }
 
     fn traffic(&self) -> Vec<status::Traffic> {
--- a/crates/control/src/core/tick.rs
+++ b/crates/control/src/core/tick.rs
@@ -14,51 +14,51 @@
 use crate::Offset;
 use crate::appends::Source;
 use crate::core::Core;
-use crate::keeper::Window;
-use crate::mesh::most_advanced;
+use crate::mesh::most_advanced_peer;
 use crate::message::{Message, send};
 use crate::roles;
+use crate::snapshot_schedule::Window;
 use crate::view;
 
 /// Least time between two questions for a peer's state.
-const STATE_PERIOD: Duration = Duration::from_secs(1);
+const STATE_QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Most engines of a fleet in which each entry reads the reports of all.
-const REPORTS_EVERYWHERE: usize = 64;
+const MAX_ENGINES_READ_BY_ALL: usize = 64;
 
 /// Time between two steps of the planners of roles.
-const PLAN_PERIOD: Duration = Duration::from_secs(1);
+const ROLE_PLANNING_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Core {
     pub(super) fn tick(&mut self, now: Moment) {
         for (upstream, observation) in self.shared.take_observations() {
-            self.census.observe(now, &upstream, observation);
+            self.fleet.record_attempt(now, &upstream, observation);
         }
-        let (members, upstreams) = self.census.tick(now, self.progress());
+        let (members, upstreams) = self.fleet.tick(now, self.progress());
         self.member_outputs(now, members);
         self.probe(&upstreams);
         self.edits.tick(now);
         self.calls.tick(now, &self.appends);
-        self.reach(now);
-        self.ask_reports(now);
-        self.send_work(now);
-        self.ask_state(now);
-        self.clear_pause();
-        self.keep_snapshots(now);
+        self.update_claims_status(now);
+        self.read_reports(now);
+        self.broadcast_work(now);
+        self.query_state(now);
+        self.end_pause_if_alone();
+        self.write_due_snapshot(now);
         if self.flags.caught_up {
-            let (scopes, around) = self.split(now);
-            scopes.tick(&around);
+            let (scopes, context) = self.scopes_and_context(now);
+            scopes.tick(&context);
         }
-        self.look_again(now);
+        self.probe_log(now);
         self.plan_roles(now);
         self.hand_over(now);
         self.publish(now);
     }
 
     fn progress(&self) -> Progress {
-        let catalogue = self.ledger.catalogue();
+        let catalogue = self.replica.catalogue();
         Progress {
-            folded: self.ledger.folded(),
+            folded: self.replica.folded(),
             revision: catalogue.revision(),
             leaving: self.flags.leaving_since.is_some(),
             rules: catalogue.rules().newest(),
@@ -68,7 +68,7 @@
     pub(super) fn probe(&self, outputs: &upstream::Outputs) {
         for output in outputs {
             if let upstream::Output::Probe { id, address } = output
-                && let Some(known) = self.census.upstreams.get(id)
+                && let Some(known) = self.fleet.upstreams.get(id)
             {
                 self.engines.probe(id.clone(), known.kind, address.clone());
             }
@@ -78,18 +78,20 @@
     /// Reads the engines' reports: of all engines in a small fleet, else of those in the own data
     /// centre, as hundreds of entries that each ask more than a thousand engines would be load of
     /// their own.
-    fn ask_reports(&mut self, now: Moment) {
-        let upstreams = self.census.upstreams.iter();
+    fn read_reports(&mut self, now: Moment) {
+        let upstreams = self.fleet.upstreams.iter();
         let listed = upstreams.filter(|one| one.kind == Kind::Engine && one.listed.is_some());
         let engines: Vec<&upstream::Upstream> = listed.collect();
-        let everywhere = engines.len() <= REPORTS_EVERYWHERE;
+        let read_by_all = engines.len() <= MAX_ENGINES_READ_BY_ALL;
         let own = &self.options.local.data_centre;
-        let near = engines
+        let to_read = engines
             .into_iter()
-            .filter(|one| everywhere || one.data_centre == *own);
-        let due = self.reports.due(now, near.map(|one| one.id.as_str()));
+            .filter(|one| read_by_all || one.data_centre == *own);
+        let due = self
+            .report_schedule
+            .take_due(now, to_read.map(|one| one.id.as_str()));
         for id in due {
-            if let Some(known) = self.census.upstreams.get(&id) {
+            if let Some(known) = self.fleet.upstreams.get(&id) {
                 self.engines.report(id, known.address.clone());
             }
         }
@@ -97,9 +99,10 @@
 
     /// Tells the peers the own outstanding work and the demand by owner. What has not changed is
     /// told about once a second only: an idle entry would fill the bytes that control may cost.
-    fn send_work(&mut self, now: Moment) {
-        let census = &self.census;
-        self.frames.retain(|id| census.members.get(id).is_some());
+    fn broadcast_work(&mut self, now: Moment) {
+        let fleet = &self.fleet;
+        self.peer_frames
+            .retain(|id| fleet.members.get(id).is_some());
         let hooks = self.shared.hooks();
         let outstanding = (hooks.outstanding)();
         let demand = (hooks.demand)();
@@ -107,10 +110,10 @@
         let spacing = self.options.load_period;
         let load = Load { outstanding };
         let shares = Shares { demand, pools };
-        if self.told.load.is_due(now, spacing, &load) {
+        if self.broadcasts.load.is_due(now, spacing, &load) {
             self.mesh.broadcast(Body::Load(load));
         }
-        if self.told.shares.is_due(now, spacing, &shares) {
+        if self.broadcasts.shares.is_due(now, spacing, &shares) {
             self.mesh.broadcast(Body::Shares(shares));
         }
     }
@@ -118,29 +121,31 @@
     /// While the log is out the state comes from the peer that has folded most. This is how an
     /// entry that starts in an outage gets a catalogue, and how one that alone has lost the log
     /// learns of closings.
-    fn ask_state(&mut self, now: Moment) {
+    fn query_state(&mut self, now: Moment) {
         let up = self.log_state(now) == view::Log::Up;
-        let recently = self.state_asked.is_some_and(|at| now < at + STATE_PERIOD);
-        if (up && !self.ledger.has_gap()) || recently {
+        let recently = self
+            .state_queried_at
+            .is_some_and(|at| now < at + STATE_QUERY_INTERVAL);
+        if (up && !self.replica.has_gap()) || recently {
             return;
         }
-        let Some(peer) = most_advanced(&self.census.members, self.ledger.folded()) else {
+        let Some(peer) = most_advanced_peer(&self.fleet.members, self.replica.folded()) else {
             return;
         };
-        self.state_asked = Some(now);
+        self.state_queried_at = Some(now);
         let kind = Some(query::Kind::State(Empty {}));
         let reply = self.mesh.query(&peer, Query { kind });
         let sender = self.sender.clone();
         actix_rt::spawn(async move {
             if let Some(reply::Kind::State(snapshot)) = reply.await.and_then(|reply| reply.kind) {
-                send(&sender, Message::State(Box::new(snapshot)));
+                send(&sender, Message::PeerState(Box::new(snapshot)));
             }
         });
     }
 
     /// An entry that has nobody to hear from takes its own view for good after a pause.
-    fn clear_pause(&mut self) {
-        let others = self.census.members.iter();
+    fn end_pause_if_alone(&mut self) {
+        let others = self.fleet.members.iter();
         let mut others = others.filter(|one| one.state != fleet::member::State::Gone);
         if self.flags.paused_at.is_some() && others.next().is_none() {
             self.flags.paused_at = None;
@@ -150,71 +155,71 @@
     /// Reads the log without waiting for records when a holder is overdue. A challenge needs a read
     /// that was sent after the wait; the long poll that stands at that moment was sent before it,
     /// and would add its length to the time without a holder.
-    fn look_again(&mut self, now: Moment) {
-        let whole = self.flags.caught_up && self.ledger.is_whole();
-        let overdue = self.scopes.is_overdue(now, self.ledger.authority());
-        if !overdue || !whole || std::mem::replace(&mut self.flags.looking, true) {
+    fn probe_log(&mut self, now: Moment) {
+        let up_to_date = self.flags.caught_up && self.replica.is_up_to_date();
+        let overdue = self.scopes.is_overdue(now, self.replica.authority());
+        if !overdue || !up_to_date || std::mem::replace(&mut self.flags.probing_log, true) {
             return;
         }
         let (log, sender) = (self.appends.log().clone(), self.sender.clone());
-        let from = self.ledger.folded() + 1;
+        let from = self.replica.folded() + 1;
         actix_rt::spawn(async move {
             let read = log.read(from, 1, Duration::ZERO).await;
             let next = read.ok().map(|chunk| chunk.next);
-            send(&sender, Message::Looked { asked: now, next });
+            send(&sender, Message::LogProbed { sent_at: now, next });
         });
     }
 
     /// A read without a wait ended. If it found no record beyond what is folded, it was as good as
     /// one that brought all of them.
-    pub(super) fn looked(&mut self, now: Moment, asked: Moment, next: Option<Offset>) {
-        self.flags.looking = false;
-        if next.is_some_and(|next| next <= self.ledger.folded() + 1) {
-            let (scopes, around) = self.split(now);
-            scopes.read(&around, asked);
+    pub(super) fn log_probed(&mut self, now: Moment, sent_at: Moment, next: Option<Offset>) {
+        self.flags.probing_log = false;
+        if next.is_some_and(|next| next <= self.replica.folded() + 1) {
+            let (scopes, context) = self.scopes_and_context(now);
+            scopes.log_read(&context, sent_at);
         }
     }
 
     /// Lets each pool's planner of roles see the demand of all entries. Every process plans, so that
     /// a successor knows the past; only the holder's proposals become changes.
     fn plan_roles(&mut self, now: Moment) {
-        if !self.flags.caught_up || now < self.planned + PLAN_PERIOD {
+        if !self.flags.caught_up || now < self.roles_planned_at + ROLE_PLANNING_INTERVAL {
             return;
         }
-        self.planned = now;
+        self.roles_planned_at = now;
         let hooks = self.shared.hooks();
-        let outside = roles::Outside {
+        let inputs = roles::RoleInputs {
             now,
-            catalogue: self.ledger.catalogue().view(),
-            authority: self.ledger.authority(),
-            census: &self.census,
-            frames: &self.frames,
-            own: &self.shared.pool_demand(now),
-            open: &|id| (hooks.open_requests)(id),
+            catalogue: self.replica.catalogue().view(),
+            authority: self.replica.authority(),
+            fleet: &self.fleet,
+            frames: &self.peer_frames,
+            local_demand: &self.shared.pool_demand(now),
+            open_requests: &|id| (hooks.open_requests)(id),
         };
-        for (pool, wanted) in self.roles.step(&outside) {
-            let upstream = wanted.0.clone();
-            let (scopes, around) = self.split(now);
-            if scopes.want(&around, &pool, wanted, Reason::Plan) {
+        for (pool, change) in self.role_planners.step(&inputs) {
+            let upstream = change.0.clone();
+            let (scopes, context) = self.scopes_and_context(now);
+            if scopes.request_change(&context, &pool, change, Reason::Plan) {
                 log::info!(pool, upstream; "a change of role is planned");
             }
         }
     }
 
-    fn keep_snapshots(&mut self, now: Moment) {
-        if !self.ledger.is_whole() || self.log_state(now) != view::Log::Up {
+    fn write_due_snapshot(&mut self, now: Moment) {
+        if !self.replica.is_up_to_date() || self.log_state(now) != view::Log::Up {
             return;
         }
-        let (first, next) = self.ledger.bounds();
+        let (first, next) = self.replica.retained();
         let window = Window {
             first,
             next,
-            covered: self.ledger.covered(),
+            snapshot_upto: self.replica.snapshot_upto(),
         };
-        if !self.keeper.is_due(now, window) {
+        if !self.snapshots.is_due(now, window) {
             return;
         }
-        if let Some(snapshot) = self.ledger.snapshot() {
+        if let Some(snapshot) = self.replica.snapshot() {
             log::info!(upto = snapshot.upto; "writing a snapshot");
             let nonce = self.nonces.next_nonce();
             let body = RecordBody::Snapshot(snapshot);
--- a/crates/control/src/edits.rs
+++ b/crates/control/src/edits.rs
@@ -9,7 +9,7 @@
 use platform::AppendError;
 use tokio::sync::oneshot;
 
-use crate::appends::{Ended, Nonce};
+use crate::appends::{CompletedAppend, Nonce};
 
 /// Why an edit is not in force, as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,33 +41,44 @@
 impl Error for EditError {}
 
 /// What an operator is told.
-pub(crate) type Answer = Result<Revision, EditError>;
+pub(crate) type EditResult = Result<Revision, EditError>;
 
-struct Waiting {
-    reply: oneshot::Sender<Answer>,
-    until: Moment,
+struct PendingEdit {
+    reply: oneshot::Sender<EditResult>,
+    deadline: Moment,
 }
 
 /// Edits of this process that were not read back.
 #[derive(Default)]
-pub(crate) struct Edits {
-    waiting: BTreeMap<Nonce, Waiting>,
+pub(crate) struct PendingEdits {
+    pending: BTreeMap<Nonce, PendingEdit>,
 }
 
-impl Edits {
-    pub(crate) fn wait(&mut self, nonce: Nonce, until: Moment, reply: oneshot::Sender<Answer>) {
-        self.waiting.insert(nonce, Waiting { reply, until });
+impl PendingEdits {
+    pub(crate) fn insert(
+        &mut self,
+        nonce: Nonce,
+        until: Moment,
+        reply: oneshot::Sender<EditResult>,
+    ) {
+        self.pending.insert(
+            nonce,
+            PendingEdit {
+                reply,
+                deadline: until,
+            },
+        );
     }
 
     /// An offset tells that the record stands, not that it is accepted; an unknown end is resolved
     /// by reading on. Only a refusal of the log ends the wait.
-    pub(crate) fn appended(&mut self, ended: &Ended) {
-        if let Err(AppendError::Refused { .. }) = ended.result {
-            self.answer(&ended.nonce, Err(EditError::Unavailable));
+    pub(crate) fn appended(&mut self, append: &CompletedAppend) {
+        if let Err(AppendError::Refused { .. }) = append.result {
+            self.reply(&append.nonce, Err(EditError::Unavailable));
         }
     }
 
-    pub(crate) fn judged(&mut self, nonce: &[u8], verdict: &Verdict) {
+    pub(crate) fn resolve(&mut self, nonce: &[u8], verdict: &Verdict) {
         let Ok(nonce) = Nonce::try_from(nonce) else {
             return;
         };
@@ -76,22 +87,22 @@
             Verdict::Refused(refusal) => Err(EditError::Refused(refusal.clone())),
             Verdict::Undecided { rules } => Err(EditError::Undecided(*rules)),
         };
-        self.answer(&nonce, answer);
+        self.reply(&nonce, answer);
     }
 
     pub(crate) fn tick(&mut self, now: Moment) {
         let overdue = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, waiting)| waiting.until <= now);
+            .filter(|(_, waiting)| waiting.deadline <= now);
         let overdue: Vec<Nonce> = overdue.map(|(nonce, _)| *nonce).collect();
         for nonce in overdue {
-            self.answer(&nonce, Err(EditError::Unknown));
+            self.reply(&nonce, Err(EditError::Unknown));
         }
     }
 
-    fn answer(&mut self, nonce: &Nonce, answer: Answer) {
-        if let Some(waiting) = self.waiting.remove(nonce) {
+    fn reply(&mut self, nonce: &Nonce, answer: EditResult) {
+        if let Some(waiting) = self.pending.remove(nonce) {
             // An operator who went away reads the history.
             let _gone = waiting.reply.send(answer);
         }
--- a/crates/control/src/engines.rs
+++ b/crates/control/src/engines.rs
@@ -14,11 +14,11 @@
 use tokio::net::TcpStream;
 
 use crate::message::{Message, Sender, send};
-use crate::order::{from_model, from_role, to_what};
+use crate::order::{from_model, from_role, to_platform_action};
 
 /// What an engine, or a plain service that was probed, answered.
 #[derive(Debug)]
-pub(crate) enum Answer {
+pub(crate) enum EngineReply {
     /// For the change of an order.
     Change {
         scope: String,
@@ -78,34 +78,34 @@
         let (engines, scope) = (self.clone(), scope.to_owned());
         actix_rt::spawn(async move {
             let input = match output {
-                Output::Read { request: ticket } => engines.read(ticket, address).await,
+                Output::Read { request } => engines.read(request, address).await,
                 Output::Send {
-                    request: ticket,
+                    request,
                     order,
                     fence,
-                    action: what,
+                    action,
                     not_after,
                 } => {
                     let order = platform::Order {
                         order,
                         fence,
-                        what: to_what(&what),
+                        what: to_platform_action(&action),
                     };
-                    Input::Sent(ticket, engines.order(address, &order, not_after).await)
+                    Input::Sent(request, engines.order(address, &order, not_after).await)
                 }
                 Output::Cancel {
-                    request: ticket,
+                    request,
                     order,
                     fence,
                     not_after,
                 } => {
-                    let receipt = engines.cancel(address, order, fence, not_after).await;
-                    Input::Cancelled(ticket, receipt)
+                    let result = engines.cancel(address, order, fence, not_after).await;
+                    Input::Cancelled(request, result)
                 }
                 // The planner turns it into an append before it gets here.
                 Output::Conclude { .. } => return,
             };
-            engines.tell(Answer::Change {
+            engines.send_reply(EngineReply::Change {
                 scope,
                 order,
                 input,
@@ -124,11 +124,11 @@
         let (engines, scope) = (self.clone(), scope.to_owned());
         actix_rt::spawn(async move {
             if let Ok(state) = engines.client.state(&address, engines.timeout).await {
-                engines.tell(Answer::Checked {
+                engines.send_reply(EngineReply::Checked {
                     scope,
                     upstream,
                     settled,
-                    reading: reading(&state),
+                    reading: to_reading(&state),
                 });
             }
         });
@@ -145,13 +145,13 @@
                     .state(&address, engines.timeout)
                     .await
                     .is_ok(),
-                _ => engines.connects(&address).await,
+                _ => engines.can_connect(&address).await,
             };
             let observation = match alive {
                 true => Observation::Answered((engines.now)().saturating_sub(begun)),
                 false => Observation::Failed,
             };
-            engines.tell(Answer::Probed {
+            engines.send_reply(EngineReply::Probed {
                 upstream,
                 observation,
             });
@@ -163,29 +163,29 @@
         let engines = self.clone();
         actix_rt::spawn(async move {
             let report = engines.client.report(&address, engines.timeout).await;
-            engines.tell(Answer::Reported {
+            engines.send_reply(EngineReply::Reported {
                 upstream,
                 report: report.ok(),
             });
         });
     }
 
-    async fn connects(&self, address: &str) -> bool {
+    async fn can_connect(&self, address: &str) -> bool {
         let connection = actix_rt::time::timeout(self.timeout, TcpStream::connect(address)).await;
         matches!(connection, Ok(Ok(_)))
     }
 
-    async fn read(&self, ticket: RequestId, address: Option<String>) -> Input {
+    async fn read(&self, request: RequestId, address: Option<String>) -> Input {
         let Some(address) = address else {
-            return Input::Unreachable(ticket);
+            return Input::Unreachable(request);
         };
         let state: Result<EngineState, Report<EngineError>> =
             self.client.state(&address, self.timeout).await;
         match state {
-            Ok(state) => Input::Reading(ticket, reading(&state)),
+            Ok(state) => Input::Reading(request, to_reading(&state)),
             Err(report) => {
                 log::debug!(address, error:? = report; "an engine was not read");
-                Input::Unreachable(ticket)
+                Input::Unreachable(request)
             }
         }
     }
@@ -196,11 +196,11 @@
         order: &platform::Order,
         not_after: Moment,
     ) -> SendResult {
-        let Some((address, left)) = self.begin(address, not_after) else {
+        let Some((address, left)) = self.check_deadline(address, not_after) else {
             return SendResult::Failed;
         };
         log::info!(order = order.order, fence = order.fence, address; "order sent");
-        receipt(self.client.order(&address, order, left).await)
+        to_send_result(self.client.order(&address, order, left).await)
     }
 
     async fn cancel(
@@ -210,28 +210,32 @@
         fence: Fence,
         not_after: Moment,
     ) -> SendResult {
-        let Some((address, left)) = self.begin(address, not_after) else {
+        let Some((address, left)) = self.check_deadline(address, not_after) else {
             return SendResult::Failed;
         };
         log::info!(order, fence, address; "order cancelled");
-        receipt(self.client.cancel(&address, order, fence, left).await)
+        to_send_result(self.client.cancel(&address, order, fence, left).await)
     }
 
     /// The last look at the clock before bytes leave: a process that was paused since its lease was
     /// checked must not act on it. What is left of the time bounds the call, so that nothing is
     /// sent after the lease.
-    fn begin(&self, address: Option<String>, not_after: Moment) -> Option<(String, Duration)> {
+    fn check_deadline(
+        &self,
+        address: Option<String>,
+        not_after: Moment,
+    ) -> Option<(String, Duration)> {
         let left = not_after.checked_sub((self.now)())?;
         let address = address.filter(|_| !left.is_zero())?;
         Some((address, left))
     }
 
-    fn tell(&self, answer: Answer) {
+    fn send_reply(&self, answer: EngineReply) {
         send(&self.sender, Message::Engine(answer));
     }
 }
 
-fn receipt(receipt: platform::Receipt) -> SendResult {
+fn to_send_result(receipt: platform::Receipt) -> SendResult {
     match receipt {
         platform::Receipt::Accepted => SendResult::Accepted,
         platform::Receipt::Superseded(fence) => SendResult::Superseded { fence },
@@ -241,7 +245,7 @@
     }
 }
 
-fn reading(state: &EngineState) -> Reading {
+fn to_reading(state: &EngineState) -> Reading {
     let progress = |progress| match progress {
         platform::Progress::Running => Some(Progress::Running),
         platform::Progress::Done => Some(Progress::Done),
--- a/crates/control/src/census.rs
+++ b/crates/control/src/fleet_state.rs
@@ -19,13 +19,13 @@
 
 /// A closing as the data plane must have seen it before this process may confirm it.
 #[derive(Clone, Copy, Debug)]
-struct Shown {
+struct ClosingView {
     /// The first view in which the upstream is closed.
     sequence: Option<u64>,
 }
 
 /// What is known of the fleet.
-pub(crate) struct Census {
+pub(crate) struct FleetState {
     pub(crate) list: list::View,
     pub(crate) members: Members,
     pub(crate) upstreams: Upstreams,
@@ -33,13 +33,13 @@
     reports: BTreeMap<String, Report>,
     up_since: BTreeMap<String, Moment>,
     closings: BTreeMap<Offset, String>,
-    shown: BTreeMap<Offset, Shown>,
-    doubted: u64,
+    closing_views: BTreeMap<Offset, ClosingView>,
+    rejected_listings: u64,
     /// Grows whenever the state of any upstream changes.
-    changes: u64,
+    state_changes: u64,
 }
 
-impl Census {
+impl FleetState {
     pub(crate) fn new(now: Moment, options: &Options) -> Self {
         Self {
             list: list::View::new(options.list),
@@ -49,9 +49,9 @@
             reports: BTreeMap::new(),
             up_since: BTreeMap::new(),
             closings: BTreeMap::new(),
-            shown: BTreeMap::new(),
-            doubted: 0,
-            changes: 0,
+            closing_views: BTreeMap::new(),
+            rejected_listings: 0,
+            state_changes: 0,
         }
     }
 
@@ -64,13 +64,13 @@
     }
 
     /// How often the state of an upstream changed.
-    pub(crate) fn changes(&self) -> u64 {
-        self.changes
+    pub(crate) fn state_changes(&self) -> u64 {
+        self.state_changes
     }
 
     /// Readings of the list that were not believed.
-    pub(crate) fn doubted(&self) -> u64 {
-        self.doubted
+    pub(crate) fn rejected_listings(&self) -> u64 {
+        self.rejected_listings
     }
 
     /// Takes a reading of the list in.
@@ -79,19 +79,19 @@
         now: Moment,
         listing: &platform::Listing,
     ) -> (member::Outputs, upstream::Outputs) {
-        let reading = self.list.read(now, checked(listing));
+        let reading = self.list.read(now, to_listing(listing));
         if matches!(reading, ReadOutcome::Doubted | ReadOutcome::Outdated) {
-            self.doubted += 1;
+            self.rejected_listings += 1;
             log::warn!(reading:?, version = listing.version; "a reading of the instance list is not believed");
         }
         let members = self.members.step(now, member::Input::List(&self.list));
         let upstreams = self.upstreams.step(now, upstream::Input::List(&self.list));
-        self.note(now, &upstreams);
+        self.apply_outputs(now, &upstreams);
         (members, upstreams)
     }
 
     /// Closes and opens upstreams as the fold says: unresolved orders and operators' drains.
-    pub(crate) fn follow(
+    pub(crate) fn apply_closings(
         &mut self,
         now: Moment,
         authority: &authority::state::State,
@@ -108,7 +108,7 @@
                     upstream,
                 };
                 let outputs = self.upstreams.step(now, input);
-                self.note(now, &outputs);
+                self.apply_outputs(now, &outputs);
             }
         }
         let drains: Vec<String> = catalogue
@@ -116,7 +116,7 @@
             .map(str::to_owned)
             .collect();
         let outputs = self.upstreams.step(now, upstream::Input::Drains(&drains));
-        self.note(now, &outputs);
+        self.apply_outputs(now, &outputs);
         for upstream in drains {
             if let Some(slot) = catalogue.slot(EntityKind::Drain, &upstream) {
                 closings.insert(slot.revision, upstream);
@@ -124,22 +124,24 @@
         }
         for (order, upstream) in &closings {
             self.drain.begin(now, *order, upstream);
-            self.shown.entry(*order).or_insert(Shown { sequence: None });
+            self.closing_views
+                .entry(*order)
+                .or_insert(ClosingView { sequence: None });
         }
         let ended: Vec<Offset> = self.closings.keys().copied().collect();
         for order in ended.iter().filter(|order| !closings.contains_key(order)) {
             self.drain.end(*order);
-            self.shown.remove(order);
+            self.closing_views.remove(order);
             let input = upstream::Input::Open { order: *order };
             let outputs = self.upstreams.step(now, input);
-            self.note(now, &outputs);
+            self.apply_outputs(now, &outputs);
         }
         self.closings = closings;
     }
 
     /// Notes that the view of this sequence shows all closings that are in force.
-    pub(crate) fn published(&mut self, sequence: u64) {
-        for shown in self.shown.values_mut() {
+    pub(crate) fn record_published(&mut self, sequence: u64) {
+        for shown in self.closing_views.values_mut() {
             shown.sequence.get_or_insert(sequence);
         }
     }
@@ -147,24 +149,31 @@
     /// The confirmations that this process may give: only for closings that the whole data plane
     /// has seen. One that came earlier would be given while a worker still chooses by the old
     /// view, and the order would cut its request.
-    pub(crate) fn owed(&self, applied: u64, open: impl FnMut(&str) -> u32) -> Vec<Confirm> {
+    pub(crate) fn due_confirmations(
+        &self,
+        applied: u64,
+        open: impl FnMut(&str) -> u32,
+    ) -> Vec<Confirm> {
         let seen = |order: Offset| {
-            let shown = self.shown.get(&order).and_then(|shown| shown.sequence);
+            let shown = self
+                .closing_views
+                .get(&order)
+                .and_then(|shown| shown.sequence);
             shown.is_some_and(|sequence| applied >= sequence)
         };
-        let mut owed = self.drain.due_confirmations(open);
-        owed.retain(|confirm| seen(confirm.order));
-        owed
+        let mut due = self.drain.due_confirmations(open);
+        due.retain(|confirm| seen(confirm.order));
+        due
     }
 
-    pub(crate) fn confirm_own(&mut self, confirms: &[Confirm]) {
-        let own = self.members.local().clone();
+    pub(crate) fn confirm_local(&mut self, confirms: &[Confirm]) {
+        let local = self.members.local().clone();
         for confirm in confirms {
-            self.drain.confirm_local(&own, confirm);
+            self.drain.confirm_local(&local, confirm);
         }
     }
 
-    pub(crate) fn frame(&mut self, now: Moment, frame: &Frame) -> member::Outputs {
+    pub(crate) fn receive_frame(&mut self, now: Moment, frame: &Frame) -> member::Outputs {
         self.members.step(now, member::Input::Frame(frame))
     }
 
@@ -175,40 +184,40 @@
     ) -> (member::Outputs, upstream::Outputs) {
         let members = self.members.step(now, member::Input::Tick(progress));
         let upstreams = self.upstreams.step(now, upstream::Input::Tick);
-        self.note(now, &upstreams);
+        self.apply_outputs(now, &upstreams);
         (members, upstreams)
     }
 
-    pub(crate) fn observe(&mut self, now: Moment, id: &str, observation: Observation) {
+    pub(crate) fn record_attempt(&mut self, now: Moment, id: &str, observation: Observation) {
         let input = upstream::Input::Attempt {
             upstream: id,
             observation,
         };
         let outputs = self.upstreams.step(now, input);
-        self.note(now, &outputs);
+        self.apply_outputs(now, &outputs);
     }
 
-    pub(crate) fn probed(&mut self, now: Moment, id: &str, observation: Observation) {
+    pub(crate) fn record_probe(&mut self, now: Moment, id: &str, observation: Observation) {
         let input = upstream::Input::Probe {
             upstream: id,
             observation,
         };
         let outputs = self.upstreams.step(now, input);
-        self.note(now, &outputs);
+        self.apply_outputs(now, &outputs);
     }
 
-    pub(crate) fn reported(&mut self, now: Moment, id: &str, said: EngineReport) {
+    pub(crate) fn record_report(&mut self, now: Moment, id: &str, content: EngineReport) {
         if self.upstreams.get(id).is_none() {
             return;
         }
-        let at = now.saturating_sub(said.age());
+        let at = now.saturating_sub(content.age());
         // An answer that was long under way must not replace a newer one.
         if self
             .reports
             .get(id)
             .is_none_or(|known| known.measured_at <= at)
         {
-            let said = Arc::new(said);
+            let said = Arc::new(content);
             self.reports.insert(
                 id.to_owned(),
                 Report {
@@ -241,22 +250,22 @@
 
     /// Upstreams of a pool that could take new work if no order closed them.
     pub(crate) fn serving(&self, pool: &str) -> std::collections::BTreeSet<String> {
-        let could = |upstream: &&upstream::Upstream| {
+        let can_serve = |upstream: &&upstream::Upstream| {
             upstream.pool == pool
                 && matches!(
                     upstream.state,
                     upstream::State::Live | upstream::State::Closed
                 )
         };
-        let serving = self.upstreams.iter().filter(could);
+        let serving = self.upstreams.iter().filter(can_serve);
         serving.map(|upstream| upstream.id.clone()).collect()
     }
 
-    fn note(&mut self, now: Moment, outputs: &SmallVec<[upstream::Output; 4]>) {
+    fn apply_outputs(&mut self, now: Moment, outputs: &SmallVec<[upstream::Output; 4]>) {
         for output in outputs {
             match output {
                 upstream::Output::Changed { id, was, state } => {
-                    self.changes += 1;
+                    self.state_changes += 1;
                     log::info!(upstream = id.as_str(), was:?, state:?; "upstream changed");
                     if *state == upstream::State::Live {
                         // At the first listing none is cold; its slow start is over.
@@ -277,7 +286,7 @@
     }
 }
 
-fn checked(listing: &platform::Listing) -> Listing {
+fn to_listing(listing: &platform::Listing) -> Listing {
     let instances = listing.instances.iter().map(|instance| Instance {
         id: instance.id.clone(),
         kind: match instance.kind {
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -24,23 +24,23 @@
 
 /// Observations that wait for the control's next look. Beyond, a fleet is either very busy, and a
 /// few lost answers change nothing, or the control stands still.
-const OBSERVATIONS: usize = 4096;
+const MAX_QUEUED_OBSERVATIONS: usize = 4096;
 
 /// Time over which demand is smoothed; the planner of roles reckons with about as much delay.
-const SMOOTHING: Duration = Duration::from_secs(3);
+const DEMAND_SMOOTHING: Duration = Duration::from_secs(3);
 
 /// What handles and the control share.
 #[derive(Debug, Default)]
 pub(crate) struct Shared {
     hooks: RwLock<Arc<Hooks>>,
     observations: Mutex<Vec<(Arc<str>, Observation)>>,
-    tickets: AtomicU64,
-    asked: Mutex<BTreeMap<Arc<str>, Asked>>,
+    last_call_id: AtomicU64,
+    demand: Mutex<BTreeMap<Arc<str>, DemandRates>>,
 }
 
 /// Tokens that callers ask of a pool.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct DemandRates {
     prefill: Rate,
     decode: Rate,
 }
@@ -58,11 +58,11 @@
         std::mem::take(&mut *held)
     }
 
-    fn note(&self, now: Moment, pool: &Arc<str>, prefill: f64, decode: f64) {
-        let mut held = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        let asked = held.entry(Arc::clone(pool)).or_insert_with(|| Asked {
-            prefill: Rate::new(now, SMOOTHING),
-            decode: Rate::new(now, SMOOTHING),
+    fn record_demand(&self, now: Moment, pool: &Arc<str>, prefill: f64, decode: f64) {
+        let mut held = self.demand.lock().unwrap_or_else(PoisonError::into_inner);
+        let asked = held.entry(Arc::clone(pool)).or_insert_with(|| DemandRates {
+            prefill: Rate::new(now, DEMAND_SMOOTHING),
+            decode: Rate::new(now, DEMAND_SMOOTHING),
         });
         asked.prefill.record(now, prefill);
         asked.decode.record(now, decode);
@@ -70,7 +70,7 @@
 
     /// What callers ask here of each pool.
     pub(crate) fn pool_demand(&self, now: Moment) -> Vec<PoolDemand> {
-        let held = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
+        let held = self.demand.lock().unwrap_or_else(PoisonError::into_inner);
         let demand = held.iter().map(|(pool, asked)| PoolDemand {
             pool: pool.to_string(),
             prefill: asked.prefill.per_second(now) as f32,
@@ -107,17 +107,17 @@
 }
 
 /// Tells the control that a caller has gone before its call was decided.
-struct Pending {
+struct CallerGuard {
     sender: Sender,
-    ticket: CallId,
+    call_id: CallId,
     decided: bool,
 }
 
-impl Drop for Pending {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
-        let ticket = self.ticket;
+        let call_id = self.call_id;
         if !self.decided {
-            let job = Box::new(move |core: &mut Core| core.gone(ticket));
+            let job = Box::new(move |core: &mut Core| core.caller_gone(call_id));
             crate::message::send(&self.sender, Message::Run(job));
         }
     }
@@ -155,9 +155,9 @@
     /// Claims the key of a call and waits for the decision. If the future is dropped the call
     /// counts as one whose caller has gone; it does not run then.
     pub async fn claim(&self, claim: Claim) -> Claimed {
-        let ticket = self.shared.tickets.fetch_add(1, Ordering::Relaxed) + 1;
+        let call_id = self.shared.last_call_id.fetch_add(1, Ordering::Relaxed) + 1;
         let call = Call {
-            id: ticket,
+            id: call_id,
             key: claim.key,
             fingerprint: claim.fingerprint,
             request: claim.request,
@@ -168,24 +168,21 @@
         let executed = call.executed();
         let (reply, decision) = oneshot::channel();
         self.run(move |core| core.claim(call, reply));
-        let mut pending = Pending {
+        let mut guard = CallerGuard {
             sender: self.sender.clone(),
-            ticket,
+            call_id,
             decided: false,
         };
         let decision = decision.await;
-        pending.decided = true;
+        guard.decided = true;
         // The control has stopped: the call was never told to run.
         let decision = decision.unwrap_or(Decision::Refused { executed });
-        Claimed {
-            call_id: ticket,
-            decision,
-        }
+        Claimed { call_id, decision }
     }
 
     /// Tells how a call ended that was to run.
-    pub fn conclude(&self, ticket: CallId, end: CallEnd) {
-        self.run(move |core| core.conclude(ticket, end));
+    pub fn conclude(&self, call_id: CallId, end: CallEnd) {
+        self.run(move |core| core.conclude(call_id, end));
     }
 
     /// Tells how an attempt at an upstream ended. It costs a short lock and no wake-up of the
@@ -193,7 +190,7 @@
     pub fn observe(&self, upstream: &Arc<str>, observation: Observation) {
         let shared = &self.shared.observations;
         let mut held = shared.lock().unwrap_or_else(PoisonError::into_inner);
-        if held.len() < OBSERVATIONS {
+        if held.len() < MAX_QUEUED_OBSERVATIONS {
             held.push((Arc::clone(upstream), observation));
         }
     }
@@ -203,7 +200,7 @@
     /// planned by it.
     pub fn record_demand(&self, now: Moment, pool: &Arc<str>, prefill: u32, decode: u32) {
         let shared = &self.shared;
-        shared.note(now, pool, f64::from(prefill), f64::from(decode));
+        shared.record_demand(now, pool, f64::from(prefill), f64::from(decode));
     }
 
     /// Makes an edit and waits until it is judged.
@@ -257,13 +254,13 @@
     /// [`OrderError`].
     pub async fn submit_order(
         &self,
-        wish: &ChangeRequest,
+        request: &ChangeRequest,
         operator: &str,
     ) -> Result<(), OrderError> {
         let (reply, answer) = oneshot::channel();
-        let (upstream, operator) = (wish.upstream.clone(), operator.to_owned());
-        let what = Order::from(&wish.action);
-        self.run(move |core| core.wish(upstream, &what, operator, reply));
+        let (upstream, operator) = (request.upstream.clone(), operator.to_owned());
+        let action = Order::from(&request.action);
+        self.run(move |core| core.request_change(upstream, &action, operator, reply));
         answer.await.unwrap_or(Err(OrderError::Stopped))
     }
 
@@ -271,14 +268,14 @@
     pub async fn held_answer(&self, instance: &str, key: Key) -> Option<Answer> {
         let (reply, answer) = oneshot::channel();
         let instance = instance.to_owned();
-        self.run(move |core| core.ask_answer(&instance, key, reply));
+        self.run(move |core| core.query_held_answer(&instance, key, reply));
         answer.await.ok().flatten()
     }
 
     /// The burn counters of all entries that can be asked, this one among them.
     pub async fn merged_burn(&self) -> Burn {
         let (reply, answer) = oneshot::channel();
-        self.run(move |core| core.ask_burn(reply));
+        self.run(move |core| core.query_burn(reply));
         answer.await.unwrap_or_default()
     }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -8,26 +8,26 @@
 //! beside it and report back. See [`docs/design/control.md`](../../../docs/design/control.md).
 
 mod appends;
+mod broadcasts;
 mod calls;
-mod census;
 mod core;
 mod edits;
 mod engines;
+mod fleet_state;
 mod handle;
 pub mod hooks;
-mod keeper;
-mod ledger;
 mod mesh;
 mod message;
 pub mod options;
 pub mod order;
 mod publisher;
-mod reports;
+mod replica;
+mod report_schedule;
 mod roles;
 mod scopes;
+mod snapshot_schedule;
 mod start;
 pub mod status;
-mod told;
 pub mod view;
 
 pub use edits::EditError;
--- a/crates/control/src/mesh.rs
+++ b/crates/control/src/mesh.rs
@@ -15,7 +15,7 @@
 use crate::options;
 
 /// Longest wait for the answer of a peer.
-const PATIENCE: Duration = Duration::from_secs(2);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The mesh, or nothing where this entry stands alone.
 #[derive(Clone, Default)]
@@ -36,11 +36,11 @@
         let config = Config::new(own, options.listen, options.keys.clone());
         let handler = move |event: Event| send(&sender, Message::Peer(event));
         let mesh = peer::Mesh::start(config, handler)?;
-        actix_rt::spawn(reload(mesh.clone(), options.clone()));
+        actix_rt::spawn(reload_changed_keys(mesh.clone(), options.clone()));
         Ok(Self { mesh: Some(mesh) })
     }
 
-    pub(crate) fn is_alone(&self) -> bool {
+    pub(crate) fn is_disabled(&self) -> bool {
         self.mesh.is_none()
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Dials the entries of the list. One that is leaving is not dialed; a connection to it stays.
-    pub(crate) fn follow(&self, list: &View) {
+    pub(crate) fn set_members(&self, list: &View) {
         let Some(mesh) = &self.mesh else { return };
         let entries = list.iter().filter(|line| line.kind == Kind::Entry);
         let peers: Vec<peer::Peer> = entries
@@ -83,7 +83,7 @@
     ) -> impl Future<Output = Option<Reply>> + use<> {
         let (mesh, to) = (self.mesh.clone(), to.to_owned());
         async move {
-            let answer = mesh?.query(&to, query, PATIENCE).await;
+            let answer = mesh?.query(&to, query, QUERY_TIMEOUT).await;
             answer
                 .inspect_err(
                     |error| log::debug!(peer = to, error:? = error; "a peer gave no answer"),
@@ -110,21 +110,21 @@
 }
 
 /// Reads the keys again and again, so that they are rotated without a restart.
-async fn reload(mesh: peer::Mesh, options: options::Mesh) {
+async fn reload_changed_keys(mesh: peer::Mesh, options: options::Mesh) {
     if options.reload.is_zero() {
         return;
     }
-    let mut known = fingerprint(&options.keys);
+    let mut loaded = fingerprint(&options.keys);
     loop {
         actix_rt::time::sleep(options.reload).await;
         let found = fingerprint(&options.keys);
-        if found == known || found.is_none() {
+        if found == loaded || found.is_none() {
             continue;
         }
         match mesh.reload(&options.keys) {
             Ok(()) => {
                 log::info!("new keys are in use");
-                known = found;
+                loaded = found;
             }
             Err(error) => log::error!(error:? = error; "new keys can't be used; the old ones stay"),
         }
@@ -144,7 +144,7 @@
 }
 
 /// Whom to ask for a newer state: the entry that was heard lately and has folded most.
-pub(crate) fn most_advanced(members: &Members, folded: crate::Offset) -> Option<String> {
+pub(crate) fn most_advanced_peer(members: &Members, folded: crate::Offset) -> Option<String> {
     let ahead = members.iter().filter(|member| {
         let alive = matches!(
             member.state,
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -6,9 +6,9 @@
 use wire::record::Snapshot;
 
 use crate::Offset;
-use crate::appends::Ended;
+use crate::appends::CompletedAppend;
 use crate::core::Core;
-use crate::engines::Answer;
+use crate::engines::EngineReply;
 
 /// Work that another thread wants done on the control's state.
 pub(crate) type Job = Box<dyn FnOnce(&mut Core) + Send>;
@@ -20,18 +20,18 @@
     /// The mesh tells something.
     Peer(peer::Event),
     /// An append ended.
-    Appended(Ended),
+    Appended(CompletedAppend),
     /// An engine answered, or did not.
-    Engine(Answer),
+    Engine(EngineReply),
     /// A read of the log without a wait ended.
-    Looked {
+    LogProbed {
         /// When it was sent.
-        asked: Moment,
+        sent_at: Moment,
         /// The offset of the next append, if it was answered.
         next: Option<Offset>,
     },
     /// A peer gave its state.
-    State(Box<Snapshot>),
+    PeerState(Box<Snapshot>),
     /// A handle wants something.
     Run(Job),
 }
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -10,10 +10,10 @@
 use peer::keys::{Pem, Source};
 
 /// Renewals of a lease in its term, as `authority` makes them.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TERM: u32 = 3;
 
 /// Largest pause before an append is made anew.
-const LONGEST_RETRY: Duration = Duration::from_millis(500);
+const MAX_APPEND_RETRY: Duration = Duration::from_millis(500);
 
 /// By how much the challengers of one scope differ in their waits.
 const STAGGER: Duration = Duration::from_millis(200);
@@ -144,7 +144,7 @@
         lease: lease.term,
         margin: lease.margin,
         stagger: STAGGER,
-        retry: (lease.term / RENEWALS / 2).min(LONGEST_RETRY),
+        retry: (lease.term / RENEWALS_PER_TERM / 2).min(MAX_APPEND_RETRY),
         ..TermConfig::default()
     };
     Term::try_from(figures)
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -39,8 +39,8 @@
 }
 
 impl From<&Action> for Order {
-    fn from(what: &Action) -> Self {
-        match what {
+    fn from(action: &Action) -> Self {
+        match action {
             Action::SetRole { role } => Self::SetRole(from_role(*role)),
             Action::LoadModel(model) => Self::LoadModel(from_model(model)),
             Action::UnloadModel(model) => Self::UnloadModel(from_model(model)),
@@ -103,7 +103,7 @@
     }
 }
 
-pub(crate) fn to_what(order: &Order) -> platform::What {
+pub(crate) fn to_platform_action(order: &Order) -> platform::What {
     let model = |model: &Model| platform::Model {
         model: model.model.clone(),
         version: model.version.clone(),
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -12,20 +12,20 @@
 use wire::peer::{Demand, Outstanding, PoolDemand};
 
 use crate::Offset;
-use crate::census::Census;
-use crate::ledger::Ledger;
+use crate::fleet_state::FleetState;
 use crate::order::to_role;
+use crate::replica::Replica;
 use crate::view::{Log, Peer, Reason, Upstream, View};
 
 /// Newest frames of the peers, with their moments of arrival.
 #[derive(Debug, Default)]
-pub(crate) struct Frames {
+pub(crate) struct PeerFrames {
     pub(crate) loads: BTreeMap<String, (Moment, Arc<[Outstanding]>)>,
     pub(crate) demands: BTreeMap<String, (Moment, Arc<[Demand]>)>,
     pub(crate) pools: BTreeMap<String, (Moment, Vec<PoolDemand>)>,
 }
 
-impl Frames {
+impl PeerFrames {
     /// Forgets peers that are gone.
     pub(crate) fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.loads.retain(|id, _| known(id));
@@ -35,11 +35,11 @@
 }
 
 /// What the view is made of.
-pub(crate) struct Parts<'a> {
+pub(crate) struct ViewInputs<'a> {
     pub(crate) now: Moment,
-    pub(crate) ledger: &'a Ledger,
-    pub(crate) census: &'a Census,
-    pub(crate) frames: &'a Frames,
+    pub(crate) replica: &'a Replica,
+    pub(crate) fleet: &'a FleetState,
+    pub(crate) frames: &'a PeerFrames,
     pub(crate) health: &'a fleet::health::Settings,
     pub(crate) log: Log,
     pub(crate) reasons: SmallVec<[Reason; 2]>,
@@ -65,9 +65,9 @@
 
     /// Publishes a view if it differs from the current one; gives the sequence of the view that
     /// shows these parts.
-    pub(crate) fn publish(&mut self, parts: &Parts<'_>) -> u64 {
+    pub(crate) fn publish(&mut self, inputs: &ViewInputs<'_>) -> u64 {
         let current = self.current();
-        let mut view = self.view(parts);
+        let mut view = self.view(inputs);
         view.sequence = current.sequence;
         if view != *current {
             view.sequence += 1;
@@ -78,27 +78,27 @@
         current.sequence
     }
 
-    fn view(&mut self, parts: &Parts<'_>) -> View {
-        let catalogue = self.catalogue(parts.ledger);
-        let upstreams = parts.census.upstreams.iter();
+    fn view(&mut self, inputs: &ViewInputs<'_>) -> View {
+        let catalogue = self.catalogue(inputs.replica);
+        let upstreams = inputs.fleet.upstreams.iter();
         let current = self.current();
-        let upstreams = upstreams.map(|one| upstream(parts, one, current.upstream(&one.id)));
-        let peers = parts.census.members.iter().map(|one| peer(parts, one));
+        let upstreams = upstreams.map(|one| upstream(inputs, one, current.upstream(&one.id)));
+        let peers = inputs.fleet.members.iter().map(|one| peer(inputs, one));
         View {
             sequence: 0,
-            ready: !parts.reasons.iter().any(|reason| reason.blocks_new_work()),
-            reasons: parts.reasons.clone(),
-            revision: parts.ledger.catalogue().revision(),
-            folded: parts.ledger.folded(),
+            ready: !inputs.reasons.iter().any(|reason| reason.blocks_new_work()),
+            reasons: inputs.reasons.clone(),
+            revision: inputs.replica.catalogue().revision(),
+            folded: inputs.replica.folded(),
             catalogue,
             upstreams: upstreams.collect(),
-            log: parts.log,
+            log: inputs.log,
             peers: peers.collect(),
         }
     }
 
-    fn catalogue(&mut self, ledger: &Ledger) -> Option<Arc<catalogue::View>> {
-        let revision = ledger.catalogue().revision();
+    fn catalogue(&mut self, replica: &Replica) -> Option<Arc<catalogue::View>> {
+        let revision = replica.catalogue().revision();
         // An empty catalogue is none: nothing may be refused because of it as if it were accepted.
         if revision == 0 {
             return None;
@@ -108,7 +108,7 @@
         {
             return Some(Arc::clone(view));
         }
-        let view = Arc::new(ledger.catalogue().view().clone());
+        let view = Arc::new(replica.catalogue().view().clone());
         self.catalogue = Some((revision, Arc::clone(&view)));
         Some(view)
     }
@@ -116,23 +116,27 @@
 
 /// The same text as in the view before where it did not change, so that a view of a thousand
 /// upstreams costs few allocations.
-fn text(known: Option<&Arc<str>>, text: &str) -> Arc<str> {
+fn reuse_text(known: Option<&Arc<str>>, text: &str) -> Arc<str> {
     match known {
         Some(known) if **known == *text => Arc::clone(known),
         _ => Arc::from(text),
     }
 }
 
-fn upstream(parts: &Parts<'_>, one: &upstream::Upstream, known: Option<&Upstream>) -> Upstream {
-    let report = parts.census.report(&one.id);
-    let settled = parts.ledger.authority().settled(&one.id);
+fn upstream(
+    inputs: &ViewInputs<'_>,
+    one: &upstream::Upstream,
+    known: Option<&Upstream>,
+) -> Upstream {
+    let report = inputs.fleet.report(&one.id);
+    let settled = inputs.replica.authority().settled(&one.id);
     let settled_role = settled.and_then(|known| known.role).map(to_role);
     Upstream {
-        id: text(known.map(|known| &known.id), &one.id),
-        pool: text(known.map(|known| &known.pool), &one.pool),
+        id: reuse_text(known.map(|known| &known.id), &one.id),
+        pool: reuse_text(known.map(|known| &known.pool), &one.pool),
         kind: one.kind,
-        data_centre: text(known.map(|known| &known.data_centre), &one.data_centre),
-        address: text(known.map(|known| &known.address), &one.address),
+        data_centre: reuse_text(known.map(|known| &known.data_centre), &one.data_centre),
+        address: reuse_text(known.map(|known| &known.address), &one.address),
         state: one.state,
         role: match one.kind {
             Kind::Engine => report.map(|report| report.content.role).or(settled_role),
@@ -142,18 +146,18 @@
             .map(|report| report.content.models.iter().cloned().collect())
             .unwrap_or_default(),
         takes_work: one.takes_work(),
-        weight: one.health.share(parts.now, parts.health),
-        up_since: parts.census.up_since(&one.id),
+        weight: one.health.share(inputs.now, inputs.health),
+        up_since: inputs.fleet.up_since(&one.id),
         report: report.cloned(),
     }
 }
 
-fn peer(parts: &Parts<'_>, one: &member::Member) -> Peer {
+fn peer(inputs: &ViewInputs<'_>, one: &member::Member) -> Peer {
     Peer {
         id: one.id.clone(),
         alive: one.state == member::State::Alive,
         data_centre: one.data_centre.clone(),
-        load: parts.frames.loads.get(&one.id).cloned(),
-        demand: parts.frames.demands.get(&one.id).cloned(),
+        load: inputs.frames.loads.get(&one.id).cloned(),
+        demand: inputs.frames.demands.get(&one.id).cloned(),
     }
 }
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/replica.rs
@@ -12,15 +12,15 @@
 use crate::Offset;
 
 /// One step of the fold.
-pub(crate) enum Fold {
+pub(crate) enum FoldStep {
     /// A record was folded.
-    Record(Box<Folded>),
+    Record(Box<FoldedRecord>),
     /// The state was taken from a snapshot.
     Restored,
 }
 
 /// A folded record and what it did.
-pub(crate) struct Folded {
+pub(crate) struct FoldedRecord {
     pub(crate) offset: Offset,
     pub(crate) record: Record,
     pub(crate) applied: Applied,
@@ -29,41 +29,41 @@
 
 /// Snapshots of others that were compared with the own fold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Compared {
+pub(crate) struct SnapshotComparisons {
     pub(crate) same: u64,
     pub(crate) different: u64,
 }
 
 /// The folds. Records that lie behind a gap wait in `held` until a snapshot covers the gap.
-pub(crate) struct Ledger {
+pub(crate) struct Replica {
     catalogue: catalogue::State,
     authority: authority::state::State,
-    held: VecDeque<(Offset, Record)>,
+    pending: VecDeque<(Offset, Record)>,
     /// The newest state that a peer offered and that was not tried yet.
-    untried: Option<Box<Snapshot>>,
+    offered: Option<Box<Snapshot>>,
     first: Offset,
     next: Offset,
     /// The newest snapshot in the log that was met, by what it covers.
-    covered: Offset,
-    compared: Compared,
+    snapshot_upto: Offset,
+    comparisons: SnapshotComparisons,
 }
 
-impl Default for Ledger {
+impl Default for Replica {
     fn default() -> Self {
         Self {
             catalogue: catalogue::State::default(),
             authority: authority::state::State::new(),
-            held: VecDeque::new(),
-            untried: None,
+            pending: VecDeque::new(),
+            offered: None,
             first: 1,
             next: 1,
-            covered: 0,
-            compared: Compared::default(),
+            snapshot_upto: 0,
+            comparisons: SnapshotComparisons::default(),
         }
     }
 }
 
-impl Ledger {
+impl Replica {
     pub(crate) fn catalogue(&self) -> &catalogue::State {
         &self.catalogue
     }
@@ -78,31 +78,31 @@
     }
 
     /// First retained offset and the offset of the next append, as last read.
-    pub(crate) fn bounds(&self) -> (Offset, Offset) {
+    pub(crate) fn retained(&self) -> (Offset, Offset) {
         (self.first, self.next)
     }
 
     /// What the newest snapshot in the log covers.
-    pub(crate) fn covered(&self) -> Offset {
-        self.covered
+    pub(crate) fn snapshot_upto(&self) -> Offset {
+        self.snapshot_upto
     }
 
-    pub(crate) fn compared(&self) -> Compared {
-        self.compared
+    pub(crate) fn comparisons(&self) -> SnapshotComparisons {
+        self.comparisons
     }
 
     /// Whether all that the log held at the last read is folded.
-    pub(crate) fn is_whole(&self) -> bool {
-        self.held.is_empty() && self.folded() + 1 >= self.next
+    pub(crate) fn is_up_to_date(&self) -> bool {
+        self.pending.is_empty() && self.folded() + 1 >= self.next
     }
 
     /// Whether records are missing that no snapshot has covered so far.
     pub(crate) fn has_gap(&self) -> bool {
-        let first_held = self.held.front().map(|(offset, _)| *offset);
-        self.folded() + 1 < first_held.unwrap_or(self.first)
+        let first_pending = self.pending.front().map(|(offset, _)| *offset);
+        self.folded() + 1 < first_pending.unwrap_or(self.first)
     }
 
-    /// Takes in what was read; [`Ledger::step`] folds it. A record that no decoder understands is
+    /// Takes in what was read; [`Replica::step`] folds it. A record that no decoder understands is
     /// the same bytes for all and is folded by all as one without effect.
     pub(crate) fn push(&mut self, chunk: Chunk) -> Vec<(Offset, Record)> {
         self.first = self.first.max(chunk.first);
@@ -112,40 +112,40 @@
             (entry.offset, record)
         };
         let records: Vec<_> = chunk.records.into_iter().map(decode).collect();
-        self.held.extend(records.iter().cloned());
+        self.pending.extend(records.iter().cloned());
         records
     }
 
     /// Notes that the log does not retain anything before `first` any more.
-    pub(crate) fn forget(&mut self, first: Offset, next: Offset) {
+    pub(crate) fn discard_before(&mut self, first: Offset, next: Offset) {
         self.first = self.first.max(first);
         self.next = self.next.max(next);
-        self.held.retain(|(offset, _)| *offset >= first);
+        self.pending.retain(|(offset, _)| *offset >= first);
     }
 
-    /// Offers a peer's state; [`Ledger::step`] takes it if it is newer.
-    pub(crate) fn offer(&mut self, snapshot: Box<Snapshot>) {
-        let best = self.untried.as_ref().map_or(0, |known| known.upto);
-        if snapshot.upto > best {
-            self.untried = Some(snapshot);
+    /// Offers a peer's state; [`Replica::step`] takes it if it is newer.
+    pub(crate) fn offer_snapshot(&mut self, snapshot: Box<Snapshot>) {
+        let newest = self.offered.as_ref().map_or(0, |known| known.upto);
+        if snapshot.upto > newest {
+            self.offered = Some(snapshot);
         }
     }
 
     /// Folds on by one record; `None` when there is nothing to fold.
-    pub(crate) fn step(&mut self) -> Option<Fold> {
-        if let Some(snapshot) = self.untried.take()
-            && self.adopt(&snapshot)
+    pub(crate) fn step(&mut self) -> Option<FoldStep> {
+        if let Some(snapshot) = self.offered.take()
+            && self.restore(&snapshot)
         {
-            return Some(Fold::Restored);
+            return Some(FoldStep::Restored);
         }
-        while self.held.front()?.0 <= self.folded() {
-            self.held.pop_front();
+        while self.pending.front()?.0 <= self.folded() {
+            self.pending.pop_front();
         }
-        if self.held.front()?.0 == self.folded() + 1 {
-            let (offset, record) = self.held.pop_front()?;
+        if self.pending.front()?.0 == self.folded() + 1 {
+            let (offset, record) = self.pending.pop_front()?;
             return Some(self.fold(offset, record));
         }
-        self.cover().then_some(Fold::Restored)
+        self.restore_over_gap().then_some(FoldStep::Restored)
     }
 
     /// The state as of the last folded record; `None` while it cannot be vouched for.
@@ -159,17 +159,17 @@
         Some(snapshot)
     }
 
-    fn fold(&mut self, offset: Offset, record: Record) -> Fold {
+    fn fold(&mut self, offset: Offset, record: Record) -> FoldStep {
         if let Some(Body::Snapshot(snapshot)) = &record.body {
-            self.meet(snapshot);
+            self.compare_snapshot(snapshot);
         }
         let applied = self.catalogue.apply(offset, &record);
         if applied == Applied::SnapshotDiffers {
-            self.compared.different += 1;
+            self.comparisons.different += 1;
             log::error!(offset, author:? = record.author; "a snapshot differs from the own fold");
         }
         let effect = self.authority.apply(offset, &record);
-        Fold::Record(Box::new(Folded {
+        FoldStep::Record(Box::new(FoldedRecord {
             offset,
             record,
             applied,
@@ -178,18 +178,18 @@
     }
 
     /// Compares a snapshot with the own state, if it speaks of just this prefix of the log.
-    fn meet(&mut self, snapshot: &Snapshot) {
+    fn compare_snapshot(&mut self, snapshot: &Snapshot) {
         if catalogue::verify(snapshot).is_err() {
             return;
         }
-        self.covered = self.covered.max(snapshot.upto);
+        self.snapshot_upto = self.snapshot_upto.max(snapshot.upto);
         if snapshot.upto != self.folded() {
             return;
         }
         match self.snapshot() {
-            Some(own) if own.digest == snapshot.digest => self.compared.same += 1,
+            Some(own) if own.digest == snapshot.digest => self.comparisons.same += 1,
             Some(_) => {
-                self.compared.different += 1;
+                self.comparisons.different += 1;
                 log::error!(upto = snapshot.upto; "a snapshot differs from the own state");
             }
             None => (),
@@ -197,13 +197,13 @@
     }
 
     /// Takes the newest snapshot among the held records that leaves no gap.
-    fn cover(&mut self) -> bool {
-        let Some(first_held) = self.held.front().map(|(offset, _)| *offset) else {
+    fn restore_over_gap(&mut self) -> bool {
+        let Some(first_pending) = self.pending.front().map(|(offset, _)| *offset) else {
             return false;
         };
-        let fits = |snapshot: &&Snapshot| snapshot.upto + 1 >= first_held;
+        let fits = |snapshot: &&Snapshot| snapshot.upto + 1 >= first_pending;
         let snapshots = self
-            .held
+            .pending
             .iter()
             .filter_map(|(_, record)| match &record.body {
                 Some(Body::Snapshot(snapshot)) => Some(snapshot),
@@ -211,13 +211,13 @@
             });
         let mut fitting: Vec<Snapshot> = snapshots.filter(fits).cloned().collect();
         fitting.sort_by_key(|snapshot| std::cmp::Reverse(snapshot.upto));
-        fitting.iter().any(|snapshot| self.adopt(snapshot))
+        fitting.iter().any(|snapshot| self.restore(snapshot))
     }
 
     /// Takes a whole state if it is newer than what is folded, whoever offers it: the state of this
     /// process never goes back. The catalogue looks by itself, but one whose rules are unknown has
     /// folded less than the authority, which would go back to a former holder.
-    fn adopt(&mut self, snapshot: &Snapshot) -> bool {
+    fn restore(&mut self, snapshot: &Snapshot) -> bool {
         if snapshot.upto <= self.folded() {
             return false;
         }
@@ -232,7 +232,7 @@
         match adopted {
             Ok(true) => {
                 self.authority = authority;
-                self.covered = self.covered.max(snapshot.upto);
+                self.snapshot_upto = self.snapshot_upto.max(snapshot.upto);
                 log::info!(upto = snapshot.upto, revision = snapshot.revision; "state taken from a snapshot");
                 true
             }
--- a/crates/control/src/ledger/tests.rs
+++ b/crates/control/src/replica/tests.rs
@@ -5,7 +5,7 @@
 use wire::record::record::Body;
 use wire::record::{Author, Change, Edit, Record, RulesRaise, ScopeClaim, Snapshot};
 
-use super::Ledger;
+use super::Replica;
 use crate::Offset;
 
 fn record(body: Body) -> Record {
@@ -43,28 +43,28 @@
 }
 
 /// Reads `records` from the offset `from` on, of a log that retains `first` and later ones.
-fn read(ledger: &mut Ledger, first: Offset, from: Offset, records: &[Record]) {
+fn read(replica: &mut Replica, first: Offset, from: Offset, records: &[Record]) {
     let entries = (from..).zip(records).map(|(offset, record)| Entry {
         offset,
         data: record.encode_to_vec().into(),
     });
     let records: Vec<Entry> = entries.collect();
     let next = from + records.len() as Offset;
-    ledger.push(Chunk {
+    replica.push(Chunk {
         first,
         next,
         records,
     });
-    while ledger.step().is_some() {}
+    while replica.step().is_some() {}
 }
 
 /// A log of three records, and what a process that read them all writes as a snapshot.
-fn log() -> (Vec<Record>, Ledger, Snapshot) {
+fn log() -> (Vec<Record>, Replica, Snapshot) {
     let records = vec![edit(0, "e-1"), claim(), edit(1, "e-2")];
-    let mut ledger = Ledger::default();
-    read(&mut ledger, 1, 1, &records);
-    let snapshot = ledger.snapshot().expect("all is folded");
-    (records, ledger, snapshot)
+    let mut replica = Replica::default();
+    read(&mut replica, 1, 1, &records);
+    let snapshot = replica.snapshot().expect("all is folded");
+    (records, replica, snapshot)
 }
 
 fn snapshot_record(snapshot: &Snapshot) -> Record {
@@ -76,11 +76,11 @@
 // Cause: a fold that begins in the middle.
 #[test]
 fn nothing_is_folded_behind_a_gap() {
-    let mut ledger = Ledger::default();
-    read(&mut ledger, 4, 4, &[edit(0, "e-3")]);
-    assert!(ledger.has_gap() && !ledger.is_whole());
-    assert_eq!(ledger.folded(), 0);
-    assert_eq!(ledger.catalogue().revision(), 0);
+    let mut replica = Replica::default();
+    read(&mut replica, 4, 4, &[edit(0, "e-3")]);
+    assert!(replica.has_gap() && !replica.is_up_to_date());
+    assert_eq!(replica.folded(), 0);
+    assert_eq!(replica.catalogue().revision(), 0);
 }
 
 #[test]
@@ -88,9 +88,9 @@
     let (_, mut early, snapshot) = log();
     let later = [edit(3, "e-3"), snapshot_record(&snapshot), edit(4, "e-4")];
     read(&mut early, 1, 4, &later);
-    let mut late = Ledger::default();
+    let mut late = Replica::default();
     read(&mut late, 4, 4, &later);
-    assert!(late.is_whole());
+    assert!(late.is_up_to_date());
     assert_eq!(late.snapshot(), early.snapshot());
     assert_eq!(
         late.authority().current_claim("llm").map(|held| held.fence),
@@ -104,7 +104,7 @@
 #[test]
 fn a_snapshot_that_leaves_a_gap_is_not_taken() {
     let (_, _, snapshot) = log();
-    let mut late = Ledger::default();
+    let mut late = Replica::default();
     read(
         &mut late,
         5,
@@ -121,16 +121,16 @@
 #[test]
 fn the_state_never_goes_back() {
     let (records, _, older) = log();
-    let mut ledger = Ledger::default();
-    read(&mut ledger, 1, 1, &records);
-    read(&mut ledger, 1, 4, &[edit(3, "e-3")]);
-    ledger.offer(Box::new(older.clone()));
-    assert!(ledger.step().is_none());
+    let mut replica = Replica::default();
+    read(&mut replica, 1, 1, &records);
+    read(&mut replica, 1, 4, &[edit(3, "e-3")]);
+    replica.offer_snapshot(Box::new(older.clone()));
+    assert!(replica.step().is_none());
     // After a long pause the log begins at 9, with a snapshot that is older than the own state.
-    ledger.forget(9, 10);
-    read(&mut ledger, 9, 9, &[snapshot_record(&older)]);
-    assert_eq!(ledger.catalogue().revision(), 4);
-    assert!(ledger.has_gap(), "what came between is missing");
+    replica.discard_before(9, 10);
+    read(&mut replica, 9, 9, &[snapshot_record(&older)]);
+    assert_eq!(replica.catalogue().revision(), 4);
+    assert!(replica.has_gap(), "what came between is missing");
 }
 
 // Symptom: two processes hold one scope as an entry with old software sees it.
@@ -140,14 +140,14 @@
 #[test]
 fn authority_does_not_go_back_where_the_catalogue_is_frozen() {
     let (records, _, older) = log();
-    let mut ledger = Ledger::default();
+    let mut replica = Replica::default();
     let raise = record(Body::RulesRaise(RulesRaise { rules: 99 }));
-    read(&mut ledger, 1, 1, &[records[0].clone(), raise, claim()]);
-    assert!(ledger.catalogue().frozen().is_some());
-    ledger.offer(Box::new(older));
-    assert!(ledger.step().is_none());
+    read(&mut replica, 1, 1, &[records[0].clone(), raise, claim()]);
+    assert!(replica.catalogue().frozen().is_some());
+    replica.offer_snapshot(Box::new(older));
+    assert!(replica.step().is_none());
     assert_eq!(
-        ledger
+        replica
             .authority()
             .current_claim("llm")
             .map(|held| held.fence),
@@ -158,40 +158,40 @@
 #[test]
 fn an_entry_that_fell_behind_goes_on_from_a_newer_snapshot() {
     let (records, _, _) = log();
-    let mut ledger = Ledger::default();
-    read(&mut ledger, 1, 1, &records[..1]);
+    let mut replica = Replica::default();
+    read(&mut replica, 1, 1, &records[..1]);
     let (_, mut other, _) = log();
     read(&mut other, 1, 4, &[edit(3, "e-3")]);
     let newer = other.snapshot().expect("all is folded");
-    ledger.forget(5, 6);
-    read(&mut ledger, 5, 5, &[snapshot_record(&newer)]);
-    assert!(ledger.is_whole());
-    assert_eq!(ledger.catalogue().revision(), 4);
+    replica.discard_before(5, 6);
+    read(&mut replica, 5, 5, &[snapshot_record(&newer)]);
+    assert!(replica.is_up_to_date());
+    assert_eq!(replica.catalogue().revision(), 4);
 }
 
 #[test]
 fn a_damaged_snapshot_is_not_taken() {
     let (_, _, mut snapshot) = log();
     snapshot.revision += 1;
-    let mut late = Ledger::default();
+    let mut late = Replica::default();
     read(&mut late, 4, 4, &[snapshot_record(&snapshot)]);
     assert_eq!(late.folded(), 0);
 }
 
 #[test]
 fn snapshots_of_others_are_compared() {
-    let (_, mut ledger, snapshot) = log();
-    read(&mut ledger, 1, 4, &[snapshot_record(&snapshot)]);
+    let (_, mut replica, snapshot) = log();
+    read(&mut replica, 1, 4, &[snapshot_record(&snapshot)]);
     assert_eq!(
-        (ledger.compared().same, ledger.compared().different),
+        (replica.comparisons().same, replica.comparisons().different),
         (1, 0)
     );
-    let mut wrong = ledger.snapshot().expect("all is folded");
+    let mut wrong = replica.snapshot().expect("all is folded");
     wrong.scopes.clear();
     catalogue::seal(&mut wrong);
-    read(&mut ledger, 1, 5, &[snapshot_record(&wrong)]);
+    read(&mut replica, 1, 5, &[snapshot_record(&wrong)]);
     assert_eq!(
-        (ledger.compared().same, ledger.compared().different),
+        (replica.comparisons().same, replica.comparisons().different),
         (1, 1)
     );
 }
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/report_schedule.rs
@@ -8,52 +8,52 @@
 /// Paces the readings: one an engine and period, spread over the period, never two of one engine at
 /// once, so that an engine that hangs costs one connection.
 #[derive(Clone, Debug)]
-pub(crate) struct Reports {
+pub(crate) struct ReportSchedule {
     period: Duration,
-    due: BTreeMap<String, Due>,
+    next_reads: BTreeMap<String, NextRead>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Due {
+struct NextRead {
     at: Moment,
-    asked: bool,
+    in_flight: bool,
 }
 
-impl Reports {
+impl ReportSchedule {
     pub(crate) fn new(period: Duration) -> Self {
         Self {
             period,
-            due: BTreeMap::new(),
+            next_reads: BTreeMap::new(),
         }
     }
 
     /// The engines to be read now, of those that there are.
-    pub(crate) fn due<'a>(
+    pub(crate) fn take_due<'a>(
         &mut self,
         now: Moment,
         engines: impl Iterator<Item = &'a str>,
     ) -> Vec<String> {
-        let mut known = std::mem::take(&mut self.due);
-        let mut wanted = Vec::new();
+        let mut known = std::mem::take(&mut self.next_reads);
+        let mut due = Vec::new();
         for id in engines {
-            let mut due = known.remove(id).unwrap_or(Due {
+            let mut next = known.remove(id).unwrap_or(NextRead {
                 at: now,
-                asked: false,
+                in_flight: false,
             });
-            if now >= due.at && !due.asked {
-                due.asked = true;
-                due.at = now + self.period;
-                wanted.push(id.to_owned());
+            if now >= next.at && !next.in_flight {
+                next.in_flight = true;
+                next.at = now + self.period;
+                due.push(id.to_owned());
             }
-            self.due.insert(id.to_owned(), due);
+            self.next_reads.insert(id.to_owned(), next);
         }
-        wanted
+        due
     }
 
     /// An engine answered, or did not in time.
-    pub(crate) fn answered(&mut self, id: &str) {
-        if let Some(due) = self.due.get_mut(id) {
-            due.asked = false;
+    pub(crate) fn read_ended(&mut self, id: &str) {
+        if let Some(due) = self.next_reads.get_mut(id) {
+            due.in_flight = false;
         }
     }
 }
--- a/crates/control/src/roles.rs
+++ b/crates/control/src/roles.rs
@@ -14,37 +14,37 @@
 use routing::upstream::Role;
 use wire::peer::PoolDemand;
 
-use crate::census::Census;
+use crate::fleet_state::FleetState;
 use crate::order::from_role;
-use crate::publisher::Frames;
+use crate::publisher::PeerFrames;
 
 /// Age at which a peer's demand is no longer counted.
-const STALE: Duration = Duration::from_secs(5);
+const MAX_DEMAND_AGE: Duration = Duration::from_secs(5);
 
 /// Changes of roles that may be in work at once in a pool; more bring next to nothing, see
 /// `docs/design/roles.md`.
-const PARALLEL: usize = 1;
+const MAX_PARALLEL_CHANGES: usize = 1;
 
 /// Answer tokens a second of one decode slot, as `routing` takes them.
-const SLOT_RATE: f64 = 40.0;
+const DECODE_TOKENS_PER_SLOT_S: f64 = 40.0;
 
 /// What an engine reaches of its prefill and decode rates in each role, relative to a mixed one, and
 /// what of both at once. Worked out from the stand-in engine, see `docs/design/roles.md`; reports do
 /// not tell it of a role that an engine is not in.
-const SHAPES: [Shape; 3] = [
-    Shape {
+const ROLE_SHAPES: [RoleShape; 3] = [
+    RoleShape {
         role: Role::Mixed,
         prefill: 1.0,
         decode: 1.0,
         overlap: 0.57,
     },
-    Shape {
+    RoleShape {
         role: Role::Prefill,
         prefill: 1.26,
         decode: 0.2,
         overlap: 0.5,
     },
-    Shape {
+    RoleShape {
         role: Role::Decode,
         prefill: 0.72,
         decode: 1.0,
@@ -53,7 +53,7 @@
 ];
 
 #[derive(Clone, Copy)]
-struct Shape {
+struct RoleShape {
     role: Role,
     prefill: f64,
     decode: f64,
@@ -61,64 +61,66 @@
 }
 
 /// What the planners look at.
-pub(crate) struct Outside<'a> {
+pub(crate) struct RoleInputs<'a> {
     pub(crate) now: Moment,
     pub(crate) catalogue: &'a catalogue::View,
     pub(crate) authority: &'a authority::state::State,
-    pub(crate) census: &'a Census,
-    pub(crate) frames: &'a Frames,
+    pub(crate) fleet: &'a FleetState,
+    pub(crate) frames: &'a PeerFrames,
     /// Demand at this entry.
-    pub(crate) own: &'a [PoolDemand],
+    pub(crate) local_demand: &'a [PoolDemand],
     /// Requests of this entry that are open at an upstream.
-    pub(crate) open: &'a dyn Fn(&str) -> u32,
+    pub(crate) open_requests: &'a dyn Fn(&str) -> u32,
 }
 
 /// A change that a planner proposes.
-pub(crate) type Wanted = (String, Order);
+pub(crate) type ProposedChange = (String, Order);
 
 /// The planners by pool.
 #[derive(Default)]
-pub(crate) struct Roles {
+pub(crate) struct RolePlanners {
     planners: BTreeMap<String, Planner>,
 }
 
-impl Roles {
+impl RolePlanners {
     /// Lets the planners see the moment; gives what they propose. To be called once a second.
-    pub(crate) fn step(&mut self, outside: &Outside<'_>) -> Vec<(String, Wanted)> {
-        let pools = outside.catalogue.names(Kind::Pool);
+    pub(crate) fn step(&mut self, inputs: &RoleInputs<'_>) -> Vec<(String, ProposedChange)> {
+        let pools = inputs.catalogue.names(Kind::Pool);
         let pools: Vec<&catalogue::Pool> = pools
-            .filter_map(|name| outside.catalogue.pool(name))
+            .filter_map(|name| inputs.catalogue.pool(name))
             .filter(|pool| pool.kind == PoolKind::Engine)
             .collect();
         self.planners
             .retain(|name, _| pools.iter().any(|pool| pool.name == *name));
-        let mut wanted = Vec::new();
+        let mut proposed = Vec::new();
         for pool in pools {
-            let engines = outside.engines(&pool.name);
-            let config = outside.config(pool);
+            let engines = inputs.engines(&pool.name);
+            let config = inputs.config(pool);
             let planner = self.planners.entry(pool.name.clone());
             let planner = planner.or_insert_with(|| Planner::new(config.clone()));
             planner.configure(config);
             let input = Input {
-                demand: outside.demand(&pool.name),
+                demand: inputs.demand(&pool.name),
                 engines: &engines,
             };
-            for change in planner.step(outside.now, &input) {
+            for change in planner.step(inputs.now, &input) {
                 let order = Order::SetRole(to_authority(change.role));
-                wanted.push((pool.name.clone(), (change.engine.to_string(), order)));
+                proposed.push((pool.name.clone(), (change.engine.to_string(), order)));
             }
         }
-        wanted
+        proposed
     }
 }
 
-impl Outside<'_> {
+impl RoleInputs<'_> {
     /// What callers ask of a pool, over all entries that were heard lately.
     fn demand(&self, pool: &str) -> Demand {
         let frames = self.frames.pools.values();
-        let fresh = frames.filter(|(at, _)| self.now.saturating_sub(*at) < STALE);
+        let fresh = frames.filter(|(at, _)| self.now.saturating_sub(*at) < MAX_DEMAND_AGE);
         let peers = fresh.flat_map(|(_, pools)| pools);
-        let all = peers.chain(self.own).filter(|one| one.pool == pool);
+        let all = peers
+            .chain(self.local_demand)
+            .filter(|one| one.pool == pool);
         all.fold(Demand::default(), |sum, one| Demand {
             prefill: sum.prefill + f64::from(one.prefill),
             decode: sum.decode + f64::from(one.decode),
@@ -126,7 +128,7 @@
     }
 
     fn engines(&self, pool: &str) -> Vec<Engine> {
-        let upstreams = self.census.upstreams.iter();
+        let upstreams = self.fleet.upstreams.iter();
         let listed = upstreams.filter(|one| one.pool == pool && one.listed.is_some());
         let engine = |one: &fleet::upstream::Upstream| {
             let pending = self.authority.pending_order(&one.id);
@@ -134,25 +136,25 @@
                 Order::SetRole(role) => Some(from_authority(role)),
                 Order::LoadModel(_) | Order::UnloadModel(_) => None,
             });
-            let reported = self.census.report(&one.id);
+            let reported = self.fleet.report(&one.id);
             let reported = reported.map(|report| from_authority(from_role(report.content.role)));
             Some(Engine {
                 id: Arc::from(one.id.as_str()),
                 role: ordered.or(reported)?,
                 changing: ordered.is_some(),
                 eligible: one.state == State::Live && pending.is_none(),
-                in_flight: self.open_at(&one.id),
+                in_flight: self.in_flight(&one.id),
             })
         };
         listed.filter_map(engine).collect()
     }
 
     /// Requests that all entries have open at an engine.
-    fn open_at(&self, upstream: &str) -> u32 {
+    fn in_flight(&self, upstream: &str) -> u32 {
         let frames = self.frames.loads.values();
         let peers = frames.flat_map(|(_, work)| work.iter());
         let there = peers.filter(|work| work.upstream == upstream);
-        there.map(|work| work.requests).sum::<u32>() + (self.open)(upstream)
+        there.map(|work| work.requests).sum::<u32>() + (self.open_requests)(upstream)
     }
 
     fn config(&self, pool: &catalogue::Pool) -> Config {
@@ -171,7 +173,7 @@
             },
             price: pool.role_change.price,
             change_duration: pool.role_change.takes,
-            max_parallel: PARALLEL,
+            max_parallel: MAX_PARALLEL_CHANGES,
             bounds: [
                 span(PoolRole::Mixed),
                 span(PoolRole::Prefill),
@@ -183,23 +185,24 @@
 
     /// The frontiers of a pool's engines by their reports, taken back to those of a mixed engine.
     fn frontiers(&self, pool: &str) -> Frontiers {
-        let upstreams = self.census.upstreams.iter();
+        let upstreams = self.fleet.upstreams.iter();
         let reports = upstreams.filter(|one| one.pool == pool);
-        let reports = reports.filter_map(|one| self.census.report(&one.id));
+        let reports = reports.filter_map(|one| self.fleet.report(&one.id));
         let all: Vec<&EngineReport> = reports.map(|report| &*report.content).collect();
         let prefill = mean(&all, |_| true, mixed_prefill);
         // A prefill engine's few slots say little of what it would decode in another role.
-        let decodes = |report: &EngineReport| report.role != platform::Role::Prefill;
-        let decode = mean(&all, decodes, mixed_decode).or(mean(&all, |_| true, mixed_decode));
-        let frontier = |shape: Shape| Frontier {
+        let decode_capable = |report: &EngineReport| report.role != platform::Role::Prefill;
+        let decode =
+            mean(&all, decode_capable, mixed_decode).or(mean(&all, |_| true, mixed_decode));
+        let frontier = |shape: RoleShape| Frontier {
             prefill: prefill.unwrap_or(0.0) * shape.prefill,
             decode: decode.unwrap_or(0.0) * shape.decode,
             overlap: shape.overlap,
         };
         Frontiers {
-            mixed: frontier(SHAPES[0]),
-            prefill: frontier(SHAPES[1]),
-            decode: frontier(SHAPES[2]),
+            mixed: frontier(ROLE_SHAPES[0]),
+            prefill: frontier(ROLE_SHAPES[1]),
+            decode: frontier(ROLE_SHAPES[2]),
         }
     }
 }
@@ -224,13 +227,13 @@
 
 /// Tokens a second that it would decode in the mixed role.
 fn mixed_decode(report: &EngineReport) -> f64 {
-    f64::from(report.decode_slots) * SLOT_RATE / shape(report).decode
+    f64::from(report.decode_slots) * DECODE_TOKENS_PER_SLOT_S / shape(report).decode
 }
 
-fn shape(report: &EngineReport) -> Shape {
+fn shape(report: &EngineReport) -> RoleShape {
     let role = from_authority(from_role(report.role));
-    let known = SHAPES.into_iter().find(|shape| shape.role == role);
-    known.unwrap_or(SHAPES[0])
+    let known = ROLE_SHAPES.into_iter().find(|shape| shape.role == role);
+    known.unwrap_or(ROLE_SHAPES[0])
 }
 
 fn from_authority(role: authority::order::Role) -> Role {
--- a/crates/control/src/scopes.rs
+++ b/crates/control/src/scopes.rs
@@ -15,9 +15,9 @@
 use smallvec::SmallVec;
 use wire::record::Record;
 
-use crate::appends::{Appends, Ended, Source};
-use crate::census::Census;
+use crate::appends::{Appends, CompletedAppend, Source};
 use crate::engines::Engines;
+use crate::fleet_state::FleetState;
 
 /// What this process does for one scope.
 pub(crate) struct Scope {
@@ -26,39 +26,44 @@
 }
 
 /// What the outside of the scopes looks like at one step.
-pub(crate) struct Around<'a> {
+pub(crate) struct Context<'a> {
     pub(crate) now: Moment,
     pub(crate) state: &'a State,
-    pub(crate) census: &'a Census,
+    pub(crate) fleet: &'a FleetState,
     pub(crate) appends: &'a Appends,
     pub(crate) engines: &'a Engines,
 }
 
 /// All scopes.
 pub(crate) struct Scopes {
-    me: Author,
+    local: Author,
     term: Term,
-    pace: Timing,
+    change_timing: Timing,
     scopes: BTreeMap<String, Scope>,
     seed: Box<dyn FnMut() -> u64>,
     /// The newest renewal of each scope with the moment at which it was seen first.
-    renewed: BTreeMap<String, (Offset, Moment)>,
+    last_renewals: BTreeMap<String, (Offset, Moment)>,
     /// The planners were told who serves as of this count of changes.
-    served: Option<u64>,
+    serving_as_of: Option<u64>,
     leaving: bool,
     mismatches: u64,
 }
 
 impl Scopes {
-    pub(crate) fn new(me: Author, term: Term, pace: Timing, seed: Box<dyn FnMut() -> u64>) -> Self {
+    pub(crate) fn new(
+        local: Author,
+        term: Term,
+        change_timing: Timing,
+        seed: Box<dyn FnMut() -> u64>,
+    ) -> Self {
         Self {
-            me,
+            local,
             term,
-            pace,
+            change_timing,
             scopes: BTreeMap::new(),
             seed,
-            renewed: BTreeMap::new(),
-            served: None,
+            last_renewals: BTreeMap::new(),
+            serving_as_of: None,
             leaving: false,
             mismatches: 0,
         }
@@ -77,7 +82,7 @@
     }
 
     /// Whether this process holds nothing that a successor waits for.
-    pub(crate) fn is_released(&self) -> bool {
+    pub(crate) fn holds_none(&self) -> bool {
         !self.scopes.values().any(|scope| scope.lease.holds())
     }
 
@@ -87,7 +92,12 @@
 
     /// Follows the catalogue: a scope for each pool of engines. A pool that was removed keeps its
     /// scope while an order of it is unresolved; nobody else would resolve it.
-    pub(crate) fn follow(&mut self, now: Moment, catalogue: &catalogue::View, state: &State) {
+    pub(crate) fn follow_catalogue(
+        &mut self,
+        now: Moment,
+        catalogue: &catalogue::View,
+        state: &State,
+    ) {
         let pools = catalogue.names(Kind::Pool);
         let engines = pools.filter(|name| {
             let pool = catalogue.pool(name);
@@ -104,11 +114,16 @@
             if self.scopes.contains_key(&scope) {
                 continue;
             }
-            let mut lease = Lease::new(scope.clone(), self.me.clone(), self.term, (self.seed)());
+            let mut lease = Lease::new(scope.clone(), self.local.clone(), self.term, (self.seed)());
             lease.restore(now, state);
-            let planner = Planner::new(scope.clone(), Bounds::default(), self.pace, (self.seed)());
+            let planner = Planner::new(
+                scope.clone(),
+                Bounds::default(),
+                self.change_timing,
+                (self.seed)(),
+            );
             self.scopes.insert(scope, Scope { lease, planner });
-            self.served = None;
+            self.serving_as_of = None;
         }
     }
 
@@ -116,7 +131,7 @@
     pub(crate) fn apply(&mut self, now: Moment, offset: Offset, record: &Record, state: &State) {
         for (name, scope) in &mut self.scopes {
             for output in scope.lease.apply(now, offset, record, state) {
-                tell(name, &output);
+                log_output(name, &output);
             }
         }
     }
@@ -125,81 +140,86 @@
     pub(crate) fn restore(&mut self, now: Moment, state: &State) {
         for (name, scope) in &mut self.scopes {
             for output in scope.lease.restore(now, state) {
-                tell(name, &output);
+                log_output(name, &output);
             }
         }
     }
 
     /// A read that was sent at `asked` reached the end of the log.
-    pub(crate) fn read(&mut self, around: &Around<'_>, asked: Moment) {
+    pub(crate) fn log_read(&mut self, context: &Context<'_>, sent_at: Moment) {
         for (name, scope) in &mut self.scopes {
             let outputs = scope
                 .lease
-                .step(around.now, &lease::Input::Read { sent_at: asked });
-            carry_out(name, outputs, around);
+                .step(context.now, &lease::Input::Read { sent_at });
+            carry_out(name, outputs, context);
         }
     }
 
-    pub(crate) fn appended(&mut self, around: &Around<'_>, name: &str, ended: &Ended) {
+    pub(crate) fn appended(&mut self, context: &Context<'_>, name: &str, append: &CompletedAppend) {
         let Some(scope) = self.scopes.get_mut(name) else {
             return;
         };
-        let input = match ended.result {
-            Ok(_) => lease::Input::AppendAcknowledged(ended.nonce),
-            Err(platform::AppendError::Refused { .. }) => lease::Input::AppendFailed(ended.nonce),
-            Err(platform::AppendError::Unknown) => lease::Input::AppendUnknown(ended.nonce),
+        let input = match append.result {
+            Ok(_) => lease::Input::AppendAcknowledged(append.nonce),
+            Err(platform::AppendError::Refused { .. }) => lease::Input::AppendFailed(append.nonce),
+            Err(platform::AppendError::Unknown) => lease::Input::AppendUnknown(append.nonce),
         };
-        let outputs = scope.lease.step(around.now, &input);
-        carry_out(name, outputs, around);
+        let outputs = scope.lease.step(context.now, &input);
+        carry_out(name, outputs, context);
     }
 
     /// Gives all scopes up.
-    pub(crate) fn leave(&mut self, around: &Around<'_>) {
+    pub(crate) fn release_all(&mut self, context: &Context<'_>) {
         self.leaving = true;
         for (name, scope) in &mut self.scopes {
-            let outputs = scope.lease.step(around.now, &lease::Input::Leave);
-            carry_out(name, outputs, around);
+            let outputs = scope.lease.step(context.now, &lease::Input::Leave);
+            carry_out(name, outputs, context);
         }
     }
 
     /// Something for a planner.
-    pub(crate) fn plan(&mut self, around: &Around<'_>, name: &str, input: planner::Input) {
+    pub(crate) fn step_planner(
+        &mut self,
+        context: &Context<'_>,
+        name: &str,
+        input: planner::Input,
+    ) {
         if let Some(scope) = self.scopes.get_mut(name) {
             let grant = scope.lease.grant();
-            let outputs = scope.planner.step(around.now, around.state, grant, input);
-            self.mismatches += plan_out(name, outputs, around);
+            let outputs = scope.planner.step(context.now, context.state, grant, input);
+            self.mismatches += carry_out_plan(name, outputs, context);
         }
     }
 
     /// A planned change is wanted. It is taken by the holder only.
-    pub(crate) fn want(
+    pub(crate) fn request_change(
         &mut self,
-        around: &Around<'_>,
+        context: &Context<'_>,
         name: &str,
-        (upstream, what): (UpstreamId, Order),
+        (upstream, action): (UpstreamId, Order),
         reason: Reason,
     ) -> bool {
         let holds = self.scopes.get(name).is_some_and(|scope| {
             let may_act = scope
                 .lease
                 .grant()
-                .is_some_and(|grant| grant.may_act(around.now, std::time::Duration::ZERO));
+                .is_some_and(|grant| grant.may_act(context.now, std::time::Duration::ZERO));
             may_act && !self.leaving
         });
         if holds {
-            let want = planner::Input::Request {
+            let request = planner::Input::Request {
                 upstream,
-                action: what,
+                action,
                 reason,
             };
-            self.plan(around, name, want);
+            self.step_planner(context, name, request);
         }
         holds
     }
 
     /// Lets time pass, and shows leases and planners how the fleet stands.
-    pub(crate) fn tick(&mut self, around: &Around<'_>) {
-        let alive = around.census.alive();
+    pub(crate) fn tick(&mut self, context: &Context<'_>) {
+        let alive = context.fleet.alive();
         let held = self.scopes.values().filter(|scope| scope.lease.holds());
         let held = u32::try_from(held.count()).unwrap_or(u32::MAX);
         for (name, scope) in &mut self.scopes {
@@ -210,25 +230,25 @@
                 lease::Input::Tick,
             ];
             for input in &inputs {
-                let outputs = scope.lease.step(around.now, input);
-                carry_out(name, outputs, around);
+                let outputs = scope.lease.step(context.now, input);
+                carry_out(name, outputs, context);
             }
         }
-        let changes = around.census.changes();
-        let changed = self.served.replace(changes) != Some(changes);
+        let changes = context.fleet.state_changes();
+        let changed = self.serving_as_of.replace(changes) != Some(changes);
         let names: Vec<String> = self.scopes.keys().cloned().collect();
         for name in names {
             let input = match changed {
-                true => planner::Input::Serving(around.census.serving(&name)),
+                true => planner::Input::Serving(context.fleet.serving(&name)),
                 false => planner::Input::Tick,
             };
-            self.plan(around, &name, input);
-            self.show_waits(around, &name);
+            self.step_planner(context, &name, input);
+            self.update_blockers(context, &name);
         }
     }
 
     /// Tells each change under way what its closing waits for.
-    fn show_waits(&mut self, around: &Around<'_>, name: &str) {
+    fn update_blockers(&mut self, context: &Context<'_>, name: &str) {
         let Some(scope) = self.scopes.get(name) else {
             return;
         };
@@ -236,16 +256,16 @@
         let underway: Vec<(OrderId, UpstreamId)> = underway
             .map(|change| (change.order, change.upstream.clone()))
             .collect();
-        let senders = around.census.senders();
+        let senders = context.fleet.senders();
         for (order, upstream) in underway {
-            let input = if around.census.is_absent(&upstream) {
+            let input = if context.fleet.is_absent(&upstream) {
                 Some(ChangeInput::Absent)
             } else {
-                let waits = around.census.drain.blockers(around.now, order, &senders);
-                waits.map(|waits| ChangeInput::Blockers(described(&waits)))
+                let waits = context.fleet.drain.blockers(context.now, order, &senders);
+                waits.map(|waits| ChangeInput::Blockers(describe_blockers(&waits)))
             };
             if let Some(input) = input {
-                self.plan(around, name, planner::Input::Change(order, input));
+                self.step_planner(context, name, planner::Input::Change(order, input));
             }
         }
     }
@@ -259,7 +279,7 @@
             let Some(held) = state.current_claim(name) else {
                 continue;
             };
-            let newest = self.renewed.entry(name.clone()).or_insert((0, now));
+            let newest = self.last_renewals.entry(name.clone()).or_insert((0, now));
             if newest.0 != held.renewed {
                 *newest = (held.renewed, now);
             }
@@ -274,11 +294,11 @@
     }
 }
 
-fn described(waits: &[fleet::drain::Blocker]) -> SmallVec<[Blocker; 4]> {
+fn describe_blockers(waits: &[fleet::drain::Blocker]) -> SmallVec<[Blocker; 4]> {
     waits.iter().map(ToString::to_string).collect()
 }
 
-fn tell(scope: &str, output: &lease::Output) {
+fn log_output(scope: &str, output: &lease::Output) {
     match output {
         lease::Output::Acquired { fence } => log::info!(scope, fence; "control acquired"),
         lease::Output::Lost { to: Some(to) } => {
@@ -289,11 +309,11 @@
     }
 }
 
-fn carry_out(scope: &str, outputs: lease::Outputs, around: &Around<'_>) {
+fn carry_out(scope: &str, outputs: lease::Outputs, context: &Context<'_>) {
     for output in outputs {
-        tell(scope, &output);
+        log_output(scope, &output);
         if let lease::Output::Append { nonce, body } = output {
-            around
+            context
                 .appends
                 .send(Source::Lease(scope.to_owned()), nonce, body);
         }
@@ -301,27 +321,27 @@
 }
 
 /// Carries out what a planner wants; gives how many engines were found in a wrong state.
-fn plan_out(scope: &str, outputs: planner::Outputs, around: &Around<'_>) -> u64 {
+fn carry_out_plan(scope: &str, outputs: planner::Outputs, context: &Context<'_>) -> u64 {
     let mut mismatches = 0;
     let address = |upstream: &str| {
-        let known = around.census.upstreams.get(upstream);
+        let known = context.fleet.upstreams.get(upstream);
         known.map(|known| known.address.clone())
     };
     for output in outputs {
         match output {
             planner::Output::Append { nonce, body } => {
-                around.appends.send(Source::Planner, nonce, body);
+                context.appends.send(Source::Planner, nonce, body);
             }
             planner::Output::Change {
                 upstream,
                 order,
                 output,
-            } => around
+            } => context
                 .engines
                 .change(scope, order, address(&upstream), output),
             planner::Output::Check { upstream, settled } => {
                 if let Some(address) = address(&upstream) {
-                    around.engines.check(scope, upstream, settled, address);
+                    context.engines.check(scope, upstream, settled, address);
                 }
             }
             planner::Output::Mismatch { upstream, repairs } => {
--- a/crates/control/tests/control/claims.rs
+++ b/crates/control/tests/control/claims.rs
@@ -47,12 +47,12 @@
         runs(&first.decision) ^ runs(&second.decision),
         "{first:?} {second:?}"
     );
-    let (winner, loser, ticket) = if runs(&first.decision) {
+    let (winner, loser, call_id) = if runs(&first.decision) {
         (one, two, first.call_id)
     } else {
         (two, one, second.call_id)
     };
-    winner.conclude(ticket, CallEnd::Answered);
+    winner.conclude(call_id, CallEnd::Answered);
     loop {
         let repeat = loser.claim(claim("r-3")).await;
         match repeat.decision {
--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -20,10 +20,10 @@
 use wire::record::record::Body;
 
 /// Far longer than anything awaited here takes; a test that gets here has failed.
-const BOUND: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time between two looks at a state that is waited for.
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The catalogue with which tests begin.
 pub(crate) const CATALOGUE: &str = "
@@ -211,7 +211,7 @@
 /// Waits until the view is as wanted.
 pub(crate) async fn view(handle: &Handle, mut wanted: impl FnMut(&View) -> bool) -> Arc<View> {
     let mut watch = handle.watch();
-    let waited = actix_rt::time::timeout(BOUND, watch.wait_for(|view| wanted(view))).await;
+    let waited = actix_rt::time::timeout(TEST_TIMEOUT, watch.wait_for(|view| wanted(view))).await;
     match waited {
         Ok(view) => Arc::clone(&view.expect("the control runs")),
         Err(_) => panic!("waited in vain, last view {:?}", handle.view()),
@@ -229,7 +229,10 @@
         if wanted(&status) {
             return status;
         }
-        assert!(begun.elapsed() < BOUND, "waited in vain, last {status:#?}");
-        actix_rt::time::sleep(POLL).await;
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "waited in vain, last {status:#?}"
+        );
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/control/tests/control/orders.rs
+++ b/crates/control/tests/control/orders.rs
@@ -11,14 +11,14 @@
 
 /// A data plane whose open requests and applied view the test moves.
 #[derive(Clone, Default)]
-struct Plane {
-    open: Arc<AtomicU32>,
-    applied: Arc<AtomicU64>,
+struct DataPlane {
+    open_requests: Arc<AtomicU32>,
+    applied_view: Arc<AtomicU64>,
 }
 
-impl Plane {
+impl DataPlane {
     fn attach(&self, control: &Handle) {
-        let (open, applied) = (self.open.clone(), self.applied.clone());
+        let (open, applied) = (self.open_requests.clone(), self.applied_view.clone());
         control.set_hooks(Hooks {
             open_requests: Box::new(move |_| open.load(Ordering::SeqCst)),
             oldest_applied_view: Box::new(move || applied.load(Ordering::SeqCst)),
@@ -27,7 +27,7 @@
     }
 }
 
-fn wish() -> ChangeRequest {
+fn decode_request() -> ChangeRequest {
     ChangeRequest {
         upstream: "engine-0".to_owned(),
         action: Action::SetRole {
@@ -43,7 +43,7 @@
         .map_or("", |order| order.step.as_str())
 }
 
-async fn holds(control: &Handle) {
+async fn wait_for_lease(control: &Handle) {
     status(control, |status| {
         status.scopes.iter().any(|scope| scope.lease_ms > 0)
     })
@@ -59,7 +59,7 @@
     one.submit_edit(&document(CATALOGUE))
         .await
         .expect("it is valid");
-    holds(&one).await;
+    wait_for_lease(&one).await;
     let two = fleet.entry(fleet.member("entry-1")).await;
     for control in [&one, &two] {
         status(control, |status| {
@@ -81,18 +81,18 @@
 #[actix_rt::test]
 async fn a_change_waits_for_every_entry() {
     let (_fleet, one, two) = start(&[]).await;
-    let plane = Plane::default();
-    plane.open.store(1, Ordering::SeqCst);
+    let plane = DataPlane::default();
+    plane.open_requests.store(1, Ordering::SeqCst);
     plane.attach(&two);
     // Asked at the entry that does not hold control: it hands the wish over.
-    two.submit_order(&wish(), "ana")
+    two.submit_order(&decode_request(), "ana")
         .await
         .expect("the holder takes it");
     let waits = |status: &control::Status, what: &str| {
         status.orders.iter().any(|order| order.waits == what)
     };
     status(&one, |status| waits(status, "entry-1 to confirm")).await;
-    plane.applied.store(u64::MAX, Ordering::SeqCst);
+    plane.applied_view.store(u64::MAX, Ordering::SeqCst);
     status(&one, |status| waits(status, "entry-1 to finish 1")).await;
     for control in [&one, &two] {
         let seen = control.view();
@@ -105,7 +105,7 @@
                 .is_some_and(|engine| engine.takes_work)
         );
     }
-    plane.open.store(0, Ordering::SeqCst);
+    plane.open_requests.store(0, Ordering::SeqCst);
     for control in [&one, &two] {
         view(control, |view| {
             let engine = view.upstream("engine-0");
@@ -124,12 +124,12 @@
 #[actix_rt::test]
 async fn a_successor_finishes_a_half_done_change() {
     let (_fleet, one, two) = start(&["--role-change-ms", "60000"]).await;
-    one.submit_order(&wish(), "ana")
+    one.submit_order(&decode_request(), "ana")
         .await
         .expect("it holds control");
     status(&one, |status| step(status) == "running").await;
     one.abort();
-    holds(&two).await;
+    wait_for_lease(&two).await;
     view(&two, |view| {
         let engine = view.upstream("engine-0");
         engine.is_some_and(|one| one.takes_work && one.role == Some(platform::Role::Decode))
@@ -151,16 +151,16 @@
 #[actix_rt::test]
 async fn a_successor_undoes_a_change_that_was_not_begun() {
     let (_fleet, one, two) = start(&[]).await;
-    let plane = Plane::default();
-    plane.open.store(1, Ordering::SeqCst);
-    plane.applied.store(u64::MAX, Ordering::SeqCst);
+    let plane = DataPlane::default();
+    plane.open_requests.store(1, Ordering::SeqCst);
+    plane.applied_view.store(u64::MAX, Ordering::SeqCst);
     plane.attach(&two);
-    one.submit_order(&wish(), "ana")
+    one.submit_order(&decode_request(), "ana")
         .await
         .expect("it holds control");
     status(&one, |status| step(status) == "closing").await;
     one.abort();
-    holds(&two).await;
+    wait_for_lease(&two).await;
     view(&two, |view| {
         view.upstream("engine-0").is_some_and(|one| one.takes_work)
     })
@@ -181,9 +181,9 @@
 #[actix_rt::test]
 async fn a_drain_is_done_when_every_entry_has_nothing_open() {
     let (_fleet, one, two) = start(&[]).await;
-    let plane = Plane::default();
-    plane.open.store(2, Ordering::SeqCst);
-    plane.applied.store(u64::MAX, Ordering::SeqCst);
+    let plane = DataPlane::default();
+    plane.open_requests.store(2, Ordering::SeqCst);
+    plane.applied_view.store(u64::MAX, Ordering::SeqCst);
     plane.attach(&two);
     let mut drain = document(
         "{operator: luz, changes: [{kind: drain, name: engine-0, value: {reason: trial}}]}",
@@ -203,7 +203,7 @@
         })
         .await;
     }
-    plane.open.store(0, Ordering::SeqCst);
+    plane.open_requests.store(0, Ordering::SeqCst);
     status(&one, |status| waits(status, "")).await;
     let mut lifted = document("{operator: luz, changes: [{kind: drain, name: engine-0}]}");
     lifted.base_revision = one.view().revision;
--- a/crates/control/tests/control/outage.rs
+++ b/crates/control/tests/control/outage.rs
@@ -7,9 +7,9 @@
 
 use crate::fleet::{CATALOGUE, Fleet, document, status, view};
 
-const OUT: &str = r#"{"append": "refuse", "read": "refuse"}"#;
-const HANGS: &str = r#"{"append": "hang", "read": "hang"}"#;
-const BACK: &str = r#"{"append": "none", "read": "none"}"#;
+const REFUSE_ALL: &str = r#"{"append": "refuse", "read": "refuse"}"#;
+const HANG_ALL: &str = r#"{"append": "hang", "read": "hang"}"#;
+const NO_FAULT: &str = r#"{"append": "none", "read": "none"}"#;
 
 // Symptom: an operator is told that an edit failed, makes it again and meets a conflict with
 // herself.
@@ -39,14 +39,14 @@
         .submit_edit(&document(CATALOGUE))
         .await
         .expect("it is valid");
-    fleet.fault(OUT).await;
+    fleet.fault(REFUSE_ALL).await;
     let late = fleet.control(fleet.options("entry-1"));
     let seen = view(&late, |view| !view.upstreams.is_empty()).await;
     assert!(!seen.ready && seen.catalogue.is_none());
     assert!(seen.reasons.contains(&Reason::NoCatalogue));
     let refused = late.submit_edit(&document(CATALOGUE)).await;
     assert_eq!(refused, Err(control::EditError::Unavailable));
-    fleet.fault(BACK).await;
+    fleet.fault(NO_FAULT).await;
     let seen = view(&late, |view| view.ready).await;
     assert_eq!(seen.revision, first.view().revision);
 }
@@ -62,12 +62,12 @@
         .submit_edit(&document(CATALOGUE))
         .await
         .expect("it is valid");
-    fleet.fault(OUT).await;
+    fleet.fault(REFUSE_ALL).await;
     let late = fleet.entry(fleet.member("entry-1")).await;
     let seen = view(&late, |view| view.ready).await;
     assert_eq!(seen.revision, revision);
     assert!(matches!(seen.log, Log::DownSince(_)));
-    fleet.fault(BACK).await;
+    fleet.fault(NO_FAULT).await;
     let seen = view(&late, |view| view.log == Log::Up).await;
     assert!(seen.ready && seen.revision >= revision);
 }
@@ -84,7 +84,7 @@
         .submit_edit(&document(CATALOGUE))
         .await
         .expect("it is valid");
-    let wish = ChangeRequest {
+    let request = ChangeRequest {
         upstream: "engine-0".to_owned(),
         action: Action::SetRole {
             role: platform::Role::Decode,
@@ -94,18 +94,18 @@
         status.scopes.iter().any(|scope| scope.lease_ms > 0)
     })
     .await;
-    fleet.fault(HANGS).await;
+    fleet.fault(HANG_ALL).await;
     view(&control, |view| view.log != Log::Up).await;
     status(&control, |status| {
         status.scopes.iter().all(|scope| scope.lease_ms == 0)
     })
     .await;
-    let refused = control.submit_order(&wish, "ana").await;
+    let refused = control.submit_order(&request, "ana").await;
     assert_eq!(refused, Err(OrderError::NoHolder));
     let seen = control.view();
     assert!(seen.ready && seen.catalogue.is_some());
     assert!(seen.upstream("engine-0").is_some_and(|one| one.takes_work));
-    fleet.fault(BACK).await;
+    fleet.fault(NO_FAULT).await;
     view(&control, |view| view.log == Log::Up).await;
     status(&control, |status| {
         status.scopes.iter().any(|scope| scope.lease_ms > 0)
--- a/crates/control/tests/control/roles.rs
+++ b/crates/control/tests/control/roles.rs
@@ -20,7 +20,7 @@
 ";
 
 /// Looks for an order among the recent ones, a pause apart.
-const LOOKS: usize = 200;
+const MAX_POLLS: usize = 200;
 
 // Symptom: a pool keeps its roles although another split would serve far more.
 // Sequence: callers of an entry that holds no control ask for prompts beyond what the pool can
@@ -59,15 +59,15 @@
     view(&one, changed).await;
     calls.abort();
     // The engine shows its new role before the outcome of its order is read back from the log.
-    let mut is_told = false;
-    for _ in 0..LOOKS {
+    let mut listed = false;
+    for _ in 0..MAX_POLLS {
         let orders = one.orders().await.expect("it runs");
         let mut recent = orders.recent.iter();
-        is_told = recent.any(|order| order.what == "set_role prefill");
-        if is_told {
+        listed = recent.any(|order| order.what == "set_role prefill");
+        if listed {
             break;
         }
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
-    assert!(is_told);
+    assert!(listed);
 }
