--- a/crates/signals/src/lib.rs
+++ b/crates/signals/src/lib.rs
@@ -1,5 +1,4 @@
-//! What a daemon is asked for by signals, from the first step of its process on. It stands before everything else that
-//! a daemon does.
+//! Signals that stop a daemon or reload its settings, handled from the start of the process.
 
 use std::io;
 use std::sync::Arc;
@@ -9,11 +8,10 @@
 use signal_hook::flag;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What was asked for while the process was starting.
+/// Records signals that arrive during start-up, until [`Signals`] receives them.
 ///
-/// Without a handler these signals end a process. An operator who changes the settings of a machine that is
-/// just starting would see its process die of SIGHUP, before its first line of log. So they are remembered from the
-/// first step on, until [`Signals`] receives them.
+/// Without a handler these signals terminate the process: a SIGHUP sent after a change of settings
+/// would kill a process that is still starting, before its first log line.
 #[derive(Debug)]
 pub struct EarlySignals {
     stop: Arc<AtomicBool>,
@@ -21,11 +19,11 @@
 }
 
 impl EarlySignals {
-    /// Remembers signals from now on.
+    /// Installs the handlers.
     ///
     /// # Errors
     ///
-    /// If the system takes no handler.
+    /// If a handler cannot be installed.
     pub fn new() -> io::Result<Self> {
         let early = Self {
             stop: Arc::default(),
@@ -38,16 +36,16 @@
     }
 }
 
-/// What a process can be asked for.
+/// A request made by a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// To come to an orderly end.
+    /// Shut down in order.
     Stop,
-    /// To read its settings again.
+    /// Reload the settings.
     Reload,
 }
 
-/// Signals as they come, the early ones first.
+/// Receives signals, starting with those of [`EarlySignals`].
 #[derive(Debug)]
 pub struct Signals {
     early: EarlySignals,
@@ -57,11 +55,11 @@
 }
 
 impl Signals {
-    /// Receives signals from now on, on this thread's runtime.
+    /// Receives signals on the runtime of this thread.
     ///
     /// # Errors
     ///
-    /// If the system takes no handler.
+    /// If a handler cannot be installed.
     pub fn new(early: EarlySignals) -> io::Result<Self> {
         Ok(Self {
             early,
@@ -71,7 +69,7 @@
         })
     }
 
-    /// The next request. One that came early may be told twice, which does no harm.
+    /// Waits for the next request. An early one may be returned twice, which is harmless.
     pub async fn next(&mut self) -> Request {
         if self.early.stop.swap(false, Ordering::Relaxed) {
             return Request::Stop;
