--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames as bytes.
+//! Encoding and decoding of frames.
 
 use bytes::Bytes;
 use wire::Message;
@@ -8,7 +8,7 @@
 
 use crate::traffic::Kind;
 
-/// A frame ready to be sent.
+/// An encoded frame.
 #[derive(Clone, Debug)]
 pub(crate) struct Encoded {
     pub(crate) kind: Kind,
@@ -28,18 +28,18 @@
     }
 }
 
-/// Reads a frame that a peer with this name sent.
+/// Decodes a frame from the peer with this name.
 ///
-/// Symptom without the comparison: an entry with a valid certificate confirms a closing in the
-/// name of another one that still sends, and an order cuts that one's streams.
+/// The sender in the frame must match: otherwise an entry with a valid certificate could confirm a
+/// closing for another entry that still sends, and an order would cut the streams of that entry.
 pub(crate) fn decode(bytes: &[u8], peer: &str) -> Option<(Author, Frame)> {
     let frame = Frame::decode(bytes).ok()?;
     let author = frame.from.clone()?;
     (author.instance == peer).then_some((author, frame))
 }
 
-/// Whether the newest frame of the kind makes the older ones worthless, so that a lost one need
-/// not be sent again.
+/// Whether a newer frame of the kind replaces older ones, so that a lost one need not be
+/// retransmitted.
 pub(crate) fn is_lossy(kind: Kind) -> bool {
     matches!(kind, Kind::Heartbeat | Kind::Load | Kind::Shares)
 }
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -1,4 +1,4 @@
-//! What a mesh is started with.
+//! Configuration of a mesh.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,34 +9,34 @@
 
 use crate::{Id, keys};
 
-/// Bounds of the mesh. Times and sizes are chosen for data centres that are milliseconds apart.
+/// Limits of the mesh. The defaults suit data centres that are milliseconds apart.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Largest frame on a stream of its own, in bytes.
+    /// Maximum size of a frame on its own stream.
     pub max_frame_bytes: usize,
-    /// Largest query, in bytes.
+    /// Maximum size of a query.
     pub max_query_bytes: usize,
-    /// Largest reply, in bytes; a snapshot of the folded state must fit.
+    /// Maximum size of a reply; a snapshot of the folded state must fit.
     pub max_reply_bytes: usize,
-    /// Longest time for which a query of a peer is worked on.
+    /// Time limit for reading a stream and for answering a query of a peer.
     pub query_timeout: Duration,
-    /// Frames that may wait for a slow peer; more are refused.
+    /// Maximum number of frames queued for a peer; more are refused.
     pub send_queue_len: usize,
-    /// Streams that a peer may have open at once in each direction.
+    /// Maximum number of concurrent streams of a peer, separately for each kind of stream.
     pub max_streams: u32,
-    /// Silence after which a connection is given up.
+    /// Silence after which a connection is closed.
     pub idle_timeout: Duration,
-    /// Longest time to connect.
+    /// Time limit of a handshake.
     pub dial_timeout: Duration,
-    /// First wait after a failed dial; it doubles up to [`Limits::max_backoff`], with jitter.
+    /// Wait after the first failed dial; it doubles up to [`Limits::max_backoff`], with jitter.
     pub initial_backoff: Duration,
-    /// Longest wait after a failed dial.
+    /// Maximum wait after a failed dial, before jitter.
     pub max_backoff: Duration,
-    /// Time over which connections are renewed after a change of keys.
+    /// Period over which connections are renewed after a change of keys.
     pub rotation_period: Duration,
-    /// How long a connection that was replaced is still read, so that frames under way arrive.
+    /// How long a replaced connection is still read, so that frames in flight arrive.
     pub linger: Duration,
-    /// Handshakes of others that may run at once; more are refused until some end.
+    /// Maximum number of concurrent incoming handshakes; more are refused.
     pub max_handshakes: usize,
 }
 
@@ -60,36 +60,36 @@
     }
 }
 
-/// Which way a frame goes.
+/// Direction of a frame.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Direction {
-    /// From this process.
+    /// Sent by this process.
     Out,
-    /// To this process.
+    /// Received by this process.
     In,
 }
 
-/// Decides by direction and peer whether a frame is dropped. Only tests have one; it stands in
-/// for partitions in one or both directions.
+/// Decides by direction and peer whether a frame is dropped. Used by tests to simulate partitions
+/// in one or both directions.
 pub type Fault = Rc<dyn Fn(Direction, &str) -> bool>;
 
-/// What a mesh is started with.
+/// Configuration of a mesh.
 #[derive(Clone)]
 pub struct Config {
-    /// This process: instance id, which the certificate must bear, and incarnation.
+    /// Instance id, which the certificate must name, and incarnation of this process.
     pub local: Author,
-    /// UDP address to listen on; calls go out from it as well.
+    /// UDP address to listen on and to dial from.
     pub listen: SocketAddr,
     /// Keys of this instance.
     pub keys: keys::Source,
-    /// Bounds.
+    /// Limits.
     pub limits: Limits,
-    /// Drops frames, in tests; [`None`] in a daemon.
+    /// Drops frames in tests; [`None`] in a daemon.
     pub fault: Option<Fault>,
 }
 
 impl Config {
-    /// A configuration with default bounds and no faults.
+    /// A configuration with the default limits and no fault.
     pub fn new(local: Author, listen: SocketAddr, keys: keys::Source) -> Self {
         Self {
             local,
--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -1,4 +1,4 @@
-//! What the mesh tells its user.
+//! Events of the mesh.
 
 use tokio::sync::oneshot;
 use wire::peer::{Frame, Query, Reply};
@@ -6,37 +6,37 @@
 
 use crate::Id;
 
-/// What the mesh tells its user.
+/// An event that the mesh passes to its handler.
 #[derive(Debug)]
 pub enum Event {
-    /// A frame arrived. The sender's certificate bears the name in `from`; whether its
-    /// incarnation is the newest is for `fleet::Members` to say.
+    /// A frame arrived. The name in `from` matches the certificate of the sender; whether its
+    /// incarnation is the newest is checked by `fleet::Members`.
     Frame(Frame),
-    /// A peer asks.
+    /// A query of a peer.
     Query {
-        /// Who asks.
+        /// The sender.
         from: Author,
-        /// What it asks.
+        /// The query.
         query: Query,
-        /// Where the reply goes.
+        /// Sends the reply.
         responder: Responder,
     },
-    /// The first connection to this peer stands.
+    /// The first connection to this peer was opened.
     Up(Id),
-    /// No connection to this peer stands any more.
+    /// The last connection to this peer was closed.
     Down(Id),
 }
 
-/// Where a reply goes. Dropping it unused lets the peer's query fail at once.
+/// Sends the reply to a query. If it is dropped unused, the query of the peer fails at once.
 #[derive(Debug)]
 pub struct Responder {
     pub(crate) reply: oneshot::Sender<Reply>,
 }
 
 impl Responder {
-    /// Sends the reply, unless the peer has given up.
+    /// Sends the reply, unless the query has timed out.
     pub fn send(self, reply: Reply) {
-        // The receiver is gone only if the query's time is over, and then nobody waits.
+        // The receiver is dropped only after the time-out of the query.
         let _gone = self.reply.send(reply);
     }
 }
--- a/crates/peer/src/issue.rs
+++ b/crates/peer/src/issue.rs
@@ -1,5 +1,5 @@
-//! Makes an authority and certificates for trials, `tarragonctl keys make` and tests. A fleet in
-//! earnest brings certificates of its own authority; see `docs/design/tls.md`.
+//! Issues certificates for tests, trials and `tarragonctl keys make`. A production fleet uses
+//! certificates of its own authority; see `docs/design/tls.md`.
 
 use std::fs;
 use std::io;
@@ -19,7 +19,7 @@
 /// File of the authority's private key.
 const CA_KEY_FILE: &str = "ca-key.pem";
 
-/// An authority that signs certificates of instances.
+/// A certificate authority for instances.
 #[derive(Debug)]
 pub struct Authority {
     pem: String,
@@ -27,11 +27,11 @@
 }
 
 impl Authority {
-    /// A new authority with this name.
+    /// Creates an authority with a new key.
     ///
     /// # Errors
     ///
-    /// [`Error::Issue`] if no key can be made.
+    /// [`Error::Issue`] if no key can be generated.
     pub fn new(name: &str) -> Result<Self, Report<Error>> {
         let key = KeyPair::generate().change_context(Error::Issue)?;
         let pem = authority(name)
@@ -46,11 +46,11 @@
         &self.pem
     }
 
-    /// Keys of an instance, as texts. Its id must be a DNS name.
+    /// Issues the keys of an instance as PEM texts. Its id must be a DNS name.
     ///
     /// # Errors
     ///
-    /// [`Error::Issue`] if the id can't stand in a certificate.
+    /// [`Error::Issue`] if the id is not valid in a certificate.
     pub fn issue(&self, id: &str) -> Result<Source, Report<Error>> {
         let key = KeyPair::generate().change_context(Error::Issue)?;
         let mut params =
@@ -76,8 +76,8 @@
         Self { pem, issuer }
     }
 
-    /// The authority of this directory, made if there is none. Its name is that of the directory
-    /// in all runs, because certificates name their issuer.
+    /// Loads the authority of this directory, or creates it. Its name is always [`TRIAL_NAME`],
+    /// because certificates name their issuer.
     fn open(dir: &Path) -> Result<Self, Report<Error>> {
         let (ca, key) = (dir.join(CA_FILE), dir.join(CA_KEY_FILE));
         if ca.exists() && key.exists() {
@@ -93,16 +93,16 @@
     }
 }
 
-/// Name of the authority that [`make`] keeps in a directory.
+/// Name of the authority that [`write_keys`] stores in a directory.
 const TRIAL_NAME: &str = "tarragonswitch trial authority";
 
-/// Writes `ID.pem` and `ID-key.pem` for each instance into a directory, with the authority in
-/// `ca.pem` and `ca-key.pem`, which are made if they are missing and used again if not. Gives
-/// back where the keys of each instance are.
+/// Writes `ID.pem` and `ID-key.pem` for each instance into a directory. The authority is in
+/// `ca.pem` and `ca-key.pem`; it is created if missing and reused otherwise. Returns the paths of
+/// the keys of each instance.
 ///
 /// # Errors
 ///
-/// [`Error::Issue`] if a file can't be written or an id can't stand in a certificate.
+/// [`Error::Issue`] if a file cannot be written or an id is not valid in a certificate.
 pub fn write_keys(dir: &Path, ids: &[String]) -> Result<Vec<Source>, Report<Error>> {
     fs::create_dir_all(dir).change_context(Error::Issue)?;
     let authority = Authority::open(dir)?;
@@ -126,8 +126,8 @@
     })
 }
 
-/// Replaces the file in one step, so that a process that reloads never reads half a key. Private
-/// keys are readable by their owner only.
+/// Replaces the file atomically, so that a reloading process never reads a partial key. Only the
+/// owner can read the files, since some are private keys.
 fn write(path: &Path, text: &str) -> io::Result<()> {
     let partial = PathBuf::from(format!("{}.partial", path.display()));
     let mut options = fs::OpenOptions::new();
@@ -138,7 +138,7 @@
     fs::rename(&partial, path)
 }
 
-/// Mode of files that only their owner may read.
+/// Read and write for the owner only.
 #[cfg(unix)]
 const OWNER_ONLY: u32 = 0o600;
 
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: where they come from, how they are checked, and the QUIC configurations made of them.
+//! Loads and checks the keys and builds the QUIC configurations from them.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -16,23 +16,23 @@
 use crate::Id;
 use crate::config::Limits;
 
-/// Name of the protocol in the handshake; another version of it is refused there.
+/// Protocol name of the handshake, in which other versions are refused.
 const ALPN: &[u8] = b"tarragon-peer/1";
 
-/// Datagrams that may wait to be read, in bytes, for each connection.
+/// Bytes of datagrams that are buffered for each connection and direction.
 const DATAGRAM_BUFFER: usize = 64 << 10;
 
-/// A PEM text.
+/// Source of a PEM text.
 #[derive(Clone, Eq, PartialEq)]
 pub enum Pem {
-    /// Read from this file at each load, so that a rotated file counts.
+    /// A file, which is read at each load so that rotated files take effect.
     Path(PathBuf),
     /// The text itself.
     Inline(String),
 }
 
 impl fmt::Debug for Pem {
-    /// Never shows a text, which may be a private key.
+    /// Omits the inline text, which may be a private key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Path(path) => write!(f, "Path({})", path.display()),
@@ -52,18 +52,18 @@
     }
 }
 
-/// Where the keys of an instance come from.
+/// Sources of the keys of an instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Source {
-    /// Certificates of the authorities that are trusted; two of them while one replaces the other.
+    /// Certificates of the trusted authorities; two during a change of authority.
     pub ca: Pem,
-    /// Certificate of the instance, followed by intermediate ones.
+    /// Certificate of the instance, followed by intermediate certificates.
     pub cert: Pem,
     /// Its private key.
     pub key: Pem,
 }
 
-/// One thing that is wrong with the keys.
+/// A problem with the keys.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
     /// `ca`, `cert` or `key`.
@@ -78,18 +78,18 @@
     }
 }
 
-/// Checked configurations of both roles.
+/// Checked configurations of the server and the client side.
 #[derive(Clone, Debug)]
 pub(crate) struct Keys {
     pub(crate) server: quinn::ServerConfig,
     pub(crate) client: quinn::ClientConfig,
 }
 
-/// Reads the keys and checks that they fit together and bear this name.
+/// Reads the keys and checks that they match each other and are issued for `own`.
 ///
 /// # Errors
 ///
-/// All findings at once.
+/// All findings.
 pub fn check(source: &Source, own: &str) -> Result<(), Vec<Finding>> {
     load(source, own, &Limits::default()).map(|_| ())
 }
@@ -105,8 +105,8 @@
     configure(Arc::new(roots), chain, key, limits).map_err(|text| vec![finding("key", text)])
 }
 
-/// The name that a peer's certificate bears. It must be the only one, because a certificate for
-/// two instances would let either speak for the other.
+/// The name in the certificate of the peer. It must be the only one, because with a certificate for
+/// two instances either could impersonate the other.
 pub(crate) fn identity(connection: &quinn::Connection) -> Option<Id> {
     let identity = connection.peer_identity()?;
     let chain = identity
@@ -183,8 +183,8 @@
     Ok(Keys { server, client })
 }
 
-/// Resumption is off on both sides: a resumed session would outlive the certificates that it was
-/// made with, and connections are too few for it to pay.
+/// Session resumption is off on both sides: a resumed session could outlive its certificates, and
+/// there are too few connections for it to save much.
 fn server(
     provider: &Arc<CryptoProvider>,
     roots: Arc<RootCertStore>,
@@ -222,8 +222,8 @@
     QuicClientConfig::try_from(config).map_err(|error| error.to_string())
 }
 
-/// Heartbeats keep a connection alive, so no packet goes out for that alone. Path MTU probes are
-/// off: frames are small, and the probes would cost more than all heartbeats of a minute.
+/// Heartbeats keep a connection alive, so keep-alive packets are normally not sent. Path MTU
+/// discovery is off: frames are small, and probes would cost more than a minute of heartbeats.
 fn transport(limits: &Limits) -> quinn::TransportConfig {
     let mut transport = quinn::TransportConfig::default();
     let streams = quinn::VarInt::from_u32(limits.max_streams);
@@ -240,8 +240,8 @@
     transport
 }
 
-/// Part of the idle time after which a silent connection is asked for a sign of life.
+/// The keep-alive interval is the idle time-out divided by this.
 const KEEP_ALIVE_DIVISOR: f64 = 2.5;
 
-/// Data centres are at most some milliseconds apart.
+/// Initial estimate of the round trip; data centres are at most some milliseconds apart.
 const INITIAL_RTT: Duration = Duration::from_millis(20);
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
-//! The mesh between entries: QUIC with mutual TLS, one connection a pair, bytes counted by kind
-//! of message. It carries frames and knows nothing of what they mean; `fleet` and `control` do.
+//! The mesh between entries: QUIC with mutual TLS, one connection for each pair, bytes counted by
+//! kind of message. It transports frames; `fleet` and `control` interpret them.
 //!
-//! `docs/design/membership.md` says what a frame costs and why the mesh is full today,
-//! `docs/design/tls.md` how keys are checked and rotated.
+//! See `docs/design/membership.md` for the cost of a frame and why the mesh is full, and
+//! `docs/design/tls.md` for how keys are checked and rotated.
 
 mod codec;
 pub mod config;
@@ -23,25 +23,25 @@
 
 use std::fmt;
 
-/// Instance id; the only name in an instance's certificate.
+/// Instance id, the only name in the certificate of an instance.
 pub type Id = String;
 
-/// Why the mesh could not do as asked.
+/// An error of the mesh.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// The keys can't be used; all findings at once.
+    /// The keys are invalid, with all findings.
     Keys(Vec<keys::Finding>),
-    /// The address can't be listened on.
+    /// Listening on the address failed.
     Listen(std::net::SocketAddr),
-    /// No connection to this peer stands.
+    /// There is no connection to this peer.
     NotConnected(Id),
     /// The peer did not answer in time.
     TimedOut(Id),
-    /// The connection broke or the peer gave up before it answered.
+    /// The connection was lost, or the peer dropped the query without answering.
     Broken(Id),
-    /// The answer can't be read, is too large, or is no answer.
+    /// The answer cannot be decoded, is too large, or is not a reply.
     Malformed(Id),
-    /// Certificates could not be made.
+    /// Certificates could not be issued.
     Issue,
 }
 
--- a/crates/peer/src/traffic.rs
+++ b/crates/peer/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts of what goes over the mesh, by kind of message and direction.
+//! Traffic counters of the mesh, by kind of message and direction.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,20 +7,20 @@
 
 use crate::config::Direction;
 
-/// Kind of a frame, as operators see it.
+/// Kind of a frame.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Kind {
-    /// Sign of life.
+    /// Heartbeat of the membership.
     Heartbeat,
-    /// Own outstanding work.
+    /// Outstanding work of the sender.
     Load,
     /// Demand per owner.
     Shares,
     /// Confirmation of a closing.
     Confirm,
-    /// Question.
+    /// Query.
     Query,
-    /// Answer to a question.
+    /// Reply to a query.
     Reply,
     /// Service-level counters.
     Burn,
@@ -29,7 +29,7 @@
 }
 
 impl Kind {
-    /// Name in status and metrics.
+    /// Name in the status and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Heartbeat => "heartbeat",
@@ -65,7 +65,7 @@
     }
 }
 
-/// Messages and their bytes since the start of the process.
+/// Number and bytes of messages since the start of the process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Count {
     /// Number of messages.
@@ -75,13 +75,13 @@
 }
 
 impl Count {
-    /// Adds one message.
+    /// Counts one message.
     pub(crate) fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
     }
 
-    /// What was added since an earlier reading; over its age that is a rate.
+    /// The difference to an earlier reading. Divided by the time between them it is a rate.
     pub fn since(self, earlier: Count) -> Count {
         Count {
             messages: self.messages.saturating_sub(earlier.messages),
@@ -96,12 +96,12 @@
     }
 }
 
-/// One kind of traffic in both directions.
+/// Traffic in both directions.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Flow {
-    /// From this process.
+    /// Sent by this process.
     pub sent: Count,
-    /// To this process.
+    /// Received by this process.
     pub received: Count,
 }
 
@@ -114,20 +114,21 @@
     }
 }
 
-/// Counts since the start of the process. A rate is the difference of two readings.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Traffic {
-    /// Encoded frames by kind, without what QUIC adds.
+    /// Encoded frames by kind, without the overhead of QUIC.
     pub kinds: BTreeMap<Kind, Flow>,
-    /// UDP datagrams and their payload: frames, acknowledgements, handshakes, encryption. The
-    /// budget of control counts against this, plus 28 bytes a datagram of UDP and IPv4.
+    /// UDP datagrams and their payload: frames, acknowledgements, handshakes and encryption. The
+    /// traffic budget of control applies to this plus 28 bytes of UDP and IPv4 headers a datagram.
     pub udp: Flow,
-    /// Frames that were not sent, because the peer was slow or away.
+    /// Frames that were not sent, because the send queue was full or there was no connection.
     pub unsent: u64,
-    /// Frames that were received and dropped: malformed, too large or under a false name.
+    /// Frames that were received and dropped: malformed, too large, or with a sender other than in
+    /// the certificate.
     pub refused: u64,
-    /// Handshakes, dialed or accepted, that failed: the peer is away, or one side does not accept
-    /// the other's certificate. The log says which.
+    /// Failed handshakes, dialed or accepted: the peer is unreachable, or one side rejects the
+    /// certificate of the other. The log says which.
     pub failed_handshakes: u64,
 }
 
