--- a/crates/peer/src/dial.rs
+++ b/crates/peer/src/dial.rs
@@ -1,4 +1,4 @@
-//! Dialing peers, accepting their calls, and renewing connections after a change of keys.
+//! Dials peers, accepts connections, and renews connections after a change of keys.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,10 +12,10 @@
 use crate::link::OLD_KEYS;
 use crate::mesh::Peer;
 
-/// How long the higher id of a pair leaves the dialing to the lower, so that rarely both dial.
+/// How long the higher id of a pair waits for the lower one to dial, so that both rarely dial.
 const HEAD_START: Duration = Duration::from_millis(300);
 
-/// Keeps a connection to the peer for as long as the task runs.
+/// Keeps a connection to the peer open while the task runs.
 pub(crate) async fn maintain_connection(inner: Rc<Inner>, peer: Peer) {
     let own = &inner.config.local.instance;
     let head_start = if *own > peer.id {
@@ -31,14 +31,14 @@
             link.connection.closed().await;
         } else {
             dial(&inner, &peer.id, peer.address).await;
-            // The tasks of the new connection run before it is looked at again.
+            // Lets the tasks of the new connection run before it is checked.
             tokio::task::yield_now().await;
             if inner.link(&peer.id).is_some() {
                 continue;
             }
         }
-        // A peer that refuses our certificate does so only after our side takes the connection
-        // for made, so only one that lasted shows that dialing works.
+        // A peer rejects our certificate only after the handshake has completed on our side, so
+        // only a connection that lasted resets the back-off.
         if began.elapsed() >= inner.config.limits.max_backoff {
             failures = 0;
         }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Accepts calls until the endpoint is closed.
+/// Accepts connections until the endpoint is closed.
 pub(crate) async fn accept(inner: Rc<Inner>) {
     while let Some(incoming) = inner.endpoint.accept().await {
         if inner.state.borrow().handshakes >= inner.config.limits.max_handshakes {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Makes a connection anew that was made with older keys, and closes the old one if that fails.
+/// Replaces a connection made with older keys, and closes the old one if that fails.
 pub(crate) async fn renew(inner: Rc<Inner>, id: Id, generation: u64) {
     sleep(inner.config.limits.rotation_period.mul_f64(rand::random())).await;
     let is_old = |inner: &Inner| {
@@ -70,7 +70,7 @@
     let Some(old) = is_old(&inner) else { return };
     dial(&inner, &id, old.address()).await;
     if let Some(old) = is_old(&inner) {
-        log::warn!(peer = id.as_str(); "the peer does not take the new keys; its connection is closed");
+        log::warn!(peer = id.as_str(); "peer does not accept the new keys; closing its connection");
         old.connection.close(OLD_KEYS, b"old keys");
     }
 }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Connects; the handshake fails unless the peer's certificate is for this id.
+/// Connects. The handshake fails unless the certificate of the peer is for this id.
 async fn connect(inner: &Inner, id: &Id, address: SocketAddr) -> Result<Connection, String> {
     let client = inner.state.borrow().client.clone();
     let connecting = inner
@@ -113,8 +113,7 @@
     }
 }
 
-/// Doubles with each failure up to a bound; the jitter keeps the peers of an entry that comes
-/// back from dialing it all at once.
+/// Exponential back-off with jitter, so that peers do not all dial a returning entry at once.
 fn backoff(inner: &Inner, failures: u32) -> Duration {
     let limits = &inner.config.limits;
     let doubled = limits
@@ -125,5 +124,5 @@
         .mul_f64(0.5 + rand::random::<f64>())
 }
 
-/// Doublings after which the bound holds in any case.
+/// Limits the shift so that it cannot overflow; the back-off has reached its maximum by then.
 const MAX_DOUBLINGS: u32 = 12;
--- a/crates/peer/src/inner.rs
+++ b/crates/peer/src/inner.rs
@@ -1,4 +1,4 @@
-//! The state of a mesh, shared by its tasks.
+//! State of a mesh that its tasks share.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 use crate::traffic::{Flow, Kind, Traffic};
 use crate::{Id, dial, keys, receive};
 
-/// What all tasks of a mesh share.
+/// Shared by all tasks of a mesh.
 pub(crate) struct Inner {
     pub(crate) config: Config,
     pub(crate) endpoint: Endpoint,
@@ -28,23 +28,23 @@
     pub(crate) state: RefCell<State>,
 }
 
-/// What changes while a mesh runs. It is never borrowed over a wait or a call of the handler.
+/// Mutable state of a mesh. It is never borrowed across an `await` or a call of the handler.
 pub(crate) struct State {
     pub(crate) client: quinn::ClientConfig,
-    /// Grows with each change of keys.
+    /// Incremented by each change of keys.
     pub(crate) generation: u64,
     sequence: u64,
     serial: u64,
-    /// The connection of each pair that is kept.
+    /// The connection in use for each peer.
     pub(crate) current: BTreeMap<Id, Rc<Link>>,
-    /// All connections, also those replaced that are still read.
+    /// All connections by serial number, including replaced ones that are still read.
     pub(crate) links: BTreeMap<u64, Rc<Link>>,
     pub(crate) dialers: BTreeMap<Id, Dialer>,
     pub(crate) handshakes: usize,
     pub(crate) traffic: Traffic,
 }
 
-/// The task that keeps a connection to one peer.
+/// The task that maintains the connection to a peer.
 pub(crate) struct Dialer {
     pub(crate) address: SocketAddr,
     pub(crate) task: JoinHandle<()>,
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Takes a connection whose handshake is done into the mesh, unless the pair has a better one.
+    /// Adds a connection to the mesh after its handshake, unless the pair has a better one.
     pub(crate) fn adopt(self: &Rc<Self>, connection: Connection, dialed: bool, generation: u64) {
         let name = keys::identity(&connection);
         let Some(id) = name.filter(|id| *id != self.config.local.instance) else {
@@ -148,7 +148,7 @@
         actix_rt::spawn(serve(Rc::clone(self), link, queued));
     }
 
-    /// Keeps one connection of the pair, and closes the other a little later.
+    /// Keeps one connection of the pair and closes the other after a delay.
     fn keep_one_connection(self: &Rc<Self>, link: &Rc<Link>) {
         let own = &self.config.local.instance;
         let former = self.link(&link.id);
@@ -167,7 +167,7 @@
         if let Some(spare) = redundant {
             actix_rt::spawn(close_later(spare, self.config.limits.linger));
         }
-        // Keys that were reloaded during the handshake did not see this connection.
+        // A reload of the keys during the handshake did not renew this connection.
         if kept && link.origin.generation < generation {
             let id = link.id.clone();
             actix_rt::spawn(dial::renew(Rc::clone(self), id, generation));
@@ -200,13 +200,13 @@
     inner.remove(&link);
 }
 
-/// Leaves frames under way the time to arrive before a spare connection is closed.
+/// Closes a redundant connection after frames in flight have had time to arrive.
 async fn close_later(link: Rc<Link>, linger: Duration) {
     sleep(linger).await;
     link.connection.close(REPLACED, b"replaced");
 }
 
-/// Adds the counts of one connection.
+/// Adds the counters of a connection to a total.
 pub(crate) fn merge(total: &mut Flow, part: Flow) {
     total.sent.merge(part.sent);
     total.received.merge(part.received);
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer, and which of two is kept.
+//! A connection to a peer, and the choice between two connections of a pair.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,37 +11,37 @@
 use crate::codec::{self, Encoded};
 use crate::traffic::{Count, Flow};
 
-/// Close code: the mesh stops.
+/// Close code: the mesh is stopping.
 pub(crate) const STOPPING: VarInt = VarInt::from_u32(0);
 /// Close code: another connection of the pair is kept.
 pub(crate) const REPLACED: VarInt = VarInt::from_u32(1);
-/// Close code: a frame bore a name that its sender's certificate doesn't.
+/// Close code: a frame is malformed or names another sender than the certificate.
 pub(crate) const FALSE_NAME: VarInt = VarInt::from_u32(2);
-/// Close code: the certificate bears no usable name.
+/// Close code: the certificate has no usable name.
 pub(crate) const UNUSABLE_NAME: VarInt = VarInt::from_u32(3);
-/// Close code: made with keys that were replaced since.
+/// Close code: the connection was made with keys that have been replaced.
 pub(crate) const OLD_KEYS: VarInt = VarInt::from_u32(4);
 
-/// Time within which two connections of a pair count as dialed by both sides at once.
+/// Two connections made within this time count as dialed simultaneously.
 const SIMULTANEOUS: Duration = Duration::from_secs(1);
 
-/// How a connection came about.
+/// How and when a connection was made.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Origin {
     /// Whether this process dialed.
     pub(crate) dialed: bool,
-    /// Which keys of this process it was made with.
+    /// Generation of the keys of this process that it was made with.
     pub(crate) generation: u64,
-    /// When its handshake was done.
+    /// When its handshake completed.
     pub(crate) since: Instant,
 }
 
 impl Origin {
-    /// Whether this new connection is kept rather than the one that stands.
+    /// Whether this new connection replaces the standing one.
     ///
-    /// Normally the newer one is: its dialer knows that the older is dead, or has new keys. But
-    /// if both sides dialed at once, each would keep the one that the other closes. Then both
-    /// keep the one that the lower id dialed.
+    /// Normally it does, since its dialer knows that the standing one is dead, or has new keys.
+    /// But if both sides dialed simultaneously, each would keep the one that the other closes, so
+    /// both keep the one that the lower id dialed.
     pub(crate) fn replaces(&self, standing: &Origin, own: &str, peer: &str) -> bool {
         let simultaneous = self.dialed != standing.dialed
             && self.generation == standing.generation
@@ -56,13 +56,13 @@
     pub(crate) id: Id,
     pub(crate) connection: Connection,
     pub(crate) origin: Origin,
-    /// Unique in this process.
+    /// Unique within this process.
     pub(crate) serial: u64,
     pub(crate) queue: mpsc::Sender<Encoded>,
 }
 
 impl Link {
-    /// Hands a frame over without waiting; `false` if the peer is too slow for it.
+    /// Sends a frame without waiting. Returns `false` if it could not be sent or queued.
     pub(crate) fn send(&self, encoded: Encoded) -> bool {
         if !codec::is_lossy(encoded.kind) {
             return self.queue.try_send(encoded).is_ok();
@@ -78,7 +78,7 @@
         self.connection.remote_address()
     }
 
-    /// UDP datagrams of this connection so far.
+    /// UDP datagrams and bytes of this connection so far.
     pub(crate) fn udp(&self) -> Flow {
         let stats = self.connection.stats();
         Flow {
--- a/crates/peer/src/link/tests.rs
+++ b/crates/peer/src/link/tests.rs
@@ -1,4 +1,4 @@
-//! Which of two connections of a pair is kept.
+//! Choice between two connections of a pair.
 
 use std::time::Duration;
 
@@ -14,16 +14,15 @@
     }
 }
 
-// Symptom: two entries lose their connection again and again while both are well.
-// Sequence: both dial at once; each takes the newer of the two connections and closes the other.
-// Cause: the two sides see the connections in different orders.
+// Both sides dial at once and see the two connections in different orders. If each kept the newer
+// one and closed the other, two healthy entries would lose their connection again and again.
 #[test]
-fn both_sides_keep_the_same_of_two_dialed_at_once() {
+fn both_sides_keep_the_same_of_two_simultaneous_connections() {
     let now = Instant::now();
     let soon = now + SIMULTANEOUS / 2;
     for a_sees_own_first in [true, false] {
         for b_sees_own_first in [true, false] {
-            // Each side judges the one that it sees second against the one that it sees first.
+            // Each side compares the connection that it sees second with the first.
             let a_first = origin(a_sees_own_first, 0, now);
             let a_second = origin(!a_sees_own_first, 0, soon);
             let b_first = origin(b_sees_own_first, 0, now);
@@ -36,23 +35,23 @@
                 true => b_second.dialed,
                 false => b_first.dialed,
             };
-            assert!(a_kept, "a keeps its own");
-            assert!(!b_kept, "b keeps that of a");
+            assert!(a_kept, "a keeps the connection that it dialed");
+            assert!(!b_kept, "b keeps the connection that a dialed");
         }
     }
 }
 
 #[test]
-fn later_the_newer_is_kept_whoever_dialed() {
+fn newer_connection_is_kept_unless_dialed_simultaneously() {
     let now = Instant::now();
     let later = now + SIMULTANEOUS + Duration::from_millis(1);
     for dialed in [true, false] {
         let standing = origin(!dialed, 0, now);
         assert!(origin(dialed, 0, later).replaces(&standing, "a", "b"));
-        // The same dialer dials again only if its former connection is dead.
+        // A dialer dials again only if its previous connection is dead.
         let own = origin(dialed, 0, now);
         assert!(origin(dialed, 0, now).replaces(&own, "a", "b"));
-        // One with newer keys is kept in any case.
+        // A connection with newer keys is always kept.
         assert!(origin(dialed, 1, now).replaces(&standing, "a", "b"));
     }
 }
--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The mesh: which connections stand, and the calls of its user.
+//! The public interface of the mesh.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -21,53 +21,53 @@
 use crate::traffic::{Flow, Traffic};
 use crate::{Error, Id, dial, keys};
 
-/// A peer to be connected to.
+/// A peer to connect to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Peer {
-    /// Instance id, which its certificate must bear.
+    /// Instance id, which its certificate must name.
     pub id: Id,
     /// Its UDP address.
     pub address: SocketAddr,
 }
 
-/// A connection as operators see it.
+/// Status of a connection.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Status {
     /// Instance id of the peer.
     pub id: Id,
     /// Its UDP address.
     pub address: SocketAddr,
-    /// Whether this process dialed.
+    /// Whether this process dialed the connection.
     pub dialed: bool,
     /// Age of the connection.
     pub age: Duration,
-    /// Smoothed time there and back.
+    /// Smoothed round-trip time.
     pub round_trip: Duration,
-    /// UDP datagrams of this connection.
+    /// UDP datagrams and bytes of this connection.
     pub udp: Flow,
 }
 
-/// Why a frame was not sent. Frames are repeated by their senders, so this is for counts and logs.
+/// Why a frame was not sent. Senders repeat their frames, so this serves counters and logs only.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendError {
-    /// No connection to the peer stands.
+    /// There is no connection to the peer.
     NotConnected,
-    /// The peer takes frames more slowly than they come.
+    /// The send queue of the peer is full.
     QueueFull,
-    /// It is larger than [`crate::config::Limits::max_frame_bytes`].
+    /// The frame is larger than [`crate::config::Limits::max_frame_bytes`].
     TooLarge,
 }
 
-/// A running mesh. Clones are handles of the same mesh; it runs on the actix system that started
-/// it until [`Mesh::close`].
+/// Handle of a running mesh, which runs on the actix system that started it until
+/// [`Mesh::close`]. Clones refer to the same mesh.
 #[derive(Clone)]
 pub struct Mesh {
     pub(crate) inner: Rc<Inner>,
 }
 
 impl Mesh {
-    /// Listens, and calls `handler` for all that happens. The handler runs on the mesh's own
-    /// tasks and must not block.
+    /// Starts listening and calls `handler` for each event. The handler runs on the tasks of the
+    /// mesh and must not block.
     ///
     /// # Errors
     ///
@@ -88,18 +88,18 @@
         Ok(Self { inner })
     }
 
-    /// The address that is listened on.
+    /// The local UDP address.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`] if the socket is gone.
+    /// [`Error::Listen`] if the socket is closed.
     pub fn address(&self) -> Result<SocketAddr, Report<Error>> {
         let wanted = Error::Listen(self.inner.config.listen);
         self.inner.endpoint.local_addr().change_context(wanted)
     }
 
-    /// Dials these peers from now on. A connection to one that is left out is kept while it
-    /// stands, because the list lags and the peer may still serve.
+    /// Replaces the set of peers to dial. An open connection to a peer that was removed is kept,
+    /// because the list lags and the peer may still serve.
     pub fn set_members(&self, members: &[Peer]) {
         let own = &self.inner.config.local.instance;
         let mut state = self.inner.state.borrow_mut();
@@ -130,18 +130,17 @@
         }
     }
 
-    /// Sends a frame with this body, under this process's name and the next sequence number,
-    /// without waiting.
+    /// Sends a frame with this body and the next sequence number, without waiting.
     ///
     /// # Errors
     ///
-    /// Why it can't be sent now; it is not tried again.
+    /// Why it was not sent; it is not retried.
     pub fn send(&self, to: &str, body: Body) -> Result<(), SendError> {
         let encoded = self.inner.encode(body);
         self.inner.send(to, encoded)
     }
 
-    /// Sends the same frame to all peers that are connected, and says to how many.
+    /// Sends the frame to all connected peers and returns to how many it was sent.
     pub fn broadcast(&self, body: Body) -> usize {
         let encoded = self.inner.encode(body);
         let peers: Vec<Id> = self.inner.state.borrow().current.keys().cloned().collect();
@@ -151,7 +150,7 @@
         sent.count()
     }
 
-    /// Asks a peer and waits for its reply, at most this long.
+    /// Sends a query to a peer and waits for its reply, at most for `within`.
     ///
     /// # Errors
     ///
@@ -180,13 +179,13 @@
         }
     }
 
-    /// Reads the keys again and uses them from now on. Connections that stand are renewed one by
-    /// one within [`crate::config::Limits::rotation_period`], the old one being closed after its
-    /// successor stands; a peer that does not accept the new keys is cut off by the end of it.
+    /// Reloads the keys. Open connections are renewed within
+    /// [`crate::config::Limits::rotation_period`], each old one being closed only after its
+    /// successor is open; a peer that rejects the new keys is disconnected by then.
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] with all findings; the keys in use stay.
+    /// [`Error::Keys`] with all findings; the current keys stay in use.
     pub fn reload(&self, source: &keys::Source) -> Result<(), Report<Error>> {
         let config = &self.inner.config;
         let keys = keys::load(source, &config.local.instance, &config.limits)
@@ -205,7 +204,7 @@
         Ok(())
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn traffic(&self) -> Traffic {
         let state = self.inner.state.borrow();
         let mut traffic = state.traffic.clone();
@@ -215,7 +214,7 @@
         traffic
     }
 
-    /// The connections that stand, by id of the peer.
+    /// The current connections, ordered by the id of the peer.
     pub fn status(&self) -> Vec<Status> {
         let state = self.inner.state.borrow();
         let status = |link: &Rc<Link>| Status {
@@ -229,14 +228,14 @@
         state.current.values().map(status).collect()
     }
 
-    /// Closes all connections and tells the peers so.
+    /// Closes all connections and notifies the peers.
     pub async fn close(&self) {
         let dialers = std::mem::take(&mut self.inner.state.borrow_mut().dialers);
         for dialer in dialers.values() {
             dialer.task.abort();
         }
         self.inner.endpoint.close(STOPPING, b"stopping");
-        // A peer that is cut off never acknowledges, so the wait is bounded.
+        // An unreachable peer never acknowledges the close, so the wait is bounded.
         let _cut_off = timeout(
             self.inner.config.limits.dial_timeout,
             self.inner.endpoint.wait_idle(),
--- a/crates/peer/src/receive.rs
+++ b/crates/peer/src/receive.rs
@@ -1,4 +1,4 @@
-//! The reading and writing tasks of one connection.
+//! The tasks that read from and write to a connection.
 
 use std::rc::Rc;
 
@@ -16,7 +16,7 @@
 use crate::link::{FALSE_NAME, Link};
 use crate::traffic::Kind;
 
-/// Serves a connection until it ends.
+/// Serves a connection until it is closed.
 pub(crate) async fn run(inner: Rc<Inner>, link: Rc<Link>, queue: mpsc::Receiver<Encoded>) {
     tokio::join!(
         read_datagrams(&inner, &link),
@@ -74,7 +74,7 @@
 async fn write_one(link: &Link, encoded: &Encoded) -> Result<(), quinn::WriteError> {
     let mut stream = link.connection.open_uni().await?;
     stream.write_all(&encoded.bytes).await?;
-    // Finishing twice is the only error, and this stream is finished here alone.
+    // `finish` fails only if called twice, and this is the only call.
     let _finished_before = stream.finish();
     Ok(())
 }
@@ -87,7 +87,8 @@
         .ok()
 }
 
-/// Counts and decodes a frame, and closes the connection of a peer that uses a false name.
+/// Decodes and counts a frame. Closes the connection if the frame is malformed or names another
+/// sender than the peer's certificate.
 fn decode_frame(inner: &Inner, link: &Link, bytes: &[u8]) -> Option<(Author, Frame)> {
     if inner.config.drops(Direction::In, &link.id) {
         return None;
@@ -107,7 +108,7 @@
     let Some((_, frame)) = decode_frame(inner, link, bytes) else {
         return;
     };
-    // Queries and replies belong on a stream of their own, where they are paired.
+    // Queries and replies use bidirectional streams, which match a reply with its query.
     if matches!(frame.body, Some(Body::Query(_) | Body::Reply(_))) {
         inner.count_refused();
         return;
@@ -133,7 +134,7 @@
     }
     inner.count(encoded.kind, Direction::Out, encoded.bytes.len());
     if send.write_all(&encoded.bytes).await.is_ok() {
-        // Finishing twice is the only error, and this stream is finished here alone.
+        // `finish` fails only if called twice, and this is the only call.
         let _finished_before = send.finish();
     }
 }
@@ -150,7 +151,7 @@
     reply.ok()?.ok().map(Body::Reply)
 }
 
-/// Asks a peer and waits for its reply.
+/// Sends a query to a peer and waits for its reply.
 pub(crate) async fn exchange(inner: &Inner, link: &Link, query: &Encoded) -> Exchange {
     let Ok((mut send, mut stream)) = link.connection.open_bi().await else {
         return Exchange::Broken;
@@ -181,7 +182,7 @@
     }
 }
 
-/// How an exchange ended.
+/// Result of [`exchange`].
 #[derive(Debug)]
 pub(crate) enum Exchange {
     Replied(wire::peer::Reply),
