--- a/crates/peer/examples/mesh.rs
+++ b/crates/peer/examples/mesh.rs
@@ -1,8 +1,8 @@
-//! Measures what heartbeats cost: a full mesh of endpoints on loopback in this process, one
-//! heartbeat a second to each peer. `docs/design/membership.md` gives the figures.
+//! Measures the cost of heartbeats: a full mesh of endpoints on loopback in one process, with one
+//! heartbeat a second to each peer. Results are in `docs/design/membership.md`.
 //!
-//! `cargo run --release -p peer --example mesh [N...]`; without arguments 6, 12, 24 and 48. Each
-//! takes about ten seconds, so the program ends by itself within a minute.
+//! `cargo run --release -p peer --example mesh [N...]`; the default sizes are 6, 12, 24 and 48.
+//! Each takes about ten seconds.
 
 #![allow(clippy::print_stdout, reason = "a program that reports")]
 
@@ -18,15 +18,15 @@
 use wire::peer::{Echo, Heartbeat};
 use wire::record::Author;
 
-/// Age at which a connection counts as settled: its handshake and spare ones are over.
+/// Age at which the handshake and redundant connections no longer affect the measurement.
 const MIN_CONNECTION_AGE: Duration = Duration::from_secs(2);
-/// Looks at the connections, a quarter of a second apart, before giving up.
+/// Number of checks, 250 ms apart, before the mesh counts as not settled.
 const MAX_POLLS: u32 = 80;
-/// Heartbeats are measured for so many seconds.
+/// Duration of the measurement.
 const MEASURED_SECONDS: u32 = 6;
-/// Bytes of UDP and IPv4 headers of a datagram.
+/// UDP and IPv4 headers of a datagram.
 const HEADER_BYTES: u64 = 28;
-/// Clock ticks a second of the processor times in `/proc`.
+/// Unit of the processor times in `/proc`.
 const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 /// Totals over all endpoints.
@@ -119,7 +119,7 @@
     Err("the mesh did not settle".into())
 }
 
-/// What a membership sends: the same for all but the echo, which is for the addressee.
+/// Sends the heartbeats of a membership, which differ only in the echo for each peer.
 fn send_heartbeats(meshes: &[Mesh], second: u64) {
     for mesh in meshes {
         for peer in mesh.status() {
@@ -135,7 +135,7 @@
                     sent_ms: 86_399_000 + second * 1000,
                 }),
             };
-            // An unsent one shows in the figures.
+            // A heartbeat that is not sent shows in the measured counts.
             let _unsent = mesh.send(&peer.id, Body::Heartbeat(heartbeat));
         }
     }
@@ -194,7 +194,7 @@
     Ok((ticks(11)? + ticks(12)?) / CLOCK_TICKS_PER_S)
 }
 
-/// Resident bytes of this process.
+/// Resident memory of this process in bytes.
 fn memory() -> Result<u64, Box<dyn Error>> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status
--- a/crates/peer/tests/keys.rs
+++ b/crates/peer/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Who may speak, and how keys change while the mesh runs.
+//! Authentication of peers, and rotation of keys while the mesh runs.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by it")]
 
@@ -17,7 +17,7 @@
 use wire::peer::Frame;
 use wire::record::Author;
 
-/// Keys that trust several authorities while one replaces the other.
+/// The same keys, trusting several authorities as during a change of authority.
 fn trusting(own: &Source, authorities: &[&Authority]) -> Source {
     let texts: Vec<&str> = authorities.iter().map(|one| one.pem()).collect();
     Source {
@@ -33,7 +33,7 @@
     }
 }
 
-/// A QUIC connection made by hand, by an instance with valid keys that misbehaves afterwards.
+/// Opens a QUIC connection without a mesh, for an instance with valid keys that misbehaves.
 async fn connect_by_hand(keys: &Source, to: &Peer) -> quinn::Connection {
     let mut roots = rustls::RootCertStore::empty();
     roots
@@ -56,9 +56,8 @@
     connecting.unwrap().await.unwrap()
 }
 
-// Symptom: a closing counts as confirmed by an entry that never confirmed it.
-// Sequence: instance c, with valid keys, sends a confirmation whose sender reads "b".
-// Cause: the name in a frame was believed rather than the certificate.
+// Instance c, with valid keys, sends a confirmation with the sender "b". If the name in the frame
+// were trusted, a closing would count as confirmed by an entry that never confirmed it.
 #[actix_rt::test]
 async fn a_frame_under_another_name_closes_the_connection() {
     let authority = Authority::new("test").unwrap();
@@ -87,9 +86,8 @@
     assert_eq!(a.mesh.traffic().refused, 1);
 }
 
-// Symptom: frames meant for b reach another instance.
-// Sequence: the list gives b's address, but c listens there by now.
-// Cause: an address was taken for an identity.
+// The list has an outdated address of b at which c now listens. If the address stood for the
+// identity, frames for b would reach c.
 #[actix_rt::test]
 async fn a_certificate_for_another_name_is_refused() {
     let authority = Authority::new("test").unwrap();
@@ -116,7 +114,7 @@
         Authority::new("test").unwrap(),
     );
     let mut a = Process::start(&ours, "a");
-    // It trusts ours, so that only a's check of its certificate can refuse it.
+    // b trusts our authority, so that only a's check of its certificate can fail.
     let stranger = trusting(&theirs.issue("b").unwrap(), &[&ours]);
     let b = Process::start_with_config(config("b", 1, stranger));
     b.mesh.set_members(&[a.peer()]);
@@ -125,7 +123,7 @@
 }
 
 #[actix_rt::test]
-async fn all_findings_of_bad_keys_come_at_once() {
+async fn all_findings_of_invalid_keys_are_reported_together() {
     let authority = Authority::new("test").unwrap();
     let keys = Source {
         ca: Pem::Inline("nothing".to_owned()),
@@ -141,12 +139,11 @@
     assert_eq!(findings[1].text, "is for b, not for a");
 }
 
-// Symptom: after a change of keys, entries count as silent, or the old keys still open the mesh.
-// Sequence: every instance first trusts both authorities, then bears a certificate of the new one,
-// then trusts the new one only.
-// Cause: connections are not renewed, or are closed before their successors stand.
+// All instances first trust both authorities, then use certificates of the new one, then trust only
+// the new one. If connections were closed before their successors are open, entries would count as
+// silent; if they were not renewed, the old keys would still give access.
 #[actix_rt::test]
-async fn keys_rotate_without_restart_and_without_a_gap() {
+async fn keys_rotate_without_restart_or_interruption() {
     let (old, new) = (
         Authority::new("old").unwrap(),
         Authority::new("new").unwrap(),
@@ -163,7 +160,7 @@
             let keys = trusting(&bearer.issue(&process.id).unwrap(), trusted);
             process.mesh.reload(&keys).unwrap();
         }
-        // Both connections were renewed when each side has one that is younger than the reload.
+        // The connection is renewed when each side has one that is younger than the reload.
         let reloaded = tokio::time::Instant::now();
         while [&a, &b]
             .iter()
@@ -189,11 +186,10 @@
     assert!(earlier.is_empty(), "{earlier:?}");
 }
 
-// Symptom: an instance whose authority is no longer trusted goes on confirming for ever.
-// Sequence: a trusts the new authority only; b never reloads.
-// Cause: a connection that stands outlives the trust that it was made with.
+// a reloads keys that trust only the new authority, and b never reloads. If the open connection
+// were kept, an instance of an untrusted authority could go on confirming.
 #[actix_rt::test]
-async fn a_peer_left_behind_by_a_rotation_is_cut_off() {
+async fn a_peer_with_outdated_keys_is_disconnected_after_a_rotation() {
     let (old, new) = (
         Authority::new("old").unwrap(),
         Authority::new("new").unwrap(),
@@ -205,7 +201,7 @@
 }
 
 #[actix_rt::test]
-async fn a_bad_reload_keeps_the_keys_in_use() {
+async fn a_failed_reload_keeps_the_current_keys() {
     let authority = Authority::new("test").unwrap();
     let (a, mut b) = connected(&authority).await;
     let wrong = authority.issue("c").unwrap();
@@ -218,7 +214,7 @@
 }
 
 #[actix_rt::test]
-async fn made_keys_serve_and_the_authority_is_kept() {
+async fn written_keys_connect_and_the_authority_is_reused() {
     let dir = tempfile::tempdir().unwrap();
     let first = issue::write_keys(dir.path(), &["a".to_owned()]).unwrap();
     let second = issue::write_keys(dir.path(), &["b".to_owned()]).unwrap();
--- a/crates/peer/tests/mesh.rs
+++ b/crates/peer/tests/mesh.rs
@@ -1,4 +1,4 @@
-//! The mesh carries frames and queries, and counts them.
+//! Transport and counting of frames and queries.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by it")]
 
@@ -28,7 +28,7 @@
 }
 
 #[actix_rt::test]
-async fn frames_reach_all_over_one_connection_a_pair() {
+async fn broadcast_uses_one_connection_for_each_pair() {
     let authority = Authority::new("test").unwrap();
     let mut a = Process::start(&authority, "a");
     let mut b = Process::start(&authority, "b");
@@ -42,7 +42,7 @@
 }
 
 #[actix_rt::test]
-async fn a_frame_too_large_for_a_datagram_goes_as_a_stream() {
+async fn a_frame_too_large_for_a_datagram_is_sent_on_a_stream() {
     let authority = Authority::new("test").unwrap();
     let (a, mut b) = connected(&authority).await;
     let outstanding = (0..200)
@@ -66,7 +66,7 @@
 async fn a_query_gets_its_own_reply() {
     let authority = Authority::new("test").unwrap();
     let (a, mut b) = connected(&authority).await;
-    // The first two are answered in the wrong order.
+    // The two queries are answered in reverse order.
     let serve = async {
         let first = b.wait_for_event(responder).await;
         let second = b.wait_for_event(responder).await;
@@ -87,7 +87,7 @@
 }
 
 #[actix_rt::test]
-async fn a_query_fails_when_unanswered_silent_or_too_large() {
+async fn a_query_fails_when_dropped_unanswered_or_its_reply_is_too_large() {
     let authority = Authority::new("test").unwrap();
     let mut a = Process::start(&authority, "a");
     let keys = authority.issue("b").unwrap();
@@ -144,20 +144,18 @@
     assert!(sent.udp.sent.bytes > sent.kinds[&Kind::Confirm].sent.bytes);
 }
 
-// Symptom: an entry that was restarted is not heard for as long as the idle time.
-// Sequence: b dies without closing; a new b with the same name and address dials a.
-// Cause: the connection of the dead process still stands at a, and being the one that the lower id
-// dialed it would win over the new one.
+// b dies without closing its connection, and a new b dials a. If a kept the dead connection because
+// the lower id dialed it, the new b would not be heard until the idle time-out.
 #[actix_rt::test]
 async fn a_restarted_peer_replaces_its_dead_connection() {
     let authority = Authority::new("test").unwrap();
     let (a, _former) = connected(&authority).await;
-    // The former b is kept in memory and never closes, so its connection stands at a.
+    // The former b stays in memory and never closes, so its connection remains open at a.
     let mut successor = Process::start_with_config(config("b", 2, authority.issue("b").unwrap()));
     successor.mesh.set_members(&[a.peer()]);
     successor.wait_up("a").await;
     let wait = async {
-        // Sent until it arrives, for a may take the new connection a little later than b.
+        // Sent until it arrives, since a may add the new connection slightly later than b.
         loop {
             let _not_yet = a.mesh.send("b", confirm(9));
             tokio::task::yield_now().await;
--- a/crates/peer/tests/packets.rs
+++ b/crates/peer/tests/packets.rs
@@ -1,5 +1,5 @@
-//! Partitions of the network itself: packets between two meshes pass a relay that loses them in
-//! one or both directions.
+//! Network partitions: packets between two meshes pass through a relay that drops them in one or
+//! both directions.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by it")]
 
@@ -15,17 +15,17 @@
 use support::{Process, config, confirm, loopback};
 use tokio::net::UdpSocket;
 
-/// Largest packet that is relayed.
+/// Maximum size of a relayed packet.
 const MAX_PACKET_BYTES: usize = 2048;
 
-/// Which directions lose their packets.
+/// The directions in which packets are dropped.
 #[derive(Clone, Copy, Default)]
 struct Loss {
     to_b: bool,
     to_a: bool,
 }
 
-/// Passes packets between whoever dials its address and b.
+/// Relays packets between b and the dialer of its address.
 struct Relay {
     address: SocketAddr,
     loss: Rc<Cell<Loss>>,
@@ -64,10 +64,9 @@
     }
 }
 
-// Symptom: an entry waits for ever on a connection that carries nothing.
-// Sequence: the network loses the packets of one direction, or of both, and heals later.
-// Cause: QUIC needs both directions; a connection that gets nothing acknowledged has to end on
-// both sides, and be made again by itself.
+// Packets are lost in one or both directions, and later arrive again. A connection without
+// acknowledgements has to be closed on both sides and redialed automatically, or an entry would
+// wait for ever on a dead connection.
 async fn lose_packets_and_heal(lossy: Loss) {
     let authority = Authority::new("test").unwrap();
     let mut nodes = ["a", "b"].map(|id| {
@@ -97,7 +96,7 @@
 }
 
 #[actix_rt::test]
-async fn loss_in_one_direction_ends_both_and_heals() {
+async fn loss_towards_b_closes_both_sides_and_recovers() {
     let to_b = Loss {
         to_b: true,
         to_a: false,
@@ -106,7 +105,7 @@
 }
 
 #[actix_rt::test]
-async fn loss_in_the_other_direction_ends_both_and_heals() {
+async fn loss_towards_a_closes_both_sides_and_recovers() {
     let to_a = Loss {
         to_b: false,
         to_a: true,
@@ -115,7 +114,7 @@
 }
 
 #[actix_rt::test]
-async fn loss_in_both_directions_ends_both_and_heals() {
+async fn loss_in_both_directions_closes_both_sides_and_recovers() {
     let both = Loss {
         to_b: true,
         to_a: true,
--- a/crates/peer/tests/partition.rs
+++ b/crates/peer/tests/partition.rs
@@ -1,5 +1,5 @@
-//! Partitions between real meshes, as the membership sees them. Time is virtual: a round is one
-//! second, and it ends when all frames that are not dropped have arrived.
+//! Membership under partitions between real meshes. Time is virtual: a round takes one second, and
+//! ends when all frames that are not dropped have arrived.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by it")]
 
@@ -18,7 +18,7 @@
 use support::{Process, connect};
 use wire::peer::frame::Body;
 
-/// Which frames are lost; shared by all meshes of a test.
+/// The frames that are dropped, shared by all meshes of a test.
 type Cut = Rc<Cell<LostFrames>>;
 
 #[derive(Clone, Copy, Eq, PartialEq)]
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Ticks and sends what is asked for.
+    /// Ticks the membership and sends its heartbeats.
     fn send(&mut self, now: Duration) {
         for output in self.members.step(now, Input::Tick(Progress::default())) {
             match output {
@@ -88,7 +88,7 @@
     }
 }
 
-/// The list, which names a and b all the time.
+/// The instance list, which always contains a and b.
 fn instance_list() -> View {
     let mut view = View::default();
     let instances = ["a", "b"].map(|id| Instance {
@@ -151,11 +151,10 @@
     }
 }
 
-// Symptom: a looks healthy to itself, yet b routes and confirms without hearing it.
-// Sequence: frames from a to b are lost, those from b to a arrive; later all arrive again.
-// Cause: whoever only counts what it hears can't see a partition in the other direction.
+// Frames from a to b are lost, those from b to a arrive. If a judged by received frames only, it
+// would not notice the partition, while b routes and confirms without hearing a.
 #[actix_rt::test]
-async fn a_partition_in_one_direction_shows_on_both_sides() {
+async fn a_partition_in_one_direction_is_detected_on_both_sides() {
     let mut pair = Pair::start().await;
     pair.rounds(3).await;
     assert_eq!(Pair::state(&pair.a, "b"), (State::Alive, Hearing::Hears));
@@ -173,11 +172,10 @@
     assert_eq!(Pair::state(&pair.b, "a"), (State::Alive, Hearing::Hears));
 }
 
-// Symptom: an upstream is closed while an entry behind a partition still sends to it.
-// Sequence: nothing passes between a and b for a minute, while the list goes on naming both.
-// Cause: silence alone was taken for death.
+// All frames between a and b are lost for a minute while both stay listed. If silence alone made an
+// entry gone, an upstream could be closed while that entry still sends to it.
 #[actix_rt::test]
-async fn a_partition_in_both_directions_makes_suspect_and_heals() {
+async fn a_silent_listed_peer_is_suspect_until_it_returns() {
     let mut pair = Pair::start().await;
     pair.rounds(3).await;
     pair.cut.set(LostFrames::Both);
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -13,13 +13,13 @@
 use wire::peer::frame::Body;
 use wire::record::Author;
 
-/// Far longer than anything awaited here takes; a test that gets here has failed.
+/// Much longer than any wait in these tests; exceeding it fails the test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time between two looks at a state that is waited for.
+/// Interval at which an awaited state is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A mesh and what it tells.
+/// A mesh and its events.
 pub struct Process {
     pub id: String,
     pub mesh: Mesh,
@@ -30,7 +30,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Bounds with short waits, so that tests that need several dials end soon.
+/// Limits with short waits, so that tests with several dials are fast.
 pub fn limits() -> Limits {
     Limits {
         initial_backoff: Duration::from_millis(20),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Waits for an event that the closure picks; other events are dropped.
+    /// Waits for the first event for which the closure returns a value; drops the others.
     pub async fn wait_for_event<T>(&mut self, mut pick: impl FnMut(Event) -> Option<T>) -> T {
         let wait = async {
             loop {
@@ -95,7 +95,7 @@
             .unwrap_or_else(|_| panic!("{} waited in vain", self.id))
     }
 
-    /// Waits until a handshake of this process has failed, and gives back what it told before.
+    /// Waits until a handshake of this process has failed, and returns the events up to then.
     pub async fn wait_handshake_failed(&mut self) -> Vec<Event> {
         let mut earlier = Vec::new();
         let wait = async {
@@ -122,7 +122,7 @@
             .await;
     }
 
-    /// Waits for a confirmation of this order and says who sent it.
+    /// Waits for a confirmation of this order and returns its sender.
     pub async fn wait_confirmed(&mut self, order: u64) -> String {
         self.wait_for_event(|event| match event {
             Event::Frame(frame) => match frame.body {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Connects all of them with each other.
+/// Connects all processes with each other.
 pub async fn connect(processes: &mut [&mut Process]) {
     let peers: Vec<Peer> = processes.iter().map(|process| process.peer()).collect();
     for process in processes.iter() {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Two processes, `a` and `b`, that are connected with each other.
+/// Starts two processes, `a` and `b`, and connects them.
 pub async fn connected(authority: &Authority) -> (Process, Process) {
     let mut a = Process::start(authority, "a");
     let mut b = Process::start(authority, "b");
