--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -52,12 +52,12 @@
                 write!(f, "the keys can't be used:")?;
                 findings.iter().try_for_each(|one| write!(f, " {one};"))
             }
-            Self::Listen(address) => write!(f, "can't listen on {address}"),
+            Self::Listen(address) => write!(f, "cannot listen on {address}"),
             Self::NotConnected(peer) => write!(f, "no connection to {peer}"),
             Self::TimedOut(peer) => write!(f, "{peer} did not answer in time"),
-            Self::Broken(peer) => write!(f, "the connection to {peer} broke"),
-            Self::Malformed(peer) => write!(f, "{peer} sent an answer that can't be read"),
-            Self::Issue => write!(f, "certificates could not be made"),
+            Self::Broken(peer) => write!(f, "connection to {peer} lost"),
+            Self::Malformed(peer) => write!(f, "{peer} sent a malformed answer"),
+            Self::Issue => write!(f, "certificates could not be issued"),
         }
     }
 }
--- a/crates/peer/src/receive.rs
+++ b/crates/peer/src/receive.rs
@@ -95,7 +95,7 @@
     }
     let Some((author, frame)) = codec::decode(bytes, &link.id) else {
         inner.count_refused();
-        log::warn!(peer = link.id.as_str(); "a frame is malformed or bears another name than its sender's certificate");
+        log::warn!(peer = link.id.as_str(); "frame is malformed or names another sender than the certificate");
         link.connection.close(FALSE_NAME, b"false name");
         return None;
     };
--- a/crates/peer/tests/keys.rs
+++ b/crates/peer/tests/keys.rs
@@ -76,7 +76,7 @@
     stream.write_all(&frame.encode_to_vec()).await.unwrap();
     stream.finish().unwrap();
     let seen = a
-        .wait_for_event(|event| match event {
+        .wait_for(|event| match event {
             Event::Frame(frame) => Some(format!("taken: {frame:?}")),
             Event::Down(id) => Some(format!("down: {id}")),
             _ => None,
@@ -169,7 +169,7 @@
             order += 1;
             a.mesh.send("b", confirm(order)).unwrap();
             let from = b
-                .wait_for_event(|event| match event {
+                .wait_for(|event| match event {
                     Event::Down(id) => Some(format!("lost {id}")),
                     Event::Frame(frame) => frame.from.map(|from| from.instance),
                     _ => None,
--- a/crates/peer/tests/mesh.rs
+++ b/crates/peer/tests/mesh.rs
@@ -54,7 +54,7 @@
     let load = Body::Load(Load { outstanding });
     assert_eq!(a.mesh.send("b", load.clone()), Ok(()));
     let received = b
-        .wait_for_event(|event| match event {
+        .wait_for(|event| match event {
             Event::Frame(frame) => frame.body,
             _ => None,
         })
@@ -68,8 +68,8 @@
     let (a, mut b) = connected(&authority).await;
     // The two queries are answered in reverse order.
     let serve = async {
-        let first = b.wait_for_event(responder).await;
-        let second = b.wait_for_event(responder).await;
+        let first = b.wait_for(responder).await;
+        let second = b.wait_for(responder).await;
         second.send(status_reply("second"));
         first.send(status_reply("first"));
     };
@@ -96,15 +96,11 @@
     let mut b = Process::start_with_config(small);
     connect(&mut [&mut a, &mut b]).await;
 
-    let dropped = async { drop(b.wait_for_event(responder).await) };
+    let dropped = async { drop(b.wait_for(responder).await) };
     let (_, reply) = tokio::join!(dropped, a.mesh.query("b", status_query(), QUERY_TIMEOUT));
     assert_matches!(reply.unwrap_err().current_context(), Error::Broken(_));
 
-    let large = async {
-        b.wait_for_event(responder)
-            .await
-            .send(status_reply("0123456789"));
-    };
+    let large = async { b.wait_for(responder).await.send(status_reply("0123456789")) };
     let (_, reply) = tokio::join!(large, a.mesh.query("b", status_query(), QUERY_TIMEOUT));
     assert_matches!(reply.unwrap_err().current_context(), Error::Broken(_));
 
--- a/crates/peer/tests/partition.rs
+++ b/crates/peer/tests/partition.rs
@@ -78,7 +78,7 @@
     async fn receive(&mut self, now: Duration) {
         let frame = self
             .process
-            .wait_for_event(|event| match event {
+            .wait_for(|event| match event {
                 Event::Frame(frame) => Some(frame),
                 _ => None,
             })
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -81,7 +81,7 @@
     }
 
     /// Waits for the first event for which the closure returns a value; drops the others.
-    pub async fn wait_for_event<T>(&mut self, mut pick: impl FnMut(Event) -> Option<T>) -> T {
+    pub async fn wait_for<T>(&mut self, mut pick: impl FnMut(Event) -> Option<T>) -> T {
         let wait = async {
             loop {
                 let event = self.events.recv().await.expect("mesh runs");
@@ -113,18 +113,18 @@
     }
 
     pub async fn wait_up(&mut self, peer: &str) {
-        self.wait_for_event(|event| matches!(event, Event::Up(id) if id == peer).then_some(()))
+        self.wait_for(|event| matches!(event, Event::Up(id) if id == peer).then_some(()))
             .await;
     }
 
     pub async fn wait_down(&mut self, peer: &str) {
-        self.wait_for_event(|event| matches!(event, Event::Down(id) if id == peer).then_some(()))
+        self.wait_for(|event| matches!(event, Event::Down(id) if id == peer).then_some(()))
             .await;
     }
 
     /// Waits for a confirmation of this order and returns its sender.
     pub async fn wait_confirmed(&mut self, order: u64) -> String {
-        self.wait_for_event(|event| match event {
+        self.wait_for(|event| match event {
             Event::Frame(frame) => match frame.body {
                 Some(Body::Confirm(confirm)) if confirm.order == order => {
                     frame.from.map(|from| from.instance)
@@ -146,7 +146,7 @@
     for process in processes.iter_mut() {
         for _ in 1..peers.len() {
             process
-                .wait_for_event(|event| matches!(event, Event::Up(_)).then_some(()))
+                .wait_for(|event| matches!(event, Event::Up(_)).then_some(()))
                 .await;
         }
     }
