--- a/crates/control/src/appends.rs
+++ b/crates/control/src/appends.rs
@@ -1,5 +1,5 @@
-//! Appends, each sent once. Whoever wants a record appended tells its nonce, and finds the record
-//! by it again when it is read back; the answer alone decides nothing.
+//! Sends each append once. The sender chooses a nonce and recognises the record by it when it is
+//! read back; the answer to the append alone decides nothing.
 
 use platform::{AppendError, Log};
 use wire::Message as _;
@@ -9,17 +9,17 @@
 use crate::Offset;
 use crate::message::{Message, Sender, send};
 
-/// Number by which an append is found again.
+/// Identifies an append in the log.
 pub(crate) type Nonce = [u8; 16];
 
-/// Who wants to know how an append ended.
+/// The part of the control that sent an append and handles its result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
     /// The lease of this scope.
     Lease(String),
-    /// A planner, which asks the log and not the answer.
+    /// A planner, which goes by the log and ignores the answer.
     Planner,
-    /// The claims of idempotency keys.
+    /// Claims of idempotency keys.
     Calls,
     /// An operator's edit.
     Edit,
@@ -27,7 +27,7 @@
     Snapshot,
 }
 
-/// An append that ended.
+/// An append with its result.
 #[derive(Debug)]
 pub(crate) struct CompletedAppend {
     pub(crate) source: Source,
@@ -57,7 +57,7 @@
         &self.log
     }
 
-    /// Appends a record and reports how it ended.
+    /// Appends a record and sends the result as a message.
     pub(crate) fn send(&self, source: Source, nonce: Nonce, body: Body) {
         let record = Record {
             nonce: nonce.to_vec(),
@@ -69,7 +69,7 @@
         actix_rt::spawn(async move {
             let result = log.append(record.encode_to_vec().into()).await;
             if let Err(report) = &result {
-                log::debug!(source:?, error:? = report; "an append was not answered by an offset");
+                log::debug!(source:?, error:? = report; "append failed or its answer was lost");
             }
             let result = result.map_err(|report| *report.current_context());
             let ended = CompletedAppend {
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for the claim of their key.
+//! Calls that wait for the claims of their idempotency keys.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::Offset;
 use crate::appends::{Appends, CompletedAppend, Source};
 
-/// Drives the batcher and carries out what it wants.
+/// Runs the batcher and carries out its outputs.
 pub(crate) struct Calls {
     batcher: Batcher,
     waiting: BTreeMap<CallId, oneshot::Sender<Decision>>,
@@ -44,7 +44,7 @@
         self.batcher.next_wake()
     }
 
-    /// Claims the key of a call; the decision goes to `reply`.
+    /// Claims the key of a call and sends the decision to `reply`.
     pub(crate) fn claim(
         &mut self,
         now: Moment,
@@ -109,7 +109,7 @@
                 Output::Append { nonce, body } => appends.send(Source::Calls, nonce, body),
                 Output::Decide(call_id, decision) => {
                     if let Some(reply) = self.waiting.remove(&call_id) {
-                        // The caller has just gone; its `Claimed` tells the batcher so.
+                        // If the caller has gone, its `CallerGuard` tells the batcher.
                         let _gone = reply.send(decision);
                     }
                 }
@@ -118,7 +118,7 @@
                     holder,
                 } => {
                     self.contested += 1;
-                    log::error!(ticket, holder:? = holder; "a call may have run twice: two first attempts of one key");
+                    log::error!(ticket, holder:? = holder; "call may have run twice: two first attempts with one key");
                 }
             }
         }
--- a/crates/control/src/edits.rs
+++ b/crates/control/src/edits.rs
@@ -1,4 +1,5 @@
-//! Operators' edits: appended once, found again by their nonce, and told as the fold judged them.
+//! Edits of operators: each is appended once, recognised by its nonce when read back, and answered
+//! with the verdict of the fold.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -11,17 +12,16 @@
 
 use crate::appends::{CompletedAppend, Nonce};
 
-/// Why an edit is not in force, as far as is known.
+/// Why an edit is not known to be in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EditError {
-    /// It was refused; a conflict names who won.
+    /// It was refused; a conflict names the edits that won.
     Refused(Refusal),
-    /// The rules in force are newer than this software: ask another entry what became of it.
+    /// The rules in force are newer than this software. Another entry may know the verdict.
     Undecided(Version),
-    /// The log did not take it. It may be made again.
+    /// The log refused the append. The edit may be repeated.
     Unavailable,
-    /// The log may have taken it, and it was not read back in time. It may yet come into force; the
-    /// history tells.
+    /// It was not read back in time and may still come into force; the history shows the verdict.
     Unknown,
 }
 
@@ -40,7 +40,7 @@
 
 impl Error for EditError {}
 
-/// What an operator is told.
+/// The answer to an operator.
 pub(crate) type EditResult = Result<Revision, EditError>;
 
 struct PendingEdit {
@@ -48,7 +48,7 @@
     deadline: Moment,
 }
 
-/// Edits of this process that were not read back.
+/// Edits of this process that have not been read back.
 #[derive(Default)]
 pub(crate) struct PendingEdits {
     pending: BTreeMap<Nonce, PendingEdit>,
@@ -70,8 +70,8 @@
         );
     }
 
-    /// An offset tells that the record stands, not that it is accepted; an unknown end is resolved
-    /// by reading on. Only a refusal of the log ends the wait.
+    /// An offset means that the record is in the log, not that the edit is accepted, and a lost
+    /// answer is resolved by reading the log. So only a refused append ends the wait.
     pub(crate) fn appended(&mut self, append: &CompletedAppend) {
         if let Err(AppendError::Refused { .. }) = append.result {
             self.reply(&append.nonce, Err(EditError::Unavailable));
@@ -103,7 +103,7 @@
 
     fn reply(&mut self, nonce: &Nonce, answer: EditResult) {
         if let Some(waiting) = self.pending.remove(nonce) {
-            // An operator who went away reads the history.
+            // An operator who has disconnected can read the history.
             let _gone = waiting.reply.send(answer);
         }
     }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,5 +1,5 @@
-//! The fold of the log: catalogue and authority together, from the log's first record or from a
-//! snapshot, without a gap, and never back.
+//! Local replica of the state folded from the log: catalogue and authority, from the first record
+//! or a snapshot, without gaps and never moving back.
 
 use std::collections::VecDeque;
 
@@ -13,13 +13,13 @@
 
 /// One step of the fold.
 pub(crate) enum FoldStep {
-    /// A record was folded.
+    /// A record was applied.
     Record(Box<FoldedRecord>),
-    /// The state was taken from a snapshot.
+    /// The state was restored from a snapshot.
     Restored,
 }
 
-/// A folded record and what it did.
+/// A folded record and its effects.
 pub(crate) struct FoldedRecord {
     pub(crate) offset: Offset,
     pub(crate) record: Record,
@@ -27,23 +27,23 @@
     pub(crate) effect: authority::effect::Effect,
 }
 
-/// Snapshots of others that were compared with the own fold.
+/// Results of comparing snapshots of other entries with the own state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SnapshotComparisons {
     pub(crate) same: u64,
     pub(crate) different: u64,
 }
 
-/// The folds. Records that lie behind a gap wait in `held` until a snapshot covers the gap.
+/// The folded state. Records after a gap wait in `pending` until a snapshot covers the gap.
 pub(crate) struct Replica {
     catalogue: catalogue::State,
     authority: authority::state::State,
     pending: VecDeque<(Offset, Record)>,
-    /// The newest state that a peer offered and that was not tried yet.
+    /// The newest state offered by a peer that has not been tried yet.
     offered: Option<Box<Snapshot>>,
     first: Offset,
     next: Offset,
-    /// The newest snapshot in the log that was met, by what it covers.
+    /// Last offset covered by the newest snapshot read or adopted.
     snapshot_upto: Offset,
     comparisons: SnapshotComparisons,
 }
@@ -72,7 +72,7 @@
         &self.authority
     }
 
-    /// Highest folded offset. A catalogue whose rules are unknown stays behind it.
+    /// Highest folded offset. A catalogue that is frozen by unknown rules stays behind it.
     pub(crate) fn folded(&self) -> Offset {
         self.authority.folded()
     }
@@ -82,7 +82,7 @@
         (self.first, self.next)
     }
 
-    /// What the newest snapshot in the log covers.
+    /// Last offset covered by the newest snapshot.
     pub(crate) fn snapshot_upto(&self) -> Offset {
         self.snapshot_upto
     }
@@ -91,19 +91,19 @@
         self.comparisons
     }
 
-    /// Whether all that the log held at the last read is folded.
+    /// Whether all records up to the end of the log, as last read, are folded.
     pub(crate) fn is_up_to_date(&self) -> bool {
         self.pending.is_empty() && self.folded() + 1 >= self.next
     }
 
-    /// Whether records are missing that no snapshot has covered so far.
+    /// Whether records are missing that no snapshot covers yet.
     pub(crate) fn has_gap(&self) -> bool {
         let first_pending = self.pending.front().map(|(offset, _)| *offset);
         self.folded() + 1 < first_pending.unwrap_or(self.first)
     }
 
-    /// Takes in what was read; [`Replica::step`] folds it. A record that no decoder understands is
-    /// the same bytes for all and is folded by all as one without effect.
+    /// Queues the records of a read for [`Replica::step`]. A record that cannot be decoded is the
+    /// same for all entries, and all fold it as one without effect.
     pub(crate) fn push(&mut self, chunk: Chunk) -> Vec<(Offset, Record)> {
         self.first = self.first.max(chunk.first);
         self.next = self.next.max(chunk.next);
@@ -116,14 +116,14 @@
         records
     }
 
-    /// Notes that the log does not retain anything before `first` any more.
+    /// Records that the log no longer retains records before `first`.
     pub(crate) fn discard_before(&mut self, first: Offset, next: Offset) {
         self.first = self.first.max(first);
         self.next = self.next.max(next);
         self.pending.retain(|(offset, _)| *offset >= first);
     }
 
-    /// Offers a peer's state; [`Replica::step`] takes it if it is newer.
+    /// Offers the state of a peer; [`Replica::step`] adopts it if it is newer.
     pub(crate) fn offer_snapshot(&mut self, snapshot: Box<Snapshot>) {
         let newest = self.offered.as_ref().map_or(0, |known| known.upto);
         if snapshot.upto > newest {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Folds on by one record; `None` when there is nothing to fold.
+    /// Folds the next record or adopts a snapshot; `None` if there is nothing to do.
     pub(crate) fn step(&mut self) -> Option<FoldStep> {
         if let Some(snapshot) = self.offered.take()
             && self.restore(&snapshot)
@@ -148,7 +148,8 @@
         self.restore_over_gap().then_some(FoldStep::Restored)
     }
 
-    /// The state as of the last folded record; `None` while it cannot be vouched for.
+    /// A snapshot of the state at the last folded record; `None` if nothing is folded or the
+    /// catalogue is behind.
     pub(crate) fn snapshot(&self) -> Option<Snapshot> {
         let mut snapshot = self.catalogue.snapshot()?;
         if snapshot.upto != self.folded() || snapshot.upto == 0 {
@@ -166,7 +167,7 @@
         let applied = self.catalogue.apply(offset, &record);
         if applied == Applied::SnapshotDiffers {
             self.comparisons.different += 1;
-            log::error!(offset, author:? = record.author; "a snapshot differs from the own fold");
+            log::error!(offset, author:? = record.author; "snapshot differs from the folded state");
         }
         let effect = self.authority.apply(offset, &record);
         FoldStep::Record(Box::new(FoldedRecord {
@@ -177,7 +178,7 @@
         }))
     }
 
-    /// Compares a snapshot with the own state, if it speaks of just this prefix of the log.
+    /// Compares a snapshot with the own state if both cover the same prefix of the log.
     fn compare_snapshot(&mut self, snapshot: &Snapshot) {
         if catalogue::verify(snapshot).is_err() {
             return;
@@ -190,13 +191,13 @@
             Some(own) if own.digest == snapshot.digest => self.comparisons.same += 1,
             Some(_) => {
                 self.comparisons.different += 1;
-                log::error!(upto = snapshot.upto; "a snapshot differs from the own state");
+                log::error!(upto = snapshot.upto; "snapshot differs from the own state");
             }
             None => (),
         }
     }
 
-    /// Takes the newest snapshot among the held records that leaves no gap.
+    /// Restores the newest usable snapshot among the pending records that leaves no gap.
     fn restore_over_gap(&mut self) -> bool {
         let Some(first_pending) = self.pending.front().map(|(offset, _)| *offset) else {
             return false;
@@ -214,9 +215,9 @@
         fitting.iter().any(|snapshot| self.restore(snapshot))
     }
 
-    /// Takes a whole state if it is newer than what is folded, whoever offers it: the state of this
-    /// process never goes back. The catalogue looks by itself, but one whose rules are unknown has
-    /// folded less than the authority, which would go back to a former holder.
+    /// Replaces the state by a snapshot if that is newer, since the state must never move back. The
+    /// catalogue checks this itself, but a frozen catalogue has folded less than the authority,
+    /// which could otherwise return to a former holder.
     fn restore(&mut self, snapshot: &Snapshot) -> bool {
         if snapshot.upto <= self.folded() {
             return false;
@@ -224,7 +225,7 @@
         let authority = match authority::state::State::try_from(snapshot) {
             Ok(authority) => authority,
             Err(error) => {
-                log::error!(upto = snapshot.upto, error:?; "a snapshot is malformed");
+                log::error!(upto = snapshot.upto, error:?; "snapshot is malformed");
                 return false;
             }
         };
@@ -233,12 +234,12 @@
             Ok(true) => {
                 self.authority = authority;
                 self.snapshot_upto = self.snapshot_upto.max(snapshot.upto);
-                log::info!(upto = snapshot.upto, revision = snapshot.revision; "state taken from a snapshot");
+                log::info!(upto = snapshot.upto, revision = snapshot.revision; "state restored from a snapshot");
                 true
             }
             Ok(false) => false,
             Err(unfit) => {
-                log::error!(upto = snapshot.upto, error:% = unfit; "a snapshot can't be used");
+                log::error!(upto = snapshot.upto, error:% = unfit; "snapshot cannot be used");
                 false
             }
         }
--- a/crates/control/src/snapshot_schedule.rs
+++ b/crates/control/src/snapshot_schedule.rs
@@ -1,5 +1,5 @@
-//! When to write a snapshot. The log forgets; what is in force must stand in it again before that,
-//! and nobody in particular is alive to see to it.
+//! When to write a snapshot. The log drops old records, so the state in force has to be written
+//! again before that; any entry may do it, since no particular one can be relied on.
 
 use std::time::Duration;
 
@@ -7,27 +7,28 @@
 
 use crate::Offset;
 
-/// Part of the retention after which the newest snapshot has aged.
+/// A snapshot is due after the retention divided by this.
 const AGE_DIVISOR: u32 = 3;
 
-/// Part of the retention over which the processes spread their snapshots.
+/// The entries spread their snapshots over the retention divided by this.
 const SPREAD_DIVISOR: u32 = 12;
 
-/// Time over which they spread them when the log forgets faster than its retention says.
+/// Upper limit of the spread when the log drops records faster than its retention period.
 const MAX_CROWDED_SPREAD: Duration = Duration::from_secs(1);
 
-/// Records below which the log's window tells nothing of its retention.
+/// Minimum number of records after a snapshot at which the log may count as dropping them early;
+/// fewer say nothing about its retention.
 const MIN_WINDOW_RECORDS: Offset = 64;
 
-/// Least time between two tries of one process.
+/// Minimum time between two attempts of one process.
 const RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The state of the log that the decision rests on.
+/// The range of the log that is retained, and the newest snapshot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Window {
     pub(crate) first: Offset,
     pub(crate) next: Offset,
-    /// What the newest snapshot in it covers.
+    /// Last offset covered by the newest snapshot.
     pub(crate) snapshot_upto: Offset,
 }
 
@@ -35,19 +36,19 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotSchedule {
     retention: Duration,
-    /// The part of a spread that this process waits after a snapshot is due, from 0 to 1, so that
-    /// usually one process writes it.
+    /// The fraction of the spread that this process waits after a snapshot is due, from 0 to 1, so
+    /// that usually only one process writes it.
     spread_fraction: f64,
     snapshot_upto: Offset,
-    /// When a newer snapshot was met last.
+    /// When a newer snapshot was last found.
     snapshot_seen_at: Moment,
     due_since: Option<Moment>,
     last_attempt: Option<Moment>,
 }
 
 impl SnapshotSchedule {
-    /// A keeper that begins at `now`. The age of what is in the log is unknown then; it counts as
-    /// half way to the next snapshot, so that fleets that restart often still write some.
+    /// Starts at `now`. The age of the newest snapshot is unknown then and assumed to be half way
+    /// to the next one, so that fleets that restart often still write snapshots.
     pub(crate) fn new(now: Moment, retention: Duration, instance: &str) -> Self {
         let hash = blake3::hash(instance.as_bytes());
         let spread_fraction = f64::from(hash.as_bytes()[0]) / f64::from(u8::MAX);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether to write one now.
+    /// Whether to write a snapshot now.
     pub(crate) fn is_due(&mut self, now: Moment, window: Window) -> bool {
         if window.snapshot_upto > self.snapshot_upto {
             self.snapshot_upto = window.snapshot_upto;
@@ -91,8 +92,8 @@
         now.saturating_sub(self.snapshot_seen_at) >= self.retention / AGE_DIVISOR
     }
 
-    /// Whether the newest snapshot lies in the older part of what the log retains: a log that keeps
-    /// a number of records forgets faster than its retention by time says.
+    /// Whether the newest snapshot is in the older part of the retained records. A log that retains
+    /// a number of records may drop them earlier than its retention period.
     fn is_crowded(window: Window) -> bool {
         let width = window.next.saturating_sub(window.first);
         let behind = window.next.saturating_sub(window.snapshot_upto);
