--- a/crates/control/src/broadcasts.rs
+++ b/crates/control/src/broadcasts.rs
@@ -1,30 +1,30 @@
-//! What the peers were told last, so that the same is not told again and again.
+//! The last frames broadcast to the peers, so that unchanged ones are sent less often.
 
 use std::time::Duration;
 
 use clock::Moment;
 use wire::peer::{Load, Shares};
 
-/// Time after which a frame goes out again although it says the same. Peers take an entry's share
-/// of a limit for silent after 1.2 s (docs/design/limits.md), so it has to stay well below that.
+/// Interval at which an unchanged frame is repeated. Peers ignore an entry's share of a limit after
+/// 1.2 s of silence (docs/design/limits.md), so it has to stay well below that.
 const REPEAT_PERIOD: Duration = Duration::from_millis(800);
 
-/// The newest frames of each kind.
+/// The last frame of each kind.
 #[derive(Debug, Default)]
 pub(crate) struct LastBroadcasts {
     pub(crate) load: LastBroadcast<Load>,
     pub(crate) shares: LastBroadcast<Shares>,
 }
 
-/// The newest frame of one kind and when it went out.
+/// The last frame of a kind and when it was sent.
 #[derive(Debug, Default)]
 pub(crate) struct LastBroadcast<T> {
     last: Option<(Moment, T)>,
 }
 
 impl<T: Clone + PartialEq> LastBroadcast<T> {
-    /// Whether this frame has to go out, given the least time between two that differ; if so it
-    /// counts as the newest.
+    /// Whether to send this frame, given the minimum time between frames that differ. If so, it is
+    /// recorded as the last one.
     pub(crate) fn is_due(&mut self, now: Moment, spacing: Duration, frame: &T) -> bool {
         let due = match &self.last {
             Some((at, newest)) if newest == frame => now >= *at + REPEAT_PERIOD.max(spacing),
--- a/crates/control/src/fleet_state.rs
+++ b/crates/control/src/fleet_state.rs
@@ -1,4 +1,4 @@
-//! Who takes part: the instance list, the other entries, the upstreams and their reports.
+//! State of the fleet: the instance list, the other entries, the upstreams and their reports.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,14 +17,15 @@
 use crate::options::Options;
 use crate::view::Report;
 
-/// A closing as the data plane must have seen it before this process may confirm it.
+/// The view by which the data plane learns of a closing. This process may confirm the closing only
+/// after the data plane applies that view.
 #[derive(Clone, Copy, Debug)]
 struct ClosingView {
     /// The first view in which the upstream is closed.
     sequence: Option<u64>,
 }
 
-/// What is known of the fleet.
+/// State of the fleet.
 pub(crate) struct FleetState {
     pub(crate) list: list::View,
     pub(crate) members: Members,
@@ -35,7 +36,7 @@
     closings: BTreeMap<Offset, String>,
     closing_views: BTreeMap<Offset, ClosingView>,
     rejected_listings: u64,
-    /// Grows whenever the state of any upstream changes.
+    /// Incremented when the state of an upstream changes.
     state_changes: u64,
 }
 
@@ -63,17 +64,17 @@
         self.up_since.get(upstream).copied().unwrap_or_default()
     }
 
-    /// How often the state of an upstream changed.
+    /// Number of state changes of upstreams.
     pub(crate) fn state_changes(&self) -> u64 {
         self.state_changes
     }
 
-    /// Readings of the list that were not believed.
+    /// Number of readings of the list that were rejected.
     pub(crate) fn rejected_listings(&self) -> u64 {
         self.rejected_listings
     }
 
-    /// Takes a reading of the list in.
+    /// Applies a reading of the list.
     pub(crate) fn read_list(
         &mut self,
         now: Moment,
@@ -82,7 +83,7 @@
         let reading = self.list.read(now, to_listing(listing));
         if matches!(reading, ReadOutcome::Doubted | ReadOutcome::Outdated) {
             self.rejected_listings += 1;
-            log::warn!(reading:?, version = listing.version; "a reading of the instance list is not believed");
+            log::warn!(reading:?, version = listing.version; "reading of the instance list rejected");
         }
         let members = self.members.step(now, member::Input::List(&self.list));
         let upstreams = self.upstreams.step(now, upstream::Input::List(&self.list));
@@ -90,7 +91,7 @@
         (members, upstreams)
     }
 
-    /// Closes and opens upstreams as the fold says: unresolved orders and operators' drains.
+    /// Closes the upstreams with unresolved orders or drains of operators, and opens the others.
     pub(crate) fn apply_closings(
         &mut self,
         now: Moment,
@@ -139,7 +140,7 @@
         self.closings = closings;
     }
 
-    /// Notes that the view of this sequence shows all closings that are in force.
+    /// Records that the view with this sequence contains all closings in force.
     pub(crate) fn record_published(&mut self, sequence: u64) {
         for shown in self.closing_views.values_mut() {
             shown.sequence.get_or_insert(sequence);
@@ -147,8 +148,8 @@
     }
 
     /// The confirmations that this process may give: only for closings that the whole data plane
-    /// has seen. One that came earlier would be given while a worker still chooses by the old
-    /// view, and the order would cut its request.
+    /// has applied. Before that a worker could still choose the upstream by an old view, and the
+    /// order would cut its request.
     pub(crate) fn due_confirmations(
         &self,
         applied: u64,
@@ -211,29 +212,29 @@
             return;
         }
         let at = now.saturating_sub(content.age());
-        // An answer that was long under way must not replace a newer one.
+        // A delayed report must not replace a newer one.
         if self
             .reports
             .get(id)
             .is_none_or(|known| known.measured_at <= at)
         {
-            let said = Arc::new(content);
+            let content = Arc::new(content);
             self.reports.insert(
                 id.to_owned(),
                 Report {
                     measured_at: at,
-                    content: said,
+                    content,
                 },
             );
         }
     }
 
-    /// The entries that may still send to an upstream, this one among them.
+    /// The entries that may still send to an upstream, including this one.
     pub(crate) fn senders(&self) -> Vec<Sender> {
         self.members.senders()
     }
 
-    /// The entries that are alive, this one among them, sorted.
+    /// The ids of the entries that are alive, including this one, sorted.
     pub(crate) fn alive(&self) -> Vec<String> {
         let alive = self.members.iter();
         let alive = alive.filter(|member| member.state == member::State::Alive);
@@ -243,12 +244,12 @@
         ids
     }
 
-    /// Whether an upstream is off the list, which was read.
+    /// Whether the list has been read and does not contain the upstream.
     pub(crate) fn is_absent(&self, upstream: &str) -> bool {
         self.list.read_at().is_some() && self.list.get(upstream).is_none()
     }
 
-    /// Upstreams of a pool that could take new work if no order closed them.
+    /// Upstreams of a pool that take new work or would if no order closed them.
     pub(crate) fn serving(&self, pool: &str) -> std::collections::BTreeSet<String> {
         let can_serve = |upstream: &&upstream::Upstream| {
             upstream.pool == pool
@@ -268,7 +269,7 @@
                     self.state_changes += 1;
                     log::info!(upstream = id.as_str(), was:?, state:?; "upstream changed");
                     if *state == upstream::State::Live {
-                        // At the first listing none is cold; its slow start is over.
+                        // Upstreams of the first listing are not new, so they skip the slow start.
                         let since = if was.is_some() { now } else { Moment::ZERO };
                         self.up_since.insert(id.clone(), since);
                     }
--- a/crates/control/src/hooks.rs
+++ b/crates/control/src/hooks.rs
@@ -1,5 +1,5 @@
-//! What the data plane tells the control when asked. The control asks on its own thread, so the
-//! closures must be short and never wait for a request.
+//! Closures by which the control queries the data plane. They run on the thread of the control, so
+//! they must be short and never wait for a request.
 
 use std::fmt;
 
@@ -8,23 +8,23 @@
 /// Digest of an idempotency key.
 pub type Key = [u8; 16];
 
-/// Gives the held answer of a key.
+/// Returns the held answer of a key.
 pub type HeldAnswer = Box<dyn Fn(&Key) -> Option<Answer> + Send + Sync>;
 
-/// The closures. The default ones stand for a data plane that does not serve.
+/// The closures. The defaults describe a data plane without requests.
 pub struct Hooks {
-    /// How many requests are open at an upstream, from its choice to the end of its answer.
+    /// Number of open requests at an upstream, from its choice to the end of its answer.
     pub open_requests: Box<dyn Fn(&str) -> u32 + Send + Sync>,
     /// The [`View::sequence`](crate::View::sequence) of the oldest view by which any part of the
     /// data plane may still choose an upstream.
     pub oldest_applied_view: Box<dyn Fn() -> u64 + Send + Sync>,
     /// The held answer of a key.
     pub held_answer: HeldAnswer,
-    /// Own outstanding work by upstream, for peers.
+    /// Outstanding work of this entry by upstream, sent to peers.
     pub outstanding: Box<dyn Fn() -> Vec<Outstanding> + Send + Sync>,
-    /// Demand by owner, for peers.
+    /// Demand at this entry by owner, sent to peers.
     pub demand: Box<dyn Fn() -> Vec<Demand> + Send + Sync>,
-    /// Counters of the report on service-level burn.
+    /// Counters of the service-level burn report.
     pub burn: Box<dyn Fn() -> Vec<Bucket> + Send + Sync>,
 }
 
--- a/crates/control/src/mesh.rs
+++ b/crates/control/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The mesh between entries, if there is one.
+//! Access to the mesh between entries, if it is enabled.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::message::{Message, Sender, send};
 use crate::options;
 
-/// Longest wait for the answer of a peer.
+/// Time limit of a query to a peer.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The mesh, or nothing where this entry stands alone.
+/// The mesh, or `None` if this is the only entry.
 #[derive(Clone, Default)]
 pub(crate) struct Mesh {
     mesh: Option<peer::Mesh>,
@@ -48,7 +48,8 @@
         self.mesh.as_ref()?.address().ok()
     }
 
-    /// Dials the entries of the list. One that is leaving is not dialed; a connection to it stays.
+    /// Sets the peers to dial: the live entries of the list. An open connection to a leaving entry
+    /// is kept.
     pub(crate) fn set_members(&self, list: &View) {
         let Some(mesh) = &self.mesh else { return };
         let entries = list.iter().filter(|line| line.kind == Kind::Entry);
@@ -65,7 +66,7 @@
 
     pub(crate) fn send(&self, to: &str, body: Body) {
         if let Some(mesh) = &self.mesh {
-            // The mesh counts what it could not send; what matters is sent again.
+            // The mesh counts unsent frames, and senders repeat the frames that matter.
             let _counted: Result<(), SendError> = mesh.send(to, body);
         }
     }
@@ -86,7 +87,7 @@
             let answer = mesh?.query(&to, query, QUERY_TIMEOUT).await;
             answer
                 .inspect_err(
-                    |error| log::debug!(peer = to, error:? = error; "a peer gave no answer"),
+                    |error| log::debug!(peer = to, error:? = error; "query to a peer failed"),
                 )
                 .ok()
         }
@@ -109,7 +110,7 @@
     }
 }
 
-/// Reads the keys again and again, so that they are rotated without a restart.
+/// Polls the key files and reloads them after a change, so that keys rotate without a restart.
 async fn reload_changed_keys(mesh: peer::Mesh, options: options::Mesh) {
     if options.reload.is_zero() {
         return;
@@ -123,15 +124,15 @@
         }
         match mesh.reload(&options.keys) {
             Ok(()) => {
-                log::info!("new keys are in use");
+                log::info!("keys reloaded");
                 loaded = found;
             }
-            Err(error) => log::error!(error:? = error; "new keys can't be used; the old ones stay"),
+            Err(error) => log::error!(error:? = error; "new keys are invalid; keeping old ones"),
         }
     }
 }
 
-/// A digest over the files of the keys; `None` while one can't be read.
+/// Digest of the key files; `None` if one cannot be read.
 fn fingerprint(keys: &peer::keys::Source) -> Option<blake3::Hash> {
     let mut hasher = blake3::Hasher::new();
     for pem in [&keys.ca, &keys.cert, &keys.key] {
@@ -143,7 +144,8 @@
     Some(hasher.finalize())
 }
 
-/// Whom to ask for a newer state: the entry that was heard lately and has folded most.
+/// The alive or leaving entry with the highest folded offset beyond `folded`, to query for its
+/// state.
 pub(crate) fn most_advanced_peer(members: &Members, folded: crate::Offset) -> Option<String> {
     let ahead = members.iter().filter(|member| {
         let alive = matches!(
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -1,4 +1,4 @@
-//! Makes the view that the data plane sees.
+//! Builds and publishes the views for the data plane.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::replica::Replica;
 use crate::view::{Log, Peer, Reason, Upstream, View};
 
-/// Newest frames of the peers, with their moments of arrival.
+/// Newest frames of the peers, with their times of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct PeerFrames {
     pub(crate) loads: BTreeMap<String, (Moment, Arc<[Outstanding]>)>,
@@ -26,7 +26,7 @@
 }
 
 impl PeerFrames {
-    /// Forgets peers that are gone.
+    /// Removes the frames of peers that are no longer known.
     pub(crate) fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.loads.retain(|id, _| known(id));
         self.demands.retain(|id, _| known(id));
@@ -34,7 +34,7 @@
     }
 }
 
-/// What the view is made of.
+/// The state from which a view is built.
 pub(crate) struct ViewInputs<'a> {
     pub(crate) now: Moment,
     pub(crate) replica: &'a Replica,
@@ -45,7 +45,7 @@
     pub(crate) reasons: SmallVec<[Reason; 2]>,
 }
 
-/// Publishes views. The catalogue is copied once a revision.
+/// Publishes views. The catalogue is copied once for each revision.
 pub(crate) struct Publisher {
     sender: watch::Sender<Arc<View>>,
     catalogue: Option<(Offset, Arc<catalogue::View>)>,
@@ -63,8 +63,8 @@
         Arc::clone(&self.sender.borrow())
     }
 
-    /// Publishes a view if it differs from the current one; gives the sequence of the view that
-    /// shows these parts.
+    /// Publishes a view if it differs from the current one. Returns the sequence of the view that
+    /// contains this state.
     pub(crate) fn publish(&mut self, inputs: &ViewInputs<'_>) -> u64 {
         let current = self.current();
         let mut view = self.view(inputs);
@@ -99,7 +99,7 @@
 
     fn catalogue(&mut self, replica: &Replica) -> Option<Arc<catalogue::View>> {
         let revision = replica.catalogue().revision();
-        // An empty catalogue is none: nothing may be refused because of it as if it were accepted.
+        // An empty catalogue was never accepted, so requests must not be refused because of it.
         if revision == 0 {
             return None;
         }
@@ -114,8 +114,8 @@
     }
 }
 
-/// The same text as in the view before where it did not change, so that a view of a thousand
-/// upstreams costs few allocations.
+/// Reuses the text of the previous view if it has not changed, so that a view of a thousand
+/// upstreams needs few allocations.
 fn reuse_text(known: Option<&Arc<str>>, text: &str) -> Arc<str> {
     match known {
         Some(known) if **known == *text => Arc::clone(known),
--- a/crates/control/src/report_schedule.rs
+++ b/crates/control/src/report_schedule.rs
@@ -1,12 +1,12 @@
-//! When to read which engine's load report.
+//! Schedule for reading the load reports of engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use clock::Moment;
 
-/// Paces the readings: one an engine and period, spread over the period, never two of one engine at
-/// once, so that an engine that hangs costs one connection.
+/// Schedules one read of each engine in each period. Reads of one engine never overlap, so that an
+/// engine that hangs occupies one connection only.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportSchedule {
     period: Duration,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The engines to be read now, of those that there are.
+    /// Returns the engines to read now, and forgets those not in `engines`.
     pub(crate) fn take_due<'a>(
         &mut self,
         now: Moment,
@@ -50,7 +50,7 @@
         due
     }
 
-    /// An engine answered, or did not in time.
+    /// Records that a read of the engine ended, with or without an answer.
     pub(crate) fn read_ended(&mut self, id: &str) {
         if let Some(due) = self.next_reads.get_mut(id) {
             due.in_flight = false;
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,4 +1,4 @@
-//! What the data plane sees: one immutable value that is replaced as a whole.
+//! The view that the data plane works by: an immutable value that is replaced as a whole.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,132 +13,133 @@
 pub use fleet::upstream::State;
 pub use platform::{Model, Role};
 
-/// Whether the log answers.
+/// Whether the log is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Log {
-    /// It does.
+    /// It answers.
     Up,
-    /// It has not since this moment.
+    /// It has not answered since this moment.
     DownSince(Moment),
 }
 
-/// Why this entry must not take new work, or why something stands still.
+/// Why this entry refuses new work, or why the catalogue is not updated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// No accepted catalogue is known, neither from the log nor from a peer.
+    /// No accepted catalogue is known from the log or a peer.
     NoCatalogue,
-    /// The instance list was never read.
+    /// The instance list has not been read.
     NoInstances,
-    /// The other entries do not know this one yet, so that their drains would not wait for it.
+    /// The other entries do not know this one yet, so their drains would not wait for it.
     Unknown,
-    /// This process was paused and has not heard since whether its view still holds.
+    /// This process was paused and has not yet confirmed that its view is current.
     Paused,
-    /// A newer process runs under the same instance id.
+    /// A newer process uses the same instance id.
     Superseded,
-    /// This process is leaving.
+    /// This process is shutting down.
     Leaving,
-    /// The log's rules are newer than this software: the catalogue stands still.
+    /// The rules in the log are newer than this software, so the catalogue is frozen.
     FrozenRules,
-    /// Records are missing between what was folded and what the log retains, and no snapshot
-    /// covers them: the catalogue stands still.
+    /// Records between the folded ones and those that the log retains are missing, and no snapshot
+    /// covers them, so the catalogue is not updated.
     Gap,
 }
 
 impl Reason {
-    /// Whether new work must be refused because of it. The others freeze the catalogue only.
+    /// Whether new work must be refused for this reason.
     pub fn blocks_new_work(self) -> bool {
         !matches!(self, Self::FrozenRules | Self::Gap | Self::Leaving)
     }
 }
 
-/// The newest load report of an engine.
+/// A load report of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// When its numbers were true, on this process's clock: arrival less the age that it states.
+    /// When it was measured, on the clock of this process: its arrival less its stated age.
     pub measured_at: Moment,
-    /// What it says.
+    /// The report.
     pub content: Arc<platform::EngineReport>,
 }
 
 impl Report {
-    /// Its age.
+    /// Age of the measurement.
     pub fn age(&self, now: Moment) -> Duration {
         now.saturating_sub(self.measured_at)
     }
 }
 
-/// One upstream.
+/// An upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
     /// Instance id.
     pub id: Arc<str>,
-    /// Pool that it serves.
+    /// Its pool.
     pub pool: Arc<str>,
     /// Engine or plain service.
     pub kind: Kind,
-    /// Data centre in which it stands.
+    /// Its data centre.
     pub data_centre: Arc<str>,
     /// `ip:port`.
     pub address: Arc<str>,
-    /// Why it gets new work or does not.
+    /// State, which determines whether it gets new work.
     pub state: State,
-    /// Role, from the newest report or order; `None` if neither is known, and for plain services.
+    /// Role by the newest report, else by the last settled order; `None` if unknown, and for plain
+    /// services.
     pub role: Option<Role>,
-    /// Loaded models, from the newest report.
+    /// Loaded models by the newest report.
     pub models: SmallVec<[Model; 2]>,
-    /// Whether new work may go there.
+    /// Whether it takes new work.
     pub takes_work: bool,
-    /// Share of the work of a healthy upstream that it should get, from 0 to 1.
+    /// Its share of work relative to a healthy upstream, from 0 to 1.
     pub weight: f64,
-    /// Since when it takes new work without a break; the start of its slow start.
+    /// When it last became live, which starts its slow start.
     pub up_since: Moment,
-    /// Its newest load report.
+    /// Newest load report.
     pub report: Option<Report>,
 }
 
-/// What is known of another entry.
+/// State of another entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
     /// Instance id.
     pub id: String,
-    /// Whether it was heard lately.
+    /// Whether it is alive in the membership.
     pub alive: bool,
-    /// Data centre in which it stands.
+    /// Its data centre.
     pub data_centre: String,
-    /// Its outstanding work, with the moment of arrival.
+    /// Its outstanding work, with the time of arrival.
     pub load: Option<(Moment, Arc<[Outstanding]>)>,
-    /// Its demand by owner, with the moment of arrival.
+    /// Its demand by owner, with the time of arrival.
     pub demand: Option<(Moment, Arc<[Demand]>)>,
 }
 
-/// One state of the world.
+/// A consistent view of the catalogue, the fleet and the log.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Grows with each view of this process.
+    /// Incremented with each published view of this process.
     pub sequence: u64,
-    /// Whether new work may be taken.
+    /// Whether this entry takes new work.
     pub ready: bool,
-    /// Why not, or what stands still.
+    /// Reasons for refusing new work or for a catalogue that is not updated.
     pub reasons: SmallVec<[Reason; 2]>,
-    /// Revision of the catalogue in force; 0 for none.
+    /// Revision of the catalogue in force, or 0.
     pub revision: Offset,
     /// Highest folded offset.
     pub folded: Offset,
-    /// The catalogue in force with its lookups; `None` before the first accepted edit.
+    /// The catalogue in force; `None` before the first accepted edit.
     pub catalogue: Option<Arc<catalogue::View>>,
-    /// All known upstreams by id, also those that get no new work.
+    /// All known upstreams sorted by id, including those that get no new work.
     pub upstreams: Arc<[Upstream]>,
-    /// Whether the log answers.
+    /// Whether the log is available.
     pub log: Log,
-    /// The other entries by id.
+    /// The other entries, sorted by id.
     pub peers: Arc<[Peer]>,
 }
 
 impl PartialEq for View {
-    /// The revision stands for the catalogue: comparing thousands of entities ten times a second
-    /// would cost more than all else.
+    /// Compares catalogues by revision: comparing thousands of entities ten times a second would
+    /// cost more than everything else.
     fn eq(&self, other: &Self) -> bool {
         let known = |view: &Self| view.catalogue.is_some();
         (
@@ -161,7 +162,7 @@
 }
 
 impl View {
-    /// The view before anything is known.
+    /// The initial view.
     pub fn empty() -> Self {
         Self {
             sequence: 0,
