--- a/crates/control/src/engines.rs
+++ b/crates/control/src/engines.rs
@@ -1,4 +1,4 @@
-//! Calls to engines, each in a task of its own that reports back.
+//! Calls to engines, each in its own task that sends the result as a message.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,38 +16,38 @@
 use crate::message::{Message, Sender, send};
 use crate::order::{from_model, from_role, to_platform_action};
 
-/// What an engine, or a plain service that was probed, answered.
+/// Result of a call to an engine, or of a probe of a plain service.
 #[derive(Debug)]
 pub(crate) enum EngineReply {
-    /// For the change of an order.
+    /// Input for the change of an order.
     Change {
         scope: String,
         order: OrderId,
         input: Input,
     },
-    /// The state of an idle engine.
+    /// The state of an engine without a change under way.
     Checked {
         scope: String,
         upstream: UpstreamId,
         settled: OrderId,
         reading: Reading,
     },
-    /// A probe of an ejected upstream ended.
+    /// The result of a probe of an ejected upstream.
     Probed {
         upstream: UpstreamId,
         observation: Observation,
     },
-    /// A load report.
+    /// A load report, or `None` if it could not be read.
     Reported {
         upstream: UpstreamId,
         report: Option<EngineReport>,
     },
 }
 
-/// Gives the time of the process's clock.
+/// Reads the clock of the process.
 pub(crate) type Now = Rc<dyn Fn() -> Moment>;
 
-/// Asks and orders engines.
+/// Client for the control calls of engines.
 #[derive(Clone)]
 pub(crate) struct Engines {
     client: platform::Engines,
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Carries out what a change wants from the engine at `address`; `None` if nobody knows where
-    /// it is, which ends as an engine that can't be reached.
+    /// Carries out an output of a change at the engine. If its address is not known, it counts as
+    /// unreachable.
     pub(crate) fn change(
         &self,
         scope: &str,
@@ -102,7 +102,7 @@
                     let result = engines.cancel(address, order, fence, not_after).await;
                     Input::Cancelled(request, result)
                 }
-                // The planner turns it into an append before it gets here.
+                // The planner turns it into an append, so it does not get here.
                 Output::Conclude { .. } => return,
             };
             engines.send_reply(EngineReply::Change {
@@ -113,7 +113,7 @@
         });
     }
 
-    /// Reads an idle engine.
+    /// Reads the state of an engine without a change under way.
     pub(crate) fn check(
         &self,
         scope: &str,
@@ -134,7 +134,7 @@
         });
     }
 
-    /// Asks an ejected upstream for a sign of life.
+    /// Probes an ejected upstream.
     pub(crate) fn probe(&self, upstream: UpstreamId, kind: Kind, address: String) {
         let engines = self.clone();
         actix_rt::spawn(async move {
@@ -217,9 +217,9 @@
         to_send_result(self.client.cancel(&address, order, fence, left).await)
     }
 
-    /// The last look at the clock before bytes leave: a process that was paused since its lease was
-    /// checked must not act on it. What is left of the time bounds the call, so that nothing is
-    /// sent after the lease.
+    /// Checks the clock just before sending, since the process may have been paused after its lease
+    /// was checked. The call is limited to the remaining time, so that nothing is sent after the
+    /// lease has expired.
     fn check_deadline(
         &self,
         address: Option<String>,
@@ -250,7 +250,7 @@
         platform::Progress::Running => Some(Progress::Running),
         platform::Progress::Done => Some(Progress::Done),
         platform::Progress::Failed => Some(Progress::Failed),
-        // It never began, so the engine did not take it.
+        // A cancelled order never began, so it does not count as taken.
         platform::Progress::Cancelled => None,
     };
     Reading {
--- a/crates/control/src/options.rs
+++ b/crates/control/src/options.rs
@@ -1,4 +1,4 @@
-//! What a control is started with.
+//! Options of a control.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,70 +9,70 @@
 use fleet::{drain, health, list, member};
 use peer::keys::{Pem, Source};
 
-/// Renewals of a lease in its term, as `authority` makes them.
+/// Renewals of a lease during its term, as in `authority`.
 const RENEWALS_PER_TERM: u32 = 3;
 
-/// Largest pause before an append is made anew.
+/// Maximum wait before an append is repeated.
 const MAX_APPEND_RETRY: Duration = Duration::from_millis(500);
 
-/// By how much the challengers of one scope differ in their waits.
+/// Difference between the waits of two challengers of a scope.
 const STAGGER: Duration = Duration::from_millis(200);
 
-/// Towards the other entries.
+/// Options of the mesh between entries.
 #[derive(Clone, Debug)]
 pub struct Mesh {
     /// UDP address to listen on.
     pub listen: SocketAddr,
-    /// Where the keys come from.
+    /// Sources of the keys.
     pub keys: Source,
-    /// Time between two looks at the keys.
+    /// Interval at which the keys are checked for changes; zero turns the checks off.
     pub reload: Duration,
 }
 
-/// All that a control needs to know at its start.
+/// Options of a control.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Instance id, start and data centre of this process.
+    /// Instance id, incarnation and data centre of this process.
     pub local: member::LocalMember,
-    /// The log.
+    /// Connection to the log.
     pub log: platform::Options,
-    /// The instance list.
+    /// Connection to the instance list.
     pub instances: platform::Options,
-    /// Towards the other entries; `None` if this entry stands alone.
+    /// The mesh; `None` if this is the only entry.
     pub mesh: Option<Mesh>,
-    /// The lease on a scope. All processes of a fleet use the same.
+    /// Timing of the lease on a scope, which must be the same for all processes of a fleet.
     pub term: Term,
     /// Membership of entries.
     pub members: member::Settings,
-    /// The guard of the instance list.
+    /// Acceptance of readings of the instance list.
     pub list: list::Settings,
     /// Health of upstreams.
     pub health: health::Settings,
-    /// Closing of upstreams.
+    /// Draining of upstreams.
     pub drain: drain::Settings,
-    /// Planned changes.
+    /// Timing of planned changes.
     pub change_timing: Timing,
     /// Claims of idempotency keys.
     pub claims: claims::Limits,
-    /// How long the log keeps records.
+    /// Retention period of the log.
     pub retention: Duration,
-    /// How long a read of the log waits for records. An outage that swallows requests is noticed
-    /// this much later.
+    /// How long a read of the log waits for records. It delays the detection of an outage in which
+    /// requests are not answered.
     pub log_poll_wait: Duration,
-    /// Silence of the log after which it counts as out.
+    /// Silence after a failed read for which the log counts as down.
     pub log_down_after: Duration,
-    /// Time between two readings of the instance list.
+    /// Interval between readings of the instance list.
     pub list_period: Duration,
-    /// Time between two readings of an engine's load report.
+    /// Interval between readings of the load report of an engine.
     pub report_period: Duration,
-    /// Least time between two frames with own work, or demand, that differ.
+    /// Minimum time between two different frames with outstanding work or with demand.
     pub load_period: Duration,
-    /// How long the answer to an edit may take.
+    /// Time limit for the answer to an edit.
     pub edit_timeout: Duration,
 }
 
 impl Options {
-    /// The usual options of an instance whose platform is at `platform`.
+    /// The default options of an instance with this address of the platform.
     pub fn new(local: member::LocalMember, platform: SocketAddr, term: Term) -> Self {
         let platform = platform::Options::new(format!("http://{platform}"));
         Self {
@@ -97,11 +97,11 @@
         }
     }
 
-    /// The options that the settings of a daemon mean.
+    /// The options for the settings of a daemon.
     ///
     /// # Errors
     ///
-    /// All findings about the lease together.
+    /// All findings about the lease.
     pub fn from_settings(
         settings: &settings::Settings,
         incarnation: u64,
@@ -136,9 +136,9 @@
     Pem::Path(path.to_owned())
 }
 
-/// The term of the settings. The catalogue's `lease` of a pool is not used: a challenger must wait
-/// for the longest lease that any holder may still count on, and a holder that has not read a change
-/// of the catalogue yet would count on the old one.
+/// The term by the settings. The `lease` of a pool in the catalogue is not used: a challenger must
+/// wait for the longest lease that a holder may rely on, and a holder that has not read a change of
+/// the catalogue yet would rely on the old one.
 fn term(lease: &settings::sections::Lease) -> Result<Term, Vec<Finding>> {
     let figures = TermConfig {
         lease: lease.term,
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -1,4 +1,4 @@
-//! Planned changes that operators ask for.
+//! Planned changes requested by operators.
 
 use std::error::Error;
 use std::fmt;
@@ -6,19 +6,19 @@
 use authority::order::{Model, Order, Role};
 use serde::{Deserialize, Serialize};
 
-/// A planned change as an operator asks for it.
+/// An operator's request for a planned change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(expecting = "struct Wish")]
 pub struct ChangeRequest {
     /// Instance id of the engine.
     pub upstream: String,
-    /// What it is to do.
+    /// The change.
     #[serde(flatten)]
     pub action: Action,
 }
 
-/// What an engine is to do.
+/// A planned change of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(
@@ -27,14 +27,14 @@
     expecting = "internally tagged enum What"
 )]
 pub enum Action {
-    /// Take a role.
+    /// Change the role.
     SetRole {
         /// The role.
         role: platform::Role,
     },
     /// Load a model.
     LoadModel(platform::Model),
-    /// Forget a model.
+    /// Unload a model.
     UnloadModel(platform::Model),
 }
 
@@ -48,20 +48,20 @@
     }
 }
 
-/// Why a wish was not taken.
+/// Why a requested change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderError {
-    /// No engine of this id is listed.
+    /// No engine with this id is listed.
     UnknownEngine,
-    /// Nobody holds control of its pool at the moment.
+    /// No entry holds the scope of its pool at the moment.
     NoHolder,
-    /// The holder can't be asked.
+    /// The holder of the scope cannot be reached.
     HolderAway(String),
-    /// The holder refused, and why.
+    /// The holder refused, with its reason.
     Refused(String),
-    /// The control of this process has stopped.
+    /// The control has stopped.
     Stopped,
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// An order as operators read it.
+/// Formats an order for the status.
 pub(crate) fn describe(order: &Order) -> String {
     let model = |model: &Model| {
         let adapter = match model.adapter.as_str() {
--- a/crates/control/src/roles.rs
+++ b/crates/control/src/roles.rs
@@ -1,4 +1,4 @@
-//! Feeds the planners of roles with what is known of the pools.
+//! Runs the role planners on the state of the pools.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,19 +18,19 @@
 use crate::order::from_role;
 use crate::publisher::PeerFrames;
 
-/// Age at which a peer's demand is no longer counted.
+/// Age at which the demand of a peer is no longer counted.
 const MAX_DEMAND_AGE: Duration = Duration::from_secs(5);
 
-/// Changes of roles that may be in work at once in a pool; more bring next to nothing, see
+/// Maximum number of concurrent role changes in a pool; more have almost no benefit, see
 /// `docs/design/roles.md`.
 const MAX_PARALLEL_CHANGES: usize = 1;
 
-/// Answer tokens a second of one decode slot, as `routing` takes them.
+/// Answer tokens a second of one decode slot, as assumed by `routing`.
 const DECODE_TOKENS_PER_SLOT_S: f64 = 40.0;
 
-/// What an engine reaches of its prefill and decode rates in each role, relative to a mixed one, and
-/// what of both at once. Worked out from the stand-in engine, see `docs/design/roles.md`; reports do
-/// not tell it of a role that an engine is not in.
+/// Prefill and decode rates of an engine in each role relative to the mixed role, and how far both
+/// are reached at once. Reports do not contain the rates of other roles, so these are derived from
+/// the stand-in engine; see `docs/design/roles.md`.
 const ROLE_SHAPES: [RoleShape; 3] = [
     RoleShape {
         role: Role::Mixed,
@@ -60,7 +60,7 @@
     overlap: f64,
 }
 
-/// What the planners look at.
+/// State that the planners use.
 pub(crate) struct RoleInputs<'a> {
     pub(crate) now: Moment,
     pub(crate) catalogue: &'a catalogue::View,
@@ -69,21 +69,22 @@
     pub(crate) frames: &'a PeerFrames,
     /// Demand at this entry.
     pub(crate) local_demand: &'a [PoolDemand],
-    /// Requests of this entry that are open at an upstream.
+    /// Number of open requests of this entry at an upstream.
     pub(crate) open_requests: &'a dyn Fn(&str) -> u32,
 }
 
-/// A change that a planner proposes.
+/// A proposed change: the engine and its order.
 pub(crate) type ProposedChange = (String, Order);
 
-/// The planners by pool.
+/// The role planners by pool.
 #[derive(Default)]
 pub(crate) struct RolePlanners {
     planners: BTreeMap<String, Planner>,
 }
 
 impl RolePlanners {
-    /// Lets the planners see the moment; gives what they propose. To be called once a second.
+    /// Steps the planners and returns the changes that they propose, with their pools. Must be
+    /// called once a second.
     pub(crate) fn step(&mut self, inputs: &RoleInputs<'_>) -> Vec<(String, ProposedChange)> {
         let pools = inputs.catalogue.names(Kind::Pool);
         let pools: Vec<&catalogue::Pool> = pools
@@ -113,7 +114,7 @@
 }
 
 impl RoleInputs<'_> {
-    /// What callers ask of a pool, over all entries that were heard lately.
+    /// Demand on a pool, summed over this entry and all entries with recent frames.
     fn demand(&self, pool: &str) -> Demand {
         let frames = self.frames.pools.values();
         let fresh = frames.filter(|(at, _)| self.now.saturating_sub(*at) < MAX_DEMAND_AGE);
@@ -149,7 +150,7 @@
         listed.filter_map(engine).collect()
     }
 
-    /// Requests that all entries have open at an engine.
+    /// Number of requests of all entries that are open at an engine.
     fn in_flight(&self, upstream: &str) -> u32 {
         let frames = self.frames.loads.values();
         let peers = frames.flat_map(|(_, work)| work.iter());
@@ -183,14 +184,14 @@
         }
     }
 
-    /// The frontiers of a pool's engines by their reports, taken back to those of a mixed engine.
+    /// The frontiers of the engines of a pool, from their reports converted to the mixed role.
     fn frontiers(&self, pool: &str) -> Frontiers {
         let upstreams = self.fleet.upstreams.iter();
         let reports = upstreams.filter(|one| one.pool == pool);
         let reports = reports.filter_map(|one| self.fleet.report(&one.id));
         let all: Vec<&EngineReport> = reports.map(|report| &*report.content).collect();
         let prefill = mean(&all, |_| true, mixed_prefill);
-        // A prefill engine's few slots say little of what it would decode in another role.
+        // The few slots of a prefill engine say little about its decode rate in another role.
         let decode_capable = |report: &EngineReport| report.role != platform::Role::Prefill;
         let decode =
             mean(&all, decode_capable, mixed_decode).or(mean(&all, |_| true, mixed_decode));
@@ -220,12 +221,12 @@
     (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
 }
 
-/// Tokens a second that the engine would prefill in the mixed role.
+/// Prefill rate of the engine in the mixed role, in tokens a second.
 fn mixed_prefill(report: &EngineReport) -> f64 {
     report.prefill_rate / shape(report).prefill
 }
 
-/// Tokens a second that it would decode in the mixed role.
+/// Decode rate of the engine in the mixed role, in tokens a second.
 fn mixed_decode(report: &EngineReport) -> f64 {
     f64::from(report.decode_slots) * DECODE_TOKENS_PER_SLOT_S / shape(report).decode
 }
--- a/crates/control/src/scopes.rs
+++ b/crates/control/src/scopes.rs
@@ -1,4 +1,4 @@
-//! The scopes: one lease and one planner a pool of engines.
+//! Scopes: a lease and a planner for each pool of engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,13 +19,13 @@
 use crate::engines::Engines;
 use crate::fleet_state::FleetState;
 
-/// What this process does for one scope.
+/// Lease and planner of this process for one scope.
 pub(crate) struct Scope {
     pub(crate) lease: Lease,
     pub(crate) planner: Planner,
 }
 
-/// What the outside of the scopes looks like at one step.
+/// What leases and planners need for a step.
 pub(crate) struct Context<'a> {
     pub(crate) now: Moment,
     pub(crate) state: &'a State,
@@ -41,9 +41,9 @@
     change_timing: Timing,
     scopes: BTreeMap<String, Scope>,
     seed: Box<dyn FnMut() -> u64>,
-    /// The newest renewal of each scope with the moment at which it was seen first.
+    /// The newest renewal of each scope, and when it was first seen.
     last_renewals: BTreeMap<String, (Offset, Moment)>,
-    /// The planners were told who serves as of this count of changes.
+    /// The count of state changes at which the planners last received the serving upstreams.
     serving_as_of: Option<u64>,
     leaving: bool,
     mismatches: u64,
@@ -81,7 +81,7 @@
         self.mismatches
     }
 
-    /// Whether this process holds nothing that a successor waits for.
+    /// Whether this process holds no lease that a successor would wait for.
     pub(crate) fn holds_none(&self) -> bool {
         !self.scopes.values().any(|scope| scope.lease.holds())
     }
@@ -90,8 +90,8 @@
         self.scopes.values().all(|scope| scope.planner.is_idle())
     }
 
-    /// Follows the catalogue: a scope for each pool of engines. A pool that was removed keeps its
-    /// scope while an order of it is unresolved; nobody else would resolve it.
+    /// Creates a scope for each pool of engines in the catalogue. A removed pool keeps its scope
+    /// while it has an unresolved order, since only a holder of the scope resolves it.
     pub(crate) fn follow_catalogue(
         &mut self,
         now: Moment,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Shows a folded record to the leases.
+    /// Passes a folded record to the leases.
     pub(crate) fn apply(&mut self, now: Moment, offset: Offset, record: &Record, state: &State) {
         for (name, scope) in &mut self.scopes {
             for output in scope.lease.apply(now, offset, record, state) {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Shows a state that came from a snapshot to the leases.
+    /// Passes a state restored from a snapshot to the leases.
     pub(crate) fn restore(&mut self, now: Moment, state: &State) {
         for (name, scope) in &mut self.scopes {
             for output in scope.lease.restore(now, state) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// A read that was sent at `asked` reached the end of the log.
+    /// Records that a read sent at `sent_at` has reached the end of the log.
     pub(crate) fn log_read(&mut self, context: &Context<'_>, sent_at: Moment) {
         for (name, scope) in &mut self.scopes {
             let outputs = scope
@@ -168,7 +168,7 @@
         carry_out(name, outputs, context);
     }
 
-    /// Gives all scopes up.
+    /// Releases all scopes.
     pub(crate) fn release_all(&mut self, context: &Context<'_>) {
         self.leaving = true;
         for (name, scope) in &mut self.scopes {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Something for a planner.
+    /// Passes an input to the planner of a scope.
     pub(crate) fn step_planner(
         &mut self,
         context: &Context<'_>,
@@ -191,7 +191,7 @@
         }
     }
 
-    /// A planned change is wanted. It is taken by the holder only.
+    /// Requests a planned change. Returns `false` if this process may not act for the scope.
     pub(crate) fn request_change(
         &mut self,
         context: &Context<'_>,
@@ -217,7 +217,7 @@
         holds
     }
 
-    /// Lets time pass, and shows leases and planners how the fleet stands.
+    /// Ticks leases and planners, and passes them the state of the fleet.
     pub(crate) fn tick(&mut self, context: &Context<'_>) {
         let alive = context.fleet.alive();
         let held = self.scopes.values().filter(|scope| scope.lease.holds());
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Tells each change under way what its closing waits for.
+    /// Passes to each active change what its closing waits for.
     fn update_blockers(&mut self, context: &Context<'_>, name: &str) {
         let Some(scope) = self.scopes.get(name) else {
             return;
@@ -270,8 +270,8 @@
         }
     }
 
-    /// Whether a scope's holder has been silent for the wait of a challenger, so that this process
-    /// claims it as soon as a read that is sent now finds nothing newer.
+    /// Whether the holder of a scope has been silent for the challenge wait, so that this process
+    /// may claim the scope once a read sent from now on finds no renewal.
     pub(crate) fn is_overdue(&mut self, now: Moment, state: &State) -> bool {
         let wait = self.term.challenge_wait();
         let mut overdue = false;
@@ -288,7 +288,7 @@
         overdue
     }
 
-    /// What this process may do in a scope.
+    /// The grant of this process for a scope, if it holds one.
     pub(crate) fn grant(&self, scope: &str) -> Option<Grant> {
         self.scopes.get(scope)?.lease.grant()
     }
@@ -320,7 +320,7 @@
     }
 }
 
-/// Carries out what a planner wants; gives how many engines were found in a wrong state.
+/// Carries out the outputs of a planner; returns the number of mismatches among them.
 fn carry_out_plan(scope: &str, outputs: planner::Outputs, context: &Context<'_>) -> u64 {
     let mut mismatches = 0;
     let address = |upstream: &str| {
