--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -1,4 +1,5 @@
-//! The control's one task: takes messages in one by one and carries out what the pure crates want.
+//! The task of the control: handles messages one by one and carries out the outputs of the state
+//! machines.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -42,13 +43,13 @@
 mod status;
 mod tick;
 
-/// Time between two looks at everything that time alone moves.
+/// Interval between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Messages that are taken in before the rest of the work gets its turn.
+/// Maximum number of messages handled before other due work runs.
 const MESSAGE_BATCH: usize = 256;
 
-/// What connects a control with its handles.
+/// Connects a control with its handles.
 pub(crate) struct Wiring {
     pub(crate) sender: Sender,
     pub(crate) shared: Arc<Shared>,
@@ -56,21 +57,21 @@
     pub(crate) clock: Clock,
 }
 
-/// The reader of the log as seen from here.
+/// State of the log reader.
 struct ReaderState {
     started: Moment,
     /// When the log last answered a read.
     last_answer: Option<Moment>,
     /// Whether the newest read failed.
     failing: bool,
-    /// What the claims were told of it.
+    /// The status that was last passed to the claims.
     claims_status: LogStatus,
 }
 
-/// What stands in the way of serving or of control, besides what follows from the parts.
+/// State that affects serving or control and is not part of a component.
 #[derive(Default)]
 struct Flags {
-    /// A whole state was folded, or taken from a peer, since the start.
+    /// The log was folded to its end, or the state taken from a peer, since the start.
     caught_up: bool,
     /// When this process noticed that it had been paused.
     paused_at: Option<Moment>,
@@ -78,19 +79,19 @@
     leaving_since: Option<Moment>,
     scopes_released: bool,
     aborted: bool,
-    /// A read without a wait is under way.
+    /// A read without a long poll is under way.
     probing_log: bool,
-    /// The view must be published without waiting for the tick.
+    /// Publish the view without waiting for the next tick.
     publish_now: bool,
 }
 
-/// A stop that was asked for.
+/// A requested stop.
 struct Stop {
     deadline: Moment,
     reply: oneshot::Sender<()>,
 }
 
-/// All state of the control.
+/// State of the control.
 pub(crate) struct Core {
     options: Options,
     clock: Clock,
@@ -122,7 +123,7 @@
 }
 
 impl Core {
-    /// Opens what has to be opened. Nothing is read yet.
+    /// Starts the mesh and creates the initial state. Nothing is read yet.
     pub(crate) fn start(options: Options, wiring: Wiring) -> Result<Self, Report<peer::Error>> {
         let Wiring {
             sender,
@@ -184,7 +185,7 @@
         })
     }
 
-    /// Runs until it is stopped.
+    /// Runs until stopped or aborted.
     pub(crate) async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         let poll = Instances::new(&self.options.instances).poll(self.options.list_period, jitter());
         actix_rt::spawn(forward(poll.listing(), self.sender.clone()));
@@ -241,12 +242,9 @@
         match message {
             Message::Listing(listing) => self.handle_listing(now, &listing),
             Message::Peer(event) => self.handle_peer_event(now, event),
-            Message::Appended(ended) => self.handle_appended(now, &ended),
-            Message::Engine(answer) => self.handle_engine(now, answer),
-            Message::LogProbed {
-                sent_at: asked,
-                next,
-            } => self.log_probed(now, asked, next),
+            Message::Appended(append) => self.handle_appended(now, &append),
+            Message::Engine(reply) => self.handle_engine(now, reply),
+            Message::LogProbed { sent_at, next } => self.log_probed(now, sent_at, next),
             Message::PeerState(snapshot) => self.handle_peer_state(now, snapshot),
             Message::Run(job) => job(self),
         }
@@ -340,7 +338,7 @@
         }
     }
 
-    /// The scopes, and all that they look at.
+    /// The scopes and the context for their steps.
     fn scopes_and_context(&mut self, now: Moment) -> (&mut Scopes, Context<'_>) {
         let context = Context {
             now,
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -1,4 +1,4 @@
-//! Handing over at the end of the process.
+//! Hand-over of scopes when the process shuts down.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 
 use crate::core::{Core, Stop};
 
-/// How long a leaving process carries on with changes under way before it gives its scopes up;
-/// the successor resolves what is left then.
+/// How long a leaving process continues active changes before it releases its scopes; the successor
+/// resolves the remaining ones.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Core {
@@ -31,8 +31,8 @@
         self.flags.aborted = true;
     }
 
-    /// Gives the scopes up when the process leaves, or when the rules in force are unknown to it:
-    /// it would plan by pools that others see changed.
+    /// Releases the scopes when the process leaves, or when it does not know the rules in force: it
+    /// would plan by an outdated catalogue.
     pub(super) fn hand_over(&mut self, now: Moment) {
         let frozen = self.replica.catalogue().frozen().is_some();
         let since = self.flags.leaving_since;
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Whether nothing is left to be handed over, or the time for it is over.
+    /// Whether the hand-over is complete or its time limit has passed.
     pub(super) fn is_done(&self) -> bool {
         let Some(stop) = &self.stop else {
             return self.flags.aborted;
         };
-        // A wake-up is due as long as claims or outcomes are to be written or read back.
+        // The claims have a wake-up time while claims or outcomes are being written or read back.
         let claims_written = self.calls.open_calls() == 0 && self.calls.next_wake().is_none();
         let handed_over = self.flags.scopes_released && self.scopes.holds_none() && claims_written;
         handed_over || self.clock.now() >= stop.deadline
--- a/crates/control/src/core/peers.rs
+++ b/crates/control/src/core/peers.rs
@@ -1,4 +1,4 @@
-//! What the other entries tell and ask.
+//! Events of the mesh: frames and queries of the other entries.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::core::Core;
 use crate::hooks::Key;
 
-/// Time after which confirmations are repeated although nothing changed.
+/// Interval at which unchanged confirmations are repeated.
 const CONFIRM_REPEAT_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
 
 impl Core {
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Ends a pause of this process, also while the log is out, once peers show that its view still
-    /// holds: at least one heartbeat is certainly newer than the pause, and none of those tells of
-    /// more than is folded here. Any heartbeat would not do: one that waited in the socket since
-    /// the pause began tells of nothing newer, and work would go to an upstream closed meanwhile.
+    /// Ends a pause of this process, also while the log is down, once the peers confirm its view:
+    /// at least one heartbeat was certainly sent after the pause, and no such heartbeat has a
+    /// higher folded offset. A heartbeat that waited in the socket during the pause does not count:
+    /// work could then go to an upstream that was closed meanwhile.
     fn end_pause_if_current(&mut self) {
         if self.flags.paused_at.is_none() {
             return;
@@ -81,22 +81,22 @@
                     log::info!(peer = id.as_str(), was:?, state:?; "entry changed");
                 }
                 Output::Returned { id, silent } => {
-                    log::warn!(peer = id.as_str(), silent:?; "entry is heard again");
+                    log::warn!(peer = id.as_str(), silent:?; "heartbeats received again");
                 }
                 Output::Restarted { id, incarnation } => {
                     log::info!(peer = id.as_str(), incarnation; "entry was restarted");
                 }
                 Output::HearingChanged { id, hearing } => {
-                    log::info!(peer = id.as_str(), hearing:?; "entry hears this one, or does not");
+                    log::info!(peer = id.as_str(), hearing:?; "reception of own heartbeats changed");
                 }
-                Output::Refused(refusal) => log::debug!(refusal:?; "a frame was refused"),
+                Output::Refused(refusal) => log::debug!(refusal:?; "frame refused"),
                 Output::Paused(pause) => {
                     log::warn!(pause:?; "this process was paused");
                     self.flags.paused_at = Some(now);
                     self.flags.publish_now = true;
                 }
                 Output::Superseded(incarnation) => {
-                    log::error!(incarnation; "a newer process runs under this instance id");
+                    log::error!(incarnation; "a newer process uses this instance id");
                     self.flags.superseded = true;
                     self.flags.publish_now = true;
                 }
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Confirms the closings that the data plane has seen, to itself and to all peers: at once
-    /// when something changed, and again while they stand.
+    /// Confirms the closings that the data plane has applied, locally and to all peers: at once
+    /// after a change, and periodically while they are in force.
     pub(super) fn broadcast_confirms(&mut self, now: Moment) {
         let hooks = self.shared.hooks();
         let due_confirms = self
@@ -154,7 +154,7 @@
         let Ok(action) = Order::try_from(wish.order.as_ref()) else {
             return refused("the order is malformed");
         };
-        log::info!(upstream = wish.upstream.as_str(), operator = wish.operator.as_str(), from; "a planned change is asked for");
+        log::info!(upstream = wish.upstream.as_str(), operator = wish.operator.as_str(), from; "planned change requested");
         let change = (wish.upstream.clone(), action);
         let (scopes, context) = self.scopes_and_context(now);
         if scopes.request_change(&context, &wish.scope, change, Reason::Operator) {
--- a/crates/control/src/core/records.rs
+++ b/crates/control/src/core/records.rs
@@ -1,4 +1,4 @@
-//! What is read from the log.
+//! Records read from the log.
 
 use catalogue::{Applied, Verdict};
 use claims::LogStatus;
@@ -11,13 +11,13 @@
 use crate::replica::FoldStep;
 use crate::view;
 
-/// Silence of the log beyond the wait of a read after which it counts as out although no read has
-/// failed yet.
+/// Added to the long-poll wait and `log_down_after`: silence for longer than the sum counts as an
+/// outage even if no read has failed.
 const READ_SLACK: std::time::Duration = std::time::Duration::from_secs(1);
 
 impl Core {
-    /// Takes an event of the reader in; gives the offset from which to read anew if the reader has
-    /// stopped.
+    /// Handles an event of the reader. If the reader has stopped, returns the offset from which to
+    /// restart it.
     pub(super) fn handle_log_event(&mut self, event: Event) -> Option<Offset> {
         let now = self.clock.now();
         match event {
@@ -32,7 +32,7 @@
                 None
             }
             Event::Gone { first, next } => {
-                log::warn!(first, next, folded = self.replica.folded(); "records are past retention");
+                log::warn!(first, next, folded = self.replica.folded(); "log no longer retains the next records");
                 self.reader.last_answer = Some(now);
                 self.calls.forget_before(first);
                 self.replica.discard_before(first, next);
@@ -59,7 +59,8 @@
         }
     }
 
-    /// All that the log held when the read was sent is folded.
+    /// Handles that all records up to the end of the log, as of a read sent at `sent_at`, are
+    /// folded.
     fn handle_up_to_date(&mut self, now: Moment, sent_at: Moment) {
         if !self.flags.caught_up {
             log::info!(folded = self.replica.folded(), revision = self.replica.catalogue().revision(); "caught up with the log");
@@ -75,7 +76,7 @@
         scopes.log_read(&context, sent_at);
     }
 
-    /// A peer gave its state.
+    /// Handles the state of a peer.
     pub(super) fn handle_peer_state(&mut self, now: Moment, snapshot: Box<Snapshot>) {
         let before = self.replica.folded();
         self.replica.offer_snapshot(snapshot);
@@ -114,12 +115,12 @@
         }
     }
 
-    /// Tells the claims whether the log answers. They decide nothing before all that it retains is
-    /// folded: a claim that was not read yet could be the first of its key.
+    /// Tells the claims whether the log is up. It counts as down until all retained records are
+    /// folded, since an unread claim could be the first of its key.
     pub(super) fn update_claims_status(&mut self, now: Moment) {
         let up = self.log_state(now) == view::Log::Up && self.replica.is_up_to_date();
         let status = if up { LogStatus::Up } else { LogStatus::Down };
-        // Between two reads records may stand that are not folded yet, which is no outage.
+        // Records that are not folded yet between two reads are no outage.
         let lagging = !up
             && self.log_state(now) == view::Log::Up
             && self.reader.claims_status == LogStatus::Up;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Whether the log answers. One failed read makes no outage.
+    /// Whether the log is up. A single failed read does not count as an outage.
     pub(super) fn log_state(&self, now: Moment) -> view::Log {
         let last_answer = self.reader.last_answer.unwrap_or(self.reader.started);
         let silent = now.saturating_sub(last_answer);
@@ -144,7 +145,7 @@
     }
 }
 
-/// Whether a record changed what the data plane or the scopes look at.
+/// Whether a record changed state that the data plane or the scopes use.
 fn changes_state(applied: &Applied, effect: &authority::effect::Effect) -> bool {
     use authority::effect::Effect;
     let catalogue = matches!(
--- a/crates/control/src/core/requests.rs
+++ b/crates/control/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! What handles ask for.
+//! Requests from handles.
 
 use authority::order::Order;
 use authority::planner::Reason;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Hands a wish to the holder of the engine's pool, here or at a peer.
+    /// Passes a requested change to the holder of the engine's pool, which may be a peer.
     pub(crate) fn request_change(
         &mut self,
         upstream: String,
@@ -133,7 +133,7 @@
         let kind = Some(query::Kind::Burn(Empty {}));
         let query = Query { kind };
         let peers: Vec<String> = self.mesh.status().into_iter().map(|one| one.id).collect();
-        let asked: Vec<_> = peers
+        let queries: Vec<_> = peers
             .into_iter()
             .map(|peer| {
                 let answer = self.mesh.query(&peer, query.clone());
@@ -142,7 +142,7 @@
             .collect();
         actix_rt::spawn(async move {
             let mut merged = Burn::from([own]);
-            for (peer, answer) in futures_util::future::join_all(asked).await {
+            for (peer, answer) in futures_util::future::join_all(queries).await {
                 if let Some(reply::Kind::Burn(burn)) = answer.and_then(|reply| reply.kind) {
                     merged.insert(peer, burn.buckets);
                 }
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! Status and orders for operators.
 
 use authority::change::Step;
 use clock::{Clock as _, Moment};
@@ -162,7 +162,7 @@
         pending.chain(requested).collect()
     }
 
-    /// The step of an order, if this process carries it out.
+    /// Step and blockers of an order if this process carries it out, else `elsewhere`.
     fn order_step(&self, scope: &str, order: u64) -> (String, String) {
         let scope = self.scopes.get(scope);
         let mut underway = scope
--- a/crates/control/src/core/tick.rs
+++ b/crates/control/src/core/tick.rs
@@ -1,4 +1,4 @@
-//! What time alone moves.
+//! Periodic work.
 
 use std::time::Duration;
 
@@ -20,13 +20,13 @@
 use crate::snapshot_schedule::Window;
 use crate::view;
 
-/// Least time between two questions for a peer's state.
+/// Minimum time between two queries for the state of a peer.
 const STATE_QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Most engines of a fleet in which each entry reads the reports of all.
+/// Maximum number of engines at which each entry reads the reports of all of them.
 const MAX_ENGINES_READ_BY_ALL: usize = 64;
 
-/// Time between two steps of the planners of roles.
+/// Interval between two steps of the role planners.
 const ROLE_PLANNING_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Core {
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Reads the engines' reports: of all engines in a small fleet, else of those in the own data
-    /// centre, as hundreds of entries that each ask more than a thousand engines would be load of
-    /// their own.
+    /// Reads the due load reports: of all engines in a small fleet, otherwise of those in the own
+    /// data centre, because hundreds of entries that each poll more than a thousand engines would
+    /// cause considerable load.
     fn read_reports(&mut self, now: Moment) {
         let upstreams = self.fleet.upstreams.iter();
         let listed = upstreams.filter(|one| one.kind == Kind::Engine && one.listed.is_some());
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Tells the peers the own outstanding work and the demand by owner. What has not changed is
-    /// told about once a second only: an idle entry would fill the bytes that control may cost.
+    /// Broadcasts outstanding work and demand of this entry. Unchanged frames are repeated less
+    /// often, since an idle entry would otherwise use up the traffic budget of control.
     fn broadcast_work(&mut self, now: Moment) {
         let fleet = &self.fleet;
         self.peer_frames
@@ -118,8 +118,8 @@
         }
     }
 
-    /// While the log is out the state comes from the peer that has folded most. This is how an
-    /// entry that starts in an outage gets a catalogue, and how one that alone has lost the log
+    /// Queries the most advanced peer for its state while the log is down or has a gap. By this an
+    /// entry that starts during an outage gets a catalogue, and one that alone has lost the log
     /// learns of closings.
     fn query_state(&mut self, now: Moment) {
         let up = self.log_state(now) == view::Log::Up;
@@ -143,7 +143,7 @@
         });
     }
 
-    /// An entry that has nobody to hear from takes its own view for good after a pause.
+    /// Ends a pause if there are no other entries that could confirm the view.
     fn end_pause_if_alone(&mut self) {
         let others = self.fleet.members.iter();
         let mut others = others.filter(|one| one.state != fleet::member::State::Gone);
@@ -152,9 +152,9 @@
         }
     }
 
-    /// Reads the log without waiting for records when a holder is overdue. A challenge needs a read
-    /// that was sent after the wait; the long poll that stands at that moment was sent before it,
-    /// and would add its length to the time without a holder.
+    /// Reads the log without a long poll when a holder is overdue. A challenge needs a read that
+    /// was sent after the challenge wait; the long poll in flight was sent before it, and waiting
+    /// for it would prolong the time without a holder.
     fn probe_log(&mut self, now: Moment) {
         let up_to_date = self.flags.caught_up && self.replica.is_up_to_date();
         let overdue = self.scopes.is_overdue(now, self.replica.authority());
@@ -170,8 +170,8 @@
         });
     }
 
-    /// A read without a wait ended. If it found no record beyond what is folded, it was as good as
-    /// one that brought all of them.
+    /// Handles the end of a read without a long poll. If there is no record beyond the folded ones,
+    /// it counts as a read to the end of the log.
     pub(super) fn log_probed(&mut self, now: Moment, sent_at: Moment, next: Option<Offset>) {
         self.flags.probing_log = false;
         if next.is_some_and(|next| next <= self.replica.folded() + 1) {
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Lets each pool's planner of roles see the demand of all entries. Every process plans, so that
-    /// a successor knows the past; only the holder's proposals become changes.
+    /// Steps the role planner of each pool with the demand of all entries. Every process plans, so
+    /// that a successor has the history; only the holder turns proposals into changes.
     fn plan_roles(&mut self, now: Moment) {
         if !self.flags.caught_up || now < self.roles_planned_at + ROLE_PLANNING_INTERVAL {
             return;
@@ -201,7 +201,7 @@
             let upstream = change.0.clone();
             let (scopes, context) = self.scopes_and_context(now);
             if scopes.request_change(&context, &pool, change, Reason::Plan) {
-                log::info!(pool, upstream; "a change of role is planned");
+                log::info!(pool, upstream; "role change requested by the planner");
             }
         }
     }
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of a running control, for all threads of the daemon.
+//! Handle of a running control, usable from all threads of the daemon.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,14 +22,14 @@
 use crate::status::{Burn, Entities, Orders, Status};
 use crate::view::View;
 
-/// Observations that wait for the control's next look. Beyond, a fleet is either very busy, and a
-/// few lost answers change nothing, or the control stands still.
+/// Maximum number of observations queued for the next tick; more are dropped. At that rate the
+/// fleet is very busy and a few lost ones do not matter, or the control is blocked.
 const MAX_QUEUED_OBSERVATIONS: usize = 4096;
 
-/// Time over which demand is smoothed; the planner of roles reckons with about as much delay.
+/// Time constant for smoothing demand; the role planner assumes a delay of about this.
 const DEMAND_SMOOTHING: Duration = Duration::from_secs(3);
 
-/// What handles and the control share.
+/// State shared by the handles and the control.
 #[derive(Debug, Default)]
 pub(crate) struct Shared {
     hooks: RwLock<Arc<Hooks>>,
@@ -38,7 +38,7 @@
     demand: Mutex<BTreeMap<Arc<str>, DemandRates>>,
 }
 
-/// Tokens that callers ask of a pool.
+/// Tokens a second requested from a pool.
 #[derive(Clone, Copy, Debug)]
 struct DemandRates {
     prefill: Rate,
@@ -60,53 +60,53 @@
 
     fn record_demand(&self, now: Moment, pool: &Arc<str>, prefill: f64, decode: f64) {
         let mut held = self.demand.lock().unwrap_or_else(PoisonError::into_inner);
-        let asked = held.entry(Arc::clone(pool)).or_insert_with(|| DemandRates {
+        let rates = held.entry(Arc::clone(pool)).or_insert_with(|| DemandRates {
             prefill: Rate::new(now, DEMAND_SMOOTHING),
             decode: Rate::new(now, DEMAND_SMOOTHING),
         });
-        asked.prefill.record(now, prefill);
-        asked.decode.record(now, decode);
+        rates.prefill.record(now, prefill);
+        rates.decode.record(now, decode);
     }
 
-    /// What callers ask here of each pool.
+    /// Demand at this entry on each pool.
     pub(crate) fn pool_demand(&self, now: Moment) -> Vec<PoolDemand> {
         let held = self.demand.lock().unwrap_or_else(PoisonError::into_inner);
-        let demand = held.iter().map(|(pool, asked)| PoolDemand {
+        let demand = held.iter().map(|(pool, rates)| PoolDemand {
             pool: pool.to_string(),
-            prefill: asked.prefill.per_second(now) as f32,
-            decode: asked.decode.per_second(now) as f32,
+            prefill: rates.prefill.per_second(now) as f32,
+            decode: rates.decode.per_second(now) as f32,
         });
         demand.collect()
     }
 }
 
-/// A call whose key is to be claimed; see [`claims::Call`].
+/// A call whose key is claimed; see [`claims::Call`].
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// Digest of its key.
+    /// Digest of the idempotency key.
     pub key: Digest,
-    /// Digest of what it asks for.
+    /// Digest of the request.
     pub fingerprint: Digest,
     /// Request id.
     pub request: String,
     /// The caller's `Idempotency-Attempt`.
     pub attempt: Option<u32>,
-    /// What its entry says on outages.
+    /// What to do during an outage of the log.
     pub policy: OutagePolicy,
-    /// When it is no longer worth running.
+    /// When the call must no longer be run.
     pub deadline: Moment,
 }
 
-/// What was decided for a call.
+/// The decision on a call.
 #[derive(Clone, Debug)]
 pub struct Claimed {
-    /// Its name for [`Handle::conclude`].
+    /// Identifies the call for [`Handle::conclude`].
     pub call_id: CallId,
-    /// What to do with it.
+    /// What to do with the call.
     pub decision: Decision,
 }
 
-/// Tells the control that a caller has gone before its call was decided.
+/// When dropped before the decision, tells the control that the caller has gone.
 struct CallerGuard {
     sender: Sender,
     call_id: CallId,
@@ -123,7 +123,8 @@
     }
 }
 
-/// A running control. Clones are handles of the same one; it stops by [`Handle::stop`].
+/// Handle of a running control, which is ended by [`Handle::stop`]. Clones refer to the same
+/// control.
 #[derive(Clone, Debug)]
 pub struct Handle {
     pub(crate) sender: Sender,
@@ -137,12 +138,12 @@
         Arc::clone(&self.view.borrow())
     }
 
-    /// Follows the views.
+    /// Watches the views.
     pub fn watch(&self) -> watch::Receiver<Arc<View>> {
         self.view.clone()
     }
 
-    /// Registers what the data plane tells when asked, in place of what was registered before.
+    /// Replaces the hooks of the data plane.
     pub fn set_hooks(&self, hooks: Hooks) {
         let mut held = self
             .shared
@@ -152,8 +153,8 @@
         *held = Arc::new(hooks);
     }
 
-    /// Claims the key of a call and waits for the decision. If the future is dropped the call
-    /// counts as one whose caller has gone; it does not run then.
+    /// Claims the key of a call and waits for the decision. If the future is dropped, the caller
+    /// counts as gone and the call is not run.
     pub async fn claim(&self, claim: Claim) -> Claimed {
         let call_id = self.shared.last_call_id.fetch_add(1, Ordering::Relaxed) + 1;
         let call = Call {
@@ -175,18 +176,18 @@
         };
         let decision = decision.await;
         guard.decided = true;
-        // The control has stopped: the call was never told to run.
+        // The control has stopped before it decided to run the call.
         let decision = decision.unwrap_or(Decision::Refused { executed });
         Claimed { call_id, decision }
     }
 
-    /// Tells how a call ended that was to run.
+    /// Reports how a call that was run has ended.
     pub fn conclude(&self, call_id: CallId, end: CallEnd) {
         self.run(move |core| core.conclude(call_id, end));
     }
 
-    /// Tells how an attempt at an upstream ended. It costs a short lock and no wake-up of the
-    /// control, which looks at the observations a few times a second.
+    /// Reports the outcome of an attempt at an upstream. It takes a short lock and does not wake
+    /// the control, which reads the observations at its ticks.
     pub fn observe(&self, upstream: &Arc<str>, observation: Observation) {
         let shared = &self.shared.observations;
         let mut held = shared.lock().unwrap_or_else(PoisonError::into_inner);
@@ -195,19 +196,18 @@
         }
     }
 
-    /// Counts a request that a caller asks of a pool of engines, whether it is admitted or not:
-    /// prompt tokens that are not expected in a cache, and expected tokens of the answer. Roles are
-    /// planned by it.
+    /// Counts a request to a pool of engines, admitted or not, for the planning of roles: prompt
+    /// tokens that are not expected in a cache, and expected tokens of the answer.
     pub fn record_demand(&self, now: Moment, pool: &Arc<str>, prefill: u32, decode: u32) {
         let shared = &self.shared;
         shared.record_demand(now, pool, f64::from(prefill), f64::from(decode));
     }
 
-    /// Makes an edit and waits until it is judged.
+    /// Submits an edit and waits for its verdict.
     ///
     /// # Errors
     ///
-    /// [`EditError`], which tells what is known about it.
+    /// [`EditError`] if the edit is not known to be in force.
     pub async fn submit_edit(&self, document: &Document) -> Result<Revision, EditError> {
         let (reply, answer) = oneshot::channel();
         let edit = wire::record::Edit::from(document);
@@ -215,7 +215,7 @@
         answer.await.unwrap_or(Err(EditError::Unknown))
     }
 
-    /// Says what would be wrong with changes that were made now.
+    /// Checks changes against the current catalogue without making them.
     pub async fn check(&self, document: &Document) -> Findings {
         let changes = document.changes();
         let checked = self.ask(move |core| core.check(&changes)).await;
@@ -231,12 +231,12 @@
         self.ask(|core| core.history()).await.unwrap_or_default()
     }
 
-    /// The catalogue in force, entity by entity.
+    /// The entities of the catalogue in force.
     pub async fn entities(&self) -> Entities {
         self.ask(|core| core.entities()).await.unwrap_or_default()
     }
 
-    /// The state of this entry's control; `None` once it has stopped.
+    /// Status of the control; `None` once it has stopped.
     pub async fn status(&self) -> Option<Status> {
         self.ask(|core| core.status()).await
     }
@@ -246,12 +246,12 @@
         self.ask(|core| core.orders()).await
     }
 
-    /// Hands a planned change to the holder of the pool. That it was taken does not say that it is
-    /// done: [`Handle::orders`] tells.
+    /// Passes a planned change to the holder of the pool. Success means that it was accepted;
+    /// [`Handle::orders`] shows its progress.
     ///
     /// # Errors
     ///
-    /// [`OrderError`].
+    /// [`OrderError`] if the change was not accepted.
     pub async fn submit_order(
         &self,
         request: &ChangeRequest,
@@ -264,7 +264,7 @@
         answer.await.unwrap_or(Err(OrderError::Stopped))
     }
 
-    /// Asks a peer for the held answer of a key.
+    /// Queries a peer for the held answer of a key.
     pub async fn held_answer(&self, instance: &str, key: Key) -> Option<Answer> {
         let (reply, answer) = oneshot::channel();
         let instance = instance.to_owned();
@@ -272,27 +272,27 @@
         answer.await.ok().flatten()
     }
 
-    /// The burn counters of all entries that can be asked, this one among them.
+    /// The burn counters of all reachable entries, including this one.
     pub async fn merged_burn(&self) -> Burn {
         let (reply, answer) = oneshot::channel();
         self.run(move |core| core.query_burn(reply));
         answer.await.unwrap_or_default()
     }
 
-    /// Tells the other entries that this one takes no new work, and hands its scopes over.
+    /// Announces to the other entries that this one takes no new work, and hands over its scopes.
     pub fn leave(&self) {
         self.run(Core::leave);
     }
 
-    /// Stops after the data plane has ended: hands over what is left within `limit`.
+    /// Stops the control after the data plane has ended, completing the hand-over within `limit`.
     pub async fn stop(&self, limit: Duration) {
         let (reply, stopped) = oneshot::channel();
         self.run(move |core| core.stop(limit, reply));
-        // It is the end either way.
+        // If the control has already ended, there is nothing to wait for.
         let _stopped = stopped.await;
     }
 
-    /// Ends at once and hands nothing over, as a crash would. For tests.
+    /// Ends the control without a hand-over, like a crash. For tests.
     pub fn abort(&self) {
         self.run(Core::abort);
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,12 @@
-//! Drives the pure crates: folds the platform's log into catalogue, authority and claims, keeps the
-//! membership with the other entries, holds scopes and carries out orders, and shows the data plane
-//! one [`View`] of it all.
+//! Runs the state machines of the crates without I/O: folds the platform's log into catalogue,
+//! authority and claims, maintains the membership of entries, holds scopes and carries out orders,
+//! and publishes the result to the data plane as a [`View`].
 //!
-//! Stands between `platform`, `peer` and the pure crates below, and the daemon above. It runs on a
-//! thread of its own, so that a busy data plane cannot starve a lease. Every decision is taken in
-//! one task, which takes messages in one by one; calls to the log, to engines and to peers run
-//! beside it and report back. See [`docs/design/control.md`](../../../docs/design/control.md).
+//! It connects `platform`, `peer` and those crates with the daemon. It runs on its own thread, so
+//! that a busy data plane cannot delay the renewal of a lease. One task makes all decisions and
+//! handles messages one by one; calls to the log, engines and peers run in tasks of their own that
+//! send their results as messages. See
+//! [`docs/design/control.md`](../../../docs/design/control.md).
 
 mod appends;
 mod broadcasts;
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,4 +1,4 @@
-//! What the control's one task takes in.
+//! Messages to the task of the control.
 
 use std::sync::Arc;
 
@@ -10,36 +10,36 @@
 use crate::core::Core;
 use crate::engines::EngineReply;
 
-/// Work that another thread wants done on the control's state.
+/// Work to run on the state of the control, sent by another thread.
 pub(crate) type Job = Box<dyn FnOnce(&mut Core) + Send>;
 
-/// One message.
+/// A message to the task of the control.
 pub(crate) enum Message {
-    /// The instance list has changed.
+    /// A new reading of the instance list.
     Listing(Arc<platform::Listing>),
-    /// The mesh tells something.
+    /// An event of the mesh.
     Peer(peer::Event),
-    /// An append ended.
+    /// The result of an append.
     Appended(CompletedAppend),
-    /// An engine answered, or did not.
+    /// The result of a call to an engine.
     Engine(EngineReply),
-    /// A read of the log without a wait ended.
+    /// A read of the log without a long poll ended.
     LogProbed {
-        /// When it was sent.
+        /// When the read was sent.
         sent_at: Moment,
-        /// The offset of the next append, if it was answered.
+        /// Offset of the next append, if the read was answered.
         next: Option<Offset>,
     },
-    /// A peer gave its state.
+    /// The state of a peer.
     PeerState(Box<Snapshot>),
-    /// A handle wants something.
+    /// Work sent by a handle.
     Run(Job),
 }
 
-/// Where messages go. The receiver lives as long as the control's thread.
+/// Sends messages to the control; the receiver lives as long as its thread.
 pub(crate) type Sender = tokio::sync::mpsc::UnboundedSender<Message>;
 
-/// Sends a message of a task. When the control has stopped nobody is left to be told.
+/// Sends a message. It is dropped if the control has stopped.
 pub(crate) fn send(sender: &Sender, message: Message) {
     let _stopped = sender.send(message);
 }
--- a/crates/control/src/start.rs
+++ b/crates/control/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts a control on a thread of its own.
+//! Starts a control on its own thread.
 
 use std::error::Error;
 use std::fmt;
@@ -18,16 +18,16 @@
 /// Why a control did not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartError {
-    /// The thread could not be made.
+    /// The thread could not be started.
     Thread,
-    /// The mesh did not start: keys or address.
+    /// The mesh could not start because of its keys or address.
     Mesh,
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Thread => f.write_str("the control's thread could not be made"),
+            Self::Thread => f.write_str("the thread of the control could not be started"),
             Self::Mesh => f.write_str("the mesh between entries did not start"),
         }
     }
@@ -35,11 +35,11 @@
 
 impl Error for StartError {}
 
-/// Starts a control. It goes on by itself, whatever the log does, until [`Handle::stop`].
+/// Starts a control. It runs until [`Handle::stop`], also while the log is down.
 ///
 /// # Errors
 ///
-/// [`StartError`], when nothing runs.
+/// [`StartError`] if the control does not run.
 pub fn start(options: Options, clock: Clock) -> Result<Handle, Report<StartError>> {
     let (sender, receiver) = mpsc::unbounded_channel();
     let (view_sender, view) = watch::channel(Arc::new(View::empty()));
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of one entry.
+//! Status of an entry for operators.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::Offset;
 use crate::view::Reason;
 
-/// The state of the control of one entry.
+/// Status of the control of an entry.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Status {
@@ -15,13 +15,13 @@
     pub instance: String,
     /// Start of the process, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Seconds since the start of the process.
+    /// Uptime of the process in seconds.
     pub up_s: u64,
-    /// Address that the mesh listens on; empty without a mesh.
+    /// Listen address of the mesh; empty without a mesh.
     pub peer_address: String,
-    /// Whether new work may be taken.
+    /// Whether the entry takes new work.
     pub ready: bool,
-    /// Why not, or what stands still.
+    /// Reasons for refusing new work or for a catalogue that is not updated.
     pub reasons: Vec<Reason>,
     /// The log.
     pub log: Log,
@@ -37,41 +37,41 @@
     pub scopes: Vec<Scope>,
     /// Unresolved orders.
     pub orders: Vec<Order>,
-    /// Engines that were found in another state than their orders left them in, since the start.
+    /// Number of times an engine was not in the state of its last order, since the start.
     pub mismatches: u64,
     /// Closings in force: unresolved orders and operators' drains.
     pub drains: Vec<Drain>,
     /// Upstreams.
     pub upstreams: Vec<Upstream>,
-    /// What goes between entries, by kind of message.
+    /// Traffic between entries by kind of message.
     pub traffic: Vec<Traffic>,
-    /// UDP payload of the mesh.
+    /// Totals of the mesh.
     pub udp: Udp,
 }
 
-/// The log as this entry sees it.
+/// State of the log as seen by this entry.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Log {
-    /// Whether it answers.
+    /// Whether it is available.
     pub up: bool,
-    /// For how many seconds it has not.
+    /// Seconds since it last answered; 0 while it is up.
     pub down_s: u64,
     /// Highest folded offset.
     pub folded: Offset,
-    /// Records that are known to stand and are not folded.
+    /// Number of known records that are not folded.
     pub behind: u64,
     /// First retained offset.
     pub first: Offset,
-    /// What the newest snapshot covers.
+    /// Last offset covered by the newest snapshot.
     pub snapshot: Offset,
-    /// Snapshots of others that agree with the own fold.
+    /// Snapshots of other entries that match the own state.
     pub snapshots_same: u64,
-    /// Snapshots of others that do not.
+    /// Snapshots of other entries that differ from it.
     pub snapshots_different: u64,
     /// Appends since the start.
     pub appends: u64,
-    /// Their bytes.
+    /// Bytes appended since the start.
     pub appended_bytes: u64,
     /// Bytes read since the start.
     pub read_bytes: u64,
@@ -85,7 +85,7 @@
     pub revision: Offset,
     /// Version of the acceptance rules in force.
     pub rules: u32,
-    /// Entities in force.
+    /// Number of entities in force.
     pub entities: usize,
 }
 
@@ -95,9 +95,9 @@
 pub struct Instances {
     /// Version of the reading in force.
     pub version: u64,
-    /// Seconds since a reading was last believed; `None` before the first.
+    /// Seconds since a reading was last accepted; `None` before the first.
     pub age_s: Option<u64>,
-    /// Readings that were not believed.
+    /// Readings that were rejected.
     pub doubted: u64,
 }
 
@@ -105,11 +105,11 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Claims {
-    /// Claims in force, of all entries.
+    /// Claims in force of all entries.
     pub in_force: usize,
-    /// Calls of this entry that are not concluded.
+    /// Open calls of this entry.
     pub held: usize,
-    /// Calls that may have run twice because a caller sent two first attempts.
+    /// Calls that may have run twice, because a caller sent two first attempts.
     pub contested: u64,
 }
 
@@ -119,37 +119,37 @@
 pub struct Peer {
     /// Instance id.
     pub id: String,
-    /// Its state as this entry sees it.
+    /// Its state in the membership.
     pub state: String,
-    /// Whether it hears this entry.
+    /// Whether it receives the heartbeats of this entry.
     pub hearing: String,
-    /// Milliseconds since it was last heard.
+    /// Milliseconds since its last heartbeat.
     pub silent_ms: u64,
-    /// Highest offset that it has folded.
+    /// Its highest folded offset.
     pub folded: Offset,
-    /// Revision that it has in force.
+    /// Its revision in force.
     pub revision: Offset,
-    /// Rules version that it understands.
+    /// Newest rules version that it supports.
     pub rules: u32,
-    /// Smoothed time there and back in microseconds; 0 without a connection.
+    /// Smoothed round-trip time in microseconds; 0 without a connection.
     pub round_trip_us: u64,
 }
 
-/// Control of one pool.
+/// Control of a pool.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Scope {
     /// The pool.
     pub scope: String,
-    /// Who holds it; empty for nobody.
+    /// Instance id of the holder; empty if there is none.
     pub holder: String,
-    /// The claim in force.
+    /// Fencing token of the claim in force.
     pub fence: Offset,
-    /// Whether the holder gave it up.
+    /// Whether the holder has released it.
     pub released: bool,
     /// Whether this entry holds it.
     pub own: bool,
-    /// Milliseconds left of this entry's lease; 0 if it may not act.
+    /// Remaining milliseconds of the lease of this entry; 0 if it may not act.
     pub lease_ms: u64,
 }
 
@@ -157,23 +157,23 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Order {
-    /// Its id; 0 for a change that is wanted and not yet in the log.
+    /// Id of the order; 0 for a requested change that is not in the log yet.
     pub order: Offset,
     /// The pool.
     pub scope: String,
     /// The engine.
     pub upstream: String,
-    /// What the engine is to do.
+    /// The change.
     pub what: String,
-    /// Who carries it out.
+    /// Instance id of the holder that carries it out.
     pub holder: String,
-    /// Where it stands; as far as this entry knows, if it does not carry it out.
+    /// Current step or verdict; `elsewhere` if another entry carries it out.
     pub step: String,
-    /// What it waits for.
+    /// What it waits for, why it was requested, or how it ended.
     pub waits: String,
 }
 
-/// A closing.
+/// A closing of an upstream.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Drain {
@@ -181,11 +181,11 @@
     pub order: Offset,
     /// The upstream.
     pub upstream: String,
-    /// For how many seconds this entry has known of it.
+    /// Seconds since this entry learned of it.
     pub for_s: u64,
-    /// Entries that confirmed, with what they have open.
+    /// Entries that have confirmed, with their numbers of open requests.
     pub confirmed: String,
-    /// What is waited for; empty once the upstream is drained.
+    /// What the drain waits for; empty once the upstream is drained.
     pub waits: String,
 }
 
@@ -197,19 +197,19 @@
     pub id: String,
     /// Pool.
     pub pool: String,
-    /// Why it gets new work or does not.
+    /// State, which determines whether it gets new work.
     pub state: String,
     /// Role of an engine.
     pub role: String,
-    /// Requests of this entry that are open there.
+    /// Open requests of this entry at the upstream.
     pub open: u32,
-    /// Share of work during its slow start, from 0 to 1.
+    /// Its share of work relative to a healthy upstream, from 0 to 1.
     pub weight: f64,
-    /// Age of its load report in milliseconds; `None` without one.
+    /// Age of its load report in milliseconds; `None` without a report.
     pub report_ms: Option<u64>,
 }
 
-/// Frames of one kind.
+/// Traffic of one kind of message.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Traffic {
@@ -217,37 +217,37 @@
     pub kind: String,
     /// Messages sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub sent_bytes: u64,
     /// Messages received.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub received_bytes: u64,
 }
 
-/// The mesh as a whole.
+/// Totals of the mesh.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct Udp {
-    /// Bytes sent.
+    /// UDP payload sent.
     pub sent_bytes: u64,
-    /// Bytes received.
+    /// UDP payload received.
     pub received_bytes: u64,
     /// Frames that were not sent.
     pub unsent: u64,
-    /// Frames that were refused.
+    /// Received frames that were refused.
     pub refused: u64,
     /// Handshakes that failed.
     pub failed_handshakes: u64,
 }
 
-/// Orders as operators see them.
+/// Unresolved and recent orders.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Orders {
-    /// Unresolved orders and wanted changes.
+    /// Unresolved orders and requested changes.
     pub unresolved: Vec<Order>,
-    /// The newest concluded ones, newest first.
+    /// Recently concluded orders, newest first.
     pub recent: Vec<Order>,
 }
 
@@ -259,9 +259,9 @@
     pub kind: String,
     /// Name.
     pub name: String,
-    /// The edit that put it there.
+    /// Revision of the edit that set it.
     pub revision: Offset,
-    /// Who made that edit.
+    /// Operator of that edit.
     pub operator: String,
     /// Its fields.
     pub value: serde_json::Value,
