--- a/crates/control/examples/fleet.rs
+++ b/crates/control/examples/fleet.rs
@@ -1,6 +1,6 @@
-//! Measures the control of a fleet on loopback, all in one process: time from an edit to its being
-//! in force everywhere, time without a holder after one ends abruptly, appends and bytes a second and
-//! processor time of each entry. It stops by itself.
+//! Measures the control of a fleet on loopback in one process: the time from an edit until it is in
+//! force everywhere, the time without a holder after one is aborted, and appends and bytes a second
+//! and processor time of each entry.
 //!
 //! `cargo run --release -p control --example fleet -- 6 12 24 48`
 
@@ -32,7 +32,7 @@
   - {kind: model, name: talk, value: {versions: ['1'], pools: [llm]}}
 ";
 
-/// Owners whose demand each entry tells.
+/// Number of owners for which each entry broadcasts demand.
 const OWNERS: usize = 6;
 
 #[derive(Parser)]
@@ -155,7 +155,7 @@
     }
 }
 
-/// A data plane with some work at each engine and some demand of each owner, never twice the same.
+/// A data plane with work at each engine and demand of each owner that changes with each query.
 fn hooks(engines: usize) -> Hooks {
     let (work, demand) = (AtomicU32::new(0), AtomicU32::new(0));
     Hooks {
@@ -215,7 +215,8 @@
     ticks.sum()
 }
 
-/// Milliseconds from the call of each edit until each view shows its revision.
+/// Milliseconds from the submission of an edit until its revision is in a view: of each entry, and
+/// of the last entry for each edit.
 async fn edits(entries: &BTreeMap<String, Handle>, count: usize) -> (Vec<f64>, Vec<f64>) {
     let first = entries.values().next().expect("there are entries");
     let (mut each, mut last) = (Vec::new(), Vec::new());
@@ -258,7 +259,7 @@
     )
 }
 
-/// Ends the holder abruptly; seconds until another process may act.
+/// Aborts the holder; returns the seconds until another process may act.
 async fn kill(entries: &mut BTreeMap<String, Handle>) -> f64 {
     let all = statuses(entries).await;
     let holder = all
