--- a/crates/control/src/replica/tests.rs
+++ b/crates/control/src/replica/tests.rs
@@ -1,4 +1,4 @@
-//! The fold over gaps and snapshots.
+//! Folding with gaps and snapshots.
 
 use platform::{Chunk, Entry};
 use wire::Message as _;
@@ -20,7 +20,7 @@
     }
 }
 
-/// An edit that drains an upstream, based on the revision before.
+/// An edit that drains an upstream.
 fn edit(base_revision: Offset, upstream: &str) -> Record {
     record(Body::Edit(Edit {
         base_revision,
@@ -42,7 +42,7 @@
     }))
 }
 
-/// Reads `records` from the offset `from` on, of a log that retains `first` and later ones.
+/// Reads `records`, the first at offset `from`, from a log that retains offsets from `first`.
 fn read(replica: &mut Replica, first: Offset, from: Offset, records: &[Record]) {
     let entries = (from..).zip(records).map(|(offset, record)| Entry {
         offset,
@@ -58,7 +58,7 @@
     while replica.step().is_some() {}
 }
 
-/// A log of three records, and what a process that read them all writes as a snapshot.
+/// A log of three records, a replica that has folded them, and its snapshot.
 fn log() -> (Vec<Record>, Replica, Snapshot) {
     let records = vec![edit(0, "e-1"), claim(), edit(1, "e-2")];
     let mut replica = Replica::default();
@@ -71,11 +71,10 @@
     record(Body::Snapshot(snapshot.clone()))
 }
 
-// Symptom: an entry that starts late serves a catalogue that never was.
-// Sequence: the log no longer has its first records.
-// Cause: a fold that begins in the middle.
+// The log no longer has its first records. If an entry folded the rest, it would serve a catalogue
+// that never existed.
 #[test]
-fn nothing_is_folded_behind_a_gap() {
+fn records_after_a_gap_are_not_folded() {
     let mut replica = Replica::default();
     read(&mut replica, 4, 4, &[edit(0, "e-3")]);
     assert!(replica.has_gap() && !replica.is_up_to_date());
@@ -84,7 +83,7 @@
 }
 
 #[test]
-fn a_snapshot_covers_the_gap() {
+fn a_snapshot_covers_a_gap() {
     let (_, mut early, snapshot) = log();
     let later = [edit(3, "e-3"), snapshot_record(&snapshot), edit(4, "e-4")];
     read(&mut early, 1, 4, &later);
@@ -98,11 +97,10 @@
     );
 }
 
-// Symptom: two entries with one revision and two catalogues.
-// Sequence: a snapshot that was written early is met late, and records between are gone.
-// Cause: a snapshot that is taken although it leaves a gap.
+// Records between an old snapshot and the retained ones are missing. If the snapshot were adopted,
+// two entries could have different catalogues of the same revision.
 #[test]
-fn a_snapshot_that_leaves_a_gap_is_not_taken() {
+fn a_snapshot_that_leaves_a_gap_is_not_adopted() {
     let (_, _, snapshot) = log();
     let mut late = Replica::default();
     read(
@@ -115,30 +113,28 @@
     assert_eq!(late.folded(), 0);
 }
 
-// Symptom: the catalogue of an entry goes back to an older revision.
-// Sequence: an entry falls behind retention, or asks a peer that is behind.
-// Cause: a restart from whatever snapshot there is.
+// An entry falls behind the retention, or queries a peer that is behind. If it adopted any snapshot
+// that it gets, its catalogue could return to an older revision.
 #[test]
-fn the_state_never_goes_back() {
+fn an_older_snapshot_is_not_adopted() {
     let (records, _, older) = log();
     let mut replica = Replica::default();
     read(&mut replica, 1, 1, &records);
     read(&mut replica, 1, 4, &[edit(3, "e-3")]);
     replica.offer_snapshot(Box::new(older.clone()));
     assert!(replica.step().is_none());
-    // After a long pause the log begins at 9, with a snapshot that is older than the own state.
+    // After a long pause the log starts at 9, with a snapshot that is older than the own state.
     replica.discard_before(9, 10);
     read(&mut replica, 9, 9, &[snapshot_record(&older)]);
     assert_eq!(replica.catalogue().revision(), 4);
     assert!(replica.has_gap(), "what came between is missing");
 }
 
-// Symptom: two processes hold one scope as an entry with old software sees it.
-// Sequence: the rules are raised beyond its software, a scope changes hands, and a peer offers a
-// state from before.
-// Cause: the stop of the catalogue taken for the end of what was folded.
+// The rules are raised beyond the software of an entry, a scope changes its holder, and a peer
+// offers an earlier state. If the offset of the frozen catalogue counted as the folded one, the
+// authority would return to the former holder.
 #[test]
-fn authority_does_not_go_back_where_the_catalogue_is_frozen() {
+fn authority_does_not_move_back_while_the_catalogue_is_frozen() {
     let (records, _, older) = log();
     let mut replica = Replica::default();
     let raise = record(Body::RulesRaise(RulesRaise { rules: 99 }));
@@ -156,7 +152,7 @@
 }
 
 #[test]
-fn an_entry_that_fell_behind_goes_on_from_a_newer_snapshot() {
+fn an_entry_behind_the_retention_continues_from_a_newer_snapshot() {
     let (records, _, _) = log();
     let mut replica = Replica::default();
     read(&mut replica, 1, 1, &records[..1]);
@@ -170,7 +166,7 @@
 }
 
 #[test]
-fn a_damaged_snapshot_is_not_taken() {
+fn a_damaged_snapshot_is_not_adopted() {
     let (_, _, mut snapshot) = log();
     snapshot.revision += 1;
     let mut late = Replica::default();
@@ -179,7 +175,7 @@
 }
 
 #[test]
-fn snapshots_of_others_are_compared() {
+fn snapshots_of_other_entries_are_compared_with_the_own_state() {
     let (_, mut replica, snapshot) = log();
     read(&mut replica, 1, 4, &[snapshot_record(&snapshot)]);
     assert_eq!(
--- a/crates/control/tests/control/claims.rs
+++ b/crates/control/tests/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys over several entries.
+//! Claims of idempotency keys at several entries.
 
 use std::time::Duration;
 
@@ -35,11 +35,10 @@
     (fleet, one, two)
 }
 
-// Symptom: a card is charged twice.
-// Sequence: a caller sends one call to two entries at the same moment.
-// Cause: each entry knows of its own claims only.
+// A caller sends one call to two entries at the same time. If each entry considered its own claims
+// only, both would run the call, and a card could be charged twice.
 #[actix_rt::test]
-async fn one_of_two_entries_runs_a_call() {
+async fn only_one_of_two_entries_runs_a_call() {
     let (_fleet, one, two) = start().await;
     let (first, second) = futures_util::join!(one.claim(claim("r-1")), two.claim(claim("r-2")));
     let runs = |decision: &Decision| matches!(decision, Decision::Run { .. });
@@ -63,11 +62,10 @@
     }
 }
 
-// Symptom: a call hangs, or runs twice, after the log lost an answer.
-// Sequence: the log appends the claim, and the answer is lost.
-// Cause: a claim that counts by its answer.
+// The log appends a claim, and the answer is lost. If a claim counted by the answer to its append,
+// the call would hang or run twice.
 #[actix_rt::test]
-async fn a_claim_whose_answer_is_lost_runs_once() {
+async fn a_call_with_a_lost_append_answer_runs_once() {
     let (fleet, one, two) = start().await;
     fleet.fault(r#"{"lose_answers": -1}"#).await;
     let first = one.claim(claim("r-1")).await;
--- a/crates/control/tests/control/conflicts.rs
+++ b/crates/control/tests/control/conflicts.rs
@@ -1,4 +1,4 @@
-//! Operators and holders that race each other.
+//! Conflicting edits of operators, and changes of the holder of a scope.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 
 use crate::fleet::{CATALOGUE, Fleet, document, status, view};
 
-// Symptom: two entries serve two catalogues, or an operator's edit vanishes without a word.
-// Sequence: two operators edit one pool at two entries on the same base.
-// Cause: acceptance by arrival instead of by the log's order.
+// Two operators edit the same entity at two entries, on the same base revision. If edits were
+// accepted by arrival instead of by their order in the log, the entries could serve different
+// catalogues, or an edit could be lost without notice.
 #[actix_rt::test]
-async fn racing_edits_end_alike_and_the_loser_is_told() {
+async fn concurrent_edits_converge_and_the_loser_gets_a_conflict() {
     let fleet = Fleet::start(&[]).await;
     let (one, two) = (
         fleet.control(fleet.options("entry-0")),
@@ -41,7 +41,7 @@
         other => panic!("exactly one must win: {other:?}"),
     };
     let EditError::Refused(Refusal::Conflict(conflicts)) = lost else {
-        panic!("the loser is told of the conflict: {lost:?}");
+        panic!("the loser must get a conflict: {lost:?}");
     };
     assert_eq!(
         (conflicts[0].operator.as_str(), conflicts[0].revision),
@@ -54,11 +54,10 @@
     assert_eq!(views[0].catalogue, views[1].catalogue);
 }
 
-// Symptom: a pool has no holder for a lease and a margin at each planned restart.
-// Sequence: the holder is told to stop.
-// Cause: a scope that is left to lapse instead of being released.
+// The holder of a scope is stopped. If its lease were left to expire instead of being released, the
+// pool would have no holder for a lease and a margin at each planned restart.
 #[actix_rt::test]
-async fn a_holder_that_stops_releases() {
+async fn a_stopping_holder_releases_its_scope() {
     let fleet = Fleet::start(&[]).await;
     let one = fleet.control(fleet.options("entry-0"));
     one.submit_edit(&document(CATALOGUE))
@@ -87,11 +86,10 @@
     assert!(taken.scopes[0].fence > fence);
 }
 
-// Symptom: roles change against the bounds that operators have set.
-// Sequence: the rules are raised beyond the software of the holder, which goes on planning.
-// Cause: authority that does not ask whether the catalogue is still followed.
+// The rules are raised beyond the software of the holder, so its catalogue is frozen. If it went on
+// planning, it could change roles against the bounds set by operators.
 #[actix_rt::test]
-async fn a_holder_that_does_not_know_the_rules_gives_up() {
+async fn a_holder_with_a_frozen_catalogue_releases_its_scope() {
     let fleet = Fleet::start(&[]).await;
     let control = fleet.control(fleet.options("entry-0"));
     let revision = control
--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet for the tests: the platform's stand-in, controls and engines' stand-ins.
+//! A fleet for the tests: controls, and the stand-ins of the platform and of engines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use wire::record::Record;
 use wire::record::record::Body;
 
-/// Far longer than anything awaited here takes; a test that gets here has failed.
+/// Much longer than any wait in these tests; exceeding it fails the test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at a state that is waited for.
+/// Interval at which an awaited state is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The catalogue with which tests begin.
+/// The initial catalogue of most tests.
 pub(crate) const CATALOGUE: &str = "
 operator: ana
 changes:
@@ -40,7 +40,7 @@
     Document::parse(text).expect("the test's document is well-formed")
 }
 
-/// The platform, and what the controls of one fleet share.
+/// The platform, keys and clock of a fleet.
 pub(crate) struct Fleet {
     pub(crate) platform: SocketAddr,
     authority: Authority,
@@ -60,14 +60,15 @@
             authority: Authority::new("test").expect("keys can be made"),
             clock: clock::System::new(),
         };
-        // The list is never empty, as it is believed only then.
+        // An empty instance list would be rejected.
         fleet
             .register("service-0", Kind::Service, "kiosk", address)
             .await;
         fleet
     }
 
-    /// Short times, so that tests end soon. Bounds that proofs rest on keep their order.
+    /// Options with short times, so that tests are fast. The times keep the order that correctness
+    /// depends on.
     pub(crate) fn options(&self, id: &str) -> Options {
         let figures = TermConfig {
             lease: Duration::from_millis(900),
@@ -114,7 +115,7 @@
         control::start(options, self.clock).expect("the control starts")
     }
 
-    /// An entry in the mesh, registered with the platform.
+    /// Starts an entry with a mesh and registers it with the platform.
     pub(crate) async fn entry(&self, options: Options) -> Handle {
         let id = options.local.id.clone();
         let handle = self.control(options);
@@ -163,12 +164,12 @@
         address
     }
 
-    /// The clock of the controls.
+    /// The clock that all controls use.
     pub(crate) fn clock(&self) -> clock::System {
         self.clock
     }
 
-    /// Appends a record of somebody else.
+    /// Appends a record that no control has written.
     pub(crate) async fn append(&self, body: Body) {
         let log = platform::Log::new(&platform::Options::new(format!("http://{}", self.platform)));
         let record = Record {
@@ -193,7 +194,7 @@
         bodies.collect()
     }
 
-    /// Sets fault switches of the platform.
+    /// Sets fault switches of the platform's stand-in.
     pub(crate) async fn fault(&self, switches: &str) {
         fault(self.platform, switches).await;
     }
@@ -208,7 +209,7 @@
     assert!(answer.status().is_success(), "{switches}");
 }
 
-/// Waits until the view is as wanted.
+/// Waits until the view meets the condition.
 pub(crate) async fn view(handle: &Handle, mut wanted: impl FnMut(&View) -> bool) -> Arc<View> {
     let mut watch = handle.watch();
     let waited = actix_rt::time::timeout(TEST_TIMEOUT, watch.wait_for(|view| wanted(view))).await;
@@ -218,7 +219,7 @@
     }
 }
 
-/// Waits until the status is as wanted.
+/// Waits until the status meets the condition.
 pub(crate) async fn status(
     handle: &Handle,
     mut wanted: impl FnMut(&control::Status) -> bool,
--- a/crates/control/tests/control/main.rs
+++ b/crates/control/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Controls in one process, over the platform's stand-in and a real mesh on loopback.
+//! Tests of several controls in one process, with the platform's stand-in and a mesh on loopback.
 
 mod claims;
 mod conflicts;
--- a/crates/control/tests/control/orders.rs
+++ b/crates/control/tests/control/orders.rs
@@ -1,4 +1,4 @@
-//! Planned changes: confirmed drains, and holders that die in the middle.
+//! Planned changes: confirmation of drains, and holders that crash during a change.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 
 use crate::fleet::{CATALOGUE, Fleet, document, status, view};
 
-/// A data plane whose open requests and applied view the test moves.
+/// A data plane whose open requests and applied view are set by the test.
 #[derive(Clone, Default)]
 struct DataPlane {
     open_requests: Arc<AtomicU32>,
@@ -50,7 +50,7 @@
     .await;
 }
 
-/// Two entries that know each other, the first of them holding control, and two engines.
+/// Starts two entries that know each other, the first of them the holder, and two engines.
 async fn start(options: &[&str]) -> (Fleet, Handle, Handle) {
     let fleet = Fleet::start(&[]).await;
     fleet.engine("engine-0", options).await;
@@ -74,17 +74,15 @@
     (fleet, one, two)
 }
 
-// Symptom: a stream is cut by a planned change of role.
-// Sequence: one entry is slow to take the view in which the engine is closed, then still has a
-// stream there.
-// Cause: an order that is sent before all entries have confirmed that nothing is open.
+// An entry applies the view with the closed engine late, and then still has a stream there. If the
+// order were sent before all entries have confirmed that nothing is open, it would cut the stream.
 #[actix_rt::test]
-async fn a_change_waits_for_every_entry() {
+async fn a_change_waits_for_the_confirmations_of_all_entries() {
     let (_fleet, one, two) = start(&[]).await;
     let plane = DataPlane::default();
     plane.open_requests.store(1, Ordering::SeqCst);
     plane.attach(&two);
-    // Asked at the entry that does not hold control: it hands the wish over.
+    // Requested at the entry that is not the holder, which forwards the request.
     two.submit_order(&decode_request(), "ana")
         .await
         .expect("the holder takes it");
@@ -118,11 +116,10 @@
     assert_eq!(orders.recent[0].step, "done");
 }
 
-// Symptom: an engine stays out of routing for ever, or gets two orders.
-// Sequence: the holder dies while the engine carries its order out.
-// Cause: a successor that does not resolve what its predecessor left.
+// The holder crashes while the engine carries out its order. If the successor did not resolve the
+// order, the engine would stay out of routing for ever, or get two orders.
 #[actix_rt::test]
-async fn a_successor_finishes_a_half_done_change() {
+async fn a_successor_finishes_a_running_change() {
     let (_fleet, one, two) = start(&["--role-change-ms", "60000"]).await;
     one.submit_order(&decode_request(), "ana")
         .await
@@ -145,11 +142,10 @@
     assert_eq!(ends, ["done"]);
 }
 
-// Symptom: a stream is cut after a change of holder.
-// Sequence: the holder dies before its order was sent, while an entry has a stream open.
-// Cause: a successor that sends an order for which it has not seen the confirmations.
+// The holder crashes before its order was sent, while an entry has an open stream. If the successor
+// sent the order without having seen the confirmations, it would cut the stream.
 #[actix_rt::test]
-async fn a_successor_undoes_a_change_that_was_not_begun() {
+async fn a_successor_undoes_a_change_whose_order_was_not_sent() {
     let (_fleet, one, two) = start(&[]).await;
     let plane = DataPlane::default();
     plane.open_requests.store(1, Ordering::SeqCst);
@@ -175,11 +171,10 @@
     two.stop(Duration::from_secs(2)).await;
 }
 
-// Symptom: an operator takes an upstream away that still has streams.
-// Sequence: a drain is made while an entry has one open there.
-// Cause: a drain that is called done when it is in force.
+// An operator drains an upstream at which an entry has open streams. If the drain counted as done
+// once it is in force, the operator would remove the upstream too early.
 #[actix_rt::test]
-async fn a_drain_is_done_when_every_entry_has_nothing_open() {
+async fn a_drain_is_done_when_no_entry_has_open_requests() {
     let (_fleet, one, two) = start(&[]).await;
     let plane = DataPlane::default();
     plane.open_requests.store(2, Ordering::SeqCst);
--- a/crates/control/tests/control/outage.rs
+++ b/crates/control/tests/control/outage.rs
@@ -1,4 +1,4 @@
-//! Outages of the log and lost answers.
+//! Outages of the log, and lost answers.
 
 use std::time::Duration;
 
@@ -11,12 +11,10 @@
 const HANG_ALL: &str = r#"{"append": "hang", "read": "hang"}"#;
 const NO_FAULT: &str = r#"{"append": "none", "read": "none"}"#;
 
-// Symptom: an operator is told that an edit failed, makes it again and meets a conflict with
-// herself.
-// Sequence: the log appends the edit, and the connection closes before the answer.
-// Cause: a client that takes a lost answer for a lost record.
+// The log appends an edit, and the connection closes before the answer. If the edit were reported
+// as failed, the operator would repeat it and get a conflict with the first one.
 #[actix_rt::test]
-async fn a_lost_answer_is_resolved_by_reading_on() {
+async fn an_edit_with_a_lost_answer_is_resolved_by_reading_the_log() {
     let fleet = Fleet::start(&[]).await;
     let control = fleet.control(fleet.options("entry-0"));
     view(&control, |view| view.log == Log::Up).await;
@@ -28,11 +26,10 @@
     assert_eq!(control.history().await.len(), 1, "it was appended once");
 }
 
-// Symptom: an entry refuses everything as unknown after a restart in an outage.
-// Sequence: the log is out, an entry starts and has no disk.
-// Cause: an empty catalogue that is served as if it were the accepted one.
+// An entry starts while the log is down and has no peers. If it served the empty catalogue as if it
+// were accepted, it would refuse all requests as unknown.
 #[actix_rt::test]
-async fn without_log_and_peers_nothing_is_served() {
+async fn an_entry_without_log_and_peers_is_not_ready() {
     let fleet = Fleet::start(&[]).await;
     let first = fleet.control(fleet.options("entry-0"));
     first
@@ -51,11 +48,10 @@
     assert_eq!(seen.revision, first.view().revision);
 }
 
-// Symptom: an entry that starts in an outage serves nothing although all others do.
-// Sequence: the log is out, an entry starts; its peers are there.
-// Cause: a state that only the log can give.
+// An entry starts while the log is down and its peers are available. If only the log could give it
+// a state, it would not serve although all others do.
 #[actix_rt::test]
-async fn without_log_the_state_comes_from_peers() {
+async fn an_entry_without_log_gets_its_state_from_peers() {
     let fleet = Fleet::start(&[]).await;
     let first = fleet.entry(fleet.member("entry-0")).await;
     let revision = first
@@ -72,11 +68,10 @@
     assert!(seen.ready && seen.revision >= revision);
 }
 
-// Symptom: during an outage two processes order one engine, or nothing is served.
-// Sequence: the log goes out under a holder, which goes on.
-// Cause: a lease that does not lapse, or a view that depends on the log.
+// The log goes down while an entry holds a scope. If the lease did not expire, two processes could
+// order one engine; if the view depended on the log, nothing would be served.
 #[actix_rt::test]
-async fn an_outage_freezes_control_and_leaves_serving() {
+async fn an_outage_stops_control_but_not_serving() {
     let fleet = Fleet::start(&[]).await;
     fleet.engine("engine-0", &[]).await;
     let control = fleet.control(fleet.options("entry-0"));
@@ -114,12 +109,10 @@
     control.stop(Duration::from_secs(2)).await;
 }
 
-// Symptom: an entry goes on with a catalogue that all others have replaced, and sends work to
-// upstreams that they have closed.
-// Sequence: one entry alone loses the log; edits are made at the others.
-// Cause: peers that are asked at the start only.
+// Only one entry loses the log, and edits are made at the others. If it queried its peers only at
+// its start, it would keep an old catalogue and send work to upstreams that the others have closed.
 #[actix_rt::test]
-async fn an_entry_cut_off_from_the_log_follows_its_peers() {
+async fn an_entry_without_log_follows_its_peers() {
     let fleet = Fleet::start(&[]).await;
     let first = fleet.entry(fleet.member("entry-0")).await;
     first
--- a/crates/control/tests/control/retention.rs
+++ b/crates/control/tests/control/retention.rs
@@ -1,11 +1,9 @@
-//! The log forgets; what is in force must not be forgotten with it.
+//! The state in force must survive the loss of old records in the log.
 
 use crate::fleet::{CATALOGUE, Fleet, document, status, view};
 
-// Symptom: an entry that starts after an hour has an empty or an older catalogue.
-// Sequence: more records follow than the log retains; a new entry starts.
-// Cause: nobody wrote a snapshot in time, or a reader that takes a log without its beginning for
-// the whole.
+// An entry starts after more records than the log retains. If no snapshot was written in time, or
+// the retained records counted as the whole log, it would have an empty or older catalogue.
 #[actix_rt::test]
 async fn a_late_entry_starts_from_a_snapshot() {
     let fleet = Fleet::start(&["--retention-count", "200", "--append-rate", "0"]).await;
@@ -18,11 +16,11 @@
     let mut edit = document(
         "{operator: luz, changes: [{kind: drain, name: service-0, value: {reason: trial}}]}",
     );
-    // The first catalogue is long forgotten, and so are the first snapshots.
+    // Until the log has dropped the first catalogue and the first snapshots.
     while one.status().await.expect("it runs").log.first < 500 {
         edit.base_revision = base;
         base = one.submit_edit(&edit).await.expect("nobody else edits");
-        // The stand-in forgets within a second what a platform keeps for an hour.
+        // The stand-in drops within a second what a platform retains for an hour.
         status(&one, |status| {
             let log = &status.log;
             log.first == 1 || log.folded < log.snapshot + 150
--- a/crates/control/tests/control/roles.rs
+++ b/crates/control/tests/control/roles.rs
@@ -1,4 +1,4 @@
-//! Planning of roles by the holder.
+//! Role planning by the holder.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,13 +19,12 @@
       planner: gain
 ";
 
-/// Looks for an order among the recent ones, a pause apart.
+/// Number of polls, 50 ms apart, for an order among the recent ones.
 const MAX_POLLS: usize = 200;
 
-// Symptom: a pool keeps its roles although another split would serve far more.
-// Sequence: callers of an entry that holds no control ask for prompts beyond what the pool can
-// prefill.
-// Cause: a planner that sees the demand at its own entry only.
+// Callers of an entry that is not the holder send more prompts than the pool can prefill. If the
+// planner considered the demand at its own entry only, the pool would keep its roles although
+// others would serve far more.
 #[actix_rt::test]
 async fn demand_at_another_entry_changes_roles() {
     let fleet = Fleet::start(&[]).await;
@@ -43,8 +42,8 @@
     let calls = actix_rt::spawn(async move {
         let clock = fleet.clock();
         loop {
-            // Somewhat more than three mixed engines prefill in time at their reported rates, and
-            // less than two of them and a prefill engine.
+            // Slightly more than three mixed engines can prefill at their reported rates, and less
+            // than two of them and a prefill engine can.
             caller.record_demand(clock.now(), &pool, 250_000, 100);
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
--- a/crates/control/tests/control/single_entry.rs
+++ b/crates/control/tests/control/single_entry.rs
@@ -1,4 +1,4 @@
-//! One control and the log.
+//! Edits at a single control.
 
 use assert_matches::assert_matches;
 use catalogue::Refusal;
@@ -22,7 +22,7 @@
 }
 
 #[actix_rt::test]
-async fn a_faulty_edit_is_refused_with_its_findings() {
+async fn an_invalid_edit_is_refused_with_its_findings() {
     let fleet = Fleet::start(&[]).await;
     let control = fleet.control(fleet.options("entry-0"));
     let faulty = document(
