--- a/crates/control/src/snapshot_schedule.rs
+++ b/crates/control/src/snapshot_schedule.rs
@@ -14,7 +14,7 @@
 const SPREAD_DIVISOR: u32 = 12;
 
 /// Upper limit of the spread when the log drops records faster than its retention period.
-const MAX_CROWDED_SPREAD: Duration = Duration::from_secs(1);
+const MAX_SPREAD_NEAR_START: Duration = Duration::from_secs(1);
 
 /// Minimum number of records after a snapshot at which the log may count as dropping them early;
 /// fewer say nothing about its retention.
@@ -69,8 +69,8 @@
             self.snapshot_seen_at = now;
             self.last_attempt = None;
         }
-        let spread = match (Self::is_crowded(window), self.is_old(now)) {
-            (true, _) => MAX_CROWDED_SPREAD.min(self.retention / SPREAD_DIVISOR),
+        let spread = match (Self::is_near_start(window), self.is_old(now)) {
+            (true, _) => MAX_SPREAD_NEAR_START.min(self.retention / SPREAD_DIVISOR),
             (false, true) => self.retention / SPREAD_DIVISOR,
             (false, false) => {
                 self.due_since = None;
@@ -94,7 +94,7 @@
 
     /// Whether the newest snapshot is in the older part of the retained records. A log that retains
     /// a number of records may drop them earlier than its retention period.
-    fn is_crowded(window: Window) -> bool {
+    fn is_near_start(window: Window) -> bool {
         let width = window.next.saturating_sub(window.first);
         let behind = window.next.saturating_sub(window.snapshot_upto);
         window.first > 1 && behind > (width / u64::from(AGE_DIVISOR)).max(MIN_WINDOW_RECORDS)
