--- a/crates/control/examples/fleet.rs
+++ b/crates/control/examples/fleet.rs
@@ -196,7 +196,7 @@
     while !statuses(entries).await.iter().all(&wanted) {
         assert!(
             begun.elapsed() < Duration::from_secs(60),
-            "waited in vain: {what}"
+            "timed out waiting: {what}"
         );
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
@@ -265,7 +265,7 @@
     let holder = all
         .iter()
         .find(|status| status.scopes.iter().any(|scope| scope.own));
-    let holder = holder.expect("somebody holds the scope").instance.clone();
+    let holder = holder.expect("the scope has a holder").instance.clone();
     let handle = entries.remove(&holder).expect("it is one of them");
     handle.abort();
     let begun = Instant::now();
@@ -277,7 +277,7 @@
         }
         assert!(
             begun.elapsed() < Duration::from_secs(60),
-            "nobody took over"
+            "no entry took over"
         );
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -215,7 +215,7 @@
     let waited = actix_rt::time::timeout(TEST_TIMEOUT, watch.wait_for(|view| wanted(view))).await;
     match waited {
         Ok(view) => Arc::clone(&view.expect("the control runs")),
-        Err(_) => panic!("waited in vain, last view {:?}", handle.view()),
+        Err(_) => panic!("timed out, last view {:?}", handle.view()),
     }
 }
 
@@ -232,7 +232,7 @@
         }
         assert!(
             begun.elapsed() < TEST_TIMEOUT,
-            "waited in vain, last {status:#?}"
+            "timed out, last {status:#?}"
         );
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -92,7 +92,7 @@
         };
         tokio::time::timeout(TEST_TIMEOUT, wait)
             .await
-            .unwrap_or_else(|_| panic!("{} waited in vain", self.id))
+            .unwrap_or_else(|_| panic!("{} timed out", self.id))
     }
 
     /// Waits until a handshake of this process has failed, and returns the events up to then.
