--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -11,7 +11,7 @@
 use adapter::ingress::{self, Call};
 use adapter::upstream::{self, CallerIdentity, Reply, RequestOptions};
 use bytes::Bytes;
-use http1::{Arrival, Client, Failure, Framing};
+use http1::{Client, Failure, Framing, IncomingRequest};
 use serving::engine::{Rank, Record};
 use serving::fingerprint::{self, Fingerprint};
 use serving::health::Outcome;
@@ -135,7 +135,7 @@
 impl Request {
     pub(crate) fn new(
         instance: &Instance,
-        arrival: Arrival,
+        arrival: IncomingRequest,
         caller: IpAddr,
     ) -> Result<Self, Rejection> {
         let configuration = instance.table().map_or(0, |table| table.version);
@@ -198,9 +198,9 @@
             usual.estimate(&route.name, left, instance.now())
         });
         Ok(Self {
-            deadline: arrival.begun + timeout,
+            deadline: arrival.started_at + timeout,
             waited_before: before,
-            started: arrival.begun,
+            started: arrival.started_at,
             route: route.clone(),
             principal,
             service,
@@ -442,7 +442,7 @@
         }
         log::info!(id = request.call.id.as_str(); "skipped a response to another request");
         client.body(MAX_BODY_BYTES).await?;
-        answer = client.next_answer().await?;
+        answer = client.next_response().await?;
     }
     Err(Failure::Broken("every response belongs to another request"))
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use actix_http::StatusCode;
-use http1::{Bad, Limits, Patience, Server};
+use http1::{Limits, RequestError, Server, TcpTimeouts};
 use serving::route;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
@@ -19,11 +19,11 @@
 
 /// A caller's connection counts as dead after about six seconds without an acknowledgement, which
 /// is longer than callers wait for most responses.
-pub(crate) const CALLER_PATIENCE: Patience = Patience {
+pub(crate) const CALLER_PATIENCE: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_secs(1),
     acknowledge: Duration::from_secs(5),
-    probe: Duration::from_secs(2),
-    probes: 2,
+    probe_interval: Duration::from_secs(2),
+    probe_count: 2,
 };
 
 /// Limits until a configuration sets others.
@@ -67,7 +67,7 @@
         let limits = limits(&instance);
         tokio::select! {
             biased;
-            received = server.wait(&limits) => if received.is_err() { return },
+            received = server.wait_for_request(&limits) => if received.is_err() { return },
             () = instance.lifecycle.wait_for_closing(), if !server.has_more() => return,
         }
         if !serve_request(&instance, &mut server, &limits, caller).await {
@@ -95,25 +95,25 @@
     caller: IpAddr,
 ) -> bool {
     let _in_hand = instance.lifecycle.enter();
-    let arrival = match server.request(limits).await {
+    let arrival = match server.read_request(limits).await {
         Ok(arrival) => arrival,
         Err(bad) => {
             refuse_malformed(server, bad).await;
             return false;
         }
     };
-    let (reader, writer) = server.sides();
+    let (reader, writer) = server.split();
     tokio::select! {
         biased;
-        done = respond(instance, arrival, caller, writer) => done && writer.keeps_open(),
-        () = reader.gone() => false,
+        done = respond(instance, arrival, caller, writer) => done && writer.keep_alive(),
+        () = reader.closed() => false,
     }
 }
 
-async fn refuse_malformed(server: &mut Server, bad: Bad) {
+async fn refuse_malformed(server: &mut Server, bad: RequestError) {
     let Some(status) = bad.status() else { return };
     log::info!(status = status.as_u16(), why:? = bad; "a request cannot be read");
-    let (_, writer) = server.sides();
+    let (_, writer) = server.split();
     let refusal = Refusal {
         status,
         id: None,
@@ -128,7 +128,7 @@
 /// Responds to a request. Returns whether the response is complete.
 async fn respond(
     instance: &Rc<Instance>,
-    arrival: http1::Arrival,
+    arrival: http1::IncomingRequest,
     caller: IpAddr,
     writer: &mut http1::Writer,
 ) -> bool {
--- a/crates/gateway/src/crash_detection.rs
+++ b/crates/gateway/src/crash_detection.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use clock::Moment;
-use http1::{Client, Failure, Patience};
+use http1::{Client, Failure, TcpTimeouts};
 use serving::EngineId;
 use serving::engine::{Record, State};
 use serving::fingerprint::Fingerprint;
@@ -28,7 +28,7 @@
 
 /// Time for a connection to open or to be refused.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-const PATIENCE: Patience = Patience::within(CONNECT_TIMEOUT);
+const PATIENCE: TcpTimeouts = TcpTimeouts::within(CONNECT_TIMEOUT);
 /// Time within which an ending process closes all its sockets, on a busy machine too. Its calls may
 /// break before its listener closes, so a connection proves that the engine runs only after it has
 /// lasted this long.
--- a/crates/gateway/src/generate.rs
+++ b/crates/gateway/src/generate.rs
@@ -55,7 +55,7 @@
     let result = timeout_at(request.deadline, run).await;
     let result = match result {
         Ok(stream) => stream,
-        Err(_) if writer.has_begun() => Stream::Broken("out of time"),
+        Err(_) if writer.has_written_head() => Stream::Broken("out of time"),
         Err(_) if sent.get() => Stream::Unserved(End::Late),
         Err(_) => Stream::Unserved(End::NotRun {
             after: REFUSED_RETRY_AFTER,
@@ -69,7 +69,7 @@
         Stream::Broken(_) => false,
         Stream::Unserved(End::Answer(response, body)) => {
             let head = adapter::ingress::relayed_head(&response.head, close);
-            writer.whole(head, body).await.is_ok()
+            writer.write_response(head, body).await.is_ok()
         }
         Stream::Unserved(end) => refuse_end(request, &end, writer, close).await,
     }
--- a/crates/gateway/src/generate/memory.rs
+++ b/crates/gateway/src/generate/memory.rs
@@ -6,7 +6,7 @@
 
 use adapter::upstream::{self, KvLocation};
 use bytes::Bytes;
-use http1::{Client, Patience};
+use http1::{Client, TcpTimeouts};
 use serving::EngineId;
 use tokio::time::timeout;
 
@@ -50,7 +50,7 @@
 }
 
 async fn free(instance: Rc<Instance>, holder: EngineId, memory: KvLocation) {
-    let patience = Patience::within(FREE_TIMEOUT);
+    let patience = TcpTimeouts::within(FREE_TIMEOUT);
     let freeing = async {
         let mut client = Client::open(memory.address, &patience, &instance.codec).await?;
         client.send(upstream::free_kv(&memory), &Bytes::new()).await
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -68,7 +68,7 @@
     match end {
         End::Answer(response, body) => {
             let head = ingress::relayed_head(&response.head, close);
-            writer.whole(head, body).await.is_ok()
+            writer.write_response(head, body).await.is_ok()
         }
         other => refuse_end(request, &other, writer, close).await,
     }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clock::Moment;
-use http1::{Client, Failure, Patience};
+use http1::{Client, Failure, TcpTimeouts};
 use serving::EngineId;
 use serving::engine::Record;
 
@@ -13,11 +13,11 @@
 
 /// A connection to an engine counts as dead after about a second without an acknowledgement. A
 /// machine that only pauses, as for a garbage collection, is back sooner.
-const ENGINE_PATIENCE: Patience = Patience {
+const ENGINE_PATIENCE: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_millis(350),
     acknowledge: Duration::from_millis(1_000),
-    probe: Duration::from_millis(1_000),
-    probes: 1,
+    probe_interval: Duration::from_millis(1_000),
+    probe_count: 1,
 };
 
 /// Idle time after which a connection is not reused if the engine states none.
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -27,7 +27,7 @@
     close: bool,
 ) -> io::Result<()> {
     let head = ingress::refusal(refusal.status, refusal.id, refusal.retry_after, close);
-    writer.whole(head, body(&refusal)).await
+    writer.write_response(head, body(&refusal)).await
 }
 
 fn body(refusal: &Refusal) -> Bytes {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -75,7 +75,7 @@
 
     /// Whether anything was sent to the caller.
     pub(crate) fn has_begun(&self) -> bool {
-        self.writer.has_begun()
+        self.writer.has_written_head()
     }
 
     /// Id of the last event sent to the caller.
@@ -115,15 +115,15 @@
     async fn write(&mut self, response: &EngineResponse, events: Bytes) -> io::Result<()> {
         self.begin(response).await?;
         self.times.note(Instant::now());
-        self.writer.piece(events).await
+        self.writer.write_chunk(events).await
     }
 
     async fn begin(&mut self, response: &EngineResponse) -> io::Result<()> {
-        if self.writer.has_begun() {
+        if self.writer.has_written_head() {
             return Ok(());
         }
         let head = ingress::relayed_head(&response.head, self.close);
-        self.writer.head(head, BodySize::Stream).await
+        self.writer.write_head(head, BodySize::Stream).await
     }
 
     async fn finish(&mut self, response: &EngineResponse) -> End {
@@ -137,8 +137,8 @@
     async fn end(&mut self, response: &EngineResponse, rest: Bytes) -> io::Result<()> {
         self.begin(response).await?;
         if !rest.is_empty() {
-            self.writer.piece(rest).await?;
+            self.writer.write_chunk(rest).await?;
         }
-        self.writer.end().await
+        self.writer.finish().await
     }
 }
--- a/crates/gateway/src/roles.rs
+++ b/crates/gateway/src/roles.rs
@@ -7,7 +7,7 @@
 use adapter::orders::{self, Answer};
 use adapter::upstream;
 use clock::Moment;
-use http1::{Client, Failure, Patience};
+use http1::{Client, Failure, TcpTimeouts};
 use serving::claim::Fence;
 use serving::engine::StageChange;
 use serving::roles::{Planner, RoleChange, RoleChanges};
@@ -25,11 +25,11 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// The kernel gives up an order that is not acknowledged in time, so that it does not arrive after
 /// another instance's.
-const ENGINE_PATIENCE: Patience = Patience {
+const ENGINE_PATIENCE: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_millis(250),
     acknowledge: Duration::from_millis(400),
-    probe: ANSWER_TIMEOUT,
-    probes: 1,
+    probe_interval: ANSWER_TIMEOUT,
+    probe_count: 1,
 };
 
 /// Planners by service.
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -32,13 +32,13 @@
     let Ok(mut server) = Server::new(stream, &CALLER_PATIENCE, &instance.codec) else {
         return;
     };
-    while server.wait(&DEFAULT_LIMITS).await.is_ok() {
-        let Ok(arrival) = server.request(&DEFAULT_LIMITS).await else {
+    while server.wait_for_request(&DEFAULT_LIMITS).await.is_ok() {
+        let Ok(arrival) = server.read_request(&DEFAULT_LIMITS).await else {
             return;
         };
         let (head, body) = handler(&instance, arrival.head.uri.path());
-        let (_, writer) = server.sides();
-        if writer.whole(head, body).await.is_err() || !writer.keeps_open() {
+        let (_, writer) = server.split();
+        if writer.write_response(head, body).await.is_err() || !writer.keep_alive() {
             return;
         }
     }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -7,7 +7,7 @@
 
 use adapter::duties::{self, Answer, Holder};
 use clock::System;
-use http1::{Client, Config, Failure, Patience};
+use http1::{Client, Config, Failure, TcpTimeouts};
 use serving::scaling::Reason;
 use serving::usage::{CountUpdate, Report};
 use tokio::time::timeout;
@@ -24,11 +24,11 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The kernel gives up a call that is not acknowledged in time, so that it does not arrive after
 /// another instance's.
-const PLATFORM_PATIENCE: Patience = Patience {
+const PLATFORM_PATIENCE: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_millis(250),
     acknowledge: Duration::from_millis(400),
-    probe: Duration::from_millis(400),
-    probes: 1,
+    probe_interval: Duration::from_millis(400),
+    probe_count: 1,
 };
 
 /// Calls the platform under a claim.
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -9,7 +9,7 @@
 
 use adapter::upstream;
 use bytes::Bytes;
-use http1::{Client, Patience};
+use http1::{Client, TcpTimeouts};
 use serving::EngineId;
 use serving::engine::Record;
 use serving::parts::Part;
@@ -26,7 +26,7 @@
 /// Time for one engine's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Shorter than for calls: a late response is of no use.
-const PATIENCE: Patience = Patience::within(RESPONSE_TIMEOUT);
+const PATIENCE: TcpTimeouts = TcpTimeouts::within(RESPONSE_TIMEOUT);
 
 /// Warms up each time this instance becomes a placer.
 pub(crate) async fn run(instance: Rc<Instance>) {
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use http1::{Client, Failure, Patience};
+use http1::{Client, Failure, TcpTimeouts};
 use platform_standin::configuration::{Duties, HOST, Route, Settings};
 use platform_standin::request::{self, Header, ResponseSummary};
 use platform_standin::{Engine, Store};
@@ -21,11 +21,11 @@
 use tokio::net::TcpSocket;
 
 /// Long, since these tests check states and counts rather than times.
-const PATIENCE: Patience = Patience {
+const PATIENCE: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_secs(20),
     acknowledge: Duration::from_secs(20),
-    probe: Duration::from_secs(20),
-    probes: 3,
+    probe_interval: Duration::from_secs(20),
+    probe_count: 3,
 };
 
 /// Checks of a state, one per interval, before a test gives up.
--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::{Decoder as _, Encoder as _};
 
 use crate::socket::{Step, try_read, try_write, tune};
-use crate::{Config, Failure, Patience};
+use crate::{Config, Failure, TcpTimeouts};
 
 /// How the end of an answer's body is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,14 +22,14 @@
     /// There is no body.
     Empty,
     /// By a length or by a last chunk.
-    Marked,
+    Delimited,
     /// By the orderly end of the connection.
     UntilClose,
 }
 
 /// Head of an answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ResponseStart {
     /// Status, headers and version.
     pub head: ResponseHead,
     /// How its body ends.
@@ -64,7 +64,7 @@
     /// [`Failure::NotSent`], always: nothing was sent yet.
     pub async fn open(
         peer: SocketAddr,
-        patience: &Patience,
+        patience: &TcpTimeouts,
         config: &Config,
     ) -> Result<Self, Failure> {
         let stream = connect(peer, patience).await.map_err(Failure::NotSent)?;
@@ -106,13 +106,17 @@
     /// # Errors
     ///
     /// All but [`Failure::NotSent`], since bytes may have left.
-    pub async fn send(&mut self, head: RequestHead, body: &Bytes) -> Result<Answer, Failure> {
+    pub async fn send(
+        &mut self,
+        head: RequestHead,
+        body: &Bytes,
+    ) -> Result<ResponseStart, Failure> {
         let State::Idle(mut codec) = std::mem::replace(&mut self.state, State::Spent) else {
             return Err(Failure::Broken("the connection is not idle"));
         };
         let bodiless = head.method == Method::HEAD;
         self.queue(&mut codec, head, body)
-            .map_err(Failure::NoAnswer)?;
+            .map_err(Failure::NoResponse)?;
         loop {
             if let Some(answer) = self.take_head(&mut codec)? {
                 return self.begin_body(answer, codec, bodiless);
@@ -127,7 +131,7 @@
     /// # Errors
     ///
     /// As [`Client::send`].
-    pub async fn next_answer(&mut self) -> Result<Answer, Failure> {
+    pub async fn next_response(&mut self) -> Result<ResponseStart, Failure> {
         let State::Idle(mut codec) = std::mem::replace(&mut self.state, State::Spent) else {
             return Err(Failure::Broken("no further answer can follow"));
         };
@@ -222,7 +226,7 @@
                 Failure::Broken("the answer ends within its head")
             });
         }
-        self.pump().await.map_err(Failure::NoAnswer)
+        self.pump().await.map_err(Failure::NoResponse)
     }
 
     fn begin_body(
@@ -230,16 +234,16 @@
         head: ResponseHead,
         codec: ClientCodec,
         bodiless: bool,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<ResponseStart, Failure> {
         let framing = framing(&head, &codec, bodiless);
         let keep = codec.keep_alive();
         self.state = match framing {
-            Framing::Marked => State::Body(codec.into_payload_codec()),
+            Framing::Delimited => State::Body(codec.into_payload_codec()),
             Framing::UntilClose => State::UntilClose,
             Framing::Empty if keep => State::Idle(codec),
             Framing::Empty => State::Spent,
         };
-        Ok(Answer { head, framing })
+        Ok(ResponseStart { head, framing })
     }
 
     fn take_chunk(&mut self) -> Result<Option<Option<Bytes>>, Failure> {
@@ -310,7 +314,7 @@
     }
 }
 
-async fn connect(peer: SocketAddr, patience: &Patience) -> io::Result<TcpStream> {
+async fn connect(peer: SocketAddr, patience: &TcpTimeouts) -> io::Result<TcpStream> {
     let stream = timeout(patience.connect, TcpStream::connect(peer))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
@@ -335,7 +339,7 @@
     match codec.message_type() {
         MessageType::None if marked => Framing::Empty,
         MessageType::None | MessageType::Stream => Framing::UntilClose,
-        MessageType::Payload if marked => Framing::Marked,
+        MessageType::Payload if marked => Framing::Delimited,
         MessageType::Payload => Framing::UntilClose,
     }
 }
--- a/crates/http1/src/failure.rs
+++ b/crates/http1/src/failure.rs
@@ -9,7 +9,7 @@
     /// No byte of the request can have reached the peer: the connection never opened.
     NotSent(io::Error),
     /// The request may have been read, and nothing of an answer arrived.
-    NoAnswer(io::Error),
+    NoResponse(io::Error),
     /// The peer closed before the first byte of an answer.
     Closed,
     /// What arrived is no answer in the protocol, or breaks off before its end.
@@ -26,7 +26,7 @@
     pub fn name(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not_sent",
-            Self::NoAnswer(_) => "no_answer",
+            Self::NoResponse(_) => "no_answer",
             Self::Closed => "closed",
             Self::Broken(_) => "broken",
         }
@@ -37,7 +37,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(error) => write!(f, "the connection did not open: {error}"),
-            Self::NoAnswer(error) => write!(f, "no answer arrived: {error}"),
+            Self::NoResponse(error) => write!(f, "no answer arrived: {error}"),
             Self::Closed => write!(f, "the peer closed before its answer"),
             Self::Broken(what) => write!(f, "the answer is broken: {what}"),
         }
@@ -48,11 +48,11 @@
 
 /// Why a caller's bytes are not taken as a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum RequestError {
     /// The caller closed, or was silent for as long as an idle connection may be.
-    Gone,
+    Disconnected,
     /// The head or the body took longer than it may.
-    Slow,
+    TimedOut,
     /// The bytes are no request.
     Malformed,
     /// The head is larger than allowed.
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -9,10 +9,10 @@
 mod server;
 mod socket;
 
-pub use client::{Answer, Client, Framing};
-pub use failure::{Bad, Failure};
-pub use server::{Arrival, Limits, Reader, Server, Writer};
-pub use socket::{Patience, listen};
+pub use client::{Client, Framing, ResponseStart};
+pub use failure::{Failure, RequestError};
+pub use server::{IncomingRequest, Limits, Reader, Server, Writer};
+pub use socket::{TcpTimeouts, listen};
 
 /// Configuration of the library's codec, shared by all connections of a thread.
 pub type Config = actix_http::ServiceConfig;
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::{Decoder as _, Encoder as _};
 
 use crate::socket::{Step, try_read, try_write, tune};
-use crate::{Bad, Config, Patience};
+use crate::{Config, RequestError, TcpTimeouts};
 
 /// What a caller may send, and how long it may take.
 #[derive(Clone, Copy, Debug)]
@@ -31,13 +31,13 @@
 
 /// A whole request of a caller.
 #[derive(Debug)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// Method, target, headers.
     pub head: RequestHead,
     /// The whole body.
     pub body: Bytes,
     /// When its first byte was read.
-    pub begun: Instant,
+    pub started_at: Instant,
 }
 
 /// A connection from a caller.
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// If the socket's options cannot be set, because it is closed already.
-    pub fn new(stream: TcpStream, patience: &Patience, config: &Config) -> io::Result<Self> {
+    pub fn new(stream: TcpStream, patience: &TcpTimeouts, config: &Config) -> io::Result<Self> {
         tune(&stream, patience)?;
         let stream = std::rc::Rc::new(stream);
         let reader = Reader {
@@ -86,7 +86,7 @@
     }
 
     /// Both sides, for use at the same time.
-    pub fn sides(&mut self) -> (&mut Reader, &mut Writer) {
+    pub fn split(&mut self) -> (&mut Reader, &mut Writer) {
         (&mut self.reader, &mut self.writer)
     }
 
@@ -100,10 +100,13 @@
     /// # Errors
     ///
     /// [`Bad::Gone`] if none comes.
-    pub async fn wait(&mut self, limits: &Limits) -> Result<(), Bad> {
+    pub async fn wait_for_request(&mut self, limits: &Limits) -> Result<(), RequestError> {
         let until = Instant::now() + limits.idle;
         while self.reader.received.is_empty() {
-            self.reader.fill(until).await.map_err(|_| Bad::Gone)?;
+            self.reader
+                .fill(until)
+                .await
+                .map_err(|_| RequestError::Disconnected)?;
         }
         Ok(())
     }
@@ -113,12 +116,15 @@
     /// # Errors
     ///
     /// What is wrong with the bytes; no answer has been sent then.
-    pub async fn request(&mut self, limits: &Limits) -> Result<Arrival, Bad> {
+    pub async fn read_request(&mut self, limits: &Limits) -> Result<IncomingRequest, RequestError> {
         let begun = Instant::now();
         let until = begun + limits.head_time;
         let request = self.head(limits, until).await?;
         if request.head().expect() {
-            self.writer.go_on().await.map_err(|_| Bad::Gone)?;
+            self.writer
+                .go_on()
+                .await
+                .map_err(|_| RequestError::Disconnected)?;
         }
         let body = match self.writer.codec.message_type() {
             MessageType::None => Bytes::new(),
@@ -126,62 +132,66 @@
         };
         let head = owned_head(request);
         self.writer.begun = false;
-        Ok(Arrival { head, body, begun })
+        Ok(IncomingRequest {
+            head,
+            body,
+            started_at: begun,
+        })
     }
 
-    async fn head(&mut self, limits: &Limits, until: Instant) -> Result<Request, Bad> {
+    async fn head(&mut self, limits: &Limits, until: Instant) -> Result<Request, RequestError> {
         loop {
             let before = self.reader.received.len();
             match self.writer.codec.decode(&mut self.reader.received) {
                 Ok(Some(Message::Item(request))) => {
                     let size = before - self.reader.received.len();
                     return if size > limits.head {
-                        Err(Bad::HeadTooLarge)
+                        Err(RequestError::HeadTooLarge)
                     } else {
                         Ok(request)
                     };
                 }
-                Ok(Some(Message::Chunk(_))) | Err(_) => return Err(Bad::Malformed),
-                Ok(None) if before > limits.head => return Err(Bad::HeadTooLarge),
+                Ok(Some(Message::Chunk(_))) | Err(_) => return Err(RequestError::Malformed),
+                Ok(None) if before > limits.head => return Err(RequestError::HeadTooLarge),
                 Ok(None) => self.reader.fill(until).await?,
             }
         }
     }
 
-    async fn body(&mut self, limits: &Limits, until: Instant) -> Result<Bytes, Bad> {
+    async fn body(&mut self, limits: &Limits, until: Instant) -> Result<Bytes, RequestError> {
         let mut body = BytesMut::new();
         loop {
             match self.writer.codec.decode(&mut self.reader.received) {
                 Ok(Some(Message::Chunk(Some(piece)))) => body.extend_from_slice(&piece),
                 Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
-                Ok(Some(Message::Item(_))) | Err(_) => return Err(Bad::Malformed),
+                Ok(Some(Message::Item(_))) | Err(_) => return Err(RequestError::Malformed),
                 Ok(None) => self.reader.fill(until).await?,
             }
             if body.len() > limits.body {
-                return Err(Bad::BodyTooLarge);
+                return Err(RequestError::BodyTooLarge);
             }
         }
     }
 }
 
 impl Reader {
-    async fn fill(&mut self, until: Instant) -> Result<(), Bad> {
+    async fn fill(&mut self, until: Instant) -> Result<(), RequestError> {
         loop {
             match timeout_at(until, self.stream.readable()).await {
-                Err(_) => return Err(Bad::Slow),
-                Ok(Err(_)) => return Err(Bad::Gone),
+                Err(_) => return Err(RequestError::TimedOut),
+                Ok(Err(_)) => return Err(RequestError::Disconnected),
                 Ok(Ok(())) => {}
             }
             match try_read(&self.stream, &mut self.received) {
                 Ok(Step::Moved) => return Ok(()),
                 Ok(Step::Blocked) => {}
-                Ok(Step::End) | Err(_) => return Err(Bad::Gone),
+                Ok(Step::End) | Err(_) => return Err(RequestError::Disconnected),
             }
         }
     }
 
     /// Returns when the caller has closed. Meanwhile keeps what it sends ahead, within bounds.
-    pub async fn gone(&mut self) {
+    pub async fn closed(&mut self) {
         loop {
             if self.received.len() >= READ_AHEAD {
                 return pending().await;
@@ -199,12 +209,12 @@
 
 impl Writer {
     /// Whether the head of an answer has been written for the present request.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_written_head(&self) -> bool {
         self.begun
     }
 
     /// Whether the connection stays open after the answer, as its head said.
-    pub fn keeps_open(&self) -> bool {
+    pub fn keep_alive(&self) -> bool {
         self.codec.keep_alive()
     }
 
@@ -213,7 +223,7 @@
     /// # Errors
     ///
     /// If the caller has gone.
-    pub async fn head(&mut self, head: Response<()>, size: BodySize) -> io::Result<()> {
+    pub async fn write_head(&mut self, head: Response<()>, size: BodySize) -> io::Result<()> {
         self.begun = true;
         self.codec
             .encode(Message::Item((head, size)), &mut self.unsent)?;
@@ -225,7 +235,7 @@
     /// # Errors
     ///
     /// If the caller has gone.
-    pub async fn whole(&mut self, head: Response<()>, body: Bytes) -> io::Result<()> {
+    pub async fn write_response(&mut self, head: Response<()>, body: Bytes) -> io::Result<()> {
         self.begun = true;
         let size = BodySize::Sized(body.len() as u64);
         self.codec
@@ -243,7 +253,7 @@
     /// # Errors
     ///
     /// If the caller has gone.
-    pub async fn piece(&mut self, piece: Bytes) -> io::Result<()> {
+    pub async fn write_chunk(&mut self, piece: Bytes) -> io::Result<()> {
         self.codec
             .encode(Message::Chunk(Some(piece)), &mut self.unsent)?;
         self.flush().await
@@ -254,7 +264,7 @@
     /// # Errors
     ///
     /// If the caller has gone.
-    pub async fn end(&mut self) -> io::Result<()> {
+    pub async fn finish(&mut self) -> io::Result<()> {
         self.codec.encode(Message::Chunk(None), &mut self.unsent)?;
         self.flush().await
     }
@@ -287,12 +297,12 @@
     head
 }
 
-impl Bad {
+impl RequestError {
     /// The status that tells the caller, or nothing where nobody is left to be told.
     pub fn status(self) -> Option<StatusCode> {
         match self {
-            Self::Gone => None,
-            Self::Slow => Some(StatusCode::REQUEST_TIMEOUT),
+            Self::Disconnected => None,
+            Self::TimedOut => Some(StatusCode::REQUEST_TIMEOUT),
             Self::Malformed => Some(StatusCode::BAD_REQUEST),
             Self::HeadTooLarge => Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
             Self::BodyTooLarge => Some(StatusCode::PAYLOAD_TOO_LARGE),
--- a/crates/http1/src/socket.rs
+++ b/crates/http1/src/socket.rs
@@ -14,25 +14,25 @@
 /// would wait until the request's own deadline. One notices it by requests that end exactly at
 /// their deadline, all towards one peer. The kernel's probes find it out while the exchange waits.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct TcpTimeouts {
     /// Time for a connection to open.
     pub connect: Duration,
     /// Time for sent bytes to be acknowledged.
     pub acknowledge: Duration,
     /// Silence before the first probe, and between probes.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// Probes without an answer before the connection ends.
-    pub probes: u32,
+    pub probe_count: u32,
 }
 
-impl Patience {
+impl TcpTimeouts {
     /// The patience of an exchange that is of no use after `time`: each of its steps may take that long.
     pub const fn within(time: Duration) -> Self {
         Self {
             connect: time,
             acknowledge: time,
-            probe: time,
-            probes: 1,
+            probe_interval: time,
+            probe_count: 1,
         }
     }
 }
@@ -51,14 +51,14 @@
 }
 
 /// Sets the options of an open connection.
-pub(crate) fn tune(stream: &TcpStream, patience: &Patience) -> io::Result<()> {
+pub(crate) fn tune(stream: &TcpStream, patience: &TcpTimeouts) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probe = whole_seconds(patience.probe);
+    let probe = whole_seconds(patience.probe_interval);
     let probes = TcpKeepalive::new()
         .with_time(probe)
         .with_interval(probe)
-        .with_retries(patience.probes);
+        .with_retries(patience.probe_count);
     socket.set_tcp_keepalive(&probes)?;
     socket.set_tcp_user_timeout(Some(patience.acknowledge))
 }
--- a/crates/http1/tests/exchanges.rs
+++ b/crates/http1/tests/exchanges.rs
@@ -6,15 +6,15 @@
 use actix_http::{RequestHead, Response, StatusCode};
 use assert_matches::assert_matches;
 use bytes::Bytes;
-use http1::{Bad, Client, Failure, Framing, Limits, Patience, Server};
+use http1::{Client, Failure, Framing, Limits, RequestError, Server, TcpTimeouts};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-const PATIENCE: Patience = Patience {
+const PATIENCE: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_secs(5),
     acknowledge: Duration::from_secs(5),
-    probe: Duration::from_secs(5),
-    probes: 2,
+    probe_interval: Duration::from_secs(5),
+    probe_count: 2,
 };
 
 const LIMITS: Limits = Limits {
@@ -45,7 +45,7 @@
     address
 }
 
-async fn ask(address: SocketAddr) -> (Client, Result<http1::Answer, Failure>) {
+async fn ask(address: SocketAddr) -> (Client, Result<http1::ResponseStart, Failure>) {
     let mut client = Client::open(address, &PATIENCE, &http1::config())
         .await
         .expect("loopback works");
@@ -57,7 +57,7 @@
 async fn a_whole_answer_leaves_the_connection_reusable() {
     let address = peer(b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", false).await;
     let (mut client, answer) = ask(address).await;
-    assert_eq!(answer.unwrap().framing, Framing::Marked);
+    assert_eq!(answer.unwrap().framing, Framing::Delimited);
     assert_eq!(client.body(MOST).await.unwrap(), "abc");
     assert!(client.is_reusable());
 }
@@ -125,8 +125,8 @@
 #[actix_rt::test]
 async fn a_connection_with_quick_probes_opens() {
     let address = peer(b"", false).await;
-    let quick = Patience {
-        probe: Duration::from_millis(400),
+    let quick = TcpTimeouts {
+        probe_interval: Duration::from_millis(400),
         ..PATIENCE
     };
     assert!(
@@ -180,11 +180,11 @@
     (caller, server)
 }
 
-async fn request(bytes: &[u8]) -> Result<http1::Arrival, Bad> {
+async fn request(bytes: &[u8]) -> Result<http1::IncomingRequest, RequestError> {
     let (mut caller, mut server) = pair().await;
     caller.write_all(bytes).await.expect("loopback works");
     caller.shutdown().await.expect("loopback works");
-    server.request(&LIMITS).await
+    server.read_request(&LIMITS).await
 }
 
 #[actix_rt::test]
@@ -198,16 +198,16 @@
 #[actix_rt::test]
 async fn what_is_no_request_is_told_apart() {
     let both = b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(request(both).await.unwrap_err(), Bad::Malformed);
+    assert_eq!(request(both).await.unwrap_err(), RequestError::Malformed);
     let two = b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabcd";
-    assert_eq!(request(two).await.unwrap_err(), Bad::Malformed);
+    assert_eq!(request(two).await.unwrap_err(), RequestError::Malformed);
     assert_eq!(
         request(b"no request\r\n\r\n").await.unwrap_err(),
-        Bad::Malformed
+        RequestError::Malformed
     );
     assert_eq!(
         request(b"GET / HTTP/1.1\r\nhos").await.unwrap_err(),
-        Bad::Gone
+        RequestError::Disconnected
     );
     let long = format!(
         "GET / HTTP/1.1\r\nhost: h\r\nx: {}\r\n\r\n",
@@ -215,7 +215,7 @@
     );
     assert_eq!(
         request(long.as_bytes()).await.unwrap_err(),
-        Bad::HeadTooLarge
+        RequestError::HeadTooLarge
     );
     let large = format!(
         "POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 5000\r\n\r\n{}",
@@ -223,7 +223,7 @@
     );
     assert_eq!(
         request(large.as_bytes()).await.unwrap_err(),
-        Bad::BodyTooLarge
+        RequestError::BodyTooLarge
     );
 }
 
@@ -234,10 +234,10 @@
         .write_all(b"GET / HTTP/1.1\r\nhost: h\r\n\r\n")
         .await
         .unwrap();
-    server.request(&LIMITS).await.unwrap();
+    server.read_request(&LIMITS).await.unwrap();
     drop(caller);
-    let (reader, _) = server.sides();
-    reader.gone().await;
+    let (reader, _) = server.split();
+    reader.closed().await;
 }
 
 #[actix_rt::test]
@@ -245,12 +245,12 @@
     let (mut caller, mut server) = pair().await;
     let request = b"GET / HTTP/1.1\r\nhost: h\r\n\r\n";
     caller.write_all(request).await.unwrap();
-    server.request(&LIMITS).await.unwrap();
+    server.read_request(&LIMITS).await.unwrap();
     caller.write_all(request).await.unwrap();
-    let (reader, writer) = server.sides();
+    let (reader, writer) = server.split();
     tokio::select! {
-        () = reader.gone() => panic!("the caller is there"),
-        written = writer.whole(Response::with_body(StatusCode::OK, ()), Bytes::new()) => written.unwrap(),
+        () = reader.closed() => panic!("the caller is there"),
+        written = writer.write_response(Response::with_body(StatusCode::OK, ()), Bytes::new()) => written.unwrap(),
     }
-    server.request(&LIMITS).await.unwrap();
+    server.read_request(&LIMITS).await.unwrap();
 }
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use http1::{Client, Failure, Patience};
+use http1::{Client, Failure, TcpTimeouts};
 use platform_standin::request::{self, FORGED_HEADERS, ResponseSummary};
 use rand::RngExt as _;
 use rand::rngs::StdRng;
@@ -30,11 +30,11 @@
 /// Largest answer, in bytes.
 const MOST: usize = 1 << 16;
 
-const PATIENCE: Patience = Patience {
+const PATIENCE: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_secs(2),
     acknowledge: LEAVES,
-    probe: LEAVES,
-    probes: 1,
+    probe_interval: LEAVES,
+    probe_count: 1,
 };
 
 /// Whether callers go on.
