--- a/crates/control/examples/fleet.rs
+++ b/crates/control/examples/fleet.rs
@@ -17,7 +17,7 @@
 use control::{Handle, Hooks, Options, Status};
 use fleet::member::LocalMember;
 use peer::issue::Authority;
-use platform::{Instances, Kind, Registration};
+use platform::{InstanceListClient, Kind, Registration};
 use standin::engine::{self, Engine};
 use standin::http;
 use standin::platform::{Options as PlatformOptions, Platform};
@@ -103,7 +103,7 @@
             address,
         };
         let base = format!("http://{}", self.platform);
-        let instances = Instances::new(&platform::Options::new(base));
+        let instances = InstanceListClient::new(&platform::Options::new(base));
         let registered = instances.register(&registration).await;
         registered.expect("the list takes it");
     }
--- a/crates/control/src/appends.rs
+++ b/crates/control/src/appends.rs
@@ -1,7 +1,7 @@
 //! Sends each append once. The sender chooses a nonce and recognises the record by it when it is
 //! read back; the answer to the append alone decides nothing.
 
-use platform::{AppendError, Log};
+use platform::{AppendError, LogClient};
 use wire::Message as _;
 use wire::record::record::Body;
 use wire::record::{Author, Record};
@@ -37,14 +37,14 @@
 
 /// Sends appends.
 pub(crate) struct Appends {
-    log: Log,
+    log: LogClient,
     author: Author,
     rules: u32,
     sender: Sender,
 }
 
 impl Appends {
-    pub(crate) fn new(log: Log, author: Author, rules: u32, sender: Sender) -> Self {
+    pub(crate) fn new(log: LogClient, author: Author, rules: u32, sender: Sender) -> Self {
         Self {
             log,
             author,
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(crate) fn log(&self) -> &Log {
+    pub(crate) fn log(&self) -> &LogClient {
         &self.log
     }
 
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -10,7 +10,7 @@
 use claims::{Holder, LogStatus};
 use clock::{Clock as _, Moment, System as Clock};
 use error_stack::Report;
-use platform::{Instances, Log, Tail};
+use platform::{InstanceListClient, LogClient, Tail};
 use rand::RngExt as _;
 use smallvec::SmallVec;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -142,7 +142,7 @@
         };
         let mesh = Mesh::start(author.clone(), options.mesh.as_ref(), sender.clone())?;
         let rules = catalogue::Rules::default().newest();
-        let log = Log::new(&options.log);
+        let log = LogClient::new(&options.log);
         let seed: Box<dyn FnMut() -> u64> = Box::new(|| rand::rng().random());
         let current = Rc::new(move || clock.now());
         Ok(Self {
@@ -187,7 +187,8 @@
 
     /// Runs until stopped or aborted.
     pub(crate) async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
-        let poll = Instances::new(&self.options.instances).poll(self.options.list_period, jitter());
+        let poll = InstanceListClient::new(&self.options.instances)
+            .poll(self.options.list_period, jitter());
         actix_rt::spawn(forward(poll.listing(), self.sender.clone()));
         let mut tail = self.tail_log(1);
         while !self.is_done() {
--- a/crates/control/src/core/records.rs
+++ b/crates/control/src/core/records.rs
@@ -21,13 +21,14 @@
     pub(super) fn handle_log_event(&mut self, event: Event) -> Option<Offset> {
         let now = self.clock.now();
         match event {
-            Event::Chunk { asked, chunk } => {
+            Event::Chunk { requested_at: asked, chunk ,
+            } => {
                 self.reader.last_answer = Some(now);
                 self.reader.failing = false;
                 self.handle_chunk(now, asked, chunk);
                 None
             }
-            Event::Down => {
+            Event::Unavailable => {
                 self.reader.failing = true;
                 None
             }
--- a/crates/control/src/engines.rs
+++ b/crates/control/src/engines.rs
@@ -50,7 +50,7 @@
 /// Client for the control calls of engines.
 #[derive(Clone)]
 pub(crate) struct Engines {
-    client: platform::Engines,
+    client: platform::EngineClient,
     timeout: Duration,
     now: Now,
     sender: Sender,
@@ -59,7 +59,7 @@
 impl Engines {
     pub(crate) fn new(timeout: Duration, now: Now, sender: Sender) -> Self {
         Self {
-            client: platform::Engines::new(timeout),
+            client: platform::EngineClient::new(timeout),
             timeout,
             now,
             sender,
@@ -89,7 +89,7 @@
                     let order = platform::Order {
                         order,
                         fence,
-                        what: to_platform_action(&action),
+                        action: to_platform_action(&action),
                     };
                     Input::Sent(request, engines.order(address, &order, not_after).await)
                 }
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -103,18 +103,18 @@
     }
 }
 
-pub(crate) fn to_platform_action(order: &Order) -> platform::What {
+pub(crate) fn to_platform_action(order: &Order) -> platform::Action {
     let model = |model: &Model| platform::Model {
         model: model.model.clone(),
         version: model.version.clone(),
         adapter: model.adapter.clone(),
     };
     match order {
-        Order::SetRole(role) => platform::What::SetRole {
+        Order::SetRole(role) => platform::Action::SetRole {
             role: to_role(*role),
         },
-        Order::LoadModel(load) => platform::What::LoadModel(model(load)),
-        Order::UnloadModel(unload) => platform::What::UnloadModel(model(unload)),
+        Order::LoadModel(load) => platform::Action::LoadModel(model(load)),
+        Order::UnloadModel(unload) => platform::Action::UnloadModel(model(unload)),
     }
 }
 
--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -11,7 +11,7 @@
 use control::{Handle, Options, View};
 use fleet::member::LocalMember;
 use peer::issue::Authority;
-use platform::{Instances, Kind, Registration};
+use platform::{InstanceListClient, Kind, Registration};
 use standin::engine::{self, Engine};
 use standin::http;
 use standin::platform::{Options as PlatformOptions, Platform};
@@ -137,9 +137,9 @@
         registered.expect("the list takes it");
     }
 
-    pub(crate) fn instances(&self) -> Instances {
+    pub(crate) fn instances(&self) -> InstanceListClient {
         let base = format!("http://{}", self.platform);
-        Instances::new(&platform::Options::new(base))
+        InstanceListClient::new(&platform::Options::new(base))
     }
 
     /// Starts an engine and registers it.
@@ -171,7 +171,8 @@
 
     /// Appends a record that no control has written.
     pub(crate) async fn append(&self, body: Body) {
-        let log = platform::Log::new(&platform::Options::new(format!("http://{}", self.platform)));
+        let log =
+            platform::LogClient::new(&platform::Options::new(format!("http://{}", self.platform)));
         let record = Record {
             body: Some(body),
             ..Record::default()
@@ -182,7 +183,8 @@
 
     /// All records of the log.
     pub(crate) async fn log(&self) -> Vec<Body> {
-        let log = platform::Log::new(&platform::Options::new(format!("http://{}", self.platform)));
+        let log =
+            platform::LogClient::new(&platform::Options::new(format!("http://{}", self.platform)));
         let chunk = log
             .read(1, 1000, Duration::ZERO)
             .await
--- a/crates/dial/src/io.rs
+++ b/crates/dial/src/strict_stream.rs
@@ -13,11 +13,11 @@
 /// gets the first half with status 200. The client stops reading once a body is whole, so that the
 /// error is met only where something is missing, or on an idle connection, which is then dropped.
 #[derive(Debug)]
-pub struct Io {
+pub struct StrictStream {
     stream: TcpStream,
 }
 
-impl Io {
+impl StrictStream {
     /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> Self {
         Self { stream }
@@ -28,7 +28,7 @@
     }
 }
 
-impl AsyncRead for Io {
+impl AsyncRead for StrictStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -44,7 +44,7 @@
     }
 }
 
-impl AsyncWrite for Io {
+impl AsyncWrite for StrictStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
         self.stream().poll_write(cx, bytes)
     }
@@ -70,7 +70,7 @@
     }
 }
 
-impl ActixStream for Io {
+impl ActixStream for StrictStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<Result<Ready>> {
         ActixStream::poll_read_ready(&self.stream, cx)
     }
--- a/crates/platform/src/chunk.rs
+++ b/crates/platform/src/chunk.rs
@@ -9,7 +9,7 @@
 
 /// One record as the log keeps it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct LogEntry {
     /// Where it stands.
     pub offset: Offset,
     /// Its bytes, not interpreted.
@@ -24,7 +24,7 @@
     /// Offset of the next append.
     pub next: Offset,
     /// Records in offset order, without gaps.
-    pub records: Vec<Entry>,
+    pub records: Vec<LogEntry>,
 }
 
 #[derive(Deserialize)]
@@ -68,7 +68,7 @@
                 return Err(Flaw::Gap);
             }
             let data = STANDARD.decode(raw.data).map_err(|_| Flaw::Base64)?;
-            records.push(Entry {
+            records.push(LogEntry {
                 offset: raw.offset,
                 data: Bytes::from(data),
             });
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -49,7 +49,7 @@
 /// The order that an engine took last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
-pub struct Taken {
+pub struct LastOrder {
     /// Its id.
     pub order: u64,
     /// How far the engine is with it.
@@ -69,7 +69,7 @@
     pub models: Vec<Model>,
     /// The order that it took last.
     #[serde(default)]
-    pub order: Option<Taken>,
+    pub order: Option<LastOrder>,
     /// The greatest fencing token that it has seen.
     #[serde(default)]
     pub fence: u64,
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum What {
+pub enum Action {
     /// Take a role.
     SetRole {
         /// The role.
@@ -148,7 +148,7 @@
     pub fence: u64,
     /// What it asks for.
     #[serde(flatten)]
-    pub what: What,
+    pub action: Action,
 }
 
 fn or_empty<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -33,7 +33,7 @@
 
 /// A client of all engines. Clones share connections.
 #[derive(Clone)]
-pub struct Engines {
+pub struct EngineClient {
     client: Client,
 }
 
@@ -49,7 +49,7 @@
     order: Option<u64>,
 }
 
-impl Engines {
+impl EngineClient {
     /// A client that connects when first used. Call it on the arbiter that uses it.
     pub fn new(connect_timeout: Duration) -> Self {
         Self {
--- a/crates/platform/src/instances.rs
+++ b/crates/platform/src/instances.rs
@@ -21,12 +21,12 @@
 
 /// A client of the instance list. Clones share connections.
 #[derive(Clone)]
-pub struct Instances {
+pub struct InstanceListClient {
     client: Client,
     url: String,
 }
 
-impl Instances {
+impl InstanceListClient {
     /// A client that connects when first used. Call it on the arbiter that uses it.
     pub fn new(options: &Options) -> Self {
         let base = options.base.trim_end_matches('/');
@@ -81,35 +81,35 @@
     }
 
     /// Reads the list again and again, `period` apart.
-    pub fn poll(self, period: Duration, jitter: Jitter) -> Poll {
+    pub fn poll(self, period: Duration, jitter: Jitter) -> ListPoller {
         let (sender, listing) = watch::channel(None);
         let backoff = Backoff::new(period, period.saturating_mul(8), jitter);
         let task = actix_rt::spawn(follow(self, period, backoff, sender));
-        Poll { listing, task }
+        ListPoller { listing, task }
     }
 }
 
 /// A task that keeps the newest list. It ends when this value is dropped.
-pub struct Poll {
+pub struct ListPoller {
     listing: watch::Receiver<Option<Arc<Listing>>>,
     task: JoinHandle<()>,
 }
 
-impl Poll {
+impl ListPoller {
     /// The newest list, `None` before the first. Each reading is told, also one that is the same.
     pub fn listing(&self) -> watch::Receiver<Option<Arc<Listing>>> {
         self.listing.clone()
     }
 }
 
-impl Drop for Poll {
+impl Drop for ListPoller {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 async fn follow(
-    instances: Instances,
+    instances: InstanceListClient,
     period: Duration,
     mut backoff: Backoff,
     sender: watch::Sender<Option<Arc<Listing>>>,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,5 @@
-//! Client of the outside platform: the log ([`Log`], [`Tail`]) and the instance list ([`Instances`]),
-//! and of the engines' control calls ([`Engines`]).
+//! Client of the outside platform: the log ([`LogClient`], [`Tail`]) and the instance list ([`InstanceListClient`]),
+//! and of the engines' control calls ([`EngineClient`]).
 //!
 //! Stands between the `control` crate and the network. It knows the wire form of
 //! [`docs/PLATFORM.md`](../../../docs/PLATFORM.md) and says of each failure what is certain about it;
@@ -16,13 +16,13 @@
 mod tail;
 
 pub use backoff::Backoff;
-pub use chunk::{Chunk, Entry};
-pub use engine::{EngineReport, EngineState, Model, Order, Progress, Role, Taken, What};
-pub use engines::{Engines, Receipt};
+pub use chunk::{Chunk, LogEntry};
+pub use engine::{Action, EngineReport, EngineState, LastOrder, Model, Order, Progress, Role};
+pub use engines::{EngineClient, Receipt};
 pub use failure::{AppendError, EngineError, ListError, ReadError};
 pub use instance::{Instance, Kind, Listing, Registration, State};
-pub use instances::{Instances, Poll};
-pub use log::{Log, Options, Traffic};
+pub use instances::{InstanceListClient, ListPoller};
+pub use log::{LogClient, Options, Traffic};
 pub use tail::{Event, Now, Tail};
 
 /// Position of a record in the log. The log gives it; it is the record's identity.
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -59,7 +59,7 @@
 
 /// A client of the log. Clones share connections and counts.
 #[derive(Clone)]
-pub struct Log {
+pub struct LogClient {
     traffic: Rc<Cell<Traffic>>,
     client: Client,
     append_url: String,
@@ -72,7 +72,7 @@
     offset: Offset,
 }
 
-impl Log {
+impl LogClient {
     /// A client that connects when first used. Call it on the arbiter that uses it.
     pub fn new(options: &Options) -> Self {
         let base = options.base.trim_end_matches('/');
--- a/crates/platform/src/tail.rs
+++ b/crates/platform/src/tail.rs
@@ -7,7 +7,7 @@
 use error_stack::Report;
 use tokio::sync::mpsc;
 
-use crate::{Backoff, Chunk, Jitter, Log, Offset, ReadError};
+use crate::{Backoff, Chunk, Jitter, LogClient, Offset, ReadError};
 
 /// Gives the time of the process's clock, passed in.
 pub type Now = Box<dyn Fn() -> Moment>;
@@ -31,12 +31,12 @@
     Chunk {
         /// When the read was sent: what the log held by then is in here, or was told before, if
         /// the chunk reaches up to `next`.
-        asked: Moment,
+        requested_at: Moment,
         /// What it answered.
         chunk: Chunk,
     },
     /// The log could not be read; reading goes on by itself. Told for each failed try.
-    Down,
+    Unavailable,
     /// The records asked for are past retention. The reader has stopped.
     Gone {
         /// First retained offset.
@@ -54,7 +54,7 @@
 
 impl Tail {
     /// Follows the log from `from` on. Each poll waits up to `wait` for records.
-    pub fn spawn(log: Log, from: Offset, wait: Duration, jitter: Jitter, now: Now) -> Self {
+    pub fn spawn(log: LogClient, from: Offset, wait: Duration, jitter: Jitter, now: Now) -> Self {
         let (sender, events) = mpsc::channel(QUEUE);
         let reader = Reader {
             log,
@@ -80,7 +80,7 @@
 }
 
 struct Reader {
-    log: Log,
+    log: LogClient,
     from: Offset,
     wait: Duration,
     backoff: Backoff,
@@ -95,7 +95,13 @@
                 self.backoff.reset();
                 let last = chunk.records.last();
                 self.from = last.map_or(self.from, |last| last.offset + 1);
-                (Event::Chunk { asked, chunk }, None)
+                (
+                    Event::Chunk {
+                        requested_at: asked,
+                        chunk,
+                    },
+                    None,
+                )
             }
             Err(report) => (failed(&report), Some(pause(&report, &mut self.backoff))),
         }
@@ -125,10 +131,10 @@
 fn failed(report: &Report<ReadError>) -> Event {
     match *report.current_context() {
         ReadError::Gone { first, next } => Event::Gone { first, next },
-        ReadError::Unavailable { .. } => Event::Down,
+        ReadError::Unavailable { .. } => Event::Unavailable,
         ReadError::Malformed => {
             log::error!(error:? = report; "the log's answer was thrown away");
-            Event::Down
+            Event::Unavailable
         }
     }
 }
--- a/crates/platform/tests/client/engines.rs
+++ b/crates/platform/tests/client/engines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use platform::{Engines, Order, Receipt, Role, What};
+use platform::{Action, EngineClient, Order, Receipt, Role};
 
 use crate::fake::{Fake, Reply, ok};
 
@@ -13,9 +13,9 @@
     let order = Order {
         order: 31,
         fence: 12,
-        what: What::SetRole { role: Role::Decode },
+        action: Action::SetRole { role: Role::Decode },
     };
-    let engines = Engines::new(LIMIT);
+    let engines = EngineClient::new(LIMIT);
     engines
         .order(&fake.address.to_string(), &order, LIMIT)
         .await
@@ -50,7 +50,7 @@
             "order":null,"fence":0,"checks_fence":true,"open":2}"#,
     )])
     .await;
-    let engines = Engines::new(LIMIT);
+    let engines = EngineClient::new(LIMIT);
     let state = engines.state(&fake.address.to_string(), LIMIT).await;
     let state = state.expect("it is whole");
     assert_eq!((state.incarnation, state.open, state.order), (7, 2, None));
--- a/crates/platform/tests/client/instances.rs
+++ b/crates/platform/tests/client/instances.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::fake::{Fake, Reply, ok};
-use platform::{Instances, Kind, Options, State};
+use platform::{InstanceListClient, Kind, Options, State};
 
 const LISTING: &str = r#"{"version":7,"instances":[
     {"id":"engine-2","kind":"engine","pool":"llm","data_centre":"ate","address":"127.0.0.1:9102","state":"leaving"},
@@ -13,7 +13,9 @@
 #[actix_rt::test]
 async fn unknown_kinds_hide_no_other_member() {
     let fake = Fake::start(vec![ok(LISTING)]).await;
-    let listing = Instances::new(&Options::new(fake.base())).read().await;
+    let listing = InstanceListClient::new(&Options::new(fake.base()))
+        .read()
+        .await;
     let listing = listing.unwrap();
     assert_eq!(listing.version, 7);
     let ids: Vec<_> = listing.instances.iter().map(|it| it.id.as_str()).collect();
@@ -31,7 +33,7 @@
         ok(r#"{"version":8,"instances":[]}"#),
     ])
     .await;
-    let instances = Instances::new(&Options::new(fake.base()));
+    let instances = InstanceListClient::new(&Options::new(fake.base()));
     let poll = instances.poll(Duration::from_millis(1), Box::new(|| 0.0));
     let mut listing = poll.listing();
     listing.changed().await.unwrap();
@@ -46,7 +48,7 @@
 #[actix_rt::test]
 async fn a_list_that_stays_the_same_is_told_again() {
     let fake = Fake::start(vec![ok(LISTING), ok(LISTING)]).await;
-    let instances = Instances::new(&Options::new(fake.base()));
+    let instances = InstanceListClient::new(&Options::new(fake.base()));
     let poll = instances.poll(Duration::from_millis(1), Box::new(|| 0.0));
     let mut listing = poll.listing();
     for _ in 0..2 {
--- a/crates/platform/tests/client/log.rs
+++ b/crates/platform/tests/client/log.rs
@@ -5,10 +5,10 @@
 
 use crate::fake::{Fake, Reply, ok};
 use bytes::Bytes;
-use platform::{AppendError, Event, Log, Options, ReadError, Tail};
+use platform::{AppendError, Event, LogClient, Options, ReadError, Tail};
 
-fn log_at(base: String) -> Log {
-    Log::new(&Options {
+fn log_at(base: String) -> LogClient {
+    LogClient::new(&Options {
         append_timeout: Duration::from_millis(200),
         ..Options::new(base)
     })
@@ -119,7 +119,7 @@
     while let Some(event) = tail.next().await {
         seen.push(match event {
             Event::Chunk { chunk, .. } => format!("chunk {}", chunk.records[0].offset),
-            Event::Down => "down".to_owned(),
+            Event::Unavailable => "down".to_owned(),
             Event::Gone { first, .. } => format!("gone {first}"),
         });
     }
