--- a/crates/platform/src/chunk.rs
+++ b/crates/platform/src/chunk.rs
@@ -1,4 +1,4 @@
-//! What one read of the log brings.
+//! The response to one read of the log.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -7,28 +7,28 @@
 
 use crate::Offset;
 
-/// One record as the log keeps it.
+/// A record as stored in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// Where it stands.
+    /// Position in the log.
     pub offset: Offset,
-    /// Its bytes, not interpreted.
+    /// Encoded record; this crate doesn't decode it.
     pub data: Bytes,
 }
 
-/// Consecutive records and the bounds of the log when they were read.
+/// Consecutive records, and the bounds of the log at the time of the read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Chunk {
     /// First retained offset.
     pub first: Offset,
     /// Offset of the next append.
     pub next: Offset,
-    /// Records in offset order, without gaps.
+    /// Records in offset order without gaps.
     pub records: Vec<LogEntry>,
 }
 
 #[derive(Deserialize)]
-pub(crate) struct RawEntry {
+pub(crate) struct RawLogEntry {
     offset: Offset,
     data: String,
 }
@@ -38,7 +38,7 @@
     first: Offset,
     next: Offset,
     #[serde(default)]
-    records: Vec<RawEntry>,
+    records: Vec<RawLogEntry>,
 }
 
 #[derive(Deserialize)]
@@ -47,27 +47,27 @@
     pub(crate) next: Offset,
 }
 
-/// What is wrong with a chunk.
+/// Why a chunk is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Flaw {
+pub(crate) enum ChunkError {
     Bounds,
     Gap,
     Base64,
 }
 
 impl RawChunk {
-    /// Checks the answer to a read from `from`. A gap would make this process fold another state
-    /// than the others without anyone noticing, so that the whole answer is thrown away instead.
-    pub(crate) fn check(self, from: Offset) -> Result<Chunk, Flaw> {
+    /// Validates the response to a read from `from`. A gap would let this process silently fold a
+    /// different state from the others, so the whole response is rejected.
+    pub(crate) fn validate(self, from: Offset) -> Result<Chunk, ChunkError> {
         if self.first == 0 || self.next < self.first {
-            return Err(Flaw::Bounds);
+            return Err(ChunkError::Bounds);
         }
         let mut records = Vec::with_capacity(self.records.len());
         for (expected, raw) in (from..).zip(self.records) {
             if raw.offset != expected || raw.offset >= self.next {
-                return Err(Flaw::Gap);
+                return Err(ChunkError::Gap);
             }
-            let data = STANDARD.decode(raw.data).map_err(|_| Flaw::Base64)?;
+            let data = STANDARD.decode(raw.data).map_err(|_| ChunkError::Base64)?;
             records.push(LogEntry {
                 offset: raw.offset,
                 data: Bytes::from(data),
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -1,10 +1,10 @@
-//! What engines say of themselves and what they are ordered to do, in wire form.
+//! Wire types of the engines' state, load reports and orders.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine does in its batches.
+/// The phases of a request that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
@@ -21,132 +21,132 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Deserialize, Serialize)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub model: String,
     /// Version of its weights.
     #[serde(default)]
     pub version: String,
-    /// The adapter; empty for the bare model.
+    /// Name of the adapter; empty for the base model.
     #[serde(default, deserialize_with = "or_empty")]
     pub adapter: String,
 }
 
-/// How far an engine is with the order that it took last.
+/// State of the order that an engine accepted last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Progress {
-    /// It is carrying it out.
+    /// Being executed.
     Running,
-    /// It has carried it out.
+    /// Completed.
     Done,
-    /// It could not.
+    /// Could not be executed.
     Failed,
-    /// It was told not to begin.
+    /// Cancelled before it started.
     Cancelled,
 }
 
-/// The order that an engine took last.
+/// The order that an engine accepted last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct LastOrder {
-    /// Its id.
+    /// Id of the order.
     pub order: u64,
-    /// How far the engine is with it.
+    /// State of its execution.
     pub state: Progress,
 }
 
-/// The state of an engine, never stale when it answers.
+/// The state of an engine at the time of its response; unlike a load report it is never stale.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct EngineState {
-    /// Changes with each start.
+    /// Differs after each start of the engine.
     pub incarnation: u64,
-    /// Its role.
+    /// Current role.
     pub role: Role,
-    /// Its loaded models.
+    /// Loaded models.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// The order that it took last.
+    /// The order accepted last.
     #[serde(default)]
     pub order: Option<LastOrder>,
-    /// The greatest fencing token that it has seen.
+    /// The greatest fencing token seen.
     #[serde(default)]
     pub fence: u64,
-    /// Whether it refuses smaller ones.
+    /// Whether the engine refuses orders with smaller fencing tokens.
     #[serde(default)]
     pub checks_fence: bool,
-    /// Streams that it has open.
+    /// Open streams.
     pub open: u32,
 }
 
-/// A load report, as old as it says.
+/// A load report, which was `age_ms` old when the engine sent it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct EngineReport {
-    /// Age when the engine answered, in milliseconds.
+    /// Age when the engine sent it, in milliseconds.
     pub age_ms: u64,
-    /// Its role.
+    /// Current role.
     pub role: Role,
-    /// Its loaded models.
+    /// Loaded models.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// Requests in its batches.
+    /// Requests in the running batches.
     pub running: u32,
-    /// Requests that it has not begun.
+    /// Queued requests.
     pub waiting: u32,
-    /// Prompt tokens of these.
+    /// Prompt tokens of the queued requests.
     pub prefill_tokens_waiting: u64,
-    /// Answer tokens still to be generated.
+    /// Output tokens still to be generated.
     pub decode_tokens_left: u64,
     /// KV cache in use, in the same unit as `kv_total`.
     pub kv_used: u64,
-    /// KV cache that there is.
+    /// Capacity of the KV cache.
     pub kv_total: u64,
-    /// Prompt tokens a second when it does nothing else.
+    /// Prompt tokens per second while the engine runs prefill only.
     pub prefill_rate: f64,
-    /// Requests that it decodes at once.
+    /// Requests that can be decoded concurrently.
     pub decode_slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the engine accepts no new work.
     #[serde(default)]
     pub draining: bool,
-    /// The order that it carries out; 0 for none.
+    /// Id of the order being executed; 0 for none.
     #[serde(default)]
     pub order: u64,
 }
 
 impl EngineReport {
-    /// Age when the engine answered.
+    /// Age when the engine sent it.
     pub fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms)
     }
 }
 
-/// What an engine is ordered to do.
+/// The change that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Action {
-    /// Take a role.
+    /// Change the engine's role.
     SetRole {
-        /// The role.
+        /// The new role.
         role: Role,
     },
     /// Load a model.
     LoadModel(Model),
-    /// Forget a model.
+    /// Unload a model.
     UnloadModel(Model),
 }
 
-/// An order.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Order {
-    /// Its id.
+    /// Id of the order.
     pub order: u64,
-    /// Fencing token.
+    /// Fencing token of the sender.
     pub fence: u64,
-    /// What it asks for.
+    /// The requested change.
     #[serde(flatten)]
     pub action: Action,
 }
--- a/crates/platform/src/engines.rs
+++ b/crates/platform/src/engines.rs
@@ -1,4 +1,4 @@
-//! The control calls of engines.
+//! Client of the engines' control API.
 
 use std::time::Duration;
 
@@ -13,25 +13,25 @@
 use crate::log::client;
 use crate::{EngineError, EngineReport, EngineState, Order};
 
-/// Largest answer that is taken in, in bytes.
-const MAX_ANSWER: usize = 4 << 20;
+/// Largest response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// What became of an order or a cancellation.
+/// The result of sending an order or a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// The engine took it.
+    /// The engine accepted it.
     Accepted,
     /// The engine has seen this newer fencing token.
     Superseded(u64),
-    /// The engine is carrying out this other order.
+    /// The engine is executing the order with this id.
     Busy(u64),
-    /// It certainly did not leave this process.
+    /// No byte of it left this process.
     Unsent,
-    /// Nothing is known.
+    /// The engine may or may not have accepted it.
     Unknown,
 }
 
-/// A client of all engines. Clones share connections.
+/// Calls the control API of any engine. Clones share connections.
 #[derive(Clone)]
 pub struct EngineClient {
     client: Client,
@@ -50,7 +50,7 @@
 }
 
 impl EngineClient {
-    /// A client that connects when first used. Call it on the arbiter that uses it.
+    /// Creates a client, which connects on first use. Must be called on the arbiter that uses it.
     pub fn new(connect_timeout: Duration) -> Self {
         Self {
             client: client(connect_timeout),
@@ -60,7 +60,7 @@
     /// Reads the state of the engine at `address` (`ip:port`).
     ///
     /// # Errors
-    /// [`EngineError`]; nothing is known of the engine then.
+    /// [`EngineError`]; the state of the engine is unknown then.
     pub async fn state(
         &self,
         address: &str,
@@ -70,10 +70,10 @@
             .await
     }
 
-    /// Reads the load report of the engine.
+    /// Reads the load report of the engine at `address` (`ip:port`).
     ///
     /// # Errors
-    /// [`EngineError`]; the caller goes on with the report that it had.
+    /// [`EngineError`]; the caller keeps using its previous report.
     pub async fn report(
         &self,
         address: &str,
@@ -83,13 +83,13 @@
             .await
     }
 
-    /// Sends an order. After `timeout` nothing more of it is sent.
+    /// Sends an order. After `timeout` the request is aborted and no more of it is sent.
     pub async fn order(&self, address: &str, order: &Order, timeout: Duration) -> Receipt {
         let url = format!("http://{address}/engine/orders");
         self.post(url, order, timeout).await
     }
 
-    /// Tells the engine that an order must not begin any more.
+    /// Cancels an order, so that the engine does not start it from then on.
     pub async fn cancel(
         &self,
         address: &str,
@@ -106,12 +106,12 @@
         url: String,
         timeout: Duration,
     ) -> Result<T, Report<EngineError>> {
-        let answer = self.client.get(url).timeout(timeout).send().await;
-        let mut answer = answer.map_err(|error| unreachable(error.to_string()))?;
-        if answer.status() != StatusCode::OK {
-            return Err(unreachable(answer.status().to_string()));
+        let response = self.client.get(url).timeout(timeout).send().await;
+        let mut response = response.map_err(|error| unreachable(error.to_string()))?;
+        if response.status() != StatusCode::OK {
+            return Err(unreachable(response.status().to_string()));
         }
-        let body = answer.body().limit(MAX_ANSWER).await;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| unreachable(error.to_string()))?;
         serde_json::from_slice(&body)
             .map_err(|error| Report::new(EngineError::Malformed).attach(error.to_string()))
@@ -119,24 +119,24 @@
 
     async fn post<T: Serialize>(&self, url: String, body: &T, timeout: Duration) -> Receipt {
         let request = self.client.post(url).timeout(timeout);
-        let mut answer = match request.send_json(body).await {
-            Ok(answer) => answer,
+        let mut response = match request.send_json(body).await {
+            Ok(response) => response,
             Err(error) if is_unsent(&error) => return Receipt::Unsent,
             Err(_) => return Receipt::Unknown,
         };
-        let status = answer.status();
+        let status = response.status();
         if status.is_success() {
             return Receipt::Accepted;
         }
-        let body = answer.body().limit(MAX_ANSWER).await;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         if status == StatusCode::CONFLICT {
-            return conflict(&body.unwrap_or_default());
+            return conflict_receipt(&body.unwrap_or_default());
         }
         Receipt::Unknown
     }
 }
 
-fn conflict(body: &Bytes) -> Receipt {
+fn conflict_receipt(body: &Bytes) -> Receipt {
     match serde_json::from_slice::<Conflict>(body) {
         Ok(Conflict {
             fence: Some(fence), ..
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -1,72 +1,72 @@
-//! Members of the instance list.
+//! Types of the instance list.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// What an instance is.
+/// The kind of a listed instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// One of our own.
+    /// An instance of this system.
     Entry,
     /// A model engine.
     Engine,
-    /// A plain service.
+    /// A service that is not a model engine.
     Service,
 }
 
-/// Whether an instance stays.
+/// Whether a listed instance takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// In use.
     Live,
-    /// About to go; takes no new work.
+    /// Shutting down; takes no new work.
     Leaving,
 }
 
 /// One listed instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Name that stays over restarts.
+    /// Id, stable across restarts.
     pub id: String,
-    /// What it is.
+    /// The kind of the instance.
     pub kind: Kind,
     /// Pool that it belongs to; empty for an entry.
     pub pool: String,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
-    /// HTTP address; for an entry the UDP address towards peers.
+    /// HTTP address; for an entry the UDP address for its peers.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Whether it takes new work.
     pub state: State,
 }
 
-/// The list as read, possibly some seconds old.
+/// The instance list as read, possibly some seconds out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Grows with each change of the list.
+    /// Increases with each change of the list.
     pub version: u64,
-    /// Members, sorted by id.
+    /// Instances, sorted by id.
     pub instances: Vec<Instance>,
 }
 
-/// What an entry tells the list about itself.
+/// The data with which an instance registers itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Registration {
-    /// Name that stays over restarts.
+    /// Id, stable across restarts.
     pub id: String,
-    /// What it is.
+    /// The kind of the instance.
     pub kind: Kind,
     /// Pool that it belongs to; empty for an entry.
     pub pool: String,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
-    /// Address under which it is reached.
+    /// Address at which others reach it.
     pub address: SocketAddr,
 }
 
@@ -89,10 +89,14 @@
 }
 
 impl From<RawListing> for Listing {
-    /// Leaves out members that can't be understood, for instance of a kind that a later version
-    /// of the platform knows: one of them must not hide all others.
+    /// Skips instances that can't be parsed, for instance of a kind that a later version of the
+    /// platform adds: one of them must not make the whole list unreadable.
     fn from(raw: RawListing) -> Self {
-        let mut instances: Vec<Instance> = raw.instances.into_iter().filter_map(instance).collect();
+        let mut instances: Vec<Instance> = raw
+            .instances
+            .into_iter()
+            .filter_map(parse_instance)
+            .collect();
         instances.sort_by(|a, b| a.id.cmp(&b.id));
         instances.dedup_by(|a, b| a.id == b.id);
         Self {
@@ -102,7 +106,7 @@
     }
 }
 
-fn instance(value: serde_json::Value) -> Option<Instance> {
+fn parse_instance(value: serde_json::Value) -> Option<Instance> {
     match serde_json::from_value::<RawInstance>(value) {
         Ok(raw) => Some(Instance {
             id: raw.id,
--- a/crates/platform/src/instances.rs
+++ b/crates/platform/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instance list.
+//! Client of the instance list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +13,12 @@
 use crate::log::client;
 use crate::{Backoff, Jitter, ListError, Listing, Options, Registration};
 
-/// Largest list that is taken in, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+/// Largest response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Longest time for one question.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client of the instance list. Clones share connections.
+/// Reads and changes the instance list. Clones share connections.
 #[derive(Clone)]
 pub struct InstanceListClient {
     client: Client,
@@ -27,76 +26,77 @@
 }
 
 impl InstanceListClient {
-    /// A client that connects when first used. Call it on the arbiter that uses it.
+    /// Creates a client, which connects on first use. Must be called on the arbiter that uses it.
     pub fn new(options: &Options) -> Self {
-        let base = options.base.trim_end_matches('/');
+        let base_url = options.base_url.trim_end_matches('/');
         Self {
             client: client(options.connect_timeout),
-            url: format!("{base}/instances"),
+            url: format!("{base_url}/instances"),
         }
     }
 
     /// Reads the list once.
     ///
     /// # Errors
-    /// [`ListError`]; the caller goes on with the list that it had.
+    /// [`ListError`]; the caller keeps using its previous list.
     pub async fn read(&self) -> Result<Listing, Report<ListError>> {
-        let mut answer = self
+        let mut response = self
             .client
             .get(&self.url)
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .send()
             .await
             .map_err(|error| unavailable(error.to_string()))?;
-        if answer.status() != StatusCode::OK {
-            return Err(unavailable(answer.status().to_string()));
+        if response.status() != StatusCode::OK {
+            return Err(unavailable(response.status().to_string()));
         }
-        let body = answer.body().limit(MAX_ANSWER).await;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| unavailable(error.to_string()))?;
         let raw: RawListing = serde_json::from_slice(&body)
             .map_err(|error| Report::new(ListError::Malformed).attach(error.to_string()))?;
         Ok(raw.into())
     }
 
-    /// Puts this process into the list. It is idempotent.
+    /// Adds this process to the list. Idempotent.
     ///
     /// # Errors
-    /// [`ListError::Unavailable`] if the list did not say that it took it.
+    /// [`ListError::Unavailable`] if the list did not confirm it.
     pub async fn register(&self, registration: &Registration) -> Result<(), Report<ListError>> {
-        let request = self.client.post(&self.url).timeout(TIMEOUT);
-        let answer = request.send_json(registration).await;
-        let answer = answer.map_err(|error| unavailable(error.to_string()))?;
-        accepted(answer.status())
+        let request = self.client.post(&self.url).timeout(REQUEST_TIMEOUT);
+        let response = request.send_json(registration).await;
+        let response = response.map_err(|error| unavailable(error.to_string()))?;
+        check_success(response.status())
     }
 
-    /// Marks an instance as leaving. It is idempotent.
+    /// Marks an instance as leaving. Idempotent.
     ///
     /// # Errors
-    /// [`ListError::Unavailable`] if the list did not say that it took it.
+    /// [`ListError::Unavailable`] if the list did not confirm it.
     pub async fn leave(&self, id: &str) -> Result<(), Report<ListError>> {
         let url = format!("{}/{id}/leave", self.url);
-        let answer = self.client.post(url).timeout(TIMEOUT).send().await;
-        let answer = answer.map_err(|error| unavailable(error.to_string()))?;
-        accepted(answer.status())
+        let response = self.client.post(url).timeout(REQUEST_TIMEOUT).send().await;
+        let response = response.map_err(|error| unavailable(error.to_string()))?;
+        check_success(response.status())
     }
 
-    /// Reads the list again and again, `period` apart.
+    /// Reads the list every `period`, with longer delays after failures.
     pub fn poll(self, period: Duration, jitter: Jitter) -> ListPoller {
         let (sender, listing) = watch::channel(None);
         let backoff = Backoff::new(period, period.saturating_mul(8), jitter);
-        let task = actix_rt::spawn(follow(self, period, backoff, sender));
+        let task = actix_rt::spawn(poll_list(self, period, backoff, sender));
         ListPoller { listing, task }
     }
 }
 
-/// A task that keeps the newest list. It ends when this value is dropped.
+/// A task that keeps the latest list. It ends when this value is dropped.
 pub struct ListPoller {
     listing: watch::Receiver<Option<Arc<Listing>>>,
     task: JoinHandle<()>,
 }
 
 impl ListPoller {
-    /// The newest list, `None` before the first. Each reading is told, also one that is the same.
+    /// The latest list, `None` before the first read. Receivers are notified of each read, even
+    /// if the list is unchanged.
     pub fn listing(&self) -> watch::Receiver<Option<Arc<Listing>>> {
         self.listing.clone()
     }
@@ -108,31 +108,31 @@
     }
 }
 
-async fn follow(
+async fn poll_list(
     instances: InstanceListClient,
     period: Duration,
     mut backoff: Backoff,
     sender: watch::Sender<Option<Arc<Listing>>>,
 ) {
     while !sender.is_closed() {
-        let pause = match instances.read().await {
+        let delay = match instances.read().await {
             Ok(listing) => {
                 backoff.reset();
-                // Also one that did not change: whoever doubts a reading believes it only when it
-                // is read again and again.
+                // Unchanged lists are sent as well: a reader that doubts a list accepts it only
+                // after several identical reads.
                 sender.send_replace(Some(Arc::new(listing)));
                 period
             }
             Err(report) => {
-                log::debug!(error:? = report; "the instance list was not read");
+                log::debug!(error:? = report; "cannot read the instance list");
                 backoff.next(None)
             }
         };
-        actix_rt::time::sleep(pause).await;
+        actix_rt::time::sleep(delay).await;
     }
 }
 
-fn accepted(status: StatusCode) -> Result<(), Report<ListError>> {
+fn check_success(status: StatusCode) -> Result<(), Report<ListError>> {
     if status.is_success() {
         return Ok(());
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! Client of the outside platform: the log ([`LogClient`], [`Tail`]) and the instance list ([`InstanceListClient`]),
-//! and of the engines' control calls ([`EngineClient`]).
+//! Clients of the external platform: the log ([`LogClient`], [`Tail`]), the instance list
+//! ([`InstanceListClient`]) and the engines' control API ([`EngineClient`]).
 //!
-//! Stands between the `control` crate and the network. It knows the wire form of
-//! [`docs/PLATFORM.md`](../../../docs/PLATFORM.md) and says of each failure what is certain about it;
-//! what a record means is none of its matters. All of it lives on one actix arbiter.
+//! The `control` crate uses them to reach the network. They implement the wire format of
+//! [`docs/PLATFORM.md`](../../../docs/PLATFORM.md) and report for each failure whether the request
+//! can have taken effect; records are opaque to them. All clients run on one actix arbiter.
 
 mod backoff;
 mod chunk;
@@ -25,8 +25,8 @@
 pub use log::{LogClient, Options, Traffic};
 pub use tail::{Event, Now, Tail};
 
-/// Position of a record in the log. The log gives it; it is the record's identity.
+/// Position of a record in the log, assigned by the log. It identifies the record.
 pub type Offset = u64;
 
-/// A source of numbers in `0.0..1.0` for jitter, passed in so that tests are repeatable.
+/// A source of numbers in `0.0..1.0` for jitter, injected so that tests are deterministic.
 pub type Jitter = Box<dyn FnMut() -> f64>;
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log.
+//! Client of the append-only log.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,48 +16,48 @@
 use crate::failure::is_unsent;
 use crate::{AppendError, Offset, ReadError};
 
-/// Largest answer that is taken in, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+/// Largest response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// What a read may take beyond the time that the log was asked to wait.
+/// Time allowed for a read beyond its long-poll wait.
 const READ_GRACE: Duration = Duration::from_millis(1500);
 
-/// How to reach the log.
+/// Address and timeouts of a platform service.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Base address, for instance `http://127.0.0.1:9000`.
-    pub base: String,
-    /// Longest time to wait for the answer to an append.
+    /// Base URL, for instance `http://127.0.0.1:9000`.
+    pub base_url: String,
+    /// Time limit of an append.
     pub append_timeout: Duration,
-    /// Longest time to wait for a connection.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
 }
 
 impl Options {
-    /// Options with the usual timeouts.
-    pub fn new(base: impl Into<String>) -> Self {
+    /// Options with the default timeouts.
+    pub fn new(base_url: impl Into<String>) -> Self {
         Self {
-            base: base.into(),
+            base_url: base_url.into(),
             append_timeout: Duration::from_secs(2),
             connect_timeout: Duration::from_secs(1),
         }
     }
 }
 
-/// What went to and from the log since the start, bodies only.
+/// Requests to the log and the bytes of their bodies since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Appends that were sent, whatever became of them.
+    /// Appends sent, whatever their result.
     pub appends: u64,
-    /// Their bytes.
+    /// Bytes of the records in them.
     pub appended_bytes: u64,
-    /// Answers to reads.
+    /// Reads answered with status 200.
     pub reads: u64,
-    /// Their bytes.
+    /// Bytes of their response bodies.
     pub read_bytes: u64,
 }
 
-/// A client of the log. Clones share connections and counts.
+/// Appends to the log and reads it. Clones share connections and counters.
 #[derive(Clone)]
 pub struct LogClient {
     traffic: Rc<Cell<Traffic>>,
@@ -68,32 +68,32 @@
 }
 
 #[derive(Deserialize)]
-struct Appended {
+struct AppendResponse {
     offset: Offset,
 }
 
 impl LogClient {
-    /// A client that connects when first used. Call it on the arbiter that uses it.
+    /// Creates a client, which connects on first use. Must be called on the arbiter that uses it.
     pub fn new(options: &Options) -> Self {
-        let base = options.base.trim_end_matches('/');
+        let base_url = options.base_url.trim_end_matches('/');
         Self {
             traffic: Rc::default(),
             client: client(options.connect_timeout),
-            append_url: format!("{base}/log/append"),
-            read_url: format!("{base}/log/read"),
+            append_url: format!("{base_url}/log/append"),
+            read_url: format!("{base_url}/log/read"),
             append_timeout: options.append_timeout,
         }
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn traffic(&self) -> Traffic {
         self.traffic.get()
     }
 
-    /// Appends a record and gives its offset.
+    /// Appends a record and returns its offset.
     ///
     /// # Errors
-    /// [`AppendError::Refused`] only if the record certainly does not stand.
+    /// [`AppendError::Refused`] only if the record is certainly not in the log.
     pub async fn append(&self, data: Bytes) -> Result<Offset, Report<AppendError>> {
         self.count(|traffic| {
             traffic.appends += 1;
@@ -103,27 +103,27 @@
             .client
             .post(&self.append_url)
             .timeout(self.append_timeout);
-        let mut answer = request
+        let mut response = request
             .send_body(data)
             .await
-            .map_err(|error| unanswered(&error))?;
-        match answer.status() {
+            .map_err(|error| append_error(&error))?;
+        match response.status() {
             StatusCode::OK => {
-                let body = answer.body().limit(MAX_ANSWER).await;
+                let body = response.body().limit(MAX_RESPONSE_BYTES).await;
                 let body = body.map_err(|error| unknown(error.to_string()))?;
-                serde_json::from_slice::<Appended>(&body)
-                    .map(|appended| appended.offset)
+                serde_json::from_slice::<AppendResponse>(&body)
+                    .map(|response| response.offset)
                     .map_err(|error| unknown(error.to_string()))
             }
             status @ (StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => {
-                let retry_after = retry_after(answer.headers());
+                let retry_after = retry_after(response.headers());
                 Err(Report::new(AppendError::Refused { retry_after }).attach(status.to_string()))
             }
             status => Err(unknown(status.to_string())),
         }
     }
 
-    /// Reads up to `max` records from `from` on, waiting up to `wait` for the first.
+    /// Reads up to `max` records starting at `from`, waiting up to `wait` for the first.
     ///
     /// # Errors
     /// [`ReadError::Gone`] if `from` is past retention.
@@ -136,13 +136,13 @@
         let wait_ms = wait.as_millis();
         let url = format!("{}?from={from}&max={max}&wait_ms={wait_ms}", self.read_url);
         let request = self.client.get(url).timeout(wait + READ_GRACE);
-        let mut answer = request
+        let mut response = request
             .send()
             .await
             .map_err(|error| unavailable(None).attach(error.to_string()))?;
-        match answer.status() {
+        match response.status() {
             StatusCode::OK => {
-                let body = answer.body().limit(MAX_ANSWER).await;
+                let body = response.body().limit(MAX_RESPONSE_BYTES).await;
                 let body = body.map_err(|error| unavailable(None).attach(error.to_string()))?;
                 self.count(|traffic| {
                     traffic.reads += 1;
@@ -151,7 +151,7 @@
                 parse(&body, from)
             }
             StatusCode::GONE => {
-                let body = answer.body().limit(MAX_ANSWER).await;
+                let body = response.body().limit(MAX_RESPONSE_BYTES).await;
                 let body = body.map_err(|error| unavailable(None).attach(error.to_string()))?;
                 let gone: RawGone =
                     serde_json::from_slice(&body).map_err(|error| malformed(error.to_string()))?;
@@ -161,20 +161,20 @@
                 }))
             }
             status => {
-                let retry_after = retry_after(answer.headers());
+                let retry_after = retry_after(response.headers());
                 Err(unavailable(retry_after).attach(status.to_string()))
             }
         }
     }
 
-    fn count(&self, change: impl FnOnce(&mut Traffic)) {
+    fn count(&self, update: impl FnOnce(&mut Traffic)) {
         let mut traffic = self.traffic.get();
-        change(&mut traffic);
+        update(&mut traffic);
         self.traffic.set(traffic);
     }
 }
 
-/// A client without redirects: a followed redirect would send an append twice.
+/// Creates an HTTP client that doesn't follow redirects, which would send an append twice.
 pub(crate) fn client(connect_timeout: Duration) -> Client {
     let connector = awc::Connector::new()
         .timeout(connect_timeout)
@@ -185,7 +185,7 @@
         .finish()
 }
 
-fn unanswered(error: &SendRequestError) -> Report<AppendError> {
+fn append_error(error: &SendRequestError) -> Report<AppendError> {
     let context = if is_unsent(error) {
         AppendError::Refused { retry_after: None }
     } else {
@@ -209,8 +209,8 @@
 fn parse(body: &[u8], from: Offset) -> Result<Chunk, Report<ReadError>> {
     let raw: RawChunk =
         serde_json::from_slice(body).map_err(|error| malformed(error.to_string()))?;
-    raw.check(from)
-        .map_err(|flaw| malformed(format!("{flaw:?}")))
+    raw.validate(from)
+        .map_err(|error| malformed(format!("{error:?}")))
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
--- a/crates/platform/src/tail.rs
+++ b/crates/platform/src/tail.rs
@@ -1,4 +1,4 @@
-//! A reader that follows the log.
+//! A background reader that follows the log.
 
 use std::time::Duration;
 
@@ -9,35 +9,35 @@
 
 use crate::{Backoff, Chunk, Jitter, LogClient, Offset, ReadError};
 
-/// Gives the time of the process's clock, passed in.
+/// Returns the time of the process's clock; injected so that tests set the time.
 pub type Now = Box<dyn Fn() -> Moment>;
 
-/// Most records asked for at once.
+/// Maximum number of records per read.
 const MAX_RECORDS: usize = 1000;
 
-/// Chunks that wait for the reader before reading pauses.
-const QUEUE: usize = 4;
+/// Events queued for the consumer before reading pauses.
+const QUEUE_CAPACITY: usize = 4;
 
-/// First pause after a failed read.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Initial delay after a failed read.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause after failed reads, so that the end of an outage is noticed within this time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum delay after failed reads; bounds the time until the end of an outage is noticed.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// What the reader tells.
+/// An event from the reader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The log answered. The records, if any, follow the ones told before without a gap.
+    /// A successful read. The records, if any, follow those of earlier events without a gap.
     Chunk {
-        /// When the read was sent: what the log held by then is in here, or was told before, if
-        /// the chunk reaches up to `next`.
+        /// When the read was sent. If the chunk reaches up to `next`, this event and the earlier
+        /// ones contain all records that the log held at that time.
         requested_at: Moment,
-        /// What it answered.
+        /// The records and the bounds of the log.
         chunk: Chunk,
     },
-    /// The log could not be read; reading goes on by itself. Told for each failed try.
+    /// A read failed and will be retried. Sent for each failed attempt.
     Unavailable,
-    /// The records asked for are past retention. The reader has stopped.
+    /// The requested records are past retention. The reader has stopped.
     Gone {
         /// First retained offset.
         first: Offset,
@@ -53,21 +53,21 @@
 }
 
 impl Tail {
-    /// Follows the log from `from` on. Each poll waits up to `wait` for records.
+    /// Starts to follow the log at `from`. Each poll waits up to `wait` for records.
     pub fn spawn(log: LogClient, from: Offset, wait: Duration, jitter: Jitter, now: Now) -> Self {
-        let (sender, events) = mpsc::channel(QUEUE);
+        let (sender, events) = mpsc::channel(QUEUE_CAPACITY);
         let reader = Reader {
             log,
             from,
             wait,
-            backoff: Backoff::new(FIRST_PAUSE, LONGEST_PAUSE, jitter),
+            backoff: Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY, jitter),
             now,
         };
         let task = actix_rt::spawn(follow(reader, sender));
         Self { events, task }
     }
 
-    /// The next event; `None` once the reader has stopped. It is safe to drop the future.
+    /// The next event; `None` once the reader has stopped. Cancel safe.
     pub async fn next(&mut self) -> Option<Event> {
         self.events.recv().await
     }
@@ -89,7 +89,7 @@
 
 impl Reader {
     async fn read(&mut self) -> (Event, Option<Duration>) {
-        let asked = (self.now)();
+        let requested_at = (self.now)();
         match self.log.read(self.from, MAX_RECORDS, self.wait).await {
             Ok(chunk) => {
                 self.backoff.reset();
@@ -97,43 +97,46 @@
                 self.from = last.map_or(self.from, |last| last.offset + 1);
                 (
                     Event::Chunk {
-                        requested_at: asked,
+                        requested_at,
                         chunk,
                     },
                     None,
                 )
             }
-            Err(report) => (failed(&report), Some(pause(&report, &mut self.backoff))),
+            Err(report) => (
+                failure_event(&report),
+                Some(retry_delay(&report, &mut self.backoff)),
+            ),
         }
     }
 }
 
 async fn follow(mut reader: Reader, sender: mpsc::Sender<Event>) {
     loop {
-        let (event, pause) = reader.read().await;
-        let ends = matches!(event, Event::Gone { .. });
-        if sender.send(event).await.is_err() || ends {
+        let (event, retry_delay) = reader.read().await;
+        let is_last = matches!(event, Event::Gone { .. });
+        if sender.send(event).await.is_err() || is_last {
             return;
         }
-        if let Some(pause) = pause {
-            actix_rt::time::sleep(pause).await;
+        if let Some(retry_delay) = retry_delay {
+            actix_rt::time::sleep(retry_delay).await;
         }
     }
 }
 
-fn pause(report: &Report<ReadError>, backoff: &mut Backoff) -> Duration {
+fn retry_delay(report: &Report<ReadError>, backoff: &mut Backoff) -> Duration {
     match *report.current_context() {
         ReadError::Unavailable { retry_after } => backoff.next(retry_after),
         ReadError::Gone { .. } | ReadError::Malformed => backoff.next(None),
     }
 }
 
-fn failed(report: &Report<ReadError>) -> Event {
+fn failure_event(report: &Report<ReadError>) -> Event {
     match *report.current_context() {
         ReadError::Gone { first, next } => Event::Gone { first, next },
         ReadError::Unavailable { .. } => Event::Unavailable,
         ReadError::Malformed => {
-            log::error!(error:? = report; "the log's answer was thrown away");
+            log::error!(error:? = report; "malformed response from the log, discarded");
             Event::Unavailable
         }
     }
