--- a/crates/platform/tests/client/fake.rs
+++ b/crates/platform/tests/client/fake.rs
@@ -1,4 +1,4 @@
-//! A fake HTTP server that answers each connection's requests from a script.
+//! An HTTP server that answers requests from a script.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -6,87 +6,90 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What to do with the next request.
+/// The action for the next request.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
-    /// Answer with a status line's end, extra headers and a body.
-    Answer(&'static str, &'static str, String),
-    /// Take the whole request in and close the connection.
+    /// Respond with this status, extra header lines and body.
+    Response(&'static str, &'static str, String),
+    /// Read the whole request and close the connection.
     Close,
-    /// Take the whole request in and never answer.
-    Silence,
+    /// Read the whole request and never respond.
+    NoResponse,
 }
 
-/// A running fake.
-pub(crate) struct Fake {
+/// A running server.
+pub(crate) struct FakeServer {
     pub(crate) address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl Fake {
-    /// Starts a fake that gives the replies in turn; after the last one it closes.
+impl FakeServer {
+    /// Starts a server that gives the replies in order; after the last one it closes connections.
     pub(crate) async fn start(script: Vec<Reply>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+            .expect("binding to a free port");
+        let address = listener.local_addr().expect("address of a bound listener");
         let requests = Arc::new(Mutex::new(Vec::new()));
         let script = Arc::new(Mutex::new(script.into_iter()));
-        let seen = requests.clone();
+        let received = requests.clone();
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                actix_rt::spawn(serve(stream, script.clone(), seen.clone()));
+                actix_rt::spawn(serve(stream, script.clone(), received.clone()));
             }
         });
         Self { address, requests }
     }
 
-    pub(crate) fn base(&self) -> String {
+    pub(crate) fn base_url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// First lines of the requests taken in so far.
+    /// Request lines of the requests received so far.
     pub(crate) fn requests(&self) -> Vec<String> {
-        self.requests.lock().expect("no test panicked").clone()
+        self.requests.lock().expect("lock is not poisoned").clone()
     }
 }
 
 pub(crate) fn ok(body: &str) -> Reply {
-    Reply::Answer("200 OK", "", body.to_owned())
+    Reply::Response("200 OK", "", body.to_owned())
 }
 
 async fn serve(
     mut stream: TcpStream,
     script: Arc<Mutex<std::vec::IntoIter<Reply>>>,
-    seen: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
 ) {
-    while let Some(first_line) = read_request(&mut stream).await {
-        seen.lock().expect("no test panicked").push(first_line);
+    while let Some(request_line) = read_request(&mut stream).await {
+        received
+            .lock()
+            .expect("lock is not poisoned")
+            .push(request_line);
         let reply = script
             .lock()
-            .expect("no test panicked")
+            .expect("lock is not poisoned")
             .next()
             .unwrap_or(Reply::Close);
         match reply {
-            Reply::Answer(status, headers, body) => {
+            Reply::Response(status, headers, body) => {
                 let length = body.len();
                 let head =
                     format!("HTTP/1.1 {status}\r\ncontent-length: {length}\r\n{headers}\r\n");
-                let whole = format!("{head}{body}");
-                if stream.write_all(whole.as_bytes()).await.is_err() {
+                let response = format!("{head}{body}");
+                if stream.write_all(response.as_bytes()).await.is_err() {
                     return;
                 }
             }
             Reply::Close => return,
-            Reply::Silence => std::future::pending().await,
+            Reply::NoResponse => std::future::pending().await,
         }
     }
 }
 
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
-    let mut taken = Vec::new();
+    let mut received = Vec::new();
     loop {
-        let text = String::from_utf8_lossy(&taken).into_owned();
+        let text = String::from_utf8_lossy(&received).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n")
             && body.len() >= content_length(head)
         {
@@ -95,7 +98,7 @@
         let mut buffer = [0; 4096];
         match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => return None,
-            Ok(count) => taken.extend_from_slice(&buffer[..count]),
+            Ok(count) => received.extend_from_slice(&buffer[..count]),
         }
     }
 }
--- a/crates/platform/tests/client/main.rs
+++ b/crates/platform/tests/client/main.rs
@@ -1,4 +1,4 @@
-//! The client against a fake server on loopback.
+//! Tests of the clients against a scripted HTTP server on loopback.
 
 mod engines;
 mod fake;
