--- a/crates/dial/src/lib.rs
+++ b/crates/dial/src/lib.rs
@@ -1,8 +1,8 @@
-//! Connections towards upstreams that report a broken answer as an error. The HTTP client takes
-//! the end of a connection for the end of the body, also where the length or the last chunk is
-//! still missing, so a caller would get half an answer as a whole one. [`connector`] gives the
-//! client's own connector with [`StrictStream`] underneath, for which the end of the connection is an error;
-//! whole answers end before it by length or by last chunk. It sits below `entry`'s upstream client.
+//! Connections to upstreams that report a truncated response as an error. The HTTP client treats
+//! EOF as the end of the body, even if bytes of its length or the last chunk are missing, so a
+//! caller would take a truncated response for a complete one. [`connector`] returns the client's
+//! own connector over [`StrictStream`], for which EOF is an error; complete responses end before
+//! it, by length or last chunk. The upstream client of `entry` uses it.
 
 mod strict_stream;
 
@@ -13,10 +13,10 @@
 
 pub use crate::strict_stream::StrictStream;
 
-/// A connector for `awc::Client::builder().connector(...)` whose connections are [`StrictStream`].
+/// A connector for `awc::Client::builder().connector(...)` over [`StrictStream`]s.
 ///
-/// An answer that is delimited only by the end of its connection reads as an error as well, since
-/// nobody can tell whether it is whole; upstreams are expected to send a length or chunks.
+/// A response delimited only by the end of its connection is an error as well, since truncation
+/// can't be detected; upstreams are expected to send a length or chunks.
 pub fn connector() -> Connector<
     impl Service<ConnectInfo<Uri>, Response = Connection<Uri, StrictStream>, Error = ConnectError>
     + Clone
--- a/crates/dial/src/strict_stream.rs
+++ b/crates/dial/src/strict_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream whose end is an error.
+//! A TCP stream that reports EOF as an error.
 
 use std::io::{Error, ErrorKind, IoSlice, Result};
 use std::pin::Pin;
@@ -7,11 +7,11 @@
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A TCP stream that reads its end as [`ErrorKind::UnexpectedEof`].
+/// A TCP stream whose reads fail with [`ErrorKind::UnexpectedEof`] at EOF.
 ///
-/// Without it a service that dies while it answers looks like one that answered less: the caller
-/// gets the first half with status 200. The client stops reading once a body is whole, so that the
-/// error is met only where something is missing, or on an idle connection, which is then dropped.
+/// Without it, the response of a service that dies while sending it looks complete: the caller gets
+/// the first part with status 200. The client stops reading at the end of a complete body, so the
+/// error occurs only if data is missing, or on an idle connection, which is then dropped.
 #[derive(Debug)]
 pub struct StrictStream {
     stream: TcpStream,
@@ -34,10 +34,10 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let has_room = buffer.remaining() > 0;
         ready!(self.stream().poll_read(cx, buffer))?;
-        if has_room && buffer.filled().len() == before {
+        if has_room && buffer.filled().len() == filled_before {
             return Poll::Ready(Err(Error::from(ErrorKind::UnexpectedEof)));
         }
         Poll::Ready(Ok(()))
