--- a/crates/platform/tests/client/fake.rs
+++ b/crates/platform/tests/client/fake.rs
@@ -28,7 +28,7 @@
     pub(crate) async fn start(script: Vec<Reply>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("binding to a free port");
+            .expect("a port is free");
         let address = listener.local_addr().expect("address of a bound listener");
         let requests = Arc::new(Mutex::new(Vec::new()));
         let script = Arc::new(Mutex::new(script.into_iter()));
