--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer that answers requests, one at a time.
+//! A client connection that sends one request at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,26 +13,26 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder as _, Encoder as _};
 
-use crate::socket::{Step, try_read, try_write, tune};
+use crate::socket::{Transfer, set_options, try_read, try_write};
 use crate::{Config, Failure, TcpTimeouts};
 
-/// How the end of an answer's body is known.
+/// How the end of a response body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// The response has no body.
     Empty,
-    /// By a length or by a last chunk.
+    /// By a length or the last chunk.
     Delimited,
-    /// By the orderly end of the connection.
+    /// By the orderly close of the connection.
     UntilClose,
 }
 
-/// Head of an answer.
+/// Head of a response, and the framing of its body.
 #[derive(Debug)]
 pub struct ResponseStart {
     /// Status, headers and version.
     pub head: ResponseHead,
-    /// How its body ends.
+    /// How the end of the body is determined.
     pub framing: Framing,
 }
 
@@ -40,7 +40,7 @@
     Idle(ClientCodec),
     Body(ClientPayloadCodec),
     UntilClose,
-    Spent,
+    Unusable,
 }
 
 /// An open connection to a peer.
@@ -49,31 +49,31 @@
     received: BytesMut,
     unsent: BytesMut,
     state: State,
-    ended: bool,
+    eof: bool,
     peer: SocketAddr,
 }
 
-/// Most bytes read ahead of the consumer.
-const READ_AHEAD: usize = 256 * 1024;
+/// Maximum number of bytes read ahead of the consumer.
+const READ_AHEAD_BYTES: usize = 256 * 1024;
 
 impl Client {
     /// Opens a connection.
     ///
     /// # Errors
     ///
-    /// [`Failure::NotSent`], always: nothing was sent yet.
+    /// Always [`Failure::NotSent`].
     pub async fn open(
         peer: SocketAddr,
-        patience: &TcpTimeouts,
+        timeouts: &TcpTimeouts,
         config: &Config,
     ) -> Result<Self, Failure> {
-        let stream = connect(peer, patience).await.map_err(Failure::NotSent)?;
+        let stream = connect(peer, timeouts).await.map_err(Failure::NotSent)?;
         Ok(Self {
             stream,
             received: BytesMut::new(),
             unsent: BytesMut::new(),
             state: State::Idle(ClientCodec::new(config.clone())),
-            ended: false,
+            eof: false,
             peer,
         })
     }
@@ -83,110 +83,109 @@
         self.peer
     }
 
-    /// Whether another request may be sent: the last answer is whole, nothing is left over, and
-    /// the peer has neither closed nor said anything since.
+    /// Whether another request may be sent: the last response is complete, no bytes are left over,
+    /// and the peer has neither closed the connection nor sent anything since.
     ///
-    /// A peer may close an idle connection, or send an answer that nobody asked for. A request
-    /// that is sent all the same is lost, or meets the answer to another one. One notices it by
-    /// requests that fail in the moment of their sending; a look at the socket before the use
-    /// finds all but those that cross.
+    /// A peer may close an idle connection, or send an unsolicited response. A request sent then
+    /// fails at once, or gets the response to another request. Checking the socket before each use
+    /// finds all cases but those in which the peer acts while the request is being sent.
     pub fn is_reusable(&mut self) -> bool {
         let idle = matches!(self.state, State::Idle(_));
-        if !idle || self.ended || !self.received.is_empty() || !self.unsent.is_empty() {
+        if !idle || self.eof || !self.received.is_empty() || !self.unsent.is_empty() {
             return false;
         }
         matches!(
             try_read(&self.stream, &mut self.received),
-            Ok(Step::Blocked)
+            Ok(Transfer::WouldBlock)
         )
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
     ///
-    /// All but [`Failure::NotSent`], since bytes may have left.
+    /// Any but [`Failure::NotSent`], since bytes may have been sent.
     pub async fn send(
         &mut self,
         head: RequestHead,
         body: &Bytes,
     ) -> Result<ResponseStart, Failure> {
-        let State::Idle(mut codec) = std::mem::replace(&mut self.state, State::Spent) else {
+        let State::Idle(mut codec) = std::mem::replace(&mut self.state, State::Unusable) else {
             return Err(Failure::Broken("the connection is not idle"));
         };
         let bodiless = head.method == Method::HEAD;
-        self.queue(&mut codec, head, body)
+        self.encode_request(&mut codec, head, body)
             .map_err(Failure::NoResponse)?;
         loop {
-            if let Some(answer) = self.take_head(&mut codec)? {
-                return self.begin_body(answer, codec, bodiless);
+            if let Some(response) = self.decode_head(&mut codec)? {
+                return self.start_body(response, codec, bodiless);
             }
-            self.advance_head().await?;
+            self.receive_head().await?;
         }
     }
 
-    /// Waits for the head of a further answer on the same request, where the one before did not
-    /// belong to it. The body of the one before must have been read to its end.
+    /// Waits for the head of a further response to the same request, if the previous one did not
+    /// belong to it. The body of the previous one must have been read to its end.
     ///
     /// # Errors
     ///
     /// As [`Client::send`].
     pub async fn next_response(&mut self) -> Result<ResponseStart, Failure> {
-        let State::Idle(mut codec) = std::mem::replace(&mut self.state, State::Spent) else {
+        let State::Idle(mut codec) = std::mem::replace(&mut self.state, State::Unusable) else {
             return Err(Failure::Broken("no further answer can follow"));
         };
         loop {
-            if let Some(answer) = self.take_head(&mut codec)? {
-                return self.begin_body(answer, codec, false);
+            if let Some(response) = self.decode_head(&mut codec)? {
+                return self.start_body(response, codec, false);
             }
-            self.advance_head().await?;
+            self.receive_head().await?;
         }
     }
 
-    /// The next piece of the answer's body, or nothing at its end.
+    /// Returns the next chunk of the response body, or `None` at its end.
     ///
     /// # Errors
     ///
     /// [`Failure::Broken`] if the body ends early.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
-            if let Some(outcome) = self.take_chunk()? {
-                return Ok(outcome);
+            if let Some(decoded) = self.decode_chunk()? {
+                return Ok(decoded);
             }
-            if self.ended {
-                return self.end_of_stream();
+            if self.eof {
+                return self.finish_at_eof();
             }
-            if self.pump().await.is_err() {
-                self.state = State::Spent;
+            if self.transfer().await.is_err() {
+                self.state = State::Unusable;
                 return Err(Failure::Broken("the connection was reset within the body"));
             }
         }
     }
 
-    /// The whole body.
+    /// Reads the rest of the body.
     ///
     /// # Errors
     ///
-    /// As [`Client::chunk`], and [`Failure::Broken`] beyond `most` bytes.
-    pub async fn body(&mut self, most: usize) -> Result<Bytes, Failure> {
+    /// As [`Client::chunk`], and [`Failure::Broken`] if the body exceeds `max_bytes`.
+    pub async fn body(&mut self, max_bytes: usize) -> Result<Bytes, Failure> {
         let Some(first) = self.chunk().await? else {
             return Ok(Bytes::new());
         };
         let Some(second) = self.chunk().await? else {
             return Ok(first);
         };
-        let mut whole = BytesMut::from(&first[..]);
-        whole.extend_from_slice(&second);
-        while let Some(piece) = self.chunk().await? {
-            if whole.len() + piece.len() > most {
+        let mut body = BytesMut::from(&first[..]);
+        body.extend_from_slice(&second);
+        while let Some(chunk) = self.chunk().await? {
+            if body.len() + chunk.len() > max_bytes {
                 return Err(Failure::Broken("the body is larger than allowed"));
             }
-            whole.extend_from_slice(&piece);
+            body.extend_from_slice(&chunk);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
-    fn queue(
+    fn encode_request(
         &mut self,
         codec: &mut ClientCodec,
         head: RequestHead,
@@ -206,7 +205,7 @@
         Ok(())
     }
 
-    fn take_head(&mut self, codec: &mut ClientCodec) -> Result<Option<ResponseHead>, Failure> {
+    fn decode_head(&mut self, codec: &mut ClientCodec) -> Result<Option<ResponseHead>, Failure> {
         loop {
             let head = codec
                 .decode(&mut self.received)
@@ -218,87 +217,87 @@
         }
     }
 
-    async fn advance_head(&mut self) -> Result<(), Failure> {
-        if self.ended {
+    async fn receive_head(&mut self) -> Result<(), Failure> {
+        if self.eof {
             return Err(if self.received.is_empty() {
                 Failure::Closed
             } else {
                 Failure::Broken("the answer ends within its head")
             });
         }
-        self.pump().await.map_err(Failure::NoResponse)
+        self.transfer().await.map_err(Failure::NoResponse)
     }
 
-    fn begin_body(
+    fn start_body(
         &mut self,
         head: ResponseHead,
         codec: ClientCodec,
         bodiless: bool,
     ) -> Result<ResponseStart, Failure> {
         let framing = framing(&head, &codec, bodiless);
-        let keep = codec.keep_alive();
+        let keep_alive = codec.keep_alive();
         self.state = match framing {
             Framing::Delimited => State::Body(codec.into_payload_codec()),
             Framing::UntilClose => State::UntilClose,
-            Framing::Empty if keep => State::Idle(codec),
-            Framing::Empty => State::Spent,
+            Framing::Empty if keep_alive => State::Idle(codec),
+            Framing::Empty => State::Unusable,
         };
         Ok(ResponseStart { head, framing })
     }
 
-    fn take_chunk(&mut self) -> Result<Option<Option<Bytes>>, Failure> {
-        match std::mem::replace(&mut self.state, State::Spent) {
+    fn decode_chunk(&mut self) -> Result<Option<Option<Bytes>>, Failure> {
+        match std::mem::replace(&mut self.state, State::Unusable) {
             State::Body(mut codec) => match codec.decode(&mut self.received) {
                 Ok(Some(None)) => {
-                    self.finish(codec);
+                    self.finish_body(codec);
                     Ok(Some(None))
                 }
-                Ok(piece) => {
+                Ok(chunk) => {
                     self.state = State::Body(codec);
-                    Ok(piece)
+                    Ok(chunk)
                 }
                 Err(_) => Err(Failure::Broken("the body's framing is broken")),
             },
             State::UntilClose => {
                 self.state = State::UntilClose;
-                let piece = self.received.split().freeze();
-                Ok((!piece.is_empty()).then_some(Some(piece)))
+                let chunk = self.received.split().freeze();
+                Ok((!chunk.is_empty()).then_some(Some(chunk)))
             }
-            idle => {
-                self.state = idle;
+            other => {
+                self.state = other;
                 Ok(Some(None))
             }
         }
     }
 
-    fn finish(&mut self, codec: ClientPayloadCodec) {
+    fn finish_body(&mut self, codec: ClientPayloadCodec) {
         if codec.keep_alive() {
             self.state = State::Idle(codec.into_message_codec());
         }
     }
 
-    fn end_of_stream(&mut self) -> Result<Option<Bytes>, Failure> {
-        match std::mem::replace(&mut self.state, State::Spent) {
+    fn finish_at_eof(&mut self) -> Result<Option<Bytes>, Failure> {
+        match std::mem::replace(&mut self.state, State::Unusable) {
             State::UntilClose => Ok(None),
             _ => Err(Failure::Broken("the connection ends within the body")),
         }
     }
 
-    /// Writes what is unsent and reads what is there, whichever comes first. Both at once, because
-    /// a peer may answer before it has read the whole request.
-    async fn pump(&mut self) -> io::Result<()> {
-        let reads = self.received.len() < READ_AHEAD;
-        let interest = match (self.unsent.is_empty(), reads) {
+    /// Waits until the socket is readable or writable, then sends unsent bytes and receives
+    /// available ones. Both, because a peer may respond before it has read the whole request.
+    async fn transfer(&mut self) -> io::Result<()> {
+        let has_room = self.received.len() < READ_AHEAD_BYTES;
+        let interest = match (self.unsent.is_empty(), has_room) {
             (true, _) => Interest::READABLE,
             (false, true) => Interest::READABLE | Interest::WRITABLE,
             (false, false) => Interest::WRITABLE,
         };
         let ready = self.stream.ready(interest).await?;
         if ready.is_writable() && !self.unsent.is_empty() {
-            let written = try_write(&self.stream, &mut self.unsent);
-            if let Err(error) = written {
+            let result = try_write(&self.stream, &mut self.unsent);
+            if let Err(error) = result {
                 self.unsent.clear();
-                // The peer's answer may lie in the buffer although it takes no more bytes.
+                // The response may be in the receive buffer although the peer accepts no more bytes.
                 if !ready.is_readable() {
                     return Err(error);
                 }
@@ -306,19 +305,19 @@
         }
         if ready.is_readable() || ready.is_read_closed() {
             match try_read(&self.stream, &mut self.received)? {
-                Step::End => self.ended = true,
-                Step::Moved | Step::Blocked => {}
+                Transfer::Eof => self.eof = true,
+                Transfer::Progress | Transfer::WouldBlock => {}
             }
         }
         Ok(())
     }
 }
 
-async fn connect(peer: SocketAddr, patience: &TcpTimeouts) -> io::Result<TcpStream> {
-    let stream = timeout(patience.connect, TcpStream::connect(peer))
+async fn connect(peer: SocketAddr, timeouts: &TcpTimeouts) -> io::Result<TcpStream> {
+    let stream = timeout(timeouts.connect, TcpStream::connect(peer))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    tune(&stream, patience)?;
+    set_options(&stream, timeouts)?;
     Ok(stream)
 }
 
@@ -326,20 +325,19 @@
     *method == Method::GET || *method == Method::HEAD || *method == Method::DELETE
 }
 
-/// The codec takes an answer that has neither a length nor chunks for one without a body; in
-/// HTTP/1.1 its body goes on until the connection ends. Without this a caller would get an empty
-/// body as a whole one.
+/// The codec treats a response with neither a length nor chunks as one without a body; in HTTP/1.1
+/// its body extends to the end of the connection. Without this a caller would get an empty body.
 fn framing(head: &ResponseHead, codec: &ClientCodec, bodiless: bool) -> Framing {
     let code = head.status.as_u16();
     if bodiless || code == 204 || code == 304 {
         return Framing::Empty;
     }
-    let marked =
+    let delimited =
         head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
     match codec.message_type() {
-        MessageType::None if marked => Framing::Empty,
+        MessageType::None if delimited => Framing::Empty,
         MessageType::None | MessageType::Stream => Framing::UntilClose,
-        MessageType::Payload if marked => Framing::Delimited,
+        MessageType::Payload if delimited => Framing::Delimited,
         MessageType::Payload => Framing::UntilClose,
     }
 }
--- a/crates/http1/src/failure.rs
+++ b/crates/http1/src/failure.rs
@@ -1,28 +1,28 @@
-//! What can become of an exchange, in terms of what is certain about it.
+//! Errors of an exchange, distinguished by whether the request can have reached the peer.
 
 use std::fmt;
 use std::io;
 
-/// Why an exchange with a peer gave no whole answer.
+/// Why an exchange with a peer returned no complete response.
 #[derive(Debug)]
 pub enum Failure {
-    /// No byte of the request can have reached the peer: the connection never opened.
+    /// The connection did not open, so no byte of the request reached the peer.
     NotSent(io::Error),
-    /// The request may have been read, and nothing of an answer arrived.
+    /// The peer may have read the request, but no response arrived.
     NoResponse(io::Error),
-    /// The peer closed before the first byte of an answer.
+    /// The peer closed the connection before the first byte of a response.
     Closed,
-    /// What arrived is no answer in the protocol, or breaks off before its end.
+    /// The response is malformed or truncated.
     Broken(&'static str),
 }
 
 impl Failure {
-    /// Whether the peer certainly never saw the request.
+    /// Whether no byte of the request can have reached the peer.
     pub fn not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
 
-    /// A word for logs.
+    /// Name of the variant for logs.
     pub fn name(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not_sent",
@@ -39,21 +39,21 @@
             Self::NotSent(error) => write!(f, "the connection did not open: {error}"),
             Self::NoResponse(error) => write!(f, "no answer arrived: {error}"),
             Self::Closed => write!(f, "the peer closed before its answer"),
-            Self::Broken(what) => write!(f, "the answer is broken: {what}"),
+            Self::Broken(detail) => write!(f, "the answer is broken: {detail}"),
         }
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// Why a caller's bytes are not taken as a request.
+/// Why no request could be read from a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The caller closed, or was silent for as long as an idle connection may be.
+    /// The caller closed the connection or exceeded the idle timeout.
     Disconnected,
-    /// The head or the body took longer than it may.
+    /// The head or the body did not arrive in time.
     TimedOut,
-    /// The bytes are no request.
+    /// The bytes are not a valid request.
     Malformed,
     /// The head is larger than allowed.
     HeadTooLarge,
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 over the library's codec, with the truth about every exchange kept: [`Client`] tells
-//! whether a request can have reached its peer and whether an answer is whole, [`Server`] tells
-//! whether its caller is still there. It stands below the `gateway` daemon and the platform's
-//! adapter, which both need to know what a pooling client hides; see
+//! HTTP/1.1 connections over the codec of `actix_http` that expose the state of each exchange:
+//! [`Client`] reports whether a request can have reached its peer and whether a response is
+//! complete, [`Server`] whether its caller is still connected. The `gateway` daemon and the
+//! platform's adapter use them, since a pooling client hides this; see
 //! [`docs/design/platform.md`](../../../docs/design/platform.md), "Connections".
 
 mod client;
@@ -14,7 +14,7 @@
 pub use server::{IncomingRequest, Limits, Reader, Server, Writer};
 pub use socket::{TcpTimeouts, listen};
 
-/// Configuration of the library's codec, shared by all connections of a thread.
+/// Configuration of the `actix_http` codec, shared by all connections of a thread.
 pub type Config = actix_http::ServiceConfig;
 
 /// A codec configuration that keeps connections open between requests.
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -1,5 +1,5 @@
-//! One connection from a caller: whole requests in, answers out piece by piece, and the news that
-//! the caller has gone while its request is being served.
+//! A server connection, which reads whole requests, writes responses in chunks, and detects that
+//! the caller has disconnected while its request is being served.
 
 use std::future::pending;
 use std::io;
@@ -13,30 +13,30 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_util::codec::{Decoder as _, Encoder as _};
 
-use crate::socket::{Step, try_read, try_write, tune};
+use crate::socket::{Transfer, set_options, try_read, try_write};
 use crate::{Config, RequestError, TcpTimeouts};
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and the duration of a caller's requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Largest head, in bytes.
     pub head: usize,
     /// Largest body, in bytes.
     pub body: usize,
-    /// Longest time from the first byte of a head to its end, and for the body after it.
+    /// Time limit of the whole request, head and body, from the start of reading.
     pub head_time: Duration,
-    /// Longest silence between two requests.
+    /// Time limit for the first byte of a request on an open connection.
     pub idle: Duration,
 }
 
-/// A whole request of a caller.
+/// A complete request from a caller.
 #[derive(Debug)]
 pub struct IncomingRequest {
     /// Method, target, headers.
     pub head: RequestHead,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// When its first byte was read.
+    /// When reading of the request started.
     pub started_at: Instant,
 }
 
@@ -46,31 +46,31 @@
     writer: Writer,
 }
 
-/// The side that reads; while a request is served it watches for the caller's leaving.
+/// The reading half; while a request is served it detects that the caller disconnects.
 pub struct Reader {
     stream: std::rc::Rc<TcpStream>,
     received: BytesMut,
 }
 
-/// The side that writes answers.
+/// The writing half.
 pub struct Writer {
     stream: std::rc::Rc<TcpStream>,
     codec: Codec,
     unsent: BytesMut,
-    begun: bool,
+    head_written: bool,
 }
 
-/// Most bytes kept of what a caller sends ahead of its answer.
-const READ_AHEAD: usize = 64 * 1024;
+/// Maximum number of bytes buffered of what a caller sends before its response is complete.
+const READ_AHEAD_BYTES: usize = 64 * 1024;
 
 impl Server {
-    /// Takes an accepted connection.
+    /// Wraps an accepted connection.
     ///
     /// # Errors
     ///
-    /// If the socket's options cannot be set, because it is closed already.
-    pub fn new(stream: TcpStream, patience: &TcpTimeouts, config: &Config) -> io::Result<Self> {
-        tune(&stream, patience)?;
+    /// If the socket options cannot be set because the socket is already closed.
+    pub fn new(stream: TcpStream, timeouts: &TcpTimeouts, config: &Config) -> io::Result<Self> {
+        set_options(&stream, timeouts)?;
         let stream = std::rc::Rc::new(stream);
         let reader = Reader {
             stream: stream.clone(),
@@ -80,71 +80,75 @@
             stream,
             codec: Codec::new(config.clone()),
             unsent: BytesMut::new(),
-            begun: false,
+            head_written: false,
         };
         Ok(Self { reader, writer })
     }
 
-    /// Both sides, for use at the same time.
+    /// Both halves, for concurrent use.
     pub fn split(&mut self) -> (&mut Reader, &mut Writer) {
         (&mut self.reader, &mut self.writer)
     }
 
-    /// Whether bytes of a further request have been read already.
+    /// Whether bytes of a further request have already been read.
     pub fn has_more(&self) -> bool {
         !self.reader.received.is_empty()
     }
 
-    /// Waits for the first byte of a request, for as long as a connection may be idle.
+    /// Waits for the first byte of a request, up to the idle time limit.
     ///
     /// # Errors
     ///
-    /// [`Bad::Gone`] if none comes.
+    /// [`RequestError::Disconnected`] if none arrives.
     pub async fn wait_for_request(&mut self, limits: &Limits) -> Result<(), RequestError> {
-        let until = Instant::now() + limits.idle;
+        let deadline = Instant::now() + limits.idle;
         while self.reader.received.is_empty() {
             self.reader
-                .fill(until)
+                .fill(deadline)
                 .await
                 .map_err(|_| RequestError::Disconnected)?;
         }
         Ok(())
     }
 
-    /// Reads a whole request.
+    /// Reads a complete request.
     ///
     /// # Errors
     ///
-    /// What is wrong with the bytes; no answer has been sent then.
+    /// Why the request could not be read; no response has been sent then.
     pub async fn read_request(&mut self, limits: &Limits) -> Result<IncomingRequest, RequestError> {
-        let begun = Instant::now();
-        let until = begun + limits.head_time;
-        let request = self.head(limits, until).await?;
+        let started_at = Instant::now();
+        let deadline = started_at + limits.head_time;
+        let request = self.read_head(limits, deadline).await?;
         if request.head().expect() {
             self.writer
-                .go_on()
+                .write_continue()
                 .await
                 .map_err(|_| RequestError::Disconnected)?;
         }
         let body = match self.writer.codec.message_type() {
             MessageType::None => Bytes::new(),
-            MessageType::Payload | MessageType::Stream => self.body(limits, until).await?,
+            MessageType::Payload | MessageType::Stream => self.read_body(limits, deadline).await?,
         };
         let head = owned_head(request);
-        self.writer.begun = false;
+        self.writer.head_written = false;
         Ok(IncomingRequest {
             head,
             body,
-            started_at: begun,
+            started_at,
         })
     }
 
-    async fn head(&mut self, limits: &Limits, until: Instant) -> Result<Request, RequestError> {
+    async fn read_head(
+        &mut self,
+        limits: &Limits,
+        deadline: Instant,
+    ) -> Result<Request, RequestError> {
         loop {
-            let before = self.reader.received.len();
+            let buffered = self.reader.received.len();
             match self.writer.codec.decode(&mut self.reader.received) {
                 Ok(Some(Message::Item(request))) => {
-                    let size = before - self.reader.received.len();
+                    let size = buffered - self.reader.received.len();
                     return if size > limits.head {
                         Err(RequestError::HeadTooLarge)
                     } else {
@@ -152,20 +156,24 @@
                     };
                 }
                 Ok(Some(Message::Chunk(_))) | Err(_) => return Err(RequestError::Malformed),
-                Ok(None) if before > limits.head => return Err(RequestError::HeadTooLarge),
-                Ok(None) => self.reader.fill(until).await?,
+                Ok(None) if buffered > limits.head => return Err(RequestError::HeadTooLarge),
+                Ok(None) => self.reader.fill(deadline).await?,
             }
         }
     }
 
-    async fn body(&mut self, limits: &Limits, until: Instant) -> Result<Bytes, RequestError> {
+    async fn read_body(
+        &mut self,
+        limits: &Limits,
+        deadline: Instant,
+    ) -> Result<Bytes, RequestError> {
         let mut body = BytesMut::new();
         loop {
             match self.writer.codec.decode(&mut self.reader.received) {
-                Ok(Some(Message::Chunk(Some(piece)))) => body.extend_from_slice(&piece),
+                Ok(Some(Message::Chunk(Some(chunk)))) => body.extend_from_slice(&chunk),
                 Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
                 Ok(Some(Message::Item(_))) | Err(_) => return Err(RequestError::Malformed),
-                Ok(None) => self.reader.fill(until).await?,
+                Ok(None) => self.reader.fill(deadline).await?,
             }
             if body.len() > limits.body {
                 return Err(RequestError::BodyTooLarge);
@@ -175,68 +183,69 @@
 }
 
 impl Reader {
-    async fn fill(&mut self, until: Instant) -> Result<(), RequestError> {
+    async fn fill(&mut self, deadline: Instant) -> Result<(), RequestError> {
         loop {
-            match timeout_at(until, self.stream.readable()).await {
+            match timeout_at(deadline, self.stream.readable()).await {
                 Err(_) => return Err(RequestError::TimedOut),
                 Ok(Err(_)) => return Err(RequestError::Disconnected),
                 Ok(Ok(())) => {}
             }
             match try_read(&self.stream, &mut self.received) {
-                Ok(Step::Moved) => return Ok(()),
-                Ok(Step::Blocked) => {}
-                Ok(Step::End) | Err(_) => return Err(RequestError::Disconnected),
+                Ok(Transfer::Progress) => return Ok(()),
+                Ok(Transfer::WouldBlock) => {}
+                Ok(Transfer::Eof) | Err(_) => return Err(RequestError::Disconnected),
             }
         }
     }
 
-    /// Returns when the caller has closed. Meanwhile keeps what it sends ahead, within bounds.
+    /// Completes when the caller has closed the connection. Until then buffers what it sends, up to
+    /// a limit; beyond that the future never completes.
     pub async fn closed(&mut self) {
         loop {
-            if self.received.len() >= READ_AHEAD {
+            if self.received.len() >= READ_AHEAD_BYTES {
                 return pending().await;
             }
             if self.stream.readable().await.is_err() {
                 return;
             }
             match try_read(&self.stream, &mut self.received) {
-                Ok(Step::Moved | Step::Blocked) => {}
-                Ok(Step::End) | Err(_) => return,
+                Ok(Transfer::Progress | Transfer::WouldBlock) => {}
+                Ok(Transfer::Eof) | Err(_) => return,
             }
         }
     }
 }
 
 impl Writer {
-    /// Whether the head of an answer has been written for the present request.
+    /// Whether the head of the response to the current request has been written.
     pub fn has_written_head(&self) -> bool {
-        self.begun
+        self.head_written
     }
 
-    /// Whether the connection stays open after the answer, as its head said.
+    /// Whether the connection stays open after the response, as its head announced.
     pub fn keep_alive(&self) -> bool {
         self.codec.keep_alive()
     }
 
-    /// Writes the head of an answer, and its whole body if that is known.
+    /// Writes the head of a response; its body, if any, follows by [`Writer::write_chunk`].
     ///
     /// # Errors
     ///
-    /// If the caller has gone.
+    /// If the caller has disconnected.
     pub async fn write_head(&mut self, head: Response<()>, size: BodySize) -> io::Result<()> {
-        self.begun = true;
+        self.head_written = true;
         self.codec
             .encode(Message::Item((head, size)), &mut self.unsent)?;
         self.flush().await
     }
 
-    /// Writes an answer whose body is known.
+    /// Writes a complete response.
     ///
     /// # Errors
     ///
-    /// If the caller has gone.
+    /// If the caller has disconnected.
     pub async fn write_response(&mut self, head: Response<()>, body: Bytes) -> io::Result<()> {
-        self.begun = true;
+        self.head_written = true;
         let size = BodySize::Sized(body.len() as u64);
         self.codec
             .encode(Message::Item((head, size)), &mut self.unsent)?;
@@ -248,14 +257,14 @@
         self.flush().await
     }
 
-    /// Writes a piece of a body of unknown size.
+    /// Writes a chunk of a body of unknown size.
     ///
     /// # Errors
     ///
-    /// If the caller has gone.
-    pub async fn write_chunk(&mut self, piece: Bytes) -> io::Result<()> {
+    /// If the caller has disconnected.
+    pub async fn write_chunk(&mut self, chunk: Bytes) -> io::Result<()> {
         self.codec
-            .encode(Message::Chunk(Some(piece)), &mut self.unsent)?;
+            .encode(Message::Chunk(Some(chunk)), &mut self.unsent)?;
         self.flush().await
     }
 
@@ -263,13 +272,13 @@
     ///
     /// # Errors
     ///
-    /// If the caller has gone.
+    /// If the caller has disconnected.
     pub async fn finish(&mut self) -> io::Result<()> {
         self.codec.encode(Message::Chunk(None), &mut self.unsent)?;
         self.flush().await
     }
 
-    async fn go_on(&mut self) -> io::Result<()> {
+    async fn write_continue(&mut self) -> io::Result<()> {
         self.unsent
             .extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
         self.flush().await
@@ -278,9 +287,9 @@
     async fn flush(&mut self) -> io::Result<()> {
         while !self.unsent.is_empty() {
             match try_write(&self.stream, &mut self.unsent)? {
-                Step::Moved => {}
-                Step::Blocked => self.stream.writable().await?,
-                Step::End => return Err(io::ErrorKind::WriteZero.into()),
+                Transfer::Progress => {}
+                Transfer::WouldBlock => self.stream.writable().await?,
+                Transfer::Eof => return Err(io::ErrorKind::WriteZero.into()),
             }
         }
         Ok(())
@@ -289,16 +298,16 @@
 
 fn owned_head(mut request: Request) -> RequestHead {
     let mut head = RequestHead::default();
-    let from = request.head_mut();
-    std::mem::swap(&mut head.uri, &mut from.uri);
-    std::mem::swap(&mut head.method, &mut from.method);
-    std::mem::swap(&mut head.headers, &mut from.headers);
-    head.version = from.version;
+    let source = request.head_mut();
+    std::mem::swap(&mut head.uri, &mut source.uri);
+    std::mem::swap(&mut head.method, &mut source.method);
+    std::mem::swap(&mut head.headers, &mut source.headers);
+    head.version = source.version;
     head
 }
 
 impl RequestError {
-    /// The status that tells the caller, or nothing where nobody is left to be told.
+    /// The status of the response to the caller; `None` if the caller has disconnected.
     pub fn status(self) -> Option<StatusCode> {
         match self {
             Self::Disconnected => None,
--- a/crates/http1/src/socket.rs
+++ b/crates/http1/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of sockets, and reads and writes that never block the thread.
+//! Socket options, and non-blocking reads and writes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,39 +8,39 @@
 use socket2::{Domain, SockRef, Socket, TcpKeepalive, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long a peer may be silent at the level of TCP before its connection counts as dead.
+/// TCP time-outs after which a connection counts as dead.
 ///
-/// A paused or unreachable machine answers nothing, not even a reset, and an exchange with it
-/// would wait until the request's own deadline. One notices it by requests that end exactly at
-/// their deadline, all towards one peer. The kernel's probes find it out while the exchange waits.
+/// A paused or unreachable machine sends nothing, not even a reset, and an exchange with it would
+/// wait until the request's deadline: all requests to one peer end exactly at their deadline. The
+/// kernel's keepalive probes detect it while the exchange waits.
 #[derive(Clone, Copy, Debug)]
 pub struct TcpTimeouts {
-    /// Time for a connection to open.
+    /// Time limit for opening a connection.
     pub connect: Duration,
-    /// Time for sent bytes to be acknowledged.
+    /// Time limit for the acknowledgement of sent bytes.
     pub acknowledge: Duration,
-    /// Silence before the first probe, and between probes.
+    /// Idle time before the first keepalive probe, and the time between probes.
     pub probe_interval: Duration,
-    /// Probes without an answer before the connection ends.
+    /// Unanswered probes after which the connection is closed.
     pub probe_count: u32,
 }
 
 impl TcpTimeouts {
-    /// The patience of an exchange that is of no use after `time`: each of its steps may take that long.
-    pub const fn within(time: Duration) -> Self {
+    /// Time-outs for an exchange whose response is useless after `limit`, which bounds each step.
+    pub const fn within(limit: Duration) -> Self {
         Self {
-            connect: time,
-            acknowledge: time,
-            probe_interval: time,
+            connect: limit,
+            acknowledge: limit,
+            probe_interval: limit,
             probe_count: 1,
         }
     }
 }
 
-/// Queue of connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 512;
 
-/// A socket that listens on `address`, also while connections of an earlier process linger.
+/// Listens on `address`, even while connections of an earlier process are in `TIME_WAIT`.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -50,59 +50,59 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Sets the options of an open connection.
-pub(crate) fn tune(stream: &TcpStream, patience: &TcpTimeouts) -> io::Result<()> {
+/// Sets the socket options of an open connection.
+pub(crate) fn set_options(stream: &TcpStream, timeouts: &TcpTimeouts) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probe = whole_seconds(patience.probe_interval);
-    let probes = TcpKeepalive::new()
-        .with_time(probe)
-        .with_interval(probe)
-        .with_retries(patience.probe_count);
-    socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(patience.acknowledge))
+    let interval = round_up_to_seconds(timeouts.probe_interval);
+    let keepalive = TcpKeepalive::new()
+        .with_time(interval)
+        .with_interval(interval)
+        .with_retries(timeouts.probe_count);
+    socket.set_tcp_keepalive(&keepalive)?;
+    socket.set_tcp_user_timeout(Some(timeouts.acknowledge))
 }
 
-/// The kernel takes times between probes in whole seconds, cut off, and refuses zero: a connection with a
-/// shorter time would not open at all.
-fn whole_seconds(time: Duration) -> Duration {
-    let seconds = time.as_secs() + u64::from(time.subsec_nanos() > 0);
+/// The kernel truncates the probe interval to whole seconds and rejects zero: with an interval
+/// below one second no connection would open.
+fn round_up_to_seconds(interval: Duration) -> Duration {
+    let seconds = interval.as_secs() + u64::from(interval.subsec_nanos() > 0);
     Duration::from_secs(seconds.max(1))
 }
 
-/// What one try of a read or write did.
+/// The result of a non-blocking read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
-    Moved,
-    Blocked,
-    End,
+pub(crate) enum Transfer {
+    Progress,
+    WouldBlock,
+    Eof,
 }
 
-/// Least room for one read, in bytes.
-const READ_ROOM: usize = 8 * 1024;
+/// Buffer space reserved for reads, in bytes.
+const READ_RESERVE: usize = 8 * 1024;
 
-/// Reads what is there into `into`.
-pub(crate) fn try_read(stream: &TcpStream, into: &mut BytesMut) -> io::Result<Step> {
-    if into.capacity() - into.len() < READ_ROOM / 4 {
-        into.reserve(READ_ROOM);
+/// Appends available bytes to `buffer`.
+pub(crate) fn try_read(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<Transfer> {
+    if buffer.capacity() - buffer.len() < READ_RESERVE / 4 {
+        buffer.reserve(READ_RESERVE);
     }
-    match stream.try_read_buf(into) {
-        Ok(0) => Ok(Step::End),
-        Ok(_) => Ok(Step::Moved),
-        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Step::Blocked),
+    match stream.try_read_buf(buffer) {
+        Ok(0) => Ok(Transfer::Eof),
+        Ok(_) => Ok(Transfer::Progress),
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Transfer::WouldBlock),
         Err(error) => Err(error),
     }
 }
 
-/// Writes what the peer takes of `from`, and drops it there.
-pub(crate) fn try_write(stream: &TcpStream, from: &mut BytesMut) -> io::Result<Step> {
-    match stream.try_write(from) {
-        Ok(0) => Ok(Step::End),
+/// Writes bytes of `buffer` without blocking, and removes those written.
+pub(crate) fn try_write(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<Transfer> {
+    match stream.try_write(buffer) {
+        Ok(0) => Ok(Transfer::Eof),
         Ok(n) => {
-            from.advance(n);
-            Ok(Step::Moved)
+            buffer.advance(n);
+            Ok(Transfer::Progress)
         }
-        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Step::Blocked),
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Transfer::WouldBlock),
         Err(error) => Err(error),
     }
 }
