--- a/crates/http1/tests/exchanges.rs
+++ b/crates/http1/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! What is certain of an exchange, against peers that answer as scripted.
+//! What client and server connections report about exchanges with scripted peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-const PATIENCE: TcpTimeouts = TcpTimeouts {
+const TIMEOUTS: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_secs(5),
     acknowledge: Duration::from_secs(5),
     probe_interval: Duration::from_secs(5),
@@ -24,10 +24,10 @@
     idle: Duration::from_secs(5),
 };
 
-const MOST: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A peer that reads one request's head and writes `answer`, then closes if told to.
-async fn peer(answer: &'static [u8], closes: bool) -> SocketAddr {
+/// Starts a peer that reads from one connection, writes `response`, and closes it if `closes`.
+async fn peer(response: &'static [u8], closes: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("loopback works");
@@ -36,7 +36,7 @@
         let (mut stream, _) = listener.accept().await.expect("loopback works");
         let mut buffer = [0; 4_096];
         let _ = stream.read(&mut buffer).await.expect("loopback works");
-        stream.write_all(answer).await.expect("loopback works");
+        stream.write_all(response).await.expect("loopback works");
         if closes {
             stream.shutdown().await.expect("loopback works");
         }
@@ -45,130 +45,131 @@
     address
 }
 
-async fn ask(address: SocketAddr) -> (Client, Result<http1::ResponseStart, Failure>) {
-    let mut client = Client::open(address, &PATIENCE, &http1::config())
+async fn send_request(address: SocketAddr) -> (Client, Result<http1::ResponseStart, Failure>) {
+    let mut client = Client::open(address, &TIMEOUTS, &http1::config())
         .await
         .expect("loopback works");
-    let answer = client.send(RequestHead::default(), &Bytes::new()).await;
-    (client, answer)
+    let response = client.send(RequestHead::default(), &Bytes::new()).await;
+    (client, response)
 }
 
 #[actix_rt::test]
-async fn a_whole_answer_leaves_the_connection_reusable() {
+async fn complete_response_leaves_the_connection_reusable() {
     let address = peer(b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", false).await;
-    let (mut client, answer) = ask(address).await;
-    assert_eq!(answer.unwrap().framing, Framing::Delimited);
-    assert_eq!(client.body(MOST).await.unwrap(), "abc");
+    let (mut client, response) = send_request(address).await;
+    assert_eq!(response.unwrap().framing, Framing::Delimited);
+    assert_eq!(client.body(MAX_BODY_BYTES).await.unwrap(), "abc");
     assert!(client.is_reusable());
 }
 
-/// Symptom: a caller gets half an answer that looks complete. Sequence: the engine breaks off within
-/// a body of known length, in an orderly way. Cause: the end of a connection was taken for the
-/// end of the body.
+/// Symptom: a caller gets a truncated response that looks complete. Sequence: the engine closes the
+/// connection in an orderly way within a body of known length. Cause: the end of the connection was
+/// treated as the end of the body.
 #[actix_rt::test]
-async fn an_answer_that_ends_early_is_broken() {
+async fn body_shorter_than_its_length_is_broken() {
     let address = peer(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc", true).await;
-    let (mut client, answer) = ask(address).await;
-    answer.unwrap();
-    assert_matches!(client.body(MOST).await, Err(Failure::Broken(_)));
+    let (mut client, response) = send_request(address).await;
+    response.unwrap();
+    assert_matches!(client.body(MAX_BODY_BYTES).await, Err(Failure::Broken(_)));
     assert!(!client.is_reusable());
 }
 
 #[actix_rt::test]
-async fn chunks_without_a_last_one_are_broken() {
-    let answer = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n";
-    let (mut client, answer) = ask(peer(answer, true).await).await;
-    answer.unwrap();
-    assert_matches!(client.body(MOST).await, Err(Failure::Broken(_)));
+async fn missing_last_chunk_is_broken() {
+    let bytes = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n";
+    let (mut client, response) = send_request(peer(bytes, true).await).await;
+    response.unwrap();
+    assert_matches!(client.body(MAX_BODY_BYTES).await, Err(Failure::Broken(_)));
 }
 
-/// Symptom: callers get empty bodies with the status of a success. Sequence: an engine answers
-/// without a length and ends the body with its connection. Cause: the codec takes such an answer
-/// for one without a body.
+/// Symptom: callers get empty bodies with a success status. Sequence: an engine responds without a
+/// length and ends the body by closing the connection. Cause: the codec treats such a response as
+/// one without a body.
 #[actix_rt::test]
-async fn an_answer_without_a_length_goes_on_to_the_end_of_its_connection() {
-    let (mut client, answer) = ask(peer(b"HTTP/1.1 200 OK\r\n\r\nabc", true).await).await;
-    assert_eq!(answer.unwrap().framing, Framing::UntilClose);
-    assert_eq!(client.body(MOST).await.unwrap(), "abc");
+async fn body_without_a_length_extends_to_the_end_of_the_connection() {
+    let (mut client, response) =
+        send_request(peer(b"HTTP/1.1 200 OK\r\n\r\nabc", true).await).await;
+    assert_eq!(response.unwrap().framing, Framing::UntilClose);
+    assert_eq!(client.body(MAX_BODY_BYTES).await.unwrap(), "abc");
     assert!(!client.is_reusable());
 }
 
-/// Symptom: a request is answered with bytes of another one. Sequence: an engine sends an answer
-/// twice; the second copy lies on the connection when the next request is sent. Cause: nobody
-/// looked whether something was left over.
+/// Symptom: a request gets the response to another one. Sequence: an engine sends a response twice;
+/// the second copy is in the receive buffer when the next request is sent. Cause: the client
+/// doesn't check for leftover bytes.
 #[actix_rt::test]
-async fn bytes_behind_an_answer_end_the_use_of_its_connection() {
-    let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\n";
-    let (mut client, answer) = ask(peer(answer, false).await).await;
-    answer.unwrap();
-    client.body(MOST).await.unwrap();
+async fn connection_with_leftover_bytes_is_not_reusable() {
+    let bytes = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\n";
+    let (mut client, response) = send_request(peer(bytes, false).await).await;
+    response.unwrap();
+    client.body(MAX_BODY_BYTES).await.unwrap();
     assert!(!client.is_reusable());
 }
 
 #[actix_rt::test]
-async fn bytes_that_are_no_answer_are_broken() {
-    let (_, answer) = ask(peer(b"garbage\r\n\r\n", true).await).await;
-    assert_matches!(answer, Err(Failure::Broken(_)));
+async fn malformed_response_is_broken() {
+    let (_, response) = send_request(peer(b"garbage\r\n\r\n", true).await).await;
+    assert_matches!(response, Err(Failure::Broken(_)));
 }
 
 #[actix_rt::test]
-async fn a_close_before_the_answer_is_told_from_one_within_it() {
-    let (_, answer) = ask(peer(b"", true).await).await;
-    assert_matches!(answer, Err(Failure::Closed));
-    let (_, answer) = ask(peer(b"HTTP/1.1 200 OK\r\ncont", true).await).await;
-    assert_matches!(answer, Err(Failure::Broken(_)));
+async fn close_before_the_response_differs_from_close_within_it() {
+    let (_, response) = send_request(peer(b"", true).await).await;
+    assert_matches!(response, Err(Failure::Closed));
+    let (_, response) = send_request(peer(b"HTTP/1.1 200 OK\r\ncont", true).await).await;
+    assert_matches!(response, Err(Failure::Broken(_)));
 }
 
-/// Symptom: some calls to engines never get a connection, although the engine listens. Sequence: the patience
-/// of a connection has probes less than a second apart. Cause: the kernel takes whole seconds, and the
-/// time was cut to zero, which it refuses.
+/// Symptom: some calls to engines never get a connection, although the engine listens. Sequence: the
+/// probe interval of a connection is below one second. Cause: the kernel takes whole seconds, and
+/// the interval was truncated to zero, which it rejects.
 #[actix_rt::test]
-async fn a_connection_with_quick_probes_opens() {
+async fn connection_with_a_probe_interval_below_one_second_opens() {
     let address = peer(b"", false).await;
-    let quick = TcpTimeouts {
+    let timeouts = TcpTimeouts {
         probe_interval: Duration::from_millis(400),
-        ..PATIENCE
+        ..TIMEOUTS
     };
     assert!(
-        Client::open(address, &quick, &http1::config())
+        Client::open(address, &timeouts, &http1::config())
             .await
             .is_ok()
     );
 }
 
 #[actix_rt::test]
-async fn a_connection_that_never_opened_sent_nothing() {
+async fn refused_connection_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let failure = Client::open(address, &PATIENCE, &http1::config()).await;
+    let failure = Client::open(address, &TIMEOUTS, &http1::config()).await;
     assert!(failure.is_err_and(|failure| failure.not_sent()));
 }
 
-/// Symptom: a long request is cut, or other bytes stand where the rest of its body is due. Sequence: an
-/// engine answers before it has read the body, and reads on. Cause: the connection was used for
-/// the next request while the rest was still to be sent.
+/// Symptom: a long request body is truncated, or contains bytes of another request. Sequence: an
+/// engine responds before it has read the body, and reads on. Cause: the connection was reused for
+/// the next request while the rest of the body was still unsent.
 #[actix_rt::test]
-async fn an_early_answer_is_read_and_its_connection_not_reused() {
+async fn early_response_is_read_and_its_connection_is_not_reusable() {
     let address = peer(
         b"HTTP/1.1 413 Too Large\r\ncontent-length: 0\r\n\r\n",
         false,
     )
     .await;
-    let mut client = Client::open(address, &PATIENCE, &http1::config())
+    let mut client = Client::open(address, &TIMEOUTS, &http1::config())
         .await
         .unwrap();
     let body = Bytes::from(vec![b'x'; 64 << 20]);
     let mut head = RequestHead::default();
     head.method = actix_http::Method::POST;
-    let answer = client.send(head, &body).await.unwrap();
-    assert_eq!(answer.head.status, StatusCode::PAYLOAD_TOO_LARGE);
-    client.body(MOST).await.unwrap();
+    let response = client.send(head, &body).await.unwrap();
+    assert_eq!(response.head.status, StatusCode::PAYLOAD_TOO_LARGE);
+    client.body(MAX_BODY_BYTES).await.unwrap();
     assert!(!client.is_reusable());
 }
 
-/// A connection with a server's end, on loopback.
-async fn pair() -> (TcpStream, Server) {
+/// A caller's stream and the server connection that accepted it, on loopback.
+async fn connected_pair() -> (TcpStream, Server) {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("loopback works");
@@ -176,60 +177,67 @@
         .await
         .expect("loopback works");
     let (stream, _) = listener.accept().await.expect("loopback works");
-    let server = Server::new(stream, &PATIENCE, &http1::config()).expect("loopback works");
+    let server = Server::new(stream, &TIMEOUTS, &http1::config()).expect("loopback works");
     (caller, server)
 }
 
-async fn request(bytes: &[u8]) -> Result<http1::IncomingRequest, RequestError> {
-    let (mut caller, mut server) = pair().await;
+async fn receive(bytes: &[u8]) -> Result<http1::IncomingRequest, RequestError> {
+    let (mut caller, mut server) = connected_pair().await;
     caller.write_all(bytes).await.expect("loopback works");
     caller.shutdown().await.expect("loopback works");
     server.read_request(&LIMITS).await
 }
 
 #[actix_rt::test]
-async fn a_request_is_read_whole() {
-    let arrival = request(b"POST /a?b=c HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\n\r\nabc").await;
-    let arrival = arrival.unwrap();
-    assert_eq!(arrival.body, "abc");
-    assert_eq!(arrival.head.uri.to_string(), "/a?b=c");
+async fn request_with_a_body_is_read() {
+    let request = receive(b"POST /a?b=c HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\n\r\nabc").await;
+    let request = request.unwrap();
+    assert_eq!(request.body, "abc");
+    assert_eq!(request.head.uri.to_string(), "/a?b=c");
 }
 
 #[actix_rt::test]
-async fn what_is_no_request_is_told_apart() {
-    let both = b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(request(both).await.unwrap_err(), RequestError::Malformed);
-    let two = b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabcd";
-    assert_eq!(request(two).await.unwrap_err(), RequestError::Malformed);
+async fn invalid_requests_are_rejected_with_their_reason() {
+    let length_and_chunked = b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(
-        request(b"no request\r\n\r\n").await.unwrap_err(),
+        receive(length_and_chunked).await.unwrap_err(),
         RequestError::Malformed
     );
+    let two_lengths =
+        b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabcd";
     assert_eq!(
-        request(b"GET / HTTP/1.1\r\nhos").await.unwrap_err(),
+        receive(two_lengths).await.unwrap_err(),
+        RequestError::Malformed
+    );
+    assert_eq!(
+        receive(b"no request\r\n\r\n").await.unwrap_err(),
+        RequestError::Malformed
+    );
+    assert_eq!(
+        receive(b"GET / HTTP/1.1\r\nhos").await.unwrap_err(),
         RequestError::Disconnected
     );
-    let long = format!(
+    let long_head = format!(
         "GET / HTTP/1.1\r\nhost: h\r\nx: {}\r\n\r\n",
         "y".repeat(2_000)
     );
     assert_eq!(
-        request(long.as_bytes()).await.unwrap_err(),
+        receive(long_head.as_bytes()).await.unwrap_err(),
         RequestError::HeadTooLarge
     );
-    let large = format!(
+    let large_body = format!(
         "POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 5000\r\n\r\n{}",
         "y".repeat(5_000)
     );
     assert_eq!(
-        request(large.as_bytes()).await.unwrap_err(),
+        receive(large_body.as_bytes()).await.unwrap_err(),
         RequestError::BodyTooLarge
     );
 }
 
 #[actix_rt::test]
-async fn a_callers_leaving_is_noticed_while_its_request_is_served() {
-    let (mut caller, mut server) = pair().await;
+async fn disconnect_is_detected_while_a_request_is_served() {
+    let (mut caller, mut server) = connected_pair().await;
     caller
         .write_all(b"GET / HTTP/1.1\r\nhost: h\r\n\r\n")
         .await
@@ -241,16 +249,16 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_was_sent_ahead_is_kept() {
-    let (mut caller, mut server) = pair().await;
+async fn pipelined_request_is_buffered() {
+    let (mut caller, mut server) = connected_pair().await;
     let request = b"GET / HTTP/1.1\r\nhost: h\r\n\r\n";
     caller.write_all(request).await.unwrap();
     server.read_request(&LIMITS).await.unwrap();
     caller.write_all(request).await.unwrap();
     let (reader, writer) = server.split();
     tokio::select! {
-        () = reader.closed() => panic!("the caller is there"),
-        written = writer.write_response(Response::with_body(StatusCode::OK, ()), Bytes::new()) => written.unwrap(),
+        () = reader.closed() => panic!("the caller is still connected"),
+        result = writer.write_response(Response::with_body(StatusCode::OK, ()), Bytes::new()) => result.unwrap(),
     }
     server.read_request(&LIMITS).await.unwrap();
 }
