--- a/crates/entry/examples/metrics.rs
+++ b/crates/entry/examples/metrics.rs
@@ -1,5 +1,5 @@
 //! Prints the table of the section "Metrics" in `docs/OPERATORS.md`.
 
 fn main() {
-    print!("{}", entry::metrics::page("tarragon"));
+    print!("{}", entry::metrics::markdown_table("tarragon"));
 }
--- a/crates/entry/src/admin/burn.rs
+++ b/crates/entry/src/admin/burn.rs
@@ -7,13 +7,13 @@
 use report::{Counters, Objective, Report};
 use wire::peer::Burn;
 
-use crate::shared::{Shared, wall};
+use crate::shared::{Shared, unix_time};
 
 /// The report of this entry, or merged over all that can be asked.
 pub async fn report(shared: &Shared, merged: bool) -> Report {
     let view = shared.view();
     let objectives = objectives(&view);
-    let now = wall(&shared.clock).as_secs();
+    let now = unix_time(&shared.clock).as_secs();
     if !merged {
         return Report::new(now, &shared.burn(), &objectives);
     }
--- a/crates/entry/src/admin/handler.rs
+++ b/crates/entry/src/admin/handler.rs
@@ -25,7 +25,8 @@
 
 /// Answers one request of an operator.
 pub async fn handle(shared: Arc<Shared>, mut request: Request) -> Response<BoxBody> {
-    let id = RequestId::of_caller(request.headers()).unwrap_or_else(|| shared.ids.request());
+    let id = RequestId::from_headers(request.headers())
+        .unwrap_or_else(|| shared.id_generator.next_request_id());
     let answer = match admit(&shared, &request) {
         Ok(()) => dispatch(&shared, &mut request).await,
         Err(problem) => problem.into(),
@@ -122,8 +123,8 @@
 
 async fn read_body(shared: &Shared, request: &mut Request) -> Result<String, Problem> {
     let bounds = Bounds {
-        size: LARGEST_BODY,
-        silence: shared.settings.limits.body_time,
+        max_bytes: LARGEST_BODY,
+        idle_timeout: shared.settings.limits.body_time,
     };
     let mut payload = request.take_payload();
     let bytes = body::read(request.headers(), &mut payload, bounds).await?;
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/at_most_once.rs
@@ -14,32 +14,36 @@
 use clock::Clock as _;
 use control::Claim;
 
-use crate::account::Account;
-use crate::asked::Asked;
 use crate::completion;
-use crate::dispatch::Attempt;
+use crate::completion_params::CompletionParams;
+use crate::dispatcher::Attempt;
 use crate::front::problem::{self, Kind, Problem};
 use crate::front::reply::Reply;
-use crate::hold::{Answer, Found};
+use crate::held_answers::{Answer, Lookup};
 use crate::keys;
 use crate::metrics::Metric;
 use crate::plain;
-use crate::work::Work;
+use crate::proxied_request::ProxiedRequest;
+use crate::request_record::RequestRecord;
 
 /// When to come back if an earlier attempt is still in progress, or the log is out.
 const COME_BACK: Duration = Duration::from_secs(1);
 
 /// How a request ended, with its account still open.
 #[derive(Debug)]
-pub struct Ended {
+pub struct CallResult {
     /// The reply or the error.
     pub result: Result<Reply, Problem>,
     /// The account.
-    pub account: Account,
+    pub record: RequestRecord,
 }
 
 /// Runs a completion.
-pub async fn completion(mut work: Work, entry: &Entry, asked: Asked) -> Ended {
+pub async fn completion(
+    mut work: ProxiedRequest,
+    entry: &Entry,
+    asked: CompletionParams,
+) -> CallResult {
     count_demand(&work, entry, &asked);
     if !entry.repeatable {
         return detached(work, entry.clone(), Some(asked)).await;
@@ -53,7 +57,7 @@
 
 /// Counts what the caller asks of the pool, before it is known whether it is admitted: roles are
 /// planned for the work that is wanted and not for the work that they let in.
-fn count_demand(work: &Work, entry: &Entry, asked: &Asked) {
+fn count_demand(work: &ProxiedRequest, entry: &Entry, asked: &CompletionParams) {
     let shared = &work.worker.shared;
     let pool = Arc::from(entry.pool.as_str());
     shared.control.record_demand(
@@ -65,7 +69,7 @@
 }
 
 /// Runs a call to a plain service.
-pub async fn plain(mut work: Work, entry: &Entry) -> Ended {
+pub async fn plain(mut work: ProxiedRequest, entry: &Entry) -> CallResult {
     if !entry.repeatable {
         return detached(work, entry.clone(), None).await;
     }
@@ -76,34 +80,42 @@
     ended(work, result)
 }
 
-fn ended(work: Work, result: Result<Reply, Problem>) -> Ended {
-    Ended {
+fn ended(work: ProxiedRequest, result: Result<Reply, Problem>) -> CallResult {
+    CallResult {
         result,
-        account: work.account,
+        record: work.record,
     }
 }
 
 /// Runs a call in a task that its caller's connection does not take along.
-async fn detached(work: Work, entry: Entry, asked: Option<Asked>) -> Ended {
+async fn detached(
+    work: ProxiedRequest,
+    entry: Entry,
+    asked: Option<CompletionParams>,
+) -> CallResult {
     let shared = work.worker.shared.clone();
-    let request = work.account.request().clone();
-    let counted = shared.life.task();
+    let request = work.record.request().clone();
+    let counted = shared.lifecycle.start_task();
     let task = actix_rt::spawn(async move {
         let _counted = counted;
         let mut work = work;
         let result = once(&mut work, &entry, asked.as_ref()).await;
         ended(work, result)
     });
-    task.await.unwrap_or_else(|_| Ended {
+    task.await.unwrap_or_else(|_| CallResult {
         result: Err(Problem::unknown(
             Kind::BadGateway,
             "the call broke off inside the entry",
         )),
-        account: Account::open(shared, request),
+        record: RequestRecord::open(shared, request),
     })
 }
 
-async fn once(work: &mut Work, entry: &Entry, asked: Option<&Asked>) -> Result<Reply, Problem> {
+async fn once(
+    work: &mut ProxiedRequest,
+    entry: &Entry,
+    asked: Option<&CompletionParams>,
+) -> Result<Reply, Problem> {
     let Some(claim) = keys::claim(work, entry)? else {
         let attempt = admit(work, entry, asked).await?;
         return run(work, entry, asked, attempt).await;
@@ -132,7 +144,11 @@
     }
 }
 
-async fn admit(work: &mut Work, entry: &Entry, asked: Option<&Asked>) -> Result<Attempt, Problem> {
+async fn admit(
+    work: &mut ProxiedRequest,
+    entry: &Entry,
+    asked: Option<&CompletionParams>,
+) -> Result<Attempt, Problem> {
     let request = match asked {
         Some(asked) => completion::request(work, entry, asked),
         None => work.routing_request(entry),
@@ -141,9 +157,9 @@
 }
 
 async fn run(
-    work: &mut Work,
+    work: &mut ProxiedRequest,
     entry: &Entry,
-    asked: Option<&Asked>,
+    asked: Option<&CompletionParams>,
     attempt: Attempt,
 ) -> Result<Reply, Problem> {
     match asked {
@@ -160,16 +176,16 @@
 
 /// Runs a call whose key is ours, holds its answer and tells how it ended.
 async fn run_claimed(
-    work: &mut Work,
+    work: &mut ProxiedRequest,
     entry: &Entry,
-    asked: Option<&Asked>,
+    asked: Option<&CompletionParams>,
     attempt: Attempt,
     own: &Own<'_>,
 ) -> Result<Reply, Problem> {
     let control = work.worker.shared.control.clone();
     // The process may have been paused since the decision; an attempt that the caller has given up
     // must not begin now.
-    if work.left().is_zero() {
+    if work.remaining().is_zero() {
         control.conclude(own.ticket, CallEnd::NotRun);
         return Err(Problem::not_run(
             Kind::DeadlineExceeded,
@@ -190,7 +206,11 @@
 }
 
 /// What a call gets whose key belongs to another one.
-async fn repeated(work: &mut Work, claim: &Claim, decided: Decision) -> Result<Reply, Problem> {
+async fn repeated(
+    work: &mut ProxiedRequest,
+    claim: &Claim,
+    decided: Decision,
+) -> Result<Reply, Problem> {
     match decided {
         Decision::Answered { holder, .. } => match held_there(work, claim, &holder).await {
             Some(answer) => Ok(again(work, answer)),
@@ -233,25 +253,31 @@
 }
 
 /// The end of a call whose answer is held by this process.
-fn held_here(work: &Work, claim: &Claim) -> Option<Result<Reply, Problem>> {
+fn held_here(work: &ProxiedRequest, claim: &Claim) -> Option<Result<Reply, Problem>> {
     let shared = &work.worker.shared;
     let now = shared.clock.now();
-    let held = shared.held.lock().unwrap_or_else(PoisonError::into_inner);
+    let held = shared
+        .held_answers
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
     let found = held.get(now, &claim.key, Some(&claim.fingerprint))?;
     drop(held);
     Some(match found {
-        Found::Answer(answer) => Ok(again(work, answer)),
-        Found::OtherRequest => Err(key_reused()),
+        Lookup::Answer(answer) => Ok(again(work, answer)),
+        Lookup::OtherRequest => Err(key_reused()),
     })
 }
 
-async fn held_there(work: &Work, claim: &Claim, holder: &Holder) -> Option<Answer> {
+async fn held_there(work: &ProxiedRequest, claim: &Claim, holder: &Holder) -> Option<Answer> {
     let shared = &work.worker.shared;
     if holder.instance == shared.settings.instance.id {
         let now = shared.clock.now();
-        let held = shared.held.lock().unwrap_or_else(PoisonError::into_inner);
+        let held = shared
+            .held_answers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         return match held.get(now, &claim.key, Some(&claim.fingerprint)) {
-            Some(Found::Answer(answer)) => Some(answer),
+            Some(Lookup::Answer(answer)) => Some(answer),
             _ => None,
         };
     }
@@ -259,7 +285,7 @@
     asked.await.and_then(|answer| Answer::try_from(answer).ok())
 }
 
-fn again(work: &Work, answer: Answer) -> Reply {
+fn again(work: &ProxiedRequest, answer: Answer) -> Reply {
     work.worker.shared.metrics.add(Metric::Repeats, 1);
     let mut map = HeaderMap::with_capacity(answer.headers.len());
     for (name, value) in &answer.headers {
@@ -276,7 +302,7 @@
     }
 }
 
-fn hold(work: &Work, entry: &Entry, claim: &Claim, reply: &Reply) {
+fn hold(work: &ProxiedRequest, entry: &Entry, claim: &Claim, reply: &Reply) {
     let Reply::Whole {
         status,
         headers,
@@ -296,13 +322,16 @@
     };
     let time = entry.hold_answer.min(shared.settings.hold.time);
     let now = shared.clock.now();
-    let mut held = shared.held.lock().unwrap_or_else(PoisonError::into_inner);
-    held.put(now, time, claim.key, claim.fingerprint, answer);
+    let mut held = shared
+        .held_answers
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
+    held.insert(now, time, claim.key, claim.fingerprint, answer);
 }
 
 fn speaking_of_the_key(refused: Problem, claim: &Claim) -> Problem {
     Problem {
-        ran: match keys::ran_before_claim(claim) {
+        ran: match keys::execution_before_claim(claim) {
             Executed::No => refused.ran,
             Executed::Unknown => problem::Ran::Unknown,
         },
--- a/crates/entry/src/gathered.rs
+++ b/crates/entry/src/body_buffer.rs
@@ -4,7 +4,7 @@
 
 /// The pieces so far, up to a size.
 #[derive(Debug)]
-pub struct Gathered {
+pub struct BodyBuffer {
     limit: usize,
     first: Bytes,
     whole: BytesMut,
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLarge;
 
-impl Gathered {
+impl BodyBuffer {
     /// Nothing yet, of at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self {
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -6,20 +6,20 @@
 use routing::request::Request;
 use serde::Deserialize;
 
-use crate::asked::Asked;
-use crate::dispatch::Attempt;
+use crate::completion_params::CompletionParams;
+use crate::dispatcher::Attempt;
 use crate::front::headers;
 use crate::front::problem::{Kind, Problem};
 use crate::front::reply::{Reply, caller_headers};
 use crate::metrics::Metric;
-use crate::stream::relay::{End, Origin, Relay};
+use crate::proxied_request::ProxiedRequest;
+use crate::stream::event_id::StreamLocation;
+use crate::stream::relay::{Relay, StreamError, StreamSource};
 use crate::stream::sse::Relayed;
-use crate::stream::token::Place;
 use crate::upstream::client::{Answer, Call};
 use crate::upstream::failure::Failure;
 use crate::upstream::kv::{Stage, Transfer};
-use crate::upstream::stream_guard::Guard;
-use crate::work::Work;
+use crate::upstream::stream_guard::StreamGuard;
 
 /// Runs an admitted completion over as many attempts as are allowed.
 ///
@@ -27,13 +27,13 @@
 ///
 /// The error for the caller.
 pub async fn run(
-    work: &mut Work,
+    work: &mut ProxiedRequest,
     entry: &Entry,
-    asked: &Asked,
+    asked: &CompletionParams,
     mut attempt: Attempt,
 ) -> Result<Reply, Problem> {
     loop {
-        work.begin(&attempt);
+        work.begin_attempt(&attempt);
         let failed = match once(work, entry, asked, attempt).await {
             Ok(result) => return result,
             Err(failed) => failed,
@@ -49,7 +49,7 @@
 }
 
 /// What the router has to know of a completion.
-pub fn request(work: &Work, entry: &Entry, asked: &Asked) -> Request {
+pub fn request(work: &ProxiedRequest, entry: &Entry, asked: &CompletionParams) -> Request {
     let mut request = work.routing_request(entry);
     request.prompt_tokens = asked.prompt_tokens;
     request.output_tokens = asked.output_tokens;
@@ -58,24 +58,24 @@
     // An answer whose first token comes after the objective is a bad one already; capacity is
     // better spent on those that can still be good.
     if let Some(first) = entry.contract.first_token {
-        request.deadline = request.deadline.min(work.account.started() + first);
+        request.deadline = request.deadline.min(work.record.started() + first);
     }
     request
 }
 
 async fn once(
-    work: &mut Work,
+    work: &mut ProxiedRequest,
     entry: &Entry,
-    asked: &Asked,
+    asked: &CompletionParams,
     attempt: Attempt,
 ) -> Result<Result<Reply, Problem>, Failed> {
     let handle = transfer(work, &attempt).await;
-    let place = Place {
-        engine: attempt.sending().upstream.to_string(),
-        stream: work.worker.shared.ids.text(),
+    let place = StreamLocation {
+        engine: attempt.assignment().upstream.to_string(),
+        stream: work.worker.shared.id_generator.next_id(),
         entry: entry.name.clone(),
         request: work
-            .request_header()
+            .attempt_header()
             .to_str()
             .unwrap_or_default()
             .to_owned(),
@@ -85,7 +85,7 @@
         false => whole(work, asked, &place, &attempt, handle).await,
     };
     if result.is_ok() {
-        work.observe_answer(&attempt.sending().upstream);
+        work.observe_answer(&attempt.assignment().upstream);
     }
     match result {
         Ok(Got::Whole(reply)) => Ok(Ok(reply)),
@@ -94,7 +94,7 @@
             first,
             attempt: Some(attempt),
         })),
-        Ok(Got::Wrong(problem)) => Ok(Err(work.covering(problem))),
+        Ok(Got::Wrong(problem)) => Ok(Err(work.with_execution(problem))),
         Err(failure) => Err(Failed { attempt, failure }),
     }
 }
@@ -106,74 +106,74 @@
 }
 
 async fn streamed(
-    work: &mut Work,
-    asked: &Asked,
-    place: Place,
+    work: &mut ProxiedRequest,
+    asked: &CompletionParams,
+    place: StreamLocation,
     attempt: &Attempt,
     handle: Option<HeaderValue>,
 ) -> Result<Got, Failure> {
     let address = work.address(&place.engine)?;
-    let origin = Origin {
+    let origin = StreamSource {
         address,
-        next: 0,
+        next_event: 0,
         owner: work.owner.to_string(),
-        request: work.request_header(),
+        request: work.attempt_header(),
         deadline: work.deadline,
         prompt_bytes: asked.prompt_bytes,
-        place,
+        location: place,
     };
     let mut guard = guard(work, &origin);
-    let answer = send(work, address, &origin.place.stream, attempt, handle).await?;
+    let answer = send(work, address, &origin.location.stream, attempt, handle).await?;
     let answer = match accepted(work, answer).await? {
         Accepted::Answer(answer) => answer,
         Accepted::Wrong(problem) => {
-            guard.release();
+            guard.disarm();
             return Ok(Got::Wrong(problem));
         }
     };
     let mut relay = Box::new(Relay::new(work.worker.clone(), origin, Some(*answer)));
-    guard.release();
-    match relay.first().await {
+    guard.disarm();
+    match relay.first_events().await {
         Ok(first) => {
-            attempt.prefilled();
+            attempt.prefill_done();
             Ok(Got::Events(relay, first))
         }
-        Err(End::Deadline) => Err(Failure::TimedOut),
-        Err(End::Gone) => Err(Failure::Lost("the engine lost the stream".to_owned())),
-        Err(End::Unreachable(failure)) => Err(Failure::Lost(failure.to_string())),
+        Err(StreamError::Deadline) => Err(Failure::TimedOut),
+        Err(StreamError::Gone) => Err(Failure::Lost("the engine lost the stream".to_owned())),
+        Err(StreamError::Unreachable(failure)) => Err(Failure::Lost(failure.to_string())),
     }
 }
 
 async fn whole(
-    work: &mut Work,
-    asked: &Asked,
-    place: &Place,
+    work: &mut ProxiedRequest,
+    asked: &CompletionParams,
+    place: &StreamLocation,
     attempt: &Attempt,
     handle: Option<HeaderValue>,
 ) -> Result<Got, Failure> {
-    let address = work.address(&attempt.sending().upstream)?;
-    let mut guard = Guard::new(
+    let address = work.address(&attempt.assignment().upstream)?;
+    let mut guard = StreamGuard::new(
         work.worker.guard_context(),
         address,
         place.stream.clone(),
-        work.request_header(),
+        work.attempt_header(),
     );
     let answer = send(work, address, &place.stream, attempt, handle).await?;
     let mut answer = match accepted(work, answer).await? {
         Accepted::Answer(answer) => answer,
         Accepted::Wrong(problem) => {
-            guard.release();
+            guard.disarm();
             return Ok(Got::Wrong(problem));
         }
     };
     let limit = work.worker.shared.settings.limits.answer;
-    let body = actix_rt::time::timeout(work.left(), answer.whole(limit))
+    let body = actix_rt::time::timeout(work.remaining(), answer.read_all(limit))
         .await
         .map_err(|_| Failure::TimedOut)??;
-    guard.release();
+    guard.disarm();
     if let Some(usage) = count_tokens(work, attempt, &body) {
-        let densities = &work.worker.shared.densities;
-        densities.note(&place.entry, asked.prompt_bytes, usage.prompt_tokens);
+        let densities = &work.worker.shared.token_estimator;
+        densities.record(&place.entry, asked.prompt_bytes, usage.prompt_tokens);
     }
     Ok(Got::Whole(Reply::Whole {
         status: answer.status(),
@@ -194,31 +194,31 @@
     completion_tokens: u32,
 }
 
-fn count_tokens(work: &mut Work, attempt: &Attempt, body: &[u8]) -> Option<Usage> {
+fn count_tokens(work: &mut ProxiedRequest, attempt: &Attempt, body: &[u8]) -> Option<Usage> {
     let answered: Answered = serde_json::from_slice(body).ok()?;
     let usage = answered.usage?;
-    attempt.tokens(usage.completion_tokens);
-    work.account.whole_tokens(usage.completion_tokens);
+    attempt.tokens_received(usage.completion_tokens);
+    work.record.add_unstreamed_tokens(usage.completion_tokens);
     Some(usage)
 }
 
-fn guard(work: &Work, origin: &Origin) -> Guard {
-    Guard::new(
+fn guard(work: &ProxiedRequest, origin: &StreamSource) -> StreamGuard {
+    StreamGuard::new(
         work.worker.guard_context(),
         origin.address,
-        origin.place.stream.clone(),
+        origin.location.stream.clone(),
         origin.request.clone(),
     )
 }
 
 async fn send(
-    work: &Work,
+    work: &ProxiedRequest,
     address: std::net::SocketAddr,
     stream: &str,
     attempt: &Attempt,
     handle: Option<HeaderValue>,
 ) -> Result<Answer, Failure> {
-    let mut map = work.upstream_headers(attempt.sending());
+    let mut map = work.upstream_headers(attempt.assignment());
     if let Ok(stream) = HeaderValue::try_from(stream) {
         map.insert(headers::STREAM_ID, stream);
     }
@@ -230,47 +230,51 @@
         method: work.method.clone(),
         target: &work.target,
         headers: map,
-        request: work.request_header(),
-        timeout: work.left(),
+        request: work.attempt_header(),
+        timeout: work.remaining(),
     };
     work.worker.client.send(call, work.body.clone()).await
 }
 
 /// Runs the KV transfer that the router asked for. If it fails, the answering engine prefills too,
 /// which costs time and nothing else.
-async fn transfer(work: &Work, attempt: &Attempt) -> Option<HeaderValue> {
-    let prefill = attempt.sending().prefill.clone()?;
+async fn transfer(work: &ProxiedRequest, attempt: &Attempt) -> Option<HeaderValue> {
+    let prefill = attempt.assignment().prefill.clone()?;
     let result = try_transfer(work, attempt, &prefill).await;
     match result {
         Ok(handle) => {
-            attempt.prefilled();
+            attempt.prefill_done();
             Some(handle)
         }
         Err(stage) => {
             log::info!(
-                request_id = work.account.request().as_str(),
+                request_id = work.record.request().as_str(),
                 upstream = &*prefill,
                 stage:? = stage;
                 "a KV transfer failed"
             );
             work.worker.shared.metrics.add(Metric::KvFallbacks, 1);
-            attempt.together();
+            attempt.transfer_failed();
             None
         }
     }
 }
 
-async fn try_transfer(work: &Work, attempt: &Attempt, prefill: &str) -> Result<HeaderValue, Stage> {
-    let request = work.request_header();
+async fn try_transfer(
+    work: &ProxiedRequest,
+    attempt: &Attempt,
+    prefill: &str,
+) -> Result<HeaderValue, Stage> {
+    let request = work.attempt_header();
     let transfer = Transfer {
         prefill: work.address(prefill).map_err(Stage::Export)?,
         decode: work
-            .address(&attempt.sending().upstream)
+            .address(&attempt.assignment().upstream)
             .map_err(Stage::Import)?,
         body: work.body.clone(),
         request: &request,
-        priority: attempt.sending().priority,
-        left: work.left(),
+        priority: attempt.assignment().priority,
+        remaining: work.remaining(),
     };
     transfer.run(&work.worker.client).await
 }
@@ -294,16 +298,16 @@
 
 /// Tells an engine's answer from its refusals. "Not run" is believed only when the engine says so
 /// itself and under the request's id; any other error may come from work that was begun.
-async fn accepted(work: &Work, mut answer: Answer) -> Result<Accepted, Failure> {
+async fn accepted(work: &ProxiedRequest, mut answer: Answer) -> Result<Accepted, Failure> {
     let status = answer.status();
-    let matched = answer.is_matched(&work.request_header());
+    let matched = answer.is_matched(&work.attempt_header());
     if status == StatusCode::OK {
         return match matched {
             true => Ok(Accepted::Answer(Box::new(answer))),
             false => Err(Failure::Crossed),
         };
     }
-    let body = answer.whole(ERROR_BODY).await?;
+    let body = answer.read_all(ERROR_BODY).await?;
     let declined: Option<Declined> = serde_json::from_slice(&body).ok();
     let Some(declined) = declined.filter(|declined| declined.ran == "no") else {
         return Err(Failure::Lost(format!("the engine answered {status}")));
--- a/crates/entry/src/asked.rs
+++ b/crates/entry/src/completion_params.rs
@@ -7,13 +7,13 @@
 use routing::request::Prefix;
 use smallvec::SmallVec;
 
-use crate::density::Densities;
 use crate::front::prompt::Prompt;
-use crate::work::model_name;
+use crate::proxied_request::model_name;
+use crate::token_estimator::TokenEstimator;
 
 /// What of a prompt outlives the borrowed body.
 #[derive(Debug)]
-pub struct Asked {
+pub struct CompletionParams {
     /// The caller wants server-sent events.
     pub stream: bool,
     /// Bytes of the prompt.
@@ -28,9 +28,9 @@
     pub model: Arc<str>,
 }
 
-impl Asked {
+impl CompletionParams {
     /// Reads what the decisions and attempts need.
-    pub fn new(prompt: &Prompt<'_>, entry: &Entry, densities: &Densities) -> Self {
+    pub fn new(prompt: &Prompt<'_>, entry: &Entry, densities: &TokenEstimator) -> Self {
         let bytes_per_token = densities.bytes_per_token(&entry.name);
         let model = model_name(&entry.target).unwrap_or_default();
         Self {
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -14,19 +14,19 @@
 use settings::Settings;
 use signals::{EarlySignals, Request, Signals};
 
-use crate::density::Densities;
-use crate::dispatch::Dispatch;
+use crate::dispatcher::Dispatcher;
 use crate::front::{request_id, server};
-use crate::hold::Answers;
+use crate::held_answers::HeldAnswers;
 use crate::hooks::hooks;
 use crate::metrics::{self, Metric, Metrics};
 use crate::policy::Overrides;
-use crate::process::phase::{Life, Phase};
-use crate::process::pulse::{BEAT, Pulse};
+use crate::process::pause_detector::{PauseDetector, TICK_INTERVAL};
+use crate::process::phase::{Lifecycle, Phase};
+use crate::router_sync;
 use crate::shared::Shared;
-use crate::stream::resumed::Resumed;
-use crate::stream::token;
-use crate::world;
+use crate::stream::event_id;
+use crate::stream::resumed_streams::ResumedStreams;
+use crate::token_estimator::TokenEstimator;
 
 /// Least time for handing over what the control holds.
 const HANDOVER: Duration = Duration::from_millis(500);
@@ -82,7 +82,7 @@
     }
     println!("listening {}", front.address);
     log::info!(address:% = front.address, instance = shared.settings.instance.id.as_str(); "serving callers");
-    actix_rt::spawn(world::follow(Arc::clone(&shared)));
+    actix_rt::spawn(router_sync::follow_views(Arc::clone(&shared)));
     actix_rt::spawn(beat(Arc::clone(&shared)));
     actix_rt::spawn(tick(Arc::clone(&shared)));
     actix_rt::spawn(send_metrics(Arc::clone(&shared)));
@@ -111,16 +111,16 @@
         policy: Overrides::try_from(&settings.policy).change_context(Failure::Policy)?,
         control,
         applied: AtomicU64::new(0),
-        resumed: Resumed::default(),
-        dispatch: Dispatch::new(router, clock),
-        ids: request_id::Mint::new(random.random()),
-        tokens: token::Mint::new(&secret, settings.resume.time),
-        held: Mutex::new(Answers::new(settings.hold.bytes)),
-        densities: Densities::default(),
+        resumed: ResumedStreams::default(),
+        dispatcher: Dispatcher::new(router, clock),
+        id_generator: request_id::IdGenerator::new(random.random()),
+        event_ids: event_id::Mint::new(&secret, settings.resume.time),
+        held_answers: Mutex::new(HeldAnswers::new(settings.hold.bytes)),
+        token_estimator: TokenEstimator::default(),
         metrics: Metrics::new(),
         burn: Mutex::default(),
-        life: Life::new(),
-        pulse: Pulse::new(clock.now()),
+        lifecycle: Lifecycle::new(),
+        pause_detector: PauseDetector::new(clock.now()),
         clock,
         settings,
     })
@@ -143,18 +143,18 @@
 ) -> Result<(), Report<Failure>> {
     let times = &shared.settings.shutdown;
     log::info!(balancer:? = times.balancer, limit:? = times.limit; "stopping");
-    shared.life.advance(Phase::Leaving);
+    shared.lifecycle.advance(Phase::Leaving);
     sleep(times.balancer).await;
-    shared.life.advance(Phase::Finishing);
+    shared.lifecycle.advance(Phase::Finishing);
     shared.control.leave();
     let rest = times.limit.saturating_sub(times.balancer);
     let until = shared.clock.now() + rest;
     let finished = timeout(rest, async {
         handle.stop(true).await;
-        shared.life.idle().await;
+        shared.lifecycle.wait_for_tasks().await;
     })
     .await;
-    shared.life.advance(Phase::Abandoning);
+    shared.lifecycle.advance(Phase::Abandoning);
     let left = until.saturating_sub(shared.clock.now()).max(HANDOVER);
     shared.control.stop(left).await;
     log::info!(in_time = finished.is_ok(), open = shared.metrics.get(Metric::Open); "stopped");
@@ -162,10 +162,10 @@
 }
 
 async fn beat(shared: Arc<Shared>) {
-    let mut interval = interval(BEAT);
+    let mut interval = interval(TICK_INTERVAL);
     loop {
         interval.tick().await;
-        if shared.pulse.beat(shared.clock.now()) {
+        if shared.pause_detector.tick(shared.clock.now()) {
             shared.metrics.add(Metric::Pauses, 1);
             log::warn!("the process was paused");
         }
@@ -176,17 +176,17 @@
     let mut interval = interval(router::TICK);
     loop {
         interval.tick().await;
-        shared.dispatch.tick();
+        shared.dispatcher.tick();
     }
 }
 
 async fn send_metrics(shared: Arc<Shared>) {
     let statsd = &shared.settings.statsd;
     let client = metrics::client(&statsd.prefix, statsd.address);
-    let mut interval = interval(metrics::PERIOD);
+    let mut interval = interval(metrics::SEND_INTERVAL);
     loop {
         interval.tick().await;
-        if let Ok(mut held) = shared.held.lock() {
+        if let Ok(mut held) = shared.held_answers.lock() {
             held.expire(shared.clock.now());
             shared.metrics.set(Metric::HeldBytes, held.size() as u64);
         }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatcher.rs
@@ -30,7 +30,7 @@
 
 /// The router with the requests that wait for it. Clones share both.
 #[derive(Clone, Debug)]
-pub struct Dispatch {
+pub struct Dispatcher {
     inner: Arc<Mutex<Inner>>,
     clock: System,
 }
@@ -46,7 +46,7 @@
     Refused(Refusal),
 }
 
-impl Dispatch {
+impl Dispatcher {
     /// A dispatch over a router.
     pub fn new(router: Router, clock: System) -> Self {
         Self {
@@ -64,7 +64,7 @@
     }
 
     /// Runs a short piece of work on the router and delivers what it frees.
-    pub fn with<R>(&self, work: impl FnOnce(Moment, &mut Router) -> R) -> R {
+    pub fn with_router<R>(&self, work: impl FnOnce(Moment, &mut Router) -> R) -> R {
         let now = self.now();
         let mut inner = self.lock();
         let result = work(now, &mut inner.router);
@@ -151,7 +151,7 @@
 /// A place in the queue; given up when dropped, because its caller is gone.
 #[derive(Debug)]
 struct Waiting {
-    dispatch: Dispatch,
+    dispatch: Dispatcher,
     ticket: Ticket,
     receiver: oneshot::Receiver<Placed>,
     placed: bool,
@@ -182,36 +182,36 @@
 /// An attempt in hand. Dropping it tells the router that it ended.
 #[derive(Debug)]
 pub struct Attempt {
-    dispatch: Dispatch,
+    dispatch: Dispatcher,
     sending: Assignment,
     ended: bool,
 }
 
 impl Attempt {
     /// Where it goes.
-    pub fn sending(&self) -> &Assignment {
+    pub fn assignment(&self) -> &Assignment {
         &self.sending
     }
 
     /// The prefill is done.
-    pub fn prefilled(&self) {
+    pub fn prefill_done(&self) {
         self.progress(Progress::Prefilled);
     }
 
     /// So many tokens came.
-    pub fn tokens(&self, count: u32) {
+    pub fn tokens_received(&self, count: u32) {
         self.progress(Progress::Tokens(count));
     }
 
     /// The KV transfer failed; the answering engine prefills as well.
-    pub fn together(&self) {
+    pub fn transfer_failed(&self) {
         let now = self.dispatch.now();
         let attempt = self.sending.attempt;
         self.dispatch.lock().router.transfer_failed(now, attempt);
     }
 
     /// The attempt failed before the caller got any of the answer.
-    pub async fn failed(mut self, ran: Execution) -> Retry {
+    pub async fn fail(mut self, ran: Execution) -> Retry {
         self.ended = true;
         let waiting = {
             let now = self.dispatch.now();
--- a/crates/entry/src/front/body.rs
+++ b/crates/entry/src/front/body.rs
@@ -7,17 +7,17 @@
 use bytes::Bytes;
 use futures_util::StreamExt as _;
 
+use crate::body_buffer::{BodyBuffer, TooLarge};
 use crate::front::problem::{Kind, Problem};
-use crate::gathered::{Gathered, TooLarge};
 
 /// Bounds of a body.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Most bytes.
-    pub size: usize,
+    pub max_bytes: usize,
     /// Longest silence between two parts. Without it a caller that sends a byte a minute would
     /// hold a connection and its memory for as long as it likes.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Reads a body into memory.
@@ -30,10 +30,10 @@
     payload: &mut Payload,
     bounds: Bounds,
 ) -> Result<Bytes, Problem> {
-    if stated_length(headers).is_some_and(|length| length > bounds.size as u64) {
+    if content_length(headers).is_some_and(|length| length > bounds.max_bytes as u64) {
         return Err(too_large(bounds));
     }
-    let mut body = Gathered::new(bounds.size);
+    let mut body = BodyBuffer::new(bounds.max_bytes);
     while let Some(chunk) = next(payload, bounds).await? {
         body.push(chunk).map_err(|TooLarge| too_large(bounds))?;
     }
@@ -41,10 +41,10 @@
 }
 
 async fn next(payload: &mut Payload, bounds: Bounds) -> Result<Option<Bytes>, Problem> {
-    match timeout(bounds.silence, payload.next()).await {
+    match timeout(bounds.idle_timeout, payload.next()).await {
         Err(_) => Err(Problem::not_run(
             Kind::TooSlow,
-            format!("nothing of the body came for {:?}", bounds.silence),
+            format!("nothing of the body came for {:?}", bounds.idle_timeout),
         )),
         Ok(None) => Ok(None),
         Ok(Some(Ok(chunk))) => Ok(Some(chunk)),
@@ -53,7 +53,7 @@
 }
 
 /// The length that the caller states, if it does.
-pub fn stated_length(headers: &HeaderMap) -> Option<u64> {
+pub fn content_length(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(actix_http::header::CONTENT_LENGTH)?;
     value.to_str().ok()?.parse().ok()
 }
@@ -61,6 +61,6 @@
 fn too_large(bounds: Bounds) -> Problem {
     Problem::not_run(
         Kind::TooLarge,
-        format!("at most {} bytes are taken", bounds.size),
+        format!("at most {} bytes are taken", bounds.max_bytes),
     )
 }
--- a/crates/entry/src/front/deadline.rs
+++ b/crates/entry/src/front/deadline.rs
@@ -15,7 +15,7 @@
 ///
 /// The caller's statement is no whole number of milliseconds above zero. A caller that misspells
 /// it must learn so, since it relies on the deadline.
-pub fn of(
+pub fn resolve(
     headers: &HeaderMap,
     now: Moment,
     contract: Duration,
--- a/crates/entry/src/front/handler.rs
+++ b/crates/entry/src/front/handler.rs
@@ -14,20 +14,20 @@
 use control::View;
 use routing::decision::Execution;
 
-use crate::account::{Account, Outcome};
-use crate::asked::{Asked, engine_body};
-use crate::density::Densities;
+use crate::at_most_once;
+use crate::completion_params::{CompletionParams, engine_body};
 use crate::front::body::{self, Bounds};
 use crate::front::problem::{Kind, Problem};
 use crate::front::prompt::Prompt;
 use crate::front::reply::Reply;
 use crate::front::request_id::RequestId;
 use crate::front::{caller, deadline, headers, models, path};
-use crate::once;
 use crate::process::phase::Phase;
+use crate::proxied_request::ProxiedRequest;
+use crate::request_record::{Outcome, RequestRecord};
 use crate::resume::{self, Resumption};
 use crate::shared::Worker;
-use crate::work::Work;
+use crate::token_estimator::TokenEstimator;
 
 /// Answers one request.
 pub async fn handle(worker: Rc<Worker>, request: Request) -> Response<BoxBody> {
@@ -36,7 +36,7 @@
         "/readyz" => ready(&worker),
         _ => serve(&worker, request).await,
     };
-    if worker.shared.life.is_leaving() {
+    if worker.shared.lifecycle.is_stopping() {
         // The balancer keeps connections; closing them one by one moves its traffic elsewhere
         // without cutting a request.
         response
@@ -47,7 +47,7 @@
 }
 
 fn ready(worker: &Worker) -> Response<BoxBody> {
-    let refusal = if worker.shared.life.is_leaving() {
+    let refusal = if worker.shared.lifecycle.is_stopping() {
         Some("leaving\n")
     } else if !worker.shared.view().ready {
         Some("not ready\n")
@@ -61,8 +61,9 @@
 }
 
 async fn serve(worker: &Rc<Worker>, request: Request) -> Response<BoxBody> {
-    let id = RequestId::of_caller(request.headers()).unwrap_or_else(|| worker.shared.ids.request());
-    let account = Account::open(Arc::clone(&worker.shared), id.clone());
+    let id = RequestId::from_headers(request.headers())
+        .unwrap_or_else(|| worker.shared.id_generator.next_request_id());
+    let account = RequestRecord::open(Arc::clone(&worker.shared), id.clone());
     let exchange = Exchange::new(worker, request, account);
     let answer = match exchange.check() {
         Ok(()) => exchange.route().await,
@@ -71,7 +72,7 @@
     match answer {
         Answer::Reply(reply, account) => reply.into_response(account),
         Answer::Problem(problem, mut account) => {
-            account.conclude(Outcome::of(&problem));
+            account.conclude(Outcome::from_problem(&problem));
             problem.response(&id)
         }
     }
@@ -79,8 +80,8 @@
 
 /// How the entry's part ended, with the account that is still open.
 enum Answer {
-    Reply(Reply, Account),
-    Problem(Problem, Account),
+    Reply(Reply, RequestRecord),
+    Problem(Problem, RequestRecord),
 }
 
 /// A request before it is known what serves it.
@@ -91,11 +92,11 @@
     target: String,
     headers: HeaderMap,
     payload: Payload,
-    account: Account,
+    account: RequestRecord,
 }
 
 impl Exchange {
-    fn new(worker: &Rc<Worker>, mut request: Request, account: Account) -> Self {
+    fn new(worker: &Rc<Worker>, mut request: Request, account: RequestRecord) -> Self {
         let payload = request.take_payload();
         let target = request
             .uri()
@@ -125,7 +126,7 @@
             let detail = format!("at most {limit} bytes of headers are taken");
             return Err(Problem::not_run(Kind::HeadTooLarge, detail));
         }
-        if self.worker.shared.life.phase() >= Phase::Finishing {
+        if self.worker.shared.lifecycle.phase() >= Phase::Finishing {
             return Err(Problem::not_run(Kind::Unavailable, "the entry stops"));
         }
         path::check(self.path())
@@ -179,21 +180,21 @@
             Ok(body) => body,
             Err(problem) => return self.refuse(problem),
         };
-        let densities = &self.worker.shared.densities;
+        let densities = &self.worker.shared.token_estimator;
         let prepared = prepare(catalogue, owner, &body, densities);
         let (entry, asked, engine) = match prepared {
             Ok(prepared) => prepared,
             Err(problem) => return self.refuse(problem),
         };
         match self.into_work(owner, entry, engine) {
-            Ok(work) => once::completion(work, entry, asked).await.into(),
+            Ok(work) => at_most_once::completion(work, entry, asked).await.into(),
             Err(refused) => *refused,
         }
     }
 
     async fn resume(mut self, owner: &Owner, last: &HeaderValue) -> Answer {
         let limits = &self.worker.shared.settings.limits;
-        let deadline = deadline::of(
+        let deadline = deadline::resolve(
             &self.headers,
             self.account.started(),
             limits.deadline,
@@ -220,7 +221,7 @@
             Ok(entry) => entry,
             Err(problem) => return self.refuse(problem),
         };
-        self.account.entry(entry);
+        self.account.set_entry(entry);
         let limit = self.worker.shared.settings.limits.body;
         let limit = limit.min(usize::try_from(entry.max_body).unwrap_or(usize::MAX));
         let body = match self.body(limit).await {
@@ -228,26 +229,31 @@
             Err(problem) => return self.refuse(problem),
         };
         match self.into_work(owner, entry, body) {
-            Ok(work) => once::plain(work, entry).await.into(),
+            Ok(work) => at_most_once::plain(work, entry).await.into(),
             Err(refused) => *refused,
         }
     }
 
     async fn body(&mut self, limit: usize) -> Result<Bytes, Problem> {
         let bounds = Bounds {
-            size: limit,
-            silence: self.worker.shared.settings.limits.body_time,
+            max_bytes: limit,
+            idle_timeout: self.worker.shared.settings.limits.body_time,
         };
         body::read(&self.headers, &mut self.payload, bounds).await
     }
 
-    fn into_work(mut self, owner: &Owner, entry: &Entry, body: Bytes) -> Result<Work, Box<Answer>> {
-        self.account.entry(entry);
+    fn into_work(
+        mut self,
+        owner: &Owner,
+        entry: &Entry,
+        body: Bytes,
+    ) -> Result<ProxiedRequest, Box<Answer>> {
+        self.account.set_entry(entry);
         let cap = self.worker.shared.settings.limits.deadline;
         let contract = entry.contract.deadline;
-        let deadline = deadline::of(&self.headers, self.account.started(), contract, cap);
+        let deadline = deadline::resolve(&self.headers, self.account.started(), contract, cap);
         match deadline {
-            Ok(deadline) => Ok(Work {
+            Ok(deadline) => Ok(ProxiedRequest {
                 worker: Worker::clone(&self.worker),
                 owner: Arc::from(owner.name.as_str()),
                 method: self.method,
@@ -256,20 +262,20 @@
                 body,
                 deadline,
                 attempt_id: self.account.request().header(),
-                account: self.account,
+                record: self.account,
                 ran: Execution::NotRun,
-                began: Instant::now(),
+                attempt_started: Instant::now(),
             }),
             Err(problem) => Err(Box::new(self.refuse(problem))),
         }
     }
 }
 
-impl From<once::Ended> for Answer {
-    fn from(ended: once::Ended) -> Self {
+impl From<at_most_once::CallResult> for Answer {
+    fn from(ended: at_most_once::CallResult) -> Self {
         match ended.result {
-            Ok(reply) => Self::Reply(reply, ended.account),
-            Err(problem) => Self::Problem(problem, ended.account),
+            Ok(reply) => Self::Reply(reply, ended.record),
+            Err(problem) => Self::Problem(problem, ended.record),
         }
     }
 }
@@ -296,8 +302,8 @@
     catalogue: &'v Catalogue,
     owner: &Owner,
     body: &Bytes,
-    densities: &Densities,
-) -> Result<(&'v Entry, Asked, Bytes), Problem> {
+    densities: &TokenEstimator,
+) -> Result<(&'v Entry, CompletionParams, Bytes), Problem> {
     let prompt = Prompt::read(body).map_err(|words| Problem::not_run(Kind::BadRequest, words))?;
     let entry = catalogue
         .entry_for_model(&owner.name, &prompt.model)
@@ -309,7 +315,7 @@
         let detail = format!("at most {} bytes are taken", entry.max_body);
         return Err(Problem::not_run(Kind::TooLarge, detail));
     }
-    let asked = Asked::new(&prompt, entry, densities);
+    let asked = CompletionParams::new(&prompt, entry, densities);
     let engine = engine_body(body, &prompt, &asked.model);
     Ok((entry, asked, engine))
 }
--- a/crates/entry/src/front/problem.rs
+++ b/crates/entry/src/front/problem.rs
@@ -149,7 +149,7 @@
     }
 
     /// The short name, for metrics and logs.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         self.row().1
     }
 }
--- a/crates/entry/src/front/reply.rs
+++ b/crates/entry/src/front/reply.rs
@@ -9,9 +9,9 @@
 use futures_util::{Stream, stream};
 use tokio::time::{Instant, timeout_at};
 
-use crate::account::{Account, Outcome};
-use crate::dispatch::Attempt;
+use crate::dispatcher::Attempt;
 use crate::front::headers;
+use crate::request_record::{Outcome, RequestRecord};
 use crate::stream::relay::Relay;
 use crate::stream::sse::Relayed;
 use crate::upstream::client::Answer;
@@ -53,7 +53,7 @@
 
 impl Reply {
     /// The answer towards the caller.
-    pub fn into_response(self, mut account: Account) -> Response<BoxBody> {
+    pub fn into_response(self, mut account: RequestRecord) -> Response<BoxBody> {
         let request = account.request().header();
         let mut response = match self {
             Self::Whole {
@@ -120,7 +120,7 @@
 struct Passing {
     answer: Answer,
     attempt: Attempt,
-    account: Account,
+    account: RequestRecord,
     deadline: Instant,
 }
 
--- a/crates/entry/src/front/request_id.rs
+++ b/crates/entry/src/front/request_id.rs
@@ -27,7 +27,7 @@
     }
 
     /// The caller's id, if it gave one that is short, visible text.
-    pub fn of_caller(headers: &HeaderMap) -> Option<Self> {
+    pub fn from_headers(headers: &HeaderMap) -> Option<Self> {
         let value = headers.get(HEADER)?;
         let usable = !value.is_empty()
             && value.len() <= LONGEST
@@ -44,12 +44,12 @@
 
 /// Makes ids that no other process and no other start of this one makes.
 #[derive(Debug)]
-pub struct Mint {
+pub struct IdGenerator {
     prefix: String,
     next: AtomicU64,
 }
 
-impl Mint {
+impl IdGenerator {
     /// A mint whose ids begin with `prefix`, which has to differ from start to start.
     pub fn new(prefix: u64) -> Self {
         Self {
@@ -59,14 +59,14 @@
     }
 
     /// A new id as text.
-    pub fn text(&self) -> String {
+    pub fn next_id(&self) -> String {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number:x}", self.prefix)
     }
 
     /// A new id of a request.
-    pub fn request(&self) -> RequestId {
-        let value = HeaderValue::try_from(self.text());
+    pub fn next_request_id(&self) -> RequestId {
+        let value = HeaderValue::try_from(self.next_id());
         RequestId(value.unwrap_or_else(|_| HeaderValue::from_static("none")))
     }
 }
--- a/crates/entry/src/front/server.rs
+++ b/crates/entry/src/front/server.rs
@@ -20,7 +20,7 @@
 const BACKLOG: u32 = 4096;
 
 /// The servers, which listen, to be polled until they have stopped.
-pub struct Front {
+pub struct Servers {
     /// The address for callers.
     pub address: SocketAddr,
     /// The address for operators; `None` without a token.
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// An address cannot be bound.
-pub fn start(shared: &Arc<Shared>) -> io::Result<Front> {
+pub fn start(shared: &Arc<Shared>) -> io::Result<Servers> {
     let settings = &shared.settings;
     let limit = settings
         .shutdown
@@ -63,7 +63,7 @@
         None => (builder, None),
     };
     let server = builder.run();
-    Ok(Front {
+    Ok(Servers {
         address,
         admin,
         handle: server.handle(),
--- a/crates/entry/src/hold.rs
+++ b/crates/entry/src/held_answers.rs
@@ -47,7 +47,7 @@
 
 /// What is known of a key here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum Lookup {
     /// The answer of the same request.
     Answer(Answer),
     /// The key was used for another request.
@@ -56,7 +56,7 @@
 
 /// Held answers, the oldest dropped first when the memory is used up.
 #[derive(Debug)]
-pub struct Answers {
+pub struct HeldAnswers {
     limit: usize,
     size: usize,
     next: u64,
@@ -64,7 +64,7 @@
     by_age: BTreeMap<u64, Key>,
 }
 
-impl Answers {
+impl HeldAnswers {
     /// Holds at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self {
@@ -83,7 +83,7 @@
 
     /// Holds an answer until `now + time`. One that alone is above the limit is not held: a repeat
     /// is then told that the call ran, which is true.
-    pub fn put(
+    pub fn insert(
         &mut self,
         now: Moment,
         time: Duration,
@@ -118,12 +118,12 @@
 
     /// The answer of a key, if it is still held. `fingerprint` is `None` when another entry asks:
     /// it compares the request itself, by the claim in the log.
-    pub fn get(&self, now: Moment, key: &Key, fingerprint: Option<&Fingerprint>) -> Option<Found> {
+    pub fn get(&self, now: Moment, key: &Key, fingerprint: Option<&Fingerprint>) -> Option<Lookup> {
         let held = self.held.get(key).filter(|held| held.until > now)?;
         if fingerprint.is_some_and(|asked| *asked != held.fingerprint) {
-            return Some(Found::OtherRequest);
+            return Some(Lookup::OtherRequest);
         }
-        Some(Found::Answer(held.answer.clone()))
+        Some(Lookup::Answer(held.answer.clone()))
     }
 
     /// Drops what is past its time, as far as it stands at the old end.
--- a/crates/entry/src/hooks.rs
+++ b/crates/entry/src/hooks.rs
@@ -6,7 +6,7 @@
 use control::Hooks;
 use wire::peer::{Answer, Demand, Header, Outstanding};
 
-use crate::hold::{self, Found};
+use crate::held_answers::{self, Lookup};
 use crate::shared::Shared;
 
 /// The hooks over what all threads share.
@@ -43,21 +43,28 @@
 /// Work that a planned change at the upstream would cut: attempts of the router, and streams that
 /// were resumed here for another entry.
 fn open(shared: &Shared, upstream: &str) -> u32 {
-    let routed = shared.dispatch.with(|_, router| router.in_flight(upstream));
+    let routed = shared
+        .dispatcher
+        .with_router(|_, router| router.in_flight(upstream));
     routed + shared.resumed.count(upstream)
 }
 
-fn held_answer(shared: &Shared, key: &hold::Key) -> Option<Answer> {
-    let now = shared.dispatch.now();
-    let held = shared.held.lock().unwrap_or_else(PoisonError::into_inner);
+fn held_answer(shared: &Shared, key: &held_answers::Key) -> Option<Answer> {
+    let now = shared.dispatcher.now();
+    let held = shared
+        .held_answers
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
     match held.get(now, key, None)? {
-        Found::Answer(answer) => Some(Answer::from(&answer)),
-        Found::OtherRequest => None,
+        Lookup::Answer(answer) => Some(Answer::from(&answer)),
+        Lookup::OtherRequest => None,
     }
 }
 
 fn outstanding(shared: &Shared) -> Vec<Outstanding> {
-    let work = shared.dispatch.with(|_, router| router.outstanding());
+    let work = shared
+        .dispatcher
+        .with_router(|_, router| router.outstanding());
     work.into_iter()
         .map(|one| Outstanding {
             upstream: one.upstream.to_string(),
@@ -69,7 +76,9 @@
 }
 
 fn demand(shared: &Shared) -> Vec<Demand> {
-    let demand = shared.dispatch.with(|now, router| router.demand(now));
+    let demand = shared
+        .dispatcher
+        .with_router(|now, router| router.demand(now));
     demand
         .into_iter()
         .map(|one| Demand {
@@ -81,8 +90,8 @@
         .collect()
 }
 
-impl From<&hold::Answer> for Answer {
-    fn from(held: &hold::Answer) -> Self {
+impl From<&held_answers::Answer> for Answer {
+    fn from(held: &held_answers::Answer) -> Self {
         let header = |(name, value): &(String, Vec<u8>)| Header {
             name: name.clone(),
             value: value.clone(),
@@ -95,7 +104,7 @@
     }
 }
 
-impl TryFrom<Answer> for hold::Answer {
+impl TryFrom<Answer> for held_answers::Answer {
     type Error = std::num::TryFromIntError;
 
     fn try_from(answer: Answer) -> Result<Self, Self::Error> {
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -7,7 +7,7 @@
 
 use crate::front::headers;
 use crate::front::problem::{Kind, Problem};
-use crate::work::Work;
+use crate::proxied_request::ProxiedRequest;
 
 /// Longest `Idempotency-Key` that is taken, in bytes.
 const LONGEST_KEY: usize = 255;
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// The headers are not good, or the entry requires a key.
-pub fn claim(work: &Work, entry: &Entry) -> Result<Option<Claim>, Problem> {
+pub fn claim(work: &ProxiedRequest, entry: &Entry) -> Result<Option<Claim>, Problem> {
     let Some(key) = work.headers.get(headers::IDEMPOTENCY_KEY) else {
         return match entry.require_key {
             true => Err(Problem::not_run(
@@ -38,7 +38,7 @@
     Ok(Some(Claim {
         key: claims::key_digest(&work.owner, &entry.name, key),
         fingerprint: claims::fingerprint(work.method.as_str(), &work.target, &work.body),
-        request: work.account.request().to_string(),
+        request: work.record.request().to_string(),
         attempt: attempt(&work.headers)?,
         policy: match entry.outage {
             Outage::Refuse => OutagePolicy::Refuse,
@@ -64,7 +64,7 @@
 
 /// What may be said of the key when a call is refused before it has a claim. This call did not run,
 /// but one before it may have; only a declared first attempt has none before it.
-pub fn ran_before_claim(claim: &Claim) -> Executed {
+pub fn execution_before_claim(claim: &Claim) -> Executed {
     match claim.attempt {
         Some(1) => Executed::No,
         _ => Executed::Unknown,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -3,27 +3,27 @@
 //! drives membership and authority on a thread of its own, `routing` decides behind one lock, and
 //! the modules here carry the bytes between callers and upstreams.
 
-pub mod account;
 pub mod admin;
-pub mod asked;
+pub mod at_most_once;
+pub mod body_buffer;
 pub mod command;
 pub mod completion;
+pub mod completion_params;
 pub mod daemon;
-pub mod density;
-pub mod dispatch;
+pub mod dispatcher;
 pub mod front;
-pub mod gathered;
-pub mod hold;
+pub mod held_answers;
 pub mod hooks;
 pub mod keys;
 pub mod metrics;
-pub mod once;
 pub mod plain;
 pub mod policy;
 pub mod process;
+pub mod proxied_request;
+pub mod request_record;
 pub mod resume;
+pub mod router_sync;
 pub mod shared;
 pub mod stream;
+pub mod token_estimator;
 pub mod upstream;
-pub mod work;
-pub mod world;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -10,7 +10,7 @@
 use cadence::{BufferedUdpMetricSink, Counted as _, Gauged as _, NopMetricSink, StatsdClient};
 
 /// Time between two sendings.
-pub const PERIOD: Duration = Duration::from_secs(1);
+pub const SEND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How a metric behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -184,7 +184,7 @@
     }
 
     /// Takes from a gauge.
-    pub fn take(&self, metric: Metric, amount: u64) {
+    pub fn subtract(&self, metric: Metric, amount: u64) {
         self.values[metric as usize].fetch_sub(amount, Ordering::Relaxed);
     }
 
@@ -233,7 +233,7 @@
 }
 
 /// The rows of the table in `docs/OPERATORS.md`.
-pub fn page(prefix: &str) -> String {
+pub fn markdown_table(prefix: &str) -> String {
     let mut text = String::from("| name | kind | meaning |\n| --- | --- | --- |\n");
     for (_, name, kind, meaning) in TABLE {
         let kind = match kind {
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -4,13 +4,13 @@
 
 use fleet::upstream::Observation;
 
-use crate::dispatch::Attempt;
-use crate::front::body::stated_length;
+use crate::dispatcher::Attempt;
+use crate::front::body::content_length;
 use crate::front::problem::Problem;
 use crate::front::reply::{Reply, caller_headers};
+use crate::proxied_request::ProxiedRequest;
 use crate::upstream::client::{Answer, Call};
 use crate::upstream::failure::Failure;
-use crate::work::Work;
 
 /// Answers up to this size are read whole before the caller gets any of them, so that one that
 /// breaks off can still be answered as an error or tried elsewhere.
@@ -22,9 +22,13 @@
 /// # Errors
 ///
 /// The error for the caller.
-pub async fn run(work: &mut Work, mut attempt: Attempt, whole: bool) -> Result<Reply, Problem> {
+pub async fn run(
+    work: &mut ProxiedRequest,
+    mut attempt: Attempt,
+    whole: bool,
+) -> Result<Reply, Problem> {
     loop {
-        work.begin(&attempt);
+        work.begin_attempt(&attempt);
         let failure = match once(work, &attempt, whole).await {
             Ok(Got::Whole(reply)) => return Ok(reply),
             Ok(Got::Body { answer, length }) => {
@@ -32,7 +36,7 @@
                     answer: Box::new(answer),
                     length,
                     attempt,
-                    deadline: Instant::now() + work.left(),
+                    deadline: Instant::now() + work.remaining(),
                 });
             }
             Err(failure) => failure,
@@ -46,34 +50,34 @@
     Body { answer: Answer, length: Option<u64> },
 }
 
-async fn once(work: &Work, attempt: &Attempt, whole: bool) -> Result<Got, Failure> {
-    let address = work.address(&attempt.sending().upstream)?;
+async fn once(work: &ProxiedRequest, attempt: &Attempt, whole: bool) -> Result<Got, Failure> {
+    let address = work.address(&attempt.assignment().upstream)?;
     let call = Call {
         address,
         method: work.method.clone(),
         target: &work.target,
-        headers: work.upstream_headers(attempt.sending()),
-        request: work.request_header(),
-        timeout: work.left(),
+        headers: work.upstream_headers(attempt.assignment()),
+        request: work.attempt_header(),
+        timeout: work.remaining(),
     };
     let mut answer = work.worker.client.send(call, work.body.clone()).await?;
-    let upstream = &attempt.sending().upstream;
+    let upstream = &attempt.assignment().upstream;
     match answer.status().is_server_error() {
         true => work.observe(upstream, Observation::Failed),
         false => work.observe_answer(upstream),
     }
     // A service that answers nothing of the id may be one that a proxy before it stands in for;
     // its answer cannot be told from another caller's.
-    if answer.status().is_success() && !answer.is_matched(&work.request_header()) {
+    if answer.status().is_success() && !answer.is_matched(&work.attempt_header()) {
         return Err(Failure::Crossed);
     }
-    let length = stated_length(answer.headers());
+    let length = content_length(answer.headers());
     let small = length.is_some_and(|length| length <= WHOLE);
     if !whole && !small {
         return Ok(Got::Body { answer, length });
     }
     let limit = work.worker.shared.settings.limits.answer;
-    let body = actix_rt::time::timeout(work.left(), answer.whole(limit))
+    let body = actix_rt::time::timeout(work.remaining(), answer.read_all(limit))
         .await
         .map_err(|_| Failure::TimedOut)??;
     Ok(Got::Whole(Reply::Whole {
--- a/crates/entry/src/process/pulse.rs
+++ b/crates/entry/src/process/pause_detector.rs
@@ -4,7 +4,8 @@
 //! be gone have long since resumed their streams at another entry, and cancelling those streams at
 //! the engine would cut them there. The symptom is a stream that ends without `[DONE]` at an entry
 //! that did nothing wrong. A task that should run every [`BEAT`] sees the gap; whoever is about to
-//! act on a caller's absence asks [`Pulse::is_steady`] first.
+//! act on a caller's absence asks [`PauseDetector::has_no_recent_pause`]
+//! first.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,7 +14,7 @@
 use clock::Moment;
 
 /// Time between two beats.
-pub const BEAT: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A longer gap between two beats is a pause.
 const GAP: Duration = Duration::from_secs(1);
@@ -32,9 +33,9 @@
 
 /// The pulse of the process. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Pulse(Arc<Inner>);
+pub struct PauseDetector(Arc<Inner>);
 
-impl Pulse {
+impl PauseDetector {
     /// A pulse whose last beat is now.
     pub fn new(now: Moment) -> Self {
         Self(Arc::new(Inner {
@@ -44,7 +45,7 @@
     }
 
     /// One beat. Returns whether a pause lies before it.
-    pub fn beat(&self, now: Moment) -> bool {
+    pub fn tick(&self, now: Moment) -> bool {
         let last = self.0.last_beat.load(Ordering::Acquire);
         let paused = millis(now).saturating_sub(last) > millis(GAP);
         if paused {
@@ -57,7 +58,7 @@
 
     /// Whether no pause lies right behind. It holds from the first instruction after a pause on,
     /// also before the next beat.
-    pub fn is_steady(&self, now: Moment) -> bool {
+    pub fn has_no_recent_pause(&self, now: Moment) -> bool {
         let now = millis(now);
         let beat = self.0.last_beat.load(Ordering::Acquire);
         let pause = self.0.last_pause.load(Ordering::Acquire);
--- a/crates/entry/src/process/phase.rs
+++ b/crates/entry/src/process/phase.rs
@@ -28,9 +28,9 @@
 
 /// The phase, shared by all threads. Clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Life(Arc<Inner>);
+pub struct Lifecycle(Arc<Inner>);
 
-impl Life {
+impl Lifecycle {
     /// A process that serves.
     pub fn new() -> Self {
         Self::default()
@@ -52,19 +52,19 @@
     }
 
     /// Whether the process is about to stop.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.phase() > Phase::Serving
     }
 
     /// Counts a task that outlives its caller's connection, such as a call that may not be
     /// repeated: a stop that only waited for connections would cut it.
-    pub fn task(&self) -> Task {
+    pub fn start_task(&self) -> TaskGuard {
         self.0.tasks.fetch_add(1, Ordering::AcqRel);
-        Task(self.clone())
+        TaskGuard(self.clone())
     }
 
     /// Waits until no such task is left.
-    pub async fn idle(&self) {
+    pub async fn wait_for_tasks(&self) {
         loop {
             let changed = self.0.idle.notified();
             if self.0.tasks.load(Ordering::Acquire) == 0 {
@@ -77,9 +77,9 @@
 
 /// One counted task.
 #[derive(Debug)]
-pub struct Task(Life);
+pub struct TaskGuard(Lifecycle);
 
-impl Drop for Task {
+impl Drop for TaskGuard {
     fn drop(&mut self) {
         if self.0.0.tasks.fetch_sub(1, Ordering::AcqRel) == 1 {
             self.0.0.idle.notify_waiters();
--- a/crates/entry/src/work.rs
+++ b/crates/entry/src/proxied_request.rs
@@ -15,23 +15,23 @@
 use routing::request::Request;
 use smallvec::SmallVec;
 
-use crate::account::Account;
-use crate::dispatch::{Attempt, Retry};
+use crate::dispatcher::{Attempt, Retry};
 use crate::front::headers;
 use crate::front::problem::{self, Kind, Problem};
 use crate::front::refusal;
 use crate::metrics::Metric;
+use crate::request_record::RequestRecord;
+use crate::router_sync::entry_subject;
 use crate::shared::Worker;
-use crate::upstream::client::number;
+use crate::upstream::client::number_value;
 use crate::upstream::failure::Failure;
-use crate::world::entry_subject;
 
 /// Time that an upstream must have had before its silence counts against it.
 const FAIR_WAIT: Duration = Duration::from_millis(500);
 
 /// A request with all that its attempts need.
 #[derive(Debug)]
-pub struct Work {
+pub struct ProxiedRequest {
     /// The thread that serves it.
     pub worker: Worker,
     /// The owner who calls.
@@ -47,23 +47,23 @@
     /// When the answer is of no use any more.
     pub deadline: Moment,
     /// Its account.
-    pub account: Account,
+    pub record: RequestRecord,
     /// Whether an attempt before may have run.
     pub ran: Execution,
     /// When the newest attempt began.
-    pub began: Instant,
+    pub attempt_started: Instant,
     /// Id of the newest attempt.
     pub attempt_id: HeaderValue,
 }
 
-impl Work {
+impl ProxiedRequest {
     /// Time until the deadline.
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.deadline.saturating_sub(self.worker.shared.clock.now())
     }
 
     /// The id of the newest attempt, which the upstream must echo.
-    pub fn request_header(&self) -> HeaderValue {
+    pub fn attempt_header(&self) -> HeaderValue {
         self.attempt_id.clone()
     }
 
@@ -81,7 +81,7 @@
                 .control
                 .record_demand(now, &request.pool, prompt, answer);
         }
-        let dispatch = shared.dispatch.clone();
+        let dispatch = shared.dispatcher.clone();
         dispatch
             .admit(request)
             .await
@@ -97,19 +97,19 @@
     pub async fn retry(&mut self, attempt: Attempt, failure: &Failure) -> Result<Attempt, Problem> {
         let ran = failure.ran();
         log::info!(
-            request_id = self.account.request().as_str(),
-            upstream = &*attempt.sending().upstream,
+            request_id = self.record.request().as_str(),
+            upstream = &*attempt.assignment().upstream,
             failure:% = failure;
             "an attempt failed"
         );
-        self.observe_failure(&attempt.sending().upstream, failure);
+        self.observe_failure(&attempt.assignment().upstream, failure);
         if *failure == Failure::Crossed {
             self.worker.shared.metrics.add(Metric::Crossed, 1);
         }
         if ran == Execution::Unknown {
             self.ran = Execution::Unknown;
         }
-        let problem = match attempt.failed(ran).await {
+        let problem = match attempt.fail(ran).await {
             Retry::Again(next) => {
                 self.worker.shared.metrics.add(Metric::Retries, 1);
                 return Ok(next);
@@ -118,11 +118,11 @@
             Retry::Refused(refused) => final_problem(failure).retry_after(refused.retry_after),
             Retry::Final => final_problem(failure),
         };
-        Err(self.covering(problem))
+        Err(self.with_execution(problem))
     }
 
     /// The problem with what is certain over all attempts.
-    pub fn covering(&self, mut problem: Problem) -> Problem {
+    pub fn with_execution(&self, mut problem: Problem) -> Problem {
         if self.ran == Execution::Unknown {
             problem.ran = problem::Ran::Unknown;
         }
@@ -143,9 +143,9 @@
     }
 
     /// Notes that an attempt begins.
-    pub fn begin(&mut self, attempt: &Attempt) {
-        self.account.upstream(&attempt.sending().upstream);
-        self.began = Instant::now();
+    pub fn begin_attempt(&mut self, attempt: &Attempt) {
+        self.record.set_upstream(&attempt.assignment().upstream);
+        self.attempt_started = Instant::now();
         self.attempt_id = self.new_attempt_id();
     }
 
@@ -153,20 +153,23 @@
     /// of one would pass for the other's; and a late answer to the first attempt must not pass for
     /// that to the second.
     fn new_attempt_id(&self) -> HeaderValue {
-        let request = self.account.request();
-        let id = format!("{request}~{}", self.worker.shared.ids.text());
+        let request = self.record.request();
+        let id = format!("{request}~{}", self.worker.shared.id_generator.next_id());
         HeaderValue::try_from(id).unwrap_or_else(|_| request.header())
     }
 
     /// Tells the control that an upstream answered the newest attempt.
     pub fn observe_answer(&self, upstream: &Arc<str>) {
-        self.observe(upstream, Observation::Answered(self.began.elapsed()));
+        self.observe(
+            upstream,
+            Observation::Answered(self.attempt_started.elapsed()),
+        );
     }
 
     /// A caller that leaves an upstream no time says nothing about the upstream when that time is
     /// over; taken for a failure, a few such callers would take healthy upstreams out.
     fn observe_failure(&self, upstream: &Arc<str>, failure: &Failure) {
-        let hasty = *failure == Failure::TimedOut && self.began.elapsed() < FAIR_WAIT;
+        let hasty = *failure == Failure::TimedOut && self.attempt_started.elapsed() < FAIR_WAIT;
         if let Some(observation) = failure.observation()
             && !hasty
         {
@@ -185,9 +188,9 @@
         for (name, value) in headers::to_upstream(&self.headers) {
             map.append(name.clone(), value.clone());
         }
-        let left = u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX);
-        map.insert(headers::DEADLINE, number(left));
-        map.insert(headers::PRIORITY, number(u64::from(sending.priority)));
+        let left = u64::try_from(self.remaining().as_millis()).unwrap_or(u64::MAX);
+        map.insert(headers::DEADLINE, number_value(left));
+        map.insert(headers::PRIORITY, number_value(u64::from(sending.priority)));
         map
     }
 
--- a/crates/entry/src/account.rs
+++ b/crates/entry/src/request_record.rs
@@ -9,7 +9,7 @@
 use crate::front::problem::{Kind, Problem, Ran};
 use crate::front::request_id::RequestId;
 use crate::metrics::Metric;
-use crate::shared::{Shared, wall};
+use crate::shared::{Shared, unix_time};
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 impl Outcome {
     /// The word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Served => "served",
             Self::Refused => "refused",
@@ -73,7 +73,7 @@
     }
 
     /// The outcome that an error means.
-    pub fn of(problem: &Problem) -> Self {
+    pub fn from_problem(problem: &Problem) -> Self {
         match (problem.kind, problem.ran) {
             (Kind::Limited, Ran::No) => Self::Limited,
             (Kind::Overloaded | Kind::Unavailable, Ran::No) => Self::Refused,
@@ -88,7 +88,7 @@
 /// The account of one request. It is closed when it is dropped, so that no path can forget it; a
 /// request that nobody concluded is one whose caller went away.
 #[derive(Debug)]
-pub struct Account {
+pub struct RequestRecord {
     shared: Arc<Shared>,
     request: RequestId,
     entry: Option<Box<str>>,
@@ -100,7 +100,7 @@
     outcome: Outcome,
 }
 
-impl Account {
+impl RequestRecord {
     /// Opens the account of a request whose head arrived.
     pub fn open(shared: Arc<Shared>, request: RequestId) -> Self {
         shared.metrics.add(Metric::Requests, 1);
@@ -130,18 +130,18 @@
     }
 
     /// The catalogue entry that serves it.
-    pub fn entry(&mut self, entry: &catalogue::Entry) {
+    pub fn set_entry(&mut self, entry: &catalogue::Entry) {
         self.entry = Some(entry.name.as_str().into());
         self.contract = Some(entry.contract);
     }
 
     /// The upstream of the newest attempt.
-    pub fn upstream(&mut self, id: &Arc<str>) {
+    pub fn set_upstream(&mut self, id: &Arc<str>) {
         self.upstream = Some(Arc::clone(id));
     }
 
     /// So many tokens went to the caller.
-    pub fn tokens(&mut self, count: u32) {
+    pub fn add_tokens(&mut self, count: u32) {
         if self.first_token.is_none() && count > 0 {
             self.first_token = Some(self.shared.clock.now());
         }
@@ -150,7 +150,7 @@
     }
 
     /// A whole answer of so many tokens came; there is no first token to time.
-    pub fn whole_tokens(&mut self, count: u32) {
+    pub fn add_unstreamed_tokens(&mut self, count: u32) {
         self.shared.metrics.add(Metric::Tokens, u64::from(count));
     }
 
@@ -190,7 +190,7 @@
             request_id = self.request.as_str(),
             entry = self.entry.as_deref().unwrap_or("-"),
             upstream = self.upstream.as_deref().unwrap_or("-"),
-            outcome = self.outcome.word(),
+            outcome = self.outcome.as_str(),
             took_ms = now.saturating_sub(self.started).as_millis() as u64,
             tokens = self.tokens;
             "request"
@@ -198,16 +198,16 @@
     }
 }
 
-impl Drop for Account {
+impl Drop for RequestRecord {
     fn drop(&mut self) {
         let now = self.shared.clock.now();
-        self.shared.metrics.take(Metric::Open, 1);
+        self.shared.metrics.subtract(Metric::Open, 1);
         self.shared.metrics.add(self.outcome.metric(), 1);
         self.write(now);
         if let Some(entry) = &self.entry {
             let late = self.outcome == Outcome::Served && !self.in_time(now);
             if let Some(outcome) = self.outcome.burn(late) {
-                let epoch = wall(&self.shared.clock).as_secs();
+                let epoch = unix_time(&self.shared.clock).as_secs();
                 self.shared.burn().record(epoch, entry, outcome);
             }
         }
--- a/crates/entry/src/resume.rs
+++ b/crates/entry/src/resume.rs
@@ -4,13 +4,13 @@
 use clock::{Clock as _, Moment};
 use control::View;
 
-use crate::account::Account;
 use crate::front::problem::{Kind, Problem};
 use crate::front::reply::Reply;
 use crate::metrics::Metric;
-use crate::shared::{Worker, wall};
-use crate::stream::relay::{Origin, Relay};
-use crate::stream::token::Refused;
+use crate::request_record::RequestRecord;
+use crate::shared::{Worker, unix_time};
+use crate::stream::event_id::EventIdError;
+use crate::stream::relay::{Relay, StreamSource};
 
 /// What is asked for.
 #[derive(Debug)]
@@ -33,36 +33,36 @@
     worker: &Worker,
     view: &View,
     resumption: &Resumption<'_>,
-    account: &mut Account,
+    account: &mut RequestRecord,
 ) -> Result<Reply, Problem> {
     let shared = &worker.shared;
     let (place, number) = shared
-        .tokens
-        .read(resumption.last, resumption.owner, wall(&shared.clock))
+        .event_ids
+        .decode(resumption.last, resumption.owner, unix_time(&shared.clock))
         .map_err(refused)?;
     let catalogue = view.catalogue.as_deref();
     if let Some(entry) = catalogue.and_then(|catalogue| catalogue.entry(&place.entry)) {
-        account.entry(entry);
+        account.set_entry(entry);
     }
     let address = view
         .upstream(&place.engine)
         .and_then(|upstream| upstream.address.parse().ok())
         .ok_or_else(|| gone("its engine is gone"))?;
-    account.upstream(&place.engine.as_str().into());
+    account.set_upstream(&place.engine.as_str().into());
     let request = HeaderValue::try_from(place.request.as_str())
         .map_err(|_| gone("its request id cannot be sent"))?;
-    let origin = Origin {
+    let origin = StreamSource {
         address,
-        next: number + 1,
+        next_event: number + 1,
         owner: resumption.owner.to_owned(),
         request,
         deadline: resumption.deadline.max(shared.clock.now()),
         prompt_bytes: 0,
-        place,
+        location: place,
     };
     shared.metrics.add(Metric::Resumptions, 1);
     let mut relay = Box::new(Relay::new(worker.clone(), origin, None));
-    let first = relay.first().await.map_err(|end| end.problem())?;
+    let first = relay.first_events().await.map_err(|end| end.problem())?;
     Ok(Reply::Events {
         relay,
         first,
@@ -70,13 +70,13 @@
     })
 }
 
-fn refused(refused: Refused) -> Problem {
+fn refused(refused: EventIdError) -> Problem {
     match refused {
-        Refused::Forged => Problem::not_run(
+        EventIdError::Forged => Problem::not_run(
             Kind::BadRequest,
             "Last-Event-ID is none of this owner's event ids",
         ),
-        Refused::Expired => gone("the event id has expired"),
+        EventIdError::Expired => gone("the event id has expired"),
     }
 }
 
--- a/crates/entry/src/world.rs
+++ b/crates/entry/src/router_sync.rs
@@ -31,13 +31,13 @@
 const TRANSFER: f64 = 131_072.0 / 12.5e9;
 
 /// Follows the views until the control stops.
-pub async fn follow(shared: Arc<Shared>) {
+pub async fn follow_views(shared: Arc<Shared>) {
     let mut views = shared.control.watch();
     let mut before = Arc::new(View::empty());
     loop {
         let view = Arc::clone(&views.borrow_and_update());
         let data_centre = shared.settings.instance.data_centre.as_str();
-        shared.dispatch.with(|now, router| {
+        shared.dispatcher.with_router(|now, router| {
             let step = Step {
                 now,
                 data_centre,
@@ -51,7 +51,7 @@
         // that a closed upstream gets no new work from here.
         shared.applied.store(view.sequence, Ordering::Release);
         if view.revision != before.revision {
-            shared.retain_burn(&view);
+            shared.retain_entries(&view);
         }
         before = view;
         if views.changed().await.is_err() {
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -10,16 +10,16 @@
 use report::Counters;
 use settings::Settings;
 
-use crate::density::Densities;
-use crate::dispatch::Dispatch;
+use crate::dispatcher::Dispatcher;
 use crate::front::request_id;
-use crate::hold::Answers;
+use crate::held_answers::HeldAnswers;
 use crate::metrics::Metrics;
 use crate::policy::Overrides;
-use crate::process::phase::Life;
-use crate::process::pulse::Pulse;
-use crate::stream::resumed::Resumed;
-use crate::stream::token;
+use crate::process::pause_detector::PauseDetector;
+use crate::process::phase::Lifecycle;
+use crate::stream::event_id;
+use crate::stream::resumed_streams::ResumedStreams;
+use crate::token_estimator::TokenEstimator;
 use crate::upstream::client::Client;
 use crate::upstream::stream_guard;
 
@@ -37,25 +37,25 @@
     /// Sequence of the oldest view by which an upstream may still be chosen.
     pub applied: AtomicU64,
     /// Decisions.
-    pub dispatch: Dispatch,
+    pub dispatcher: Dispatcher,
     /// Ids of requests and streams.
-    pub ids: request_id::Mint,
+    pub id_generator: request_id::IdGenerator,
     /// Event ids.
-    pub tokens: token::Mint,
+    pub event_ids: event_id::Mint,
     /// Streams that were begun at other entries.
-    pub resumed: Resumed,
+    pub resumed: ResumedStreams,
     /// Held answers.
-    pub held: Mutex<Answers>,
+    pub held_answers: Mutex<HeldAnswers>,
     /// Bytes of prompts per token.
-    pub densities: Densities,
+    pub token_estimator: TokenEstimator,
     /// Metrics.
     pub metrics: Metrics,
     /// Counters of the report on burn.
     pub burn: Mutex<Counters>,
     /// Phase of the process.
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     /// Whether the process was paused.
-    pub pulse: Pulse,
+    pub pause_detector: PauseDetector,
 }
 
 impl Shared {
@@ -70,10 +70,10 @@
     }
 
     /// Forgets the counters of entries that the catalogue has no more.
-    pub fn retain_burn(&self, view: &View) {
+    pub fn retain_entries(&self, view: &View) {
         if let Some(catalogue) = view.catalogue.as_deref() {
             self.burn().retain(|entry| catalogue.entry(entry).is_some());
-            self.densities
+            self.token_estimator
                 .retain(|entry| catalogue.entry(entry).is_some());
         }
     }
@@ -96,18 +96,18 @@
     }
 
     /// What guards of streams need.
-    pub fn guard_context(&self) -> stream_guard::Context {
-        stream_guard::Context {
+    pub fn guard_context(&self) -> stream_guard::GuardContext {
+        stream_guard::GuardContext {
             client: self.client.clone(),
-            life: self.shared.life.clone(),
-            pulse: self.shared.pulse.clone(),
+            lifecycle: self.shared.lifecycle.clone(),
+            pause_detector: self.shared.pause_detector.clone(),
             clock: self.shared.clock,
         }
     }
 }
 
 /// Wall-clock time since the Unix epoch, for expiry times that other entries read.
-pub fn wall(clock: &System) -> Duration {
+pub fn unix_time(clock: &System) -> Duration {
     clock
         .wall_time()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -1,7 +1,7 @@
 //! Streams of tokens from an engine to a caller, each event once, whatever happens to the entries
 //! between them.
 
+pub mod event_id;
 pub mod relay;
-pub mod resumed;
+pub mod resumed_streams;
 pub mod sse;
-pub mod token;
--- a/crates/entry/src/stream/token.rs
+++ b/crates/entry/src/stream/event_id.rs
@@ -15,7 +15,7 @@
 use subtle::ConstantTimeEq as _;
 
 /// Number of an event in its stream, from 0.
-pub type Number = u64;
+pub type EventNumber = u64;
 
 /// Bytes of the MAC that an id carries.
 const MAC: usize = 16;
@@ -28,7 +28,7 @@
 
 /// Where a stream is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct StreamLocation {
     /// Instance id of the engine.
     pub engine: String,
     /// Id of the stream at the engine.
@@ -41,7 +41,7 @@
 
 /// Why an event id is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum EventIdError {
     /// It is not one of ours, was changed, or belongs to another owner.
     Forged,
     /// Its time is over.
@@ -73,12 +73,12 @@
     }
 
     /// How long a place is good for.
-    pub fn time(&self) -> Duration {
+    pub fn validity(&self) -> Duration {
         self.time
     }
 
     /// The part of the ids before the number, good from `wall` (since the Unix epoch) on.
-    pub fn place(&self, place: &Place, owner: &str, wall: Duration) -> String {
+    pub fn encode(&self, place: &StreamLocation, owner: &str, wall: Duration) -> String {
         let expiry = (wall + self.time).as_secs();
         let payload = [
             expiry.to_string().as_str(),
@@ -99,26 +99,33 @@
     /// # Errors
     ///
     /// The id is forged, of another owner, or expired.
-    pub fn read(&self, id: &str, owner: &str, wall: Duration) -> Result<(Place, Number), Refused> {
-        let (place, number) = id.rsplit_once('.').ok_or(Refused::Forged)?;
-        let number = number.parse().map_err(|_| Refused::Forged)?;
-        let bytes = URL_SAFE_NO_PAD.decode(place).map_err(|_| Refused::Forged)?;
-        let (mac, payload) = bytes.split_at_checked(MAC).ok_or(Refused::Forged)?;
+    pub fn decode(
+        &self,
+        id: &str,
+        owner: &str,
+        wall: Duration,
+    ) -> Result<(StreamLocation, EventNumber), EventIdError> {
+        let (place, number) = id.rsplit_once('.').ok_or(EventIdError::Forged)?;
+        let number = number.parse().map_err(|_| EventIdError::Forged)?;
+        let bytes = URL_SAFE_NO_PAD
+            .decode(place)
+            .map_err(|_| EventIdError::Forged)?;
+        let (mac, payload) = bytes.split_at_checked(MAC).ok_or(EventIdError::Forged)?;
         if !bool::from(mac.ct_eq(&self.mac(owner, payload))) {
-            return Err(Refused::Forged);
+            return Err(EventIdError::Forged);
         }
-        let payload = std::str::from_utf8(payload).map_err(|_| Refused::Forged)?;
+        let payload = std::str::from_utf8(payload).map_err(|_| EventIdError::Forged)?;
         let mut fields = payload.split(SEPARATOR);
-        let mut field = || fields.next().ok_or(Refused::Forged);
-        let expiry: u64 = field()?.parse().map_err(|_| Refused::Forged)?;
-        let place = Place {
+        let mut field = || fields.next().ok_or(EventIdError::Forged);
+        let expiry: u64 = field()?.parse().map_err(|_| EventIdError::Forged)?;
+        let place = StreamLocation {
             engine: field()?.to_owned(),
             stream: field()?.to_owned(),
             entry: field()?.to_owned(),
             request: field()?.to_owned(),
         };
         if wall.as_secs() > expiry {
-            return Err(Refused::Expired);
+            return Err(EventIdError::Expired);
         }
         Ok((place, number))
     }
--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -17,18 +17,18 @@
 use fleet::upstream::Observation;
 use futures_util::{Stream, StreamExt as _, stream};
 
-use crate::account::{Account, Outcome};
-use crate::density;
-use crate::dispatch::Attempt;
+use crate::dispatcher::Attempt;
 use crate::front::problem::{Kind, Problem};
 use crate::metrics::Metric;
+use crate::request_record::{Outcome, RequestRecord};
 use crate::shared::Worker;
-use crate::stream::resumed::Open;
-use crate::stream::sse::{Broken, Follower, Relayed};
-use crate::stream::token::{Number, Place};
+use crate::stream::event_id::{EventNumber, StreamLocation};
+use crate::stream::resumed_streams::OpenStream;
+use crate::stream::sse::{EventError, EventRewriter, Relayed};
+use crate::token_estimator;
 use crate::upstream::client::{Answer, Call};
 use crate::upstream::failure::Failure;
-use crate::upstream::stream_guard::Guard;
+use crate::upstream::stream_guard::StreamGuard;
 
 /// Most bytes that are put together before they go to the caller.
 const COALESCE: usize = 64 << 10;
@@ -42,7 +42,7 @@
 
 /// Why a stream ends before its last event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum StreamError {
     /// The deadline passed.
     Deadline,
     /// The engine does not know the stream any more.
@@ -53,13 +53,13 @@
 
 /// Where a relay begins.
 #[derive(Debug)]
-pub struct Origin {
+pub struct StreamSource {
     /// Engine, stream and catalogue entry.
-    pub place: Place,
+    pub location: StreamLocation,
     /// Address of the engine.
     pub address: SocketAddr,
     /// Number of the first event that the caller needs.
-    pub next: Number,
+    pub next_event: EventNumber,
     /// Owner of the stream.
     pub owner: String,
     /// Id of the request, as the engine must echo it.
@@ -74,37 +74,37 @@
 #[derive(Debug)]
 pub struct Relay {
     worker: Worker,
-    origin: Origin,
-    follower: Follower,
+    origin: StreamSource,
+    follower: EventRewriter,
     answer: Option<Answer>,
     deadline: Pin<Box<Sleep>>,
     place_text: String,
     place_renewal: Moment,
-    guard: Guard,
+    guard: StreamGuard,
     attempt: Option<Attempt>,
-    account: Option<Account>,
+    account: Option<RequestRecord>,
     ended: bool,
     /// Connections in a row that ended without an event.
     barren: u32,
     /// Counts the stream as open at its engine, if no attempt does.
-    _open: Option<Open>,
+    _open: Option<OpenStream>,
 }
 
 impl Relay {
     /// A relay over an engine's open answer; without one it asks for the stream itself.
-    pub fn new(worker: Worker, origin: Origin, answer: Option<Answer>) -> Self {
+    pub fn new(worker: Worker, origin: StreamSource, answer: Option<Answer>) -> Self {
         let now = worker.shared.clock.now();
         let left = origin.deadline.saturating_sub(now);
-        let guard = Guard::new(
+        let guard = StreamGuard::new(
             worker.guard_context(),
             origin.address,
-            origin.place.stream.clone(),
+            origin.location.stream.clone(),
             origin.request.clone(),
         );
-        let follower = Follower::new(&origin.place.stream, origin.next);
+        let follower = EventRewriter::new(&origin.location.stream, origin.next_event);
         let open = answer.is_none().then(|| {
             let resumed = &worker.shared.resumed;
-            resumed.open(&origin.place.engine)
+            resumed.open(&origin.location.engine)
         });
         Self {
             follower,
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// Why no event came.
-    pub async fn first(&mut self) -> Result<Relayed, End> {
+    pub async fn first_events(&mut self) -> Result<Relayed, StreamError> {
         self.step().await
     }
 
@@ -138,7 +138,7 @@
         mut self,
         first: Relayed,
         attempt: Option<Attempt>,
-        account: Account,
+        account: RequestRecord,
     ) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
         self.attempt = attempt;
         self.account = Some(account);
@@ -163,10 +163,10 @@
     /// Accounts for events that are about to go to the caller.
     fn note(&mut self, relayed: Relayed) -> Bytes {
         if let Some(attempt) = &self.attempt {
-            attempt.tokens(relayed.tokens);
+            attempt.tokens_received(relayed.tokens);
         }
         if let Some(account) = &mut self.account {
-            account.tokens(relayed.tokens);
+            account.add_tokens(relayed.tokens);
         }
         if relayed.done {
             self.learn(&relayed.bytes);
@@ -177,17 +177,21 @@
 
     /// Learns from the engine's count how many bytes a token of the prompt has.
     fn learn(&self, events: &[u8]) {
-        if let Some(tokens) = density::counted(events) {
-            let densities = &self.worker.shared.densities;
-            densities.note(&self.origin.place.entry, self.origin.prompt_bytes, tokens);
+        if let Some(tokens) = token_estimator::prompt_token_count(events) {
+            let densities = &self.worker.shared.token_estimator;
+            densities.record(
+                &self.origin.location.entry,
+                self.origin.prompt_bytes,
+                tokens,
+            );
         }
     }
 
     /// Ends a stream of which the caller has a part. It gets an event that says so, and neither
     /// `[DONE]` nor an id, so that it cannot take the part for the whole.
-    fn fail(&mut self, end: &End) -> Bytes {
-        if matches!(end, End::Gone | End::Unreachable(_)) {
-            let engine = Arc::from(self.origin.place.engine.as_str());
+    fn fail(&mut self, end: &StreamError) -> Bytes {
+        if matches!(end, StreamError::Gone | StreamError::Unreachable(_)) {
+            let engine = Arc::from(self.origin.location.engine.as_str());
             let control = &self.worker.shared.control;
             control.observe(&engine, Observation::Failed);
         }
@@ -208,7 +212,7 @@
         self.ended = true;
         self.answer = None;
         if outcome == Outcome::Served {
-            self.guard.release();
+            self.guard.disarm();
         }
         self.attempt = None;
         if let Some(mut account) = self.account.take() {
@@ -217,7 +221,7 @@
     }
 
     /// The next events, whatever connections it takes.
-    async fn step(&mut self) -> Result<Relayed, End> {
+    async fn step(&mut self) -> Result<Relayed, StreamError> {
         loop {
             let Some(answer) = &mut self.answer else {
                 self.reconnect().await?;
@@ -226,7 +230,7 @@
             let chunk = tokio::select! {
                 biased;
                 chunk = answer.chunk() => chunk,
-                () = self.deadline.as_mut() => return Err(End::Deadline),
+                () = self.deadline.as_mut() => return Err(StreamError::Deadline),
             };
             let Ok(Some(chunk)) = chunk else {
                 self.broke();
@@ -237,7 +241,7 @@
                 self.answer = None;
             }
             self.renew_place();
-            match self.follower.take(&chunk, &self.place_text) {
+            match self.follower.push(&chunk, &self.place_text) {
                 Ok(relayed) if relayed.bytes.is_empty() && !relayed.done => {}
                 Ok(relayed) => {
                     self.barren = 0;
@@ -257,13 +261,13 @@
 
     /// What came cannot be the stream, or skips a part of it: the connection is given up, and the
     /// engine is asked again for what is next.
-    fn distrust(&mut self, broken: Broken) {
-        if broken == Broken::Crossed {
+    fn distrust(&mut self, broken: EventError) {
+        if broken == EventError::Crossed {
             self.worker.shared.metrics.add(Metric::Crossed, 1);
         }
         log::warn!(
-            stream = self.origin.place.stream.as_str(),
-            upstream = self.origin.place.engine.as_str(),
+            stream = self.origin.location.stream.as_str(),
+            upstream = self.origin.location.engine.as_str(),
             broken:? = broken;
             "an engine's events were dropped"
         );
@@ -274,9 +278,9 @@
     ///
     /// While the caller has nothing yet, one failure is enough: another engine may take the request
     /// from its beginning, which is quicker than waiting for this one.
-    async fn reconnect(&mut self) -> Result<(), End> {
+    async fn reconnect(&mut self) -> Result<(), StreamError> {
         if self.barren > MOST_BARREN {
-            return Err(End::Gone);
+            return Err(StreamError::Gone);
         }
         self.worker.shared.metrics.add(Metric::Reconnects, 1);
         let patience = match self.follower.next() {
@@ -290,22 +294,24 @@
                     self.answer = Some(answer);
                     return Ok(());
                 }
-                Ok(answer) if answer.status() == StatusCode::NOT_FOUND => return Err(End::Gone),
+                Ok(answer) if answer.status() == StatusCode::NOT_FOUND => {
+                    return Err(StreamError::Gone);
+                }
                 Ok(answer) => Failure::Declined(answer.status().as_u16()),
                 Err(failure) => failure,
             };
             if self.deadline.is_elapsed() {
-                return Err(End::Deadline);
+                return Err(StreamError::Deadline);
             }
             if Instant::now() >= until {
-                return Err(End::Unreachable(failure));
+                return Err(StreamError::Unreachable(failure));
             }
             sleep(RECONNECT_PAUSE).await;
         }
     }
 
     async fn resume(&self) -> Result<Answer, Failure> {
-        let place = &self.origin.place;
+        let place = &self.origin.location;
         let target = format!(
             "/engine/streams/{}?from={}",
             place.stream,
@@ -329,15 +335,15 @@
         if now < self.place_renewal {
             return;
         }
-        self.place_renewal = now + shared.tokens.time() / 2;
-        let wall = crate::shared::wall(&shared.clock);
+        self.place_renewal = now + shared.event_ids.validity() / 2;
+        let wall = crate::shared::unix_time(&shared.clock);
         self.place_text = shared
-            .tokens
-            .place(&self.origin.place, &self.origin.owner, wall);
+            .event_ids
+            .encode(&self.origin.location, &self.origin.owner, wall);
     }
 }
 
-impl End {
+impl StreamError {
     /// The error that the caller gets.
     pub fn problem(&self) -> Problem {
         match self {
--- a/crates/entry/src/stream/resumed.rs
+++ b/crates/entry/src/stream/resumed_streams.rs
@@ -6,14 +6,14 @@
 
 /// Counts of open streams. Clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Resumed(Arc<Mutex<BTreeMap<Box<str>, u32>>>);
+pub struct ResumedStreams(Arc<Mutex<BTreeMap<Box<str>, u32>>>);
 
-impl Resumed {
+impl ResumedStreams {
     /// Counts a stream until the value is dropped.
-    pub fn open(&self, engine: &str) -> Open {
+    pub fn open(&self, engine: &str) -> OpenStream {
         let mut counts = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         *counts.entry(engine.into()).or_default() += 1;
-        Open {
+        OpenStream {
             resumed: self.clone(),
             engine: engine.into(),
         }
@@ -28,12 +28,12 @@
 
 /// One open stream.
 #[derive(Debug)]
-pub struct Open {
-    resumed: Resumed,
+pub struct OpenStream {
+    resumed: ResumedStreams,
     engine: Box<str>,
 }
 
-impl Drop for Open {
+impl Drop for OpenStream {
     fn drop(&mut self) {
         let counts = &self.resumed.0;
         let mut counts = counts.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/entry/src/stream/sse.rs
+++ b/crates/entry/src/stream/sse.rs
@@ -7,7 +7,7 @@
 use bytes::{Buf as _, Bytes, BytesMut};
 use memchr::memchr;
 
-use crate::stream::token::Number;
+use crate::stream::event_id::EventNumber;
 
 /// Largest event that is taken in, in bytes.
 const MAX_EVENT: usize = 1 << 20;
@@ -17,7 +17,7 @@
 
 /// Why a stream of events cannot be relayed further from this connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum EventError {
     /// An event of another stream: the answer was crossed.
     Crossed,
     /// An event is missing.
@@ -39,15 +39,15 @@
 
 /// Follows the events of one stream over as many connections as it takes.
 #[derive(Debug)]
-pub struct Follower {
+pub struct EventRewriter {
     stream: String,
-    next: Number,
+    next: EventNumber,
     rest: BytesMut,
 }
 
-impl Follower {
+impl EventRewriter {
     /// A follower of the engine's stream whose next event is number `next`.
-    pub fn new(stream: &str, next: Number) -> Self {
+    pub fn new(stream: &str, next: EventNumber) -> Self {
         Self {
             stream: stream.to_owned(),
             next,
@@ -56,7 +56,7 @@
     }
 
     /// Number of the event that the caller gets next.
-    pub fn next(&self) -> Number {
+    pub fn next(&self) -> EventNumber {
         self.next
     }
 
@@ -73,7 +73,7 @@
     ///
     /// Something that must not reach the caller. What was whole before it in the same chunk is
     /// dropped with it, and is read again from [`Self::next`].
-    pub fn take(&mut self, chunk: &[u8], place: &str) -> Result<Relayed, Broken> {
+    pub fn push(&mut self, chunk: &[u8], place: &str) -> Result<Relayed, EventError> {
         let before = self.next;
         self.rest.extend_from_slice(chunk);
         let mut out = Vec::with_capacity(self.rest.len() + place.len());
@@ -86,7 +86,7 @@
             self.rest.advance(end);
         }
         if self.rest.len() > MAX_EVENT {
-            return Err(Broken::Malformed);
+            return Err(EventError::Malformed);
         }
         relayed.bytes = out.into();
         Ok(relayed)
@@ -98,25 +98,25 @@
         place: &str,
         out: &mut Vec<u8>,
         relayed: &mut Relayed,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), EventError> {
         let event = &self.rest[..end];
         let Some((id, after)) = leading_id(event) else {
             // Comments keep a connection alive and belong to no event.
             return if event.starts_with(b":") || event == b"\n" {
                 Ok(())
             } else {
-                Err(Broken::Malformed)
+                Err(EventError::Malformed)
             };
         };
-        let (stream, number) = split_id(id).ok_or(Broken::Malformed)?;
+        let (stream, number) = split_id(id).ok_or(EventError::Malformed)?;
         if stream != self.stream.as_bytes() {
-            return Err(Broken::Crossed);
+            return Err(EventError::Crossed);
         }
         if number < self.next {
             return Ok(());
         }
         if number > self.next {
-            return Err(Broken::Gap);
+            return Err(EventError::Gap);
         }
         let body = &event[after..];
         write_event(out, place, number, body);
@@ -130,7 +130,7 @@
     }
 }
 
-fn write_event(out: &mut Vec<u8>, place: &str, number: Number, body: &[u8]) {
+fn write_event(out: &mut Vec<u8>, place: &str, number: EventNumber, body: &[u8]) {
     out.extend_from_slice(b"id: ");
     out.extend_from_slice(place.as_bytes());
     // Writing to a vector cannot fail.
@@ -158,7 +158,7 @@
     Some((value[..newline].trim_ascii(), "id:".len() + newline + 1))
 }
 
-fn split_id(id: &[u8]) -> Option<(&[u8], Number)> {
+fn split_id(id: &[u8]) -> Option<(&[u8], EventNumber)> {
     let colon = id.iter().rposition(|byte| *byte == b':')?;
     let number = std::str::from_utf8(&id[colon + 1..]).ok()?;
     Some((&id[..colon], number.parse().ok()?))
--- a/crates/entry/src/density.rs
+++ b/crates/entry/src/token_estimator.rs
@@ -33,11 +33,11 @@
 
 /// What is known of each entry.
 #[derive(Debug, Default)]
-pub struct Densities {
+pub struct TokenEstimator {
     entries: Mutex<BTreeMap<String, Sizes>>,
 }
 
-impl Densities {
+impl TokenEstimator {
     /// Bytes per token of an entry's prompts.
     pub fn bytes_per_token(&self, entry: &str) -> f64 {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
@@ -48,7 +48,7 @@
     }
 
     /// Learns from an engine's count.
-    pub fn note(&self, entry: &str, bytes: usize, tokens: u32) {
+    pub fn record(&self, entry: &str, bytes: usize, tokens: u32) {
         if bytes == 0 || tokens == 0 {
             return;
         }
@@ -71,7 +71,7 @@
 
 /// An engine's count of the prompt in the last events of a stream. It is looked for as bytes, because
 /// relayed events are not read as JSON; a token's text cannot hold the unescaped words.
-pub fn counted(events: &[u8]) -> Option<u32> {
+pub fn prompt_token_count(events: &[u8]) -> Option<u32> {
     let start = memmem::rfind(events, COUNT)? + COUNT.len();
     let digits = events[start..]
         .iter()
--- a/crates/entry/src/upstream/client.rs
+++ b/crates/entry/src/upstream/client.rs
@@ -14,8 +14,8 @@
 use futures_util::{FutureExt as _, Stream, StreamExt as _};
 use settings::sections::Upstream as Options;
 
+use crate::body_buffer::{BodyBuffer, TooLarge};
 use crate::front::headers;
-use crate::gathered::{Gathered, TooLarge};
 use crate::upstream::failure::Failure;
 
 /// What to send where.
@@ -78,7 +78,7 @@
         let response = timeout(limit, builder.send_body(body))
             .await
             .map_err(|_| Failure::TimedOut)?
-            .map_err(|error| Failure::of_client(&error))?;
+            .map_err(|error| Failure::from_client_error(&error))?;
         let answer = Answer::new(response);
         let id = answer.headers().get(headers::REQUEST_ID);
         if id.is_none_or(|id| *id == request) {
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// As for [`Self::send`].
-    pub async fn ask(
+    pub async fn send_and_read(
         &self,
         call: Call<'_>,
         body: Bytes,
@@ -106,7 +106,7 @@
     ) -> Result<(StatusCode, Bytes), Failure> {
         let time = call.timeout;
         let mut answer = self.send(call, body).await?;
-        let body = timeout(time, answer.whole(limit))
+        let body = timeout(time, answer.read_all(limit))
             .await
             .map_err(|_| Failure::TimedOut)??;
         Ok((answer.status(), body))
@@ -184,8 +184,8 @@
     /// # Errors
     ///
     /// The connection broke, or the body is larger than `limit` bytes.
-    pub async fn whole(&mut self, limit: usize) -> Result<Bytes, Failure> {
-        let mut body = Gathered::new(limit);
+    pub async fn read_all(&mut self, limit: usize) -> Result<Bytes, Failure> {
+        let mut body = BodyBuffer::new(limit);
         while let Some(chunk) = self.chunk().await? {
             body.push(chunk).map_err(|TooLarge| Failure::TooLarge)?;
         }
@@ -202,12 +202,12 @@
 }
 
 /// A header whose value is a number.
-pub fn number(value: u64) -> HeaderValue {
+pub fn number_value(value: u64) -> HeaderValue {
     HeaderValue::from(value)
 }
 
 /// A header map from a few pairs.
-pub fn map<const N: usize>(pairs: [(HeaderName, HeaderValue); N]) -> HeaderMap {
+pub fn header_map<const N: usize>(pairs: [(HeaderName, HeaderValue); N]) -> HeaderMap {
     let mut map = HeaderMap::with_capacity(N);
     for (name, value) in pairs {
         map.insert(name, value);
--- a/crates/entry/src/upstream/failure.rs
+++ b/crates/entry/src/upstream/failure.rs
@@ -48,7 +48,7 @@
     }
 
     /// A short word for metrics and logs.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not_sent",
             Self::Declined(_) => "declined",
@@ -65,7 +65,7 @@
     /// `ConnectError::Disconnected` looks like a failure to connect and is none: the client gives
     /// it as well when the peer closes after the whole request was written. Called "not run" it
     /// would lead to a second execution; a service that dies after executing shows it.
-    pub fn of_client(error: &SendRequestError) -> Self {
+    pub fn from_client_error(error: &SendRequestError) -> Self {
         match error {
             SendRequestError::Connect(ConnectError::Disconnected) => {
                 Self::Lost("the connection was closed before the answer".to_owned())
--- a/crates/entry/src/upstream/kv.rs
+++ b/crates/entry/src/upstream/kv.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::front::headers;
-use crate::upstream::client::{Call, Client, map, number};
+use crate::upstream::client::{Call, Client, header_map, number_value};
 use crate::upstream::failure::Failure;
 
 /// Largest answer to an export or import, in bytes; the cache itself goes between the engines.
@@ -30,7 +30,7 @@
     /// Priority at both engines.
     pub priority: u8,
     /// Time until the caller's deadline.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 #[derive(Serialize)]
@@ -91,9 +91,9 @@
             target,
             headers: self.headers(),
             request: self.request.clone(),
-            timeout: self.left,
+            timeout: self.remaining,
         };
-        let (status, answer) = client.ask(call, body, ANSWER).await?;
+        let (status, answer) = client.send_and_read(call, body, ANSWER).await?;
         if status != StatusCode::OK {
             return Err(Failure::Declined(status.as_u16()));
         }
@@ -101,14 +101,14 @@
     }
 
     fn headers(&self) -> HeaderMap {
-        let left = u64::try_from(self.left.as_millis()).unwrap_or(u64::MAX);
-        map([
+        let left = u64::try_from(self.remaining.as_millis()).unwrap_or(u64::MAX);
+        header_map([
             (
                 header::CONTENT_TYPE,
                 HeaderValue::from_static("application/json"),
             ),
-            (headers::PRIORITY, number(u64::from(self.priority))),
-            (headers::DEADLINE, number(left)),
+            (headers::PRIORITY, number_value(u64::from(self.priority))),
+            (headers::DEADLINE, number_value(left)),
         ])
     }
 }
--- a/crates/entry/src/upstream/stream_guard.rs
+++ b/crates/entry/src/upstream/stream_guard.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use clock::{Clock as _, System};
 
-use crate::process::phase::{Life, Phase};
-use crate::process::pulse::Pulse;
+use crate::process::pause_detector::PauseDetector;
+use crate::process::phase::{Lifecycle, Phase};
 use crate::upstream::client::{Call, Client};
 
 /// Time that a cancellation may take.
@@ -20,31 +20,31 @@
 
 /// What a guard needs of the process.
 #[derive(Clone, Debug)]
-pub struct Context {
+pub struct GuardContext {
     /// Client of this thread.
     pub client: Client,
     /// Phase of the process.
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     /// Whether the process was paused.
-    pub pulse: Pulse,
+    pub pause_detector: PauseDetector,
     /// Clock of the pulse.
     pub clock: System,
 }
 
 /// Cancels its stream when it is dropped, unless it was released.
 #[derive(Debug)]
-pub struct Guard {
-    context: Context,
+pub struct StreamGuard {
+    context: GuardContext,
     address: SocketAddr,
     stream: String,
     request: HeaderValue,
     armed: bool,
 }
 
-impl Guard {
+impl StreamGuard {
     /// Guards a stream from the moment at which it is asked for.
     pub fn new(
-        context: Context,
+        context: GuardContext,
         address: SocketAddr,
         stream: String,
         request: HeaderValue,
@@ -59,20 +59,23 @@
     }
 
     /// The stream ended, or somebody else is to resume it.
-    pub fn release(&mut self) {
+    pub fn disarm(&mut self) {
         self.armed = false;
     }
 
     /// Whether the caller's absence is to be believed. Not after a pause (see
-    /// [`crate::process::pulse`]), and not when the process leaves open streams for other entries.
+    /// [`crate::process::pause_detector`]), and not when the process leaves open streams for other entries.
     fn is_due(&self) -> bool {
         self.armed
-            && self.context.life.phase() < Phase::Abandoning
-            && self.context.pulse.is_steady(self.context.clock.now())
+            && self.context.lifecycle.phase() < Phase::Abandoning
+            && self
+                .context
+                .pause_detector
+                .has_no_recent_pause(self.context.clock.now())
     }
 }
 
-impl Drop for Guard {
+impl Drop for StreamGuard {
     fn drop(&mut self) {
         if !self.is_due() {
             return;
@@ -90,7 +93,7 @@
                 request,
                 timeout: TIMEOUT,
             };
-            if let Err(failure) = client.ask(call, Bytes::new(), ANSWER).await {
+            if let Err(failure) = client.send_and_read(call, Bytes::new(), ANSWER).await {
                 log::debug!(stream = target.as_str(), failure:% = failure; "a stream was not cancelled");
             }
         });
--- a/crates/entry/tests/density.rs
+++ b/crates/entry/tests/density.rs
@@ -1,16 +1,16 @@
 //! How many bytes of a prompt a token has, as learnt from engines' counts.
 
-use entry::density::{Densities, counted};
+use entry::token_estimator::{TokenEstimator, prompt_token_count};
 
 #[test]
 fn what_engines_count_replaces_the_guess() {
     // Symptom: questions are refused for their deadline while engines are idle.
     // Sequence: the words of an entry's prompts are long; engines count a token a word.
     // Cause: with a fixed number of bytes per token a prompt seemed several times as long.
-    let densities = Densities::default();
+    let densities = TokenEstimator::default();
     let guess = densities.bytes_per_token("verdicts");
     for _ in 0..5 {
-        densities.note("verdicts", 13_000, 1_000);
+        densities.record("verdicts", 13_000, 1_000);
     }
     assert_eq!(densities.bytes_per_token("verdicts"), 13.0);
     assert_eq!(densities.bytes_per_token("another"), guess);
@@ -20,14 +20,14 @@
 
 #[test]
 fn a_strange_count_does_little_harm() {
-    let densities = Densities::default();
-    densities.note("empty", 1_000, 0);
-    densities.note("empty", 0, 1_000);
+    let densities = TokenEstimator::default();
+    densities.record("empty", 1_000, 0);
+    densities.record("empty", 0, 1_000);
     assert_eq!(
         densities.bytes_per_token("empty"),
         densities.bytes_per_token("unknown")
     );
-    densities.note("huge", 1_000_000, 1);
+    densities.record("huge", 1_000_000, 1);
     assert!(densities.bytes_per_token("huge") <= 32.0);
 }
 
@@ -35,8 +35,12 @@
 fn the_count_is_found_in_the_last_events() {
     let events = b"id: a:7\ndata: {\"choices\":[],\"usage\":{\"prompt_tokens\": 345,\"completion_tokens\":9}}\n\n\
         id: a:8\ndata: [DONE]\n\n";
-    assert_eq!(counted(events), Some(345));
+    assert_eq!(prompt_token_count(events), Some(345));
     let text = br#"data: {"choices":[{"text":"\"prompt_tokens\":5"}]}"#;
-    assert_eq!(counted(text), None, "text of an answer is no count");
-    assert_eq!(counted(b"data: [DONE]\n\n"), None);
+    assert_eq!(
+        prompt_token_count(text),
+        None,
+        "text of an answer is no count"
+    );
+    assert_eq!(prompt_token_count(b"data: [DONE]\n\n"), None);
 }
--- a/crates/entry/tests/guards.rs
+++ b/crates/entry/tests/guards.rs
@@ -5,13 +5,13 @@
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use awc::error::{ConnectError, SendRequestError};
 use bytes::Bytes;
-use entry::asked::engine_body;
+use entry::completion_params::engine_body;
 use entry::front::prompt::Prompt;
 use entry::front::{deadline, headers, path};
 use entry::metrics::TABLE;
 use entry::policy::Overrides;
-use entry::process::phase::{Life, Phase};
-use entry::process::pulse::Pulse;
+use entry::process::pause_detector::PauseDetector;
+use entry::process::phase::{Lifecycle, Phase};
 use entry::upstream::failure::Failure;
 use routing::decision::Execution;
 
@@ -21,12 +21,18 @@
 #[test]
 fn a_connection_that_closed_before_the_answer_may_have_run() {
     let closed = SendRequestError::Connect(ConnectError::Disconnected);
-    assert_eq!(Failure::of_client(&closed).ran(), Execution::Unknown);
+    assert_eq!(
+        Failure::from_client_error(&closed).ran(),
+        Execution::Unknown
+    );
     let refused = std::io::Error::from(std::io::ErrorKind::ConnectionRefused);
     let refused = SendRequestError::Connect(ConnectError::Io(refused));
-    assert_eq!(Failure::of_client(&refused).ran(), Execution::NotRun);
     assert_eq!(
-        Failure::of_client(&SendRequestError::Timeout).ran(),
+        Failure::from_client_error(&refused).ran(),
+        Execution::NotRun
+    );
+    assert_eq!(
+        Failure::from_client_error(&SendRequestError::Timeout).ran(),
         Execution::Unknown
     );
 }
@@ -37,21 +43,21 @@
 #[test]
 fn after_a_pause_a_callers_absence_is_not_believed() {
     let millis = Duration::from_millis;
-    let pulse = Pulse::new(millis(0));
-    assert!(!pulse.beat(millis(100)));
-    assert!(pulse.is_steady(millis(150)));
-    assert!(!pulse.is_steady(millis(5_000)));
-    assert!(pulse.beat(millis(5_000)));
-    assert!(!pulse.is_steady(millis(5_001)));
+    let pulse = PauseDetector::new(millis(0));
+    assert!(!pulse.tick(millis(100)));
+    assert!(pulse.has_no_recent_pause(millis(150)));
+    assert!(!pulse.has_no_recent_pause(millis(5_000)));
+    assert!(pulse.tick(millis(5_000)));
+    assert!(!pulse.has_no_recent_pause(millis(5_001)));
     for beat in 51..=160 {
-        assert!(!pulse.beat(millis(beat * 100)));
+        assert!(!pulse.tick(millis(beat * 100)));
     }
-    assert!(pulse.is_steady(millis(16_050)));
+    assert!(pulse.has_no_recent_pause(millis(16_050)));
 }
 
 #[test]
 fn a_phase_never_goes_back() {
-    let life = Life::new();
+    let life = Lifecycle::new();
     life.advance(Phase::Finishing);
     life.advance(Phase::Leaving);
     assert_eq!(life.phase(), Phase::Finishing);
@@ -86,7 +92,7 @@
 fn the_shortest_deadline_counts() {
     let mut map = HeaderMap::new();
     let of = |map: &HeaderMap| {
-        deadline::of(
+        deadline::resolve(
             map,
             Duration::from_secs(5),
             Duration::from_secs(2),
@@ -138,7 +144,7 @@
 fn the_operators_page_lists_all_metrics() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATORS.md");
     let page = std::fs::read_to_string(path).unwrap();
-    let table = entry::metrics::page("tarragon");
+    let table = entry::metrics::markdown_table("tarragon");
     assert!(page.contains(&table), "the section Metrics wants:\n{table}");
 }
 
--- a/crates/entry/tests/hold.rs
+++ b/crates/entry/tests/hold.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use entry::hold::{Answer, Answers, Found};
+use entry::held_answers::{Answer, HeldAnswers, Lookup};
 
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -17,39 +17,39 @@
 
 #[test]
 fn an_answer_is_given_again_to_the_same_request_only() {
-    let mut answers = Answers::new(10_000);
-    answers.put(Duration::ZERO, MINUTE, [1; 16], [9; 16], answer(10));
+    let mut answers = HeldAnswers::new(10_000);
+    answers.insert(Duration::ZERO, MINUTE, [1; 16], [9; 16], answer(10));
     let same = answers.get(Duration::ZERO, &[1; 16], Some(&[9; 16]));
-    assert_eq!(same, Some(Found::Answer(answer(10))));
+    assert_eq!(same, Some(Lookup::Answer(answer(10))));
     let other = answers.get(Duration::ZERO, &[1; 16], Some(&[8; 16]));
-    assert_eq!(other, Some(Found::OtherRequest));
+    assert_eq!(other, Some(Lookup::OtherRequest));
     assert_eq!(answers.get(Duration::ZERO, &[2; 16], None), None);
     assert_eq!(answers.get(MINUTE, &[1; 16], Some(&[9; 16])), None);
 }
 
 #[test]
 fn the_oldest_answers_make_room() {
-    let mut answers = Answers::new(1_000);
+    let mut answers = HeldAnswers::new(1_000);
     for key in 0..20 {
         let now = Duration::from_secs(u64::from(key));
-        answers.put(now, MINUTE, [key; 16], [0; 16], answer(100));
+        answers.insert(now, MINUTE, [key; 16], [0; 16], answer(100));
         assert!(answers.size() <= 1_000);
     }
     let now = Duration::from_secs(20);
     assert_eq!(answers.get(now, &[0; 16], None), None);
     assert!(answers.get(now, &[19; 16], None).is_some());
-    answers.put(now, MINUTE, [50; 16], [0; 16], answer(5_000));
+    answers.insert(now, MINUTE, [50; 16], [0; 16], answer(5_000));
     assert_eq!(answers.get(now, &[50; 16], None), None);
     assert!(answers.get(now, &[19; 16], None).is_some());
 }
 
 #[test]
 fn what_is_past_its_time_leaves_no_memory() {
-    let mut answers = Answers::new(10_000);
+    let mut answers = HeldAnswers::new(10_000);
     for key in 0..5 {
-        answers.put(Duration::ZERO, MINUTE, [key; 16], [0; 16], answer(100));
+        answers.insert(Duration::ZERO, MINUTE, [key; 16], [0; 16], answer(100));
     }
-    answers.put(Duration::ZERO, MINUTE, [0; 16], [0; 16], answer(100));
+    answers.insert(Duration::ZERO, MINUTE, [0; 16], [0; 16], answer(100));
     answers.expire(MINUTE);
     assert_eq!(answers.size(), 0);
 }
--- a/crates/entry/tests/upstream_client.rs
+++ b/crates/entry/tests/upstream_client.rs
@@ -59,7 +59,7 @@
         timeout: Duration::from_secs(5),
     };
     let mut answer = client.send(call, Bytes::new()).await?;
-    answer.whole(1_000).await
+    answer.read_all(1_000).await
 }
 
 // Symptom: a caller takes three bytes of ten for its whole answer.
