--- a/crates/entry/src/at_most_once.rs
+++ b/crates/entry/src/at_most_once.rs
@@ -1,8 +1,8 @@
-//! Calls that may not be repeated: one execution at most, whatever callers, entries and the log do.
-//! See [docs/design/at-most-once.md](../../../docs/design/at-most-once.md).
+//! Calls that may not be repeated run at most once, despite retries by callers, crashes of entries
+//! and outages of the log. See [docs/design/at-most-once.md](../../../docs/design/at-most-once.md).
 //!
-//! Such a call runs in a task of its own, so that it comes to its end and its answer is held when
-//! the caller's connection is gone.
+//! Such a call runs in a task of its own, so that it completes and its answer is held even when the
+//! caller's connection closes.
 
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
@@ -26,81 +26,84 @@
 use crate::proxied_request::ProxiedRequest;
 use crate::request_record::RequestRecord;
 
-/// When to come back if an earlier attempt is still in progress, or the log is out.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// `Retry-After` while an earlier attempt is in progress or the log is unavailable.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How a request ended, with its account still open.
+/// The result of a call, with its record still open.
 #[derive(Debug)]
 pub struct CallResult {
     /// The reply or the error.
     pub result: Result<Reply, Problem>,
-    /// The account.
+    /// Record of the request.
     pub record: RequestRecord,
 }
 
 /// Runs a completion.
 pub async fn completion(
-    mut work: ProxiedRequest,
+    mut proxied: ProxiedRequest,
     entry: &Entry,
-    asked: CompletionParams,
+    params: CompletionParams,
 ) -> CallResult {
-    count_demand(&work, entry, &asked);
+    count_demand(&proxied, entry, &params);
     if !entry.repeatable {
-        return detached(work, entry.clone(), Some(asked)).await;
+        return detached(proxied, entry.clone(), Some(params)).await;
     }
-    let result = match work.admit(completion::request(&work, entry, &asked)).await {
-        Ok(attempt) => completion::run(&mut work, entry, &asked, attempt).await,
+    let result = match proxied
+        .admit(completion::request(&proxied, entry, &params))
+        .await
+    {
+        Ok(attempt) => completion::run(&mut proxied, entry, &params, attempt).await,
         Err(refused) => Err(refused),
     };
-    ended(work, result)
+    finish(proxied, result)
 }
 
-/// Counts what the caller asks of the pool, before it is known whether it is admitted: roles are
-/// planned for the work that is wanted and not for the work that they let in.
-fn count_demand(work: &ProxiedRequest, entry: &Entry, asked: &CompletionParams) {
-    let shared = &work.worker.shared;
+/// Counts the demand on the pool before admission: roles are planned for the offered load, not for
+/// the load that the current roles admit.
+fn count_demand(proxied: &ProxiedRequest, entry: &Entry, params: &CompletionParams) {
+    let shared = &proxied.worker.shared;
     let pool = Arc::from(entry.pool.as_str());
     shared.control.record_demand(
         shared.clock.now(),
         &pool,
-        asked.prompt_tokens,
-        asked.output_tokens,
+        params.prompt_tokens,
+        params.output_tokens,
     );
 }
 
 /// Runs a call to a plain service.
-pub async fn plain(mut work: ProxiedRequest, entry: &Entry) -> CallResult {
+pub async fn plain(mut proxied: ProxiedRequest, entry: &Entry) -> CallResult {
     if !entry.repeatable {
-        return detached(work, entry.clone(), None).await;
+        return detached(proxied, entry.clone(), None).await;
     }
-    let result = match work.admit(work.routing_request(entry)).await {
-        Ok(attempt) => plain::run(&mut work, attempt, false).await,
+    let result = match proxied.admit(proxied.routing_request(entry)).await {
+        Ok(attempt) => plain::run(&mut proxied, attempt, false).await,
         Err(refused) => Err(refused),
     };
-    ended(work, result)
+    finish(proxied, result)
 }
 
-fn ended(work: ProxiedRequest, result: Result<Reply, Problem>) -> CallResult {
+fn finish(proxied: ProxiedRequest, result: Result<Reply, Problem>) -> CallResult {
     CallResult {
         result,
-        record: work.record,
+        record: proxied.record,
     }
 }
 
-/// Runs a call in a task that its caller's connection does not take along.
+/// Runs a call in a task that outlives the caller's connection.
 async fn detached(
-    work: ProxiedRequest,
+    proxied: ProxiedRequest,
     entry: Entry,
-    asked: Option<CompletionParams>,
+    params: Option<CompletionParams>,
 ) -> CallResult {
-    let shared = work.worker.shared.clone();
-    let request = work.record.request().clone();
-    let counted = shared.lifecycle.start_task();
+    let shared = proxied.worker.shared.clone();
+    let request = proxied.record.request().clone();
+    let task_guard = shared.lifecycle.start_task();
     let task = actix_rt::spawn(async move {
-        let _counted = counted;
-        let mut work = work;
-        let result = once(&mut work, &entry, asked.as_ref()).await;
-        ended(work, result)
+        let _task_guard = task_guard;
+        let mut proxied = proxied;
+        let result = run_at_most_once(&mut proxied, &entry, params.as_ref()).await;
+        finish(proxied, result)
     });
     task.await.unwrap_or_else(|_| CallResult {
         result: Err(Problem::unknown(
@@ -111,122 +114,125 @@
     })
 }
 
-async fn once(
-    work: &mut ProxiedRequest,
+async fn run_at_most_once(
+    proxied: &mut ProxiedRequest,
     entry: &Entry,
-    asked: Option<&CompletionParams>,
+    params: Option<&CompletionParams>,
 ) -> Result<Reply, Problem> {
-    let Some(claim) = keys::claim(work, entry)? else {
-        let attempt = admit(work, entry, asked).await?;
-        return run(work, entry, asked, attempt).await;
+    let Some(claim) = keys::claim(proxied, entry)? else {
+        let attempt = admit(proxied, entry, params).await?;
+        return run(proxied, entry, params, attempt).await;
     };
-    if let Some(found) = held_here(work, &claim) {
+    if let Some(found) = local_answer(proxied, &claim) {
         return found;
     }
-    // Refusals for load come before the claim, so that they cost the log nothing. They speak of the
-    // key: this call did not run, but one before it may have.
-    let attempt = admit(work, entry, asked)
+    // Refusals for load come before the claim, so that they need no append to the log. `ran` then
+    // covers the key: this call did not run, but an earlier one may have.
+    let attempt = admit(proxied, entry, params)
         .await
-        .map_err(|refused| speaking_of_the_key(refused, &claim))?;
-    let claimed = work.worker.shared.control.claim(claim.clone()).await;
+        .map_err(|refused| with_key_execution(refused, &claim))?;
+    let claimed = proxied.worker.shared.control.claim(claim.clone()).await;
     match claimed.decision {
         Decision::Run { .. } | Decision::RunUnclaimed => {
-            let own = Own {
+            let call = ClaimedCall {
                 claim: &claim,
                 ticket: claimed.call_id,
             };
-            run_claimed(work, entry, asked, attempt, &own).await
+            run_claimed(proxied, entry, params, attempt, &call).await
         }
         decided => {
             drop(attempt);
-            repeated(work, &claim, decided).await
+            answer_repeat(proxied, &claim, decided).await
         }
     }
 }
 
 async fn admit(
-    work: &mut ProxiedRequest,
+    proxied: &mut ProxiedRequest,
     entry: &Entry,
-    asked: Option<&CompletionParams>,
+    params: Option<&CompletionParams>,
 ) -> Result<Attempt, Problem> {
-    let request = match asked {
-        Some(asked) => completion::request(work, entry, asked),
-        None => work.routing_request(entry),
+    let request = match params {
+        Some(params) => completion::request(proxied, entry, params),
+        None => proxied.routing_request(entry),
     };
-    work.admit(request).await
+    proxied.admit(request).await
 }
 
 async fn run(
-    work: &mut ProxiedRequest,
+    proxied: &mut ProxiedRequest,
     entry: &Entry,
-    asked: Option<&CompletionParams>,
+    params: Option<&CompletionParams>,
     attempt: Attempt,
 ) -> Result<Reply, Problem> {
-    match asked {
-        Some(asked) => completion::run(work, entry, asked, attempt).await,
-        None => plain::run(work, attempt, true).await,
+    match params {
+        Some(params) => completion::run(proxied, entry, params, attempt).await,
+        None => plain::run(proxied, attempt, true).await,
     }
 }
 
-/// A key that is claimed for a call of this process.
-struct Own<'a> {
+/// A call whose key this process has claimed.
+struct ClaimedCall<'a> {
     claim: &'a Claim,
     ticket: CallId,
 }
 
-/// Runs a call whose key is ours, holds its answer and tells how it ended.
+/// Runs a call whose key this process has claimed, holds the answer and reports the outcome to the
+/// control.
 async fn run_claimed(
-    work: &mut ProxiedRequest,
+    proxied: &mut ProxiedRequest,
     entry: &Entry,
-    asked: Option<&CompletionParams>,
+    params: Option<&CompletionParams>,
     attempt: Attempt,
-    own: &Own<'_>,
+    claimed: &ClaimedCall<'_>,
 ) -> Result<Reply, Problem> {
-    let control = work.worker.shared.control.clone();
-    // The process may have been paused since the decision; an attempt that the caller has given up
-    // must not begin now.
-    if work.remaining().is_zero() {
-        control.conclude(own.ticket, CallEnd::NotRun);
+    let control = proxied.worker.shared.control.clone();
+    // The process may have been paused since the decision. An attempt whose deadline has passed
+    // must not start.
+    if proxied.remaining().is_zero() {
+        control.conclude(claimed.ticket, CallEnd::NotRun);
         return Err(Problem::not_run(
             Kind::DeadlineExceeded,
             "the deadline passed",
         ));
     }
-    let result = run(work, entry, asked, attempt).await;
+    let result = run(proxied, entry, params, attempt).await;
     let end = match &result {
         Ok(reply) => {
-            hold(work, entry, own.claim, reply);
+            hold_answer(proxied, entry, claimed.claim, reply);
             CallEnd::Answered
         }
         Err(problem) if problem.ran == problem::Ran::No => CallEnd::NotRun,
         Err(_) => CallEnd::Unknown,
     };
-    control.conclude(own.ticket, end);
+    control.conclude(claimed.ticket, end);
     result
 }
 
-/// What a call gets whose key belongs to another one.
-async fn repeated(
-    work: &mut ProxiedRequest,
+/// Answers a call whose key was claimed by an earlier call.
+async fn answer_repeat(
+    proxied: &mut ProxiedRequest,
     claim: &Claim,
     decided: Decision,
 ) -> Result<Reply, Problem> {
     match decided {
-        Decision::Answered { holder, .. } => match held_there(work, claim, &holder).await {
-            Some(answer) => Ok(again(work, answer)),
+        Decision::Answered { holder, .. } => match holder_answer(proxied, claim, &holder).await {
+            Some(answer) => Ok(replay(proxied, answer)),
             None => Err(Problem::unknown(
                 Kind::Repeated,
                 "the call was executed before, and its answer is held no more",
             )),
         },
-        Decision::InProgress { holder, request } => match held_there(work, claim, &holder).await {
-            Some(answer) => Ok(again(work, answer)),
-            None => Err(Problem::unknown(
-                Kind::Repeated,
-                format!("the call was begun before as {request} and may have run"),
-            )
-            .retry_after(COME_BACK)),
-        },
+        Decision::InProgress { holder, request } => {
+            match holder_answer(proxied, claim, &holder).await {
+                Some(answer) => Ok(replay(proxied, answer)),
+                None => Err(Problem::unknown(
+                    Kind::Repeated,
+                    format!("the call was begun before as {request} and may have run"),
+                )
+                .retry_after(RETRY_AFTER)),
+            }
+        }
         Decision::Conflict => Err(key_reused()),
         Decision::AttemptRequired => Err(Problem::unknown(
             Kind::AttemptRequired,
@@ -235,7 +241,7 @@
         Decision::Refused { executed: ran } => {
             Err(
                 keys::refusal(Kind::Unavailable, "the key could not be claimed", ran)
-                    .retry_after(COME_BACK),
+                    .retry_after(RETRY_AFTER),
             )
         }
         Decision::Run { .. } | Decision::RunUnclaimed => Err(Problem::unknown(
@@ -252,9 +258,9 @@
     )
 }
 
-/// The end of a call whose answer is held by this process.
-fn held_here(work: &ProxiedRequest, claim: &Claim) -> Option<Result<Reply, Problem>> {
-    let shared = &work.worker.shared;
+/// The answer for a key that this process holds an answer for.
+fn local_answer(proxied: &ProxiedRequest, claim: &Claim) -> Option<Result<Reply, Problem>> {
+    let shared = &proxied.worker.shared;
     let now = shared.clock.now();
     let held = shared
         .held_answers
@@ -263,13 +269,13 @@
     let found = held.get(now, &claim.key, Some(&claim.fingerprint))?;
     drop(held);
     Some(match found {
-        Lookup::Answer(answer) => Ok(again(work, answer)),
+        Lookup::Answer(answer) => Ok(replay(proxied, answer)),
         Lookup::OtherRequest => Err(key_reused()),
     })
 }
 
-async fn held_there(work: &ProxiedRequest, claim: &Claim, holder: &Holder) -> Option<Answer> {
-    let shared = &work.worker.shared;
+async fn holder_answer(proxied: &ProxiedRequest, claim: &Claim, holder: &Holder) -> Option<Answer> {
+    let shared = &proxied.worker.shared;
     if holder.instance == shared.settings.instance.id {
         let now = shared.clock.now();
         let held = shared
@@ -281,12 +287,14 @@
             _ => None,
         };
     }
-    let asked = shared.control.held_answer(&holder.instance, claim.key);
-    asked.await.and_then(|answer| Answer::try_from(answer).ok())
+    let answer = shared.control.held_answer(&holder.instance, claim.key);
+    answer
+        .await
+        .and_then(|answer| Answer::try_from(answer).ok())
 }
 
-fn again(work: &ProxiedRequest, answer: Answer) -> Reply {
-    work.worker.shared.metrics.add(Metric::Repeats, 1);
+fn replay(proxied: &ProxiedRequest, answer: Answer) -> Reply {
+    proxied.worker.shared.metrics.add(Metric::Repeats, 1);
     let mut map = HeaderMap::with_capacity(answer.headers.len());
     for (name, value) in &answer.headers {
         let name = HeaderName::try_from(name.as_str());
@@ -302,7 +310,7 @@
     }
 }
 
-fn hold(work: &ProxiedRequest, entry: &Entry, claim: &Claim, reply: &Reply) {
+fn hold_answer(proxied: &ProxiedRequest, entry: &Entry, claim: &Claim, reply: &Reply) {
     let Reply::Whole {
         status,
         headers,
@@ -311,7 +319,7 @@
     else {
         return;
     };
-    let shared = &work.worker.shared;
+    let shared = &proxied.worker.shared;
     let answer = Answer {
         status: status.as_u16(),
         headers: headers
@@ -329,7 +337,7 @@
     held.insert(now, time, claim.key, claim.fingerprint, answer);
 }
 
-fn speaking_of_the_key(refused: Problem, claim: &Claim) -> Problem {
+fn with_key_execution(refused: Problem, claim: &Claim) -> Problem {
     Problem {
         ran: match keys::execution_before_claim(claim) {
             Executed::No => refused.ran,
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -1,4 +1,5 @@
-//! Completions: from an OpenAI-compatible request to an engine and back, streamed or whole.
+//! OpenAI-compatible completions: sends a request to an engine and returns its answer, streamed or
+//! whole.
 
 use actix_http::StatusCode;
 use actix_http::header::HeaderValue;
@@ -14,168 +15,168 @@
 use crate::metrics::Metric;
 use crate::proxied_request::ProxiedRequest;
 use crate::stream::event_id::StreamLocation;
-use crate::stream::relay::{Relay, StreamError, StreamSource};
+use crate::stream::relay::{Error, Relay, StreamSource};
 use crate::stream::sse::Relayed;
 use crate::upstream::client::{Answer, Call};
 use crate::upstream::failure::Failure;
 use crate::upstream::kv::{Stage, Transfer};
 use crate::upstream::stream_guard::StreamGuard;
 
-/// Runs an admitted completion over as many attempts as are allowed.
+/// Runs an admitted completion, retrying as often as the router allows.
 ///
 /// # Errors
 ///
 /// The error for the caller.
 pub async fn run(
-    work: &mut ProxiedRequest,
+    proxied: &mut ProxiedRequest,
     entry: &Entry,
-    asked: &CompletionParams,
+    params: &CompletionParams,
     mut attempt: Attempt,
 ) -> Result<Reply, Problem> {
     loop {
-        work.begin_attempt(&attempt);
-        let failed = match once(work, entry, asked, attempt).await {
+        proxied.begin_attempt(&attempt);
+        let failed = match try_once(proxied, entry, params, attempt).await {
             Ok(result) => return result,
             Err(failed) => failed,
         };
-        attempt = work.retry(failed.attempt, &failed.failure).await?;
+        attempt = proxied.retry(failed.attempt, &failed.failure).await?;
     }
 }
 
-/// An attempt that failed before the caller got any of the answer.
-struct Failed {
+/// An attempt that failed before any part of the answer was sent to the caller.
+struct FailedAttempt {
     attempt: Attempt,
     failure: Failure,
 }
 
-/// What the router has to know of a completion.
-pub fn request(work: &ProxiedRequest, entry: &Entry, asked: &CompletionParams) -> Request {
-    let mut request = work.routing_request(entry);
-    request.prompt_tokens = asked.prompt_tokens;
-    request.output_tokens = asked.output_tokens;
-    request.prefixes.clone_from(&asked.prefixes);
-    request.streamed = asked.stream;
-    // An answer whose first token comes after the objective is a bad one already; capacity is
-    // better spent on those that can still be good.
+/// The routing request for a completion.
+pub fn request(proxied: &ProxiedRequest, entry: &Entry, params: &CompletionParams) -> Request {
+    let mut request = proxied.routing_request(entry);
+    request.prompt_tokens = params.prompt_tokens;
+    request.output_tokens = params.output_tokens;
+    request.prefixes.clone_from(&params.prefixes);
+    request.streamed = params.stream;
+    // An answer whose first token misses its objective counts as late in any case; capacity goes
+    // to requests that can still meet theirs.
     if let Some(first) = entry.contract.first_token {
-        request.deadline = request.deadline.min(work.record.started() + first);
+        request.deadline = request.deadline.min(proxied.record.started() + first);
     }
     request
 }
 
-async fn once(
-    work: &mut ProxiedRequest,
+async fn try_once(
+    proxied: &mut ProxiedRequest,
     entry: &Entry,
-    asked: &CompletionParams,
+    params: &CompletionParams,
     attempt: Attempt,
-) -> Result<Result<Reply, Problem>, Failed> {
-    let handle = transfer(work, &attempt).await;
-    let place = StreamLocation {
+) -> Result<Result<Reply, Problem>, FailedAttempt> {
+    let handle = transfer(proxied, &attempt).await;
+    let location = StreamLocation {
         engine: attempt.assignment().upstream.to_string(),
-        stream: work.worker.shared.id_generator.next_id(),
+        stream: proxied.worker.shared.id_generator.next_id(),
         entry: entry.name.clone(),
-        request: work
+        request: proxied
             .attempt_header()
             .to_str()
             .unwrap_or_default()
             .to_owned(),
     };
-    let result = match asked.stream {
-        true => streamed(work, asked, place, &attempt, handle).await,
-        false => whole(work, asked, &place, &attempt, handle).await,
+    let result = match params.stream {
+        true => streamed(proxied, params, location, &attempt, handle).await,
+        false => whole(proxied, params, &location, &attempt, handle).await,
     };
     if result.is_ok() {
-        work.observe_answer(&attempt.assignment().upstream);
+        proxied.observe_answer(&attempt.assignment().upstream);
     }
     match result {
-        Ok(Got::Whole(reply)) => Ok(Ok(reply)),
-        Ok(Got::Events(relay, first)) => Ok(Ok(Reply::Events {
+        Ok(EngineAnswer::Whole(reply)) => Ok(Ok(reply)),
+        Ok(EngineAnswer::Events(relay, first)) => Ok(Ok(Reply::Events {
             relay,
             first,
             attempt: Some(attempt),
         })),
-        Ok(Got::Wrong(problem)) => Ok(Err(work.with_execution(problem))),
-        Err(failure) => Err(Failed { attempt, failure }),
+        Ok(EngineAnswer::Invalid(problem)) => Ok(Err(proxied.with_execution(problem))),
+        Err(failure) => Err(FailedAttempt { attempt, failure }),
     }
 }
 
-enum Got {
+enum EngineAnswer {
     Whole(Reply),
     Events(Box<Relay>, Relayed),
-    Wrong(Problem),
+    Invalid(Problem),
 }
 
 async fn streamed(
-    work: &mut ProxiedRequest,
-    asked: &CompletionParams,
-    place: StreamLocation,
+    proxied: &mut ProxiedRequest,
+    params: &CompletionParams,
+    location: StreamLocation,
     attempt: &Attempt,
     handle: Option<HeaderValue>,
-) -> Result<Got, Failure> {
-    let address = work.address(&place.engine)?;
-    let origin = StreamSource {
+) -> Result<EngineAnswer, Failure> {
+    let address = proxied.address(&location.engine)?;
+    let source = StreamSource {
         address,
         next_event: 0,
-        owner: work.owner.to_string(),
-        request: work.attempt_header(),
-        deadline: work.deadline,
-        prompt_bytes: asked.prompt_bytes,
-        location: place,
+        owner: proxied.owner.to_string(),
+        request: proxied.attempt_header(),
+        deadline: proxied.deadline,
+        prompt_bytes: params.prompt_bytes,
+        location,
     };
-    let mut guard = guard(work, &origin);
-    let answer = send(work, address, &origin.location.stream, attempt, handle).await?;
-    let answer = match accepted(work, answer).await? {
-        Accepted::Answer(answer) => answer,
-        Accepted::Wrong(problem) => {
+    let mut guard = stream_guard(proxied, &source);
+    let answer = send(proxied, address, &source.location.stream, attempt, handle).await?;
+    let answer = match check_head(proxied, answer).await? {
+        HeadResult::Answer(answer) => answer,
+        HeadResult::Invalid(problem) => {
             guard.disarm();
-            return Ok(Got::Wrong(problem));
+            return Ok(EngineAnswer::Invalid(problem));
         }
     };
-    let mut relay = Box::new(Relay::new(work.worker.clone(), origin, Some(*answer)));
+    let mut relay = Box::new(Relay::new(proxied.worker.clone(), source, Some(*answer)));
     guard.disarm();
     match relay.first_events().await {
         Ok(first) => {
             attempt.prefill_done();
-            Ok(Got::Events(relay, first))
+            Ok(EngineAnswer::Events(relay, first))
         }
-        Err(StreamError::Deadline) => Err(Failure::TimedOut),
-        Err(StreamError::Gone) => Err(Failure::Lost("the engine lost the stream".to_owned())),
-        Err(StreamError::Unreachable(failure)) => Err(Failure::Lost(failure.to_string())),
+        Err(Error::Deadline) => Err(Failure::TimedOut),
+        Err(Error::Gone) => Err(Failure::Lost("the engine lost the stream".to_owned())),
+        Err(Error::Unreachable(failure)) => Err(Failure::Lost(failure.to_string())),
     }
 }
 
 async fn whole(
-    work: &mut ProxiedRequest,
-    asked: &CompletionParams,
-    place: &StreamLocation,
+    proxied: &mut ProxiedRequest,
+    params: &CompletionParams,
+    location: &StreamLocation,
     attempt: &Attempt,
     handle: Option<HeaderValue>,
-) -> Result<Got, Failure> {
-    let address = work.address(&attempt.assignment().upstream)?;
+) -> Result<EngineAnswer, Failure> {
+    let address = proxied.address(&attempt.assignment().upstream)?;
     let mut guard = StreamGuard::new(
-        work.worker.guard_context(),
+        proxied.worker.guard_context(),
         address,
-        place.stream.clone(),
-        work.attempt_header(),
+        location.stream.clone(),
+        proxied.attempt_header(),
     );
-    let answer = send(work, address, &place.stream, attempt, handle).await?;
-    let mut answer = match accepted(work, answer).await? {
-        Accepted::Answer(answer) => answer,
-        Accepted::Wrong(problem) => {
+    let answer = send(proxied, address, &location.stream, attempt, handle).await?;
+    let mut answer = match check_head(proxied, answer).await? {
+        HeadResult::Answer(answer) => answer,
+        HeadResult::Invalid(problem) => {
             guard.disarm();
-            return Ok(Got::Wrong(problem));
+            return Ok(EngineAnswer::Invalid(problem));
         }
     };
-    let limit = work.worker.shared.settings.limits.answer;
-    let body = actix_rt::time::timeout(work.remaining(), answer.read_all(limit))
+    let limit = proxied.worker.shared.settings.limits.answer;
+    let body = actix_rt::time::timeout(proxied.remaining(), answer.read_all(limit))
         .await
         .map_err(|_| Failure::TimedOut)??;
     guard.disarm();
-    if let Some(usage) = count_tokens(work, attempt, &body) {
-        let densities = &work.worker.shared.token_estimator;
-        densities.record(&place.entry, asked.prompt_bytes, usage.prompt_tokens);
+    if let Some(usage) = count_tokens(proxied, attempt, &body) {
+        let estimator = &proxied.worker.shared.token_estimator;
+        estimator.record(&location.entry, params.prompt_bytes, usage.prompt_tokens);
     }
-    Ok(Got::Whole(Reply::Whole {
+    Ok(EngineAnswer::Whole(Reply::Whole {
         status: answer.status(),
         headers: caller_headers(answer.headers()),
         body,
@@ -183,7 +184,7 @@
 }
 
 #[derive(Deserialize)]
-struct Answered {
+struct CompletionBody {
     usage: Option<Usage>,
 }
 
@@ -194,31 +195,33 @@
     completion_tokens: u32,
 }
 
-fn count_tokens(work: &mut ProxiedRequest, attempt: &Attempt, body: &[u8]) -> Option<Usage> {
-    let answered: Answered = serde_json::from_slice(body).ok()?;
-    let usage = answered.usage?;
+fn count_tokens(proxied: &mut ProxiedRequest, attempt: &Attempt, body: &[u8]) -> Option<Usage> {
+    let body_json: CompletionBody = serde_json::from_slice(body).ok()?;
+    let usage = body_json.usage?;
     attempt.tokens_received(usage.completion_tokens);
-    work.record.add_unstreamed_tokens(usage.completion_tokens);
+    proxied
+        .record
+        .add_unstreamed_tokens(usage.completion_tokens);
     Some(usage)
 }
 
-fn guard(work: &ProxiedRequest, origin: &StreamSource) -> StreamGuard {
+fn stream_guard(proxied: &ProxiedRequest, source: &StreamSource) -> StreamGuard {
     StreamGuard::new(
-        work.worker.guard_context(),
-        origin.address,
-        origin.location.stream.clone(),
-        origin.request.clone(),
+        proxied.worker.guard_context(),
+        source.address,
+        source.location.stream.clone(),
+        source.request.clone(),
     )
 }
 
 async fn send(
-    work: &ProxiedRequest,
+    proxied: &ProxiedRequest,
     address: std::net::SocketAddr,
     stream: &str,
     attempt: &Attempt,
     handle: Option<HeaderValue>,
 ) -> Result<Answer, Failure> {
-    let mut map = work.upstream_headers(attempt.assignment());
+    let mut map = proxied.upstream_headers(attempt.assignment());
     if let Ok(stream) = HeaderValue::try_from(stream) {
         map.insert(headers::STREAM_ID, stream);
     }
@@ -227,20 +230,20 @@
     }
     let call = Call {
         address,
-        method: work.method.clone(),
-        target: &work.target,
+        method: proxied.method.clone(),
+        target: &proxied.target,
         headers: map,
-        request: work.attempt_header(),
-        timeout: work.remaining(),
+        request: proxied.attempt_header(),
+        timeout: proxied.remaining(),
     };
-    work.worker.client.send(call, work.body.clone()).await
+    proxied.worker.client.send(call, proxied.body.clone()).await
 }
 
-/// Runs the KV transfer that the router asked for. If it fails, the answering engine prefills too,
-/// which costs time and nothing else.
-async fn transfer(work: &ProxiedRequest, attempt: &Attempt) -> Option<HeaderValue> {
+/// Runs the KV transfer that the router asked for. If it fails, the decoding engine prefills as
+/// well, which only costs time.
+async fn transfer(proxied: &ProxiedRequest, attempt: &Attempt) -> Option<HeaderValue> {
     let prefill = attempt.assignment().prefill.clone()?;
-    let result = try_transfer(work, attempt, &prefill).await;
+    let result = try_transfer(proxied, attempt, &prefill).await;
     match result {
         Ok(handle) => {
             attempt.prefill_done();
@@ -248,12 +251,12 @@
         }
         Err(stage) => {
             log::info!(
-                request_id = work.record.request().as_str(),
+                request_id = proxied.record.request().as_str(),
                 upstream = &*prefill,
                 stage:? = stage;
                 "a KV transfer failed"
             );
-            work.worker.shared.metrics.add(Metric::KvFallbacks, 1);
+            proxied.worker.shared.metrics.add(Metric::KvFallbacks, 1);
             attempt.transfer_failed();
             None
         }
@@ -261,63 +264,67 @@
 }
 
 async fn try_transfer(
-    work: &ProxiedRequest,
+    proxied: &ProxiedRequest,
     attempt: &Attempt,
     prefill: &str,
 ) -> Result<HeaderValue, Stage> {
-    let request = work.attempt_header();
+    let request = proxied.attempt_header();
     let transfer = Transfer {
-        prefill: work.address(prefill).map_err(Stage::Export)?,
-        decode: work
+        prefill: proxied.address(prefill).map_err(Stage::Export)?,
+        decode: proxied
             .address(&attempt.assignment().upstream)
             .map_err(Stage::Import)?,
-        body: work.body.clone(),
+        body: proxied.body.clone(),
         request: &request,
         priority: attempt.assignment().priority,
-        remaining: work.remaining(),
+        remaining: proxied.remaining(),
     };
-    transfer.run(&work.worker.client).await
+    transfer.run(&proxied.worker.client).await
 }
 
-/// Largest error of an engine that is read, in bytes.
-const ERROR_BODY: usize = 64 << 10;
+/// Largest error body that is read from an engine, in bytes.
+const MAX_ERROR_BODY: usize = 64 << 10;
 
 #[derive(Deserialize)]
-struct Declined {
+struct EngineError {
     ran: String,
     error: Option<String>,
 }
 
-/// What an engine's answer means before its body.
-enum Accepted {
-    /// It answers the request.
+/// The meaning of an engine's answer, judged by its head.
+enum HeadResult {
+    /// The engine runs the request.
     Answer(Box<Answer>),
-    /// The request itself is wrong; no other engine would take it either.
-    Wrong(Problem),
+    /// The request is invalid; every engine would reject it.
+    Invalid(Problem),
 }
 
-/// Tells an engine's answer from its refusals. "Not run" is believed only when the engine says so
-/// itself and under the request's id; any other error may come from work that was begun.
-async fn accepted(work: &ProxiedRequest, mut answer: Answer) -> Result<Accepted, Failure> {
+/// Distinguishes answers from refusals. A call counts as not run only when the engine itself says
+/// so and echoes the request's id; any other error may come after work has started.
+async fn check_head(proxied: &ProxiedRequest, mut answer: Answer) -> Result<HeadResult, Failure> {
     let status = answer.status();
-    let matched = answer.is_matched(&work.attempt_header());
+    let matched = answer.is_matched(&proxied.attempt_header());
     if status == StatusCode::OK {
         return match matched {
-            true => Ok(Accepted::Answer(Box::new(answer))),
+            true => Ok(HeadResult::Answer(Box::new(answer))),
             false => Err(Failure::Crossed),
         };
     }
-    let body = answer.read_all(ERROR_BODY).await?;
-    let declined: Option<Declined> = serde_json::from_slice(&body).ok();
-    let Some(declined) = declined.filter(|declined| declined.ran == "no") else {
+    let body = answer.read_all(MAX_ERROR_BODY).await?;
+    let engine_error: Option<EngineError> = serde_json::from_slice(&body).ok();
+    let Some(engine_error) = engine_error.filter(|error| error.ran == "no") else {
         return Err(Failure::Lost(format!("the engine answered {status}")));
     };
-    let detail = declined.error.unwrap_or_default();
+    let detail = engine_error.error.unwrap_or_default();
     match status {
-        StatusCode::BAD_REQUEST => Ok(Accepted::Wrong(Problem::not_run(Kind::BadRequest, detail))),
-        StatusCode::PAYLOAD_TOO_LARGE => {
-            Ok(Accepted::Wrong(Problem::not_run(Kind::TooLarge, detail)))
-        }
+        StatusCode::BAD_REQUEST => Ok(HeadResult::Invalid(Problem::not_run(
+            Kind::BadRequest,
+            detail,
+        ))),
+        StatusCode::PAYLOAD_TOO_LARGE => Ok(HeadResult::Invalid(Problem::not_run(
+            Kind::TooLarge,
+            detail,
+        ))),
         _ if matched => Err(Failure::Declined(status.as_u16())),
         _ => Err(Failure::Lost(format!(
             "the engine declined with {status}, without the request's id"
--- a/crates/entry/src/completion_params.rs
+++ b/crates/entry/src/completion_params.rs
@@ -1,4 +1,4 @@
-//! What a completion asks for, as far as decisions and attempts need it.
+//! Parameters of a completion that routing and attempts need.
 
 use std::sync::Arc;
 
@@ -11,27 +11,27 @@
 use crate::proxied_request::model_name;
 use crate::token_estimator::TokenEstimator;
 
-/// What of a prompt outlives the borrowed body.
+/// Parameters read from a prompt; unlike [`Prompt`], they do not borrow the body.
 #[derive(Debug)]
 pub struct CompletionParams {
-    /// The caller wants server-sent events.
+    /// Whether the caller asked for server-sent events.
     pub stream: bool,
-    /// Bytes of the prompt.
+    /// Size of the prompt in bytes.
     pub prompt_bytes: usize,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Expected tokens of the answer.
+    /// Expected number of tokens in the answer.
     pub output_tokens: u32,
-    /// Leading parts of the prompt, shortest first.
+    /// Prefixes of the prompt, shortest first.
     pub prefixes: SmallVec<[Prefix; 8]>,
     /// Model name as the engines know it.
     pub model: Arc<str>,
 }
 
 impl CompletionParams {
-    /// Reads what the decisions and attempts need.
-    pub fn new(prompt: &Prompt<'_>, entry: &Entry, densities: &TokenEstimator) -> Self {
-        let bytes_per_token = densities.bytes_per_token(&entry.name);
+    /// Derives the parameters from a prompt and the catalogue entry that serves it.
+    pub fn new(prompt: &Prompt<'_>, entry: &Entry, estimator: &TokenEstimator) -> Self {
+        let bytes_per_token = estimator.bytes_per_token(&entry.name);
         let model = model_name(&entry.target).unwrap_or_default();
         Self {
             stream: prompt.stream,
@@ -44,8 +44,8 @@
     }
 }
 
-/// The body for the engine: the caller names an entry or a model, the engine needs the model with
-/// its version and adapter. Only the name is replaced; everything else passes as it came.
+/// The body for the engine: the caller names an entry or a model, while the engine expects the
+/// model with its version and adapter. All other bytes are passed through unchanged.
 pub fn engine_body(body: &Bytes, prompt: &Prompt<'_>, model: &str) -> Bytes {
     let name = serde_json::Value::from(model).to_string();
     let range = prompt.model_range.clone();
@@ -59,20 +59,20 @@
     out.freeze()
 }
 
-/// Bytes of the shortest prefix that is worth remembering; each next one is twice as long.
-const SHORTEST_PREFIX: usize = 256;
+/// Length of the shortest prefix in bytes; each further prefix is twice as long.
+const MIN_PREFIX_BYTES: usize = 256;
 
-/// Most prefixes of one prompt.
-const PREFIXES: usize = 8;
+/// Largest number of prefixes of one prompt.
+const MAX_PREFIXES: usize = 8;
 
 fn prefixes(model: &str, text: &str, bytes_per_token: f64) -> SmallVec<[Prefix; 8]> {
     let mut prefixes = SmallVec::new();
     let mut hasher = blake3::Hasher::new();
     hasher.update(model.as_bytes());
-    let mut done = 0;
-    let mut end = SHORTEST_PREFIX;
-    while end <= text.len() && prefixes.len() < PREFIXES {
-        hasher.update(&text.as_bytes()[done..end]);
+    let mut hashed = 0;
+    let mut end = MIN_PREFIX_BYTES;
+    while end <= text.len() && prefixes.len() < MAX_PREFIXES {
+        hasher.update(&text.as_bytes()[hashed..end]);
         let hash = hasher.finalize();
         let mut word = [0; 8];
         word.copy_from_slice(&hash.as_bytes()[..8]);
@@ -80,7 +80,7 @@
             hash: u64::from_le_bytes(word),
             tokens: (end as f64 / bytes_per_token) as u32,
         });
-        done = end;
+        hashed = end;
         end *= 2;
     }
     prefixes
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -1,4 +1,4 @@
-//! What a request with an `Idempotency-Key` asks of the claims.
+//! Builds the claim of a request from its `Idempotency-Key` and `Idempotency-Attempt` headers.
 
 use actix_http::header::HeaderMap;
 use catalogue::{Entry, Outage};
@@ -9,16 +9,16 @@
 use crate::front::problem::{Kind, Problem};
 use crate::proxied_request::ProxiedRequest;
 
-/// Longest `Idempotency-Key` that is taken, in bytes.
-const LONGEST_KEY: usize = 255;
+/// Longest `Idempotency-Key` that is accepted, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
-/// The claim that a request makes; `None` without a key.
+/// The claim of a request; `None` if it has no key.
 ///
 /// # Errors
 ///
-/// The headers are not good, or the entry requires a key.
-pub fn claim(work: &ProxiedRequest, entry: &Entry) -> Result<Option<Claim>, Problem> {
-    let Some(key) = work.headers.get(headers::IDEMPOTENCY_KEY) else {
+/// A header is invalid, or the entry requires a key and the request has none.
+pub fn claim(proxied: &ProxiedRequest, entry: &Entry) -> Result<Option<Claim>, Problem> {
+    let Some(key) = proxied.headers.get(headers::IDEMPOTENCY_KEY) else {
         return match entry.require_key {
             true => Err(Problem::not_run(
                 Kind::KeyRequired,
@@ -30,25 +30,25 @@
     let key = key
         .to_str()
         .ok()
-        .filter(|key| !key.is_empty() && key.len() <= LONGEST_KEY)
+        .filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES)
         .ok_or_else(|| {
-            let detail = format!("Idempotency-Key must be text of up to {LONGEST_KEY} bytes");
+            let detail = format!("Idempotency-Key must be text of up to {MAX_KEY_BYTES} bytes");
             Problem::not_run(Kind::BadRequest, detail)
         })?;
     Ok(Some(Claim {
-        key: claims::key_digest(&work.owner, &entry.name, key),
-        fingerprint: claims::fingerprint(work.method.as_str(), &work.target, &work.body),
-        request: work.record.request().to_string(),
-        attempt: attempt(&work.headers)?,
+        key: claims::key_digest(&proxied.owner, &entry.name, key),
+        fingerprint: claims::fingerprint(proxied.method.as_str(), &proxied.target, &proxied.body),
+        request: proxied.record.request().to_string(),
+        attempt: attempt_number(&proxied.headers)?,
         policy: match entry.outage {
             Outage::Refuse => OutagePolicy::Refuse,
             Outage::FirstAttempt => OutagePolicy::FirstAttempt,
         },
-        deadline: work.deadline,
+        deadline: proxied.deadline,
     }))
 }
 
-fn attempt(map: &HeaderMap) -> Result<Option<u32>, Problem> {
+fn attempt_number(map: &HeaderMap) -> Result<Option<u32>, Problem> {
     let Some(value) = map.get(headers::IDEMPOTENCY_ATTEMPT) else {
         return Ok(None);
     };
@@ -62,8 +62,8 @@
     }
 }
 
-/// What may be said of the key when a call is refused before it has a claim. This call did not run,
-/// but one before it may have; only a declared first attempt has none before it.
+/// What is certain about a key when a call is refused before its claim. This call did not run, but
+/// an earlier attempt may have, unless the caller declares this one to be the first.
 pub fn execution_before_claim(claim: &Claim) -> Executed {
     match claim.attempt {
         Some(1) => Executed::No,
@@ -71,7 +71,7 @@
     }
 }
 
-/// A refusal with what may be said of the key.
+/// A refusal that states what is certain about the key.
 pub fn refusal(kind: Kind, detail: &str, ran: Executed) -> Problem {
     match ran {
         Executed::No => Problem::not_run(kind, detail),
--- a/crates/entry/src/proxied_request.rs
+++ b/crates/entry/src/proxied_request.rs
@@ -1,4 +1,4 @@
-//! One request on its way to an upstream.
+//! A caller's request that is sent to an upstream, in one or more attempts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,33 +26,33 @@
 use crate::upstream::client::number_value;
 use crate::upstream::failure::Failure;
 
-/// Time that an upstream must have had before its silence counts against it.
-const FAIR_WAIT: Duration = Duration::from_millis(500);
+/// A time-out after a shorter wait does not count against the upstream.
+const MIN_FAIR_WAIT: Duration = Duration::from_millis(500);
 
-/// A request with all that its attempts need.
+/// A request with the data that its attempts need.
 #[derive(Debug)]
 pub struct ProxiedRequest {
-    /// The thread that serves it.
+    /// Worker of the thread that serves the request.
     pub worker: Worker,
-    /// The owner who calls.
+    /// Owner of the caller's key.
     pub owner: Arc<str>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path with its query, as the upstream gets it.
+    /// Path and query, as sent to the upstream.
     pub target: String,
-    /// Headers of the caller.
+    /// Headers of the caller's request.
     pub headers: HeaderMap,
-    /// Whole body, as the upstream gets it.
+    /// Body, as sent to the upstream.
     pub body: Bytes,
-    /// When the answer is of no use any more.
+    /// Deadline of the answer.
     pub deadline: Moment,
-    /// Its account.
+    /// Record of the request.
     pub record: RequestRecord,
-    /// Whether an attempt before may have run.
+    /// Whether an earlier attempt may have run.
     pub ran: Execution,
-    /// When the newest attempt began.
+    /// Start of the latest attempt.
     pub attempt_started: Instant,
-    /// Id of the newest attempt.
+    /// Id of the latest attempt.
     pub attempt_id: HeaderValue,
 }
 
@@ -62,16 +62,16 @@
         self.deadline.saturating_sub(self.worker.shared.clock.now())
     }
 
-    /// The id of the newest attempt, which the upstream must echo.
+    /// The id of the latest attempt, which the upstream must echo.
     pub fn attempt_header(&self) -> HeaderValue {
         self.attempt_id.clone()
     }
 
-    /// Admits the request and waits until it may be sent.
+    /// Asks the router for admission and waits until the request may be sent.
     ///
     /// # Errors
     ///
-    /// It is refused; it was not run.
+    /// The request is refused and was not run.
     pub async fn admit(&mut self, request: Request) -> Result<Attempt, Problem> {
         let shared = &self.worker.shared;
         if request.model.is_some() {
@@ -81,19 +81,20 @@
                 .control
                 .record_demand(now, &request.pool, prompt, answer);
         }
-        let dispatch = shared.dispatcher.clone();
-        dispatch
+        let dispatcher = shared.dispatcher.clone();
+        dispatcher
             .admit(request)
             .await
             .map_err(|refused| refusal::problem(&refused))
     }
 
-    /// Takes an attempt that failed before the caller got any of the answer, and gives the next one.
+    /// Reports an attempt that failed before any part of the answer was sent, and returns the next
+    /// one.
     ///
     /// # Errors
     ///
-    /// No further attempt is made. What is certain then covers all attempts: one that may have run
-    /// is not undone by a later one that did not.
+    /// No further attempt is made. The error's `ran` covers all attempts: if an earlier one may
+    /// have run, a later one that did not run does not change that.
     pub async fn retry(&mut self, attempt: Attempt, failure: &Failure) -> Result<Attempt, Problem> {
         let ran = failure.ran();
         log::info!(
@@ -121,7 +122,7 @@
         Err(self.with_execution(problem))
     }
 
-    /// The problem with what is certain over all attempts.
+    /// Sets the problem's `ran` to what is certain over all attempts.
     pub fn with_execution(&self, mut problem: Problem) -> Problem {
         if self.ran == Execution::Unknown {
             problem.ran = problem::Ran::Unknown;
@@ -129,36 +130,36 @@
         problem
     }
 
-    /// Address of the upstream that was chosen.
+    /// Address of an upstream.
     ///
     /// # Errors
     ///
-    /// It is not known here; nothing was sent.
+    /// The upstream is not listed; nothing was sent.
     pub fn address(&self, id: &str) -> Result<SocketAddr, Failure> {
-        // The list may have changed since the request began, so the newest one counts.
+        // The list may have changed since the request started, so the current view is used.
         let view = self.worker.shared.view();
         view.upstream(id)
             .and_then(|upstream| upstream.address.parse().ok())
             .ok_or_else(|| Failure::NotSent(format!("upstream {id} is not listed any more")))
     }
 
-    /// Notes that an attempt begins.
+    /// Records the start of an attempt and gives it a new id.
     pub fn begin_attempt(&mut self, attempt: &Attempt) {
         self.record.set_upstream(&attempt.assignment().upstream);
         self.attempt_started = Instant::now();
         self.attempt_id = self.new_attempt_id();
     }
 
-    /// The caller's id alone would not do: two callers may choose the same one, and then the answer
-    /// of one would pass for the other's; and a late answer to the first attempt must not pass for
-    /// that to the second.
+    /// The caller's id alone is not unique: two callers may choose the same one, and the answer to
+    /// one would match the other. A late answer to the first attempt must not match the second
+    /// either.
     fn new_attempt_id(&self) -> HeaderValue {
         let request = self.record.request();
         let id = format!("{request}~{}", self.worker.shared.id_generator.next_id());
         HeaderValue::try_from(id).unwrap_or_else(|_| request.header())
     }
 
-    /// Tells the control that an upstream answered the newest attempt.
+    /// Reports to the control that an upstream answered the latest attempt.
     pub fn observe_answer(&self, upstream: &Arc<str>) {
         self.observe(
             upstream,
@@ -166,35 +167,39 @@
         );
     }
 
-    /// A caller that leaves an upstream no time says nothing about the upstream when that time is
-    /// over; taken for a failure, a few such callers would take healthy upstreams out.
+    /// Reports a failed attempt to the control. Time-outs caused by a very short deadline are left
+    /// out: otherwise a few callers with such deadlines would eject healthy upstreams.
     fn observe_failure(&self, upstream: &Arc<str>, failure: &Failure) {
-        let hasty = *failure == Failure::TimedOut && self.attempt_started.elapsed() < FAIR_WAIT;
+        let too_short =
+            *failure == Failure::TimedOut && self.attempt_started.elapsed() < MIN_FAIR_WAIT;
         if let Some(observation) = failure.observation()
-            && !hasty
+            && !too_short
         {
             self.observe(upstream, observation);
         }
     }
 
-    /// Tells the control how an attempt at an upstream went.
+    /// Reports the result of an attempt at an upstream to the control.
     pub fn observe(&self, upstream: &Arc<str>, observation: Observation) {
         self.worker.shared.control.observe(upstream, observation);
     }
 
-    /// Headers for the upstream.
-    pub fn upstream_headers(&self, sending: &Assignment) -> HeaderMap {
+    /// Headers that are sent to the upstream.
+    pub fn upstream_headers(&self, assignment: &Assignment) -> HeaderMap {
         let mut map = HeaderMap::with_capacity(self.headers.len() + 4);
         for (name, value) in headers::to_upstream(&self.headers) {
             map.append(name.clone(), value.clone());
         }
         let left = u64::try_from(self.remaining().as_millis()).unwrap_or(u64::MAX);
         map.insert(headers::DEADLINE, number_value(left));
-        map.insert(headers::PRIORITY, number_value(u64::from(sending.priority)));
+        map.insert(
+            headers::PRIORITY,
+            number_value(u64::from(assignment.priority)),
+        );
         map
     }
 
-    /// What the router has to know, without what only engines have.
+    /// The routing request, without the fields that only completions set.
     pub fn routing_request(&self, entry: &Entry) -> Request {
         let mut subjects = SmallVec::new();
         subjects.push(Arc::clone(&self.owner));
@@ -215,7 +220,7 @@
     }
 }
 
-/// The name under which engines know a model with its version and adapter.
+/// The engines' name for a model, with its version and adapter.
 pub fn model_name(target: &Target) -> Option<String> {
     match target {
         Target::Model {
@@ -240,7 +245,7 @@
     }
 }
 
-/// The error of a call whose last attempt failed like this.
+/// The error for the caller when the last attempt failed.
 fn final_problem(failure: &Failure) -> Problem {
     let kind = match failure {
         Failure::TimedOut => Kind::DeadlineExceeded,
--- a/crates/entry/src/resume.rs
+++ b/crates/entry/src/resume.rs
@@ -1,4 +1,4 @@
-//! Streams resumed for a caller that lost its connection, perhaps to another entry.
+//! Resumes streams for callers that lost their connection, possibly to another entry.
 
 use actix_http::header::HeaderValue;
 use clock::{Clock as _, Moment};
@@ -12,56 +12,56 @@
 use crate::stream::event_id::EventIdError;
 use crate::stream::relay::{Relay, StreamSource};
 
-/// What is asked for.
+/// A request to resume a stream.
 #[derive(Debug)]
 pub struct Resumption<'a> {
-    /// The owner who calls.
+    /// Owner of the caller's key.
     pub owner: &'a str,
-    /// Id of the last event that the caller saw.
+    /// Id of the last event that the caller received.
     pub last: &'a str,
-    /// When the rest is of no use any more.
+    /// Deadline of the rest of the stream.
     pub deadline: Moment,
 }
 
-/// Resumes a stream at its engine after the last event that the caller saw. The entry that began
-/// it takes no part: it may be gone.
+/// Resumes a stream at its engine after the last event that the caller received. The entry that
+/// started the stream is not involved, since it may be gone.
 ///
 /// # Errors
 ///
-/// The id is not good, or the engine has the stream no more.
+/// The event id is invalid, or the engine no longer has the stream.
 pub async fn run(
     worker: &Worker,
     view: &View,
     resumption: &Resumption<'_>,
-    account: &mut RequestRecord,
+    record: &mut RequestRecord,
 ) -> Result<Reply, Problem> {
     let shared = &worker.shared;
-    let (place, number) = shared
+    let (location, number) = shared
         .event_ids
         .decode(resumption.last, resumption.owner, unix_time(&shared.clock))
-        .map_err(refused)?;
+        .map_err(invalid_event_id)?;
     let catalogue = view.catalogue.as_deref();
-    if let Some(entry) = catalogue.and_then(|catalogue| catalogue.entry(&place.entry)) {
-        account.set_entry(entry);
+    if let Some(entry) = catalogue.and_then(|catalogue| catalogue.entry(&location.entry)) {
+        record.set_entry(entry);
     }
     let address = view
-        .upstream(&place.engine)
+        .upstream(&location.engine)
         .and_then(|upstream| upstream.address.parse().ok())
         .ok_or_else(|| gone("its engine is gone"))?;
-    account.set_upstream(&place.engine.as_str().into());
-    let request = HeaderValue::try_from(place.request.as_str())
+    record.set_upstream(&location.engine.as_str().into());
+    let request = HeaderValue::try_from(location.request.as_str())
         .map_err(|_| gone("its request id cannot be sent"))?;
-    let origin = StreamSource {
+    let source = StreamSource {
         address,
         next_event: number + 1,
         owner: resumption.owner.to_owned(),
         request,
         deadline: resumption.deadline.max(shared.clock.now()),
         prompt_bytes: 0,
-        location: place,
+        location,
     };
     shared.metrics.add(Metric::Resumptions, 1);
-    let mut relay = Box::new(Relay::new(worker.clone(), origin, None));
+    let mut relay = Box::new(Relay::new(worker.clone(), source, None));
     let first = relay.first_events().await.map_err(|end| end.problem())?;
     Ok(Reply::Events {
         relay,
@@ -70,7 +70,7 @@
     })
 }
 
-fn refused(refused: EventIdError) -> Problem {
+fn invalid_event_id(refused: EventIdError) -> Problem {
     match refused {
         EventIdError::Forged => Problem::not_run(
             Kind::BadRequest,
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -1,5 +1,5 @@
-//! Streams of tokens from an engine to a caller, each event once, whatever happens to the entries
-//! between them.
+//! Token streams from an engine to a caller. Each event is delivered exactly once, also when an
+//! entry between them fails.
 
 pub mod event_id;
 pub mod relay;
--- a/crates/entry/src/stream/event_id.rs
+++ b/crates/entry/src/stream/event_id.rs
@@ -1,11 +1,11 @@
-//! Event ids towards callers: they carry what another entry needs to resume the stream at its
-//! engine, authenticated with the secret that all entries share, so that no entry keeps state for
-//! another. See [docs/design/streams.md](../../../../docs/design/streams.md).
+//! Event ids for callers. An id holds all that another entry needs to resume the stream at its
+//! engine and is authenticated with a secret shared by all entries, so that entries need not
+//! replicate state. See [docs/design/streams.md](../../../../docs/design/streams.md).
 //!
-//! An id is `<place>.<n>`. The place names the engine, the stream and the catalogue entry with an
-//! expiry; its MAC covers the owner too, so that a leaked id is of no use to another owner. The
-//! number `n` of the event is outside of the MAC: a caller that changes it only reads other events
-//! of its own stream, and leaving it out makes an id one copy instead of one MAC per event.
+//! An id is `<location>.<n>`. The location names the engine, the stream, the catalogue entry and
+//! the request, with an expiry; its MAC also covers the owner, so that a leaked id is of no use to
+//! another owner. The event number `n` is not covered: a caller that changes it only reads other
+//! events of its own stream, and each id then costs a copy instead of a MAC.
 
 use std::fmt;
 use std::time::Duration;
@@ -17,16 +17,16 @@
 /// Number of an event in its stream, from 0.
 pub type EventNumber = u64;
 
-/// Bytes of the MAC that an id carries.
-const MAC: usize = 16;
+/// Length of the MAC in an id, in bytes.
+const MAC_BYTES: usize = 16;
 
-/// Derivation context of the MAC key; it changes with the format of the ids.
-const CONTEXT: &str = "tarragonswitch event id 2026-12 v1";
+/// Context for deriving the MAC key; must change with the format of the ids.
+const KEY_CONTEXT: &str = "tarragonswitch event id 2026-12 v1";
 
-/// Separates the fields; no id of an instance, a stream or an entry has it.
+/// Separates the fields; instance, stream, entry and request ids cannot contain it.
 const SEPARATOR: char = '\n';
 
-/// Where a stream is.
+/// Identifies a stream and the engine that runs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamLocation {
     /// Instance id of the engine.
@@ -35,82 +35,84 @@
     pub stream: String,
     /// Name of the catalogue entry.
     pub entry: String,
-    /// Id of the request that began it, under which the engine answers.
+    /// Id of the request that started the stream, which the engine echoes.
     pub request: String,
 }
 
-/// Why an event id is refused.
+/// Why an event id is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventIdError {
-    /// It is not one of ours, was changed, or belongs to another owner.
+    /// The id is malformed, was altered, or belongs to another owner.
     Forged,
-    /// Its time is over.
+    /// The id has expired.
     Expired,
 }
 
-/// Makes and checks event ids.
+/// Mints and verifies event ids.
 #[derive(Clone)]
 pub struct Mint {
     key: [u8; blake3::KEY_LEN],
-    time: Duration,
+    validity: Duration,
 }
 
 impl fmt::Debug for Mint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Mint")
-            .field("time", &self.time)
+            .field("time", &self.validity)
             .finish_non_exhaustive()
     }
 }
 
 impl Mint {
-    /// A mint over the shared secret; its ids are good for `time`.
-    pub fn new(secret: &[u8], time: Duration) -> Self {
+    /// A mint with the shared secret; its ids expire after `validity`.
+    pub fn new(secret: &[u8], validity: Duration) -> Self {
         Self {
-            key: blake3::derive_key(CONTEXT, secret),
-            time,
+            key: blake3::derive_key(KEY_CONTEXT, secret),
+            validity,
         }
     }
 
-    /// How long a place is good for.
+    /// Time after which ids expire.
     pub fn validity(&self) -> Duration {
-        self.time
+        self.validity
     }
 
-    /// The part of the ids before the number, good from `wall` (since the Unix epoch) on.
-    pub fn encode(&self, place: &StreamLocation, owner: &str, wall: Duration) -> String {
-        let expiry = (wall + self.time).as_secs();
+    /// Encodes the part of the ids before the number, minted at `unix_time` (since the Unix epoch).
+    pub fn encode(&self, location: &StreamLocation, owner: &str, unix_time: Duration) -> String {
+        let expiry = (unix_time + self.validity).as_secs();
         let payload = [
             expiry.to_string().as_str(),
-            &place.engine,
-            &place.stream,
-            &place.entry,
-            &place.request,
+            &location.engine,
+            &location.stream,
+            &location.entry,
+            &location.request,
         ]
         .join(&SEPARATOR.to_string());
-        let mut bytes = Vec::with_capacity(MAC + payload.len());
+        let mut bytes = Vec::with_capacity(MAC_BYTES + payload.len());
         bytes.extend_from_slice(&self.mac(owner, payload.as_bytes()));
         bytes.extend_from_slice(payload.as_bytes());
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads the id of the last event that a caller saw.
+    /// Verifies and decodes the id of the last event that a caller received.
     ///
     /// # Errors
     ///
-    /// The id is forged, of another owner, or expired.
+    /// The id is forged, belongs to another owner, or has expired.
     pub fn decode(
         &self,
         id: &str,
         owner: &str,
-        wall: Duration,
+        unix_time: Duration,
     ) -> Result<(StreamLocation, EventNumber), EventIdError> {
-        let (place, number) = id.rsplit_once('.').ok_or(EventIdError::Forged)?;
+        let (location, number) = id.rsplit_once('.').ok_or(EventIdError::Forged)?;
         let number = number.parse().map_err(|_| EventIdError::Forged)?;
         let bytes = URL_SAFE_NO_PAD
-            .decode(place)
+            .decode(location)
             .map_err(|_| EventIdError::Forged)?;
-        let (mac, payload) = bytes.split_at_checked(MAC).ok_or(EventIdError::Forged)?;
+        let (mac, payload) = bytes
+            .split_at_checked(MAC_BYTES)
+            .ok_or(EventIdError::Forged)?;
         if !bool::from(mac.ct_eq(&self.mac(owner, payload))) {
             return Err(EventIdError::Forged);
         }
@@ -118,25 +120,25 @@
         let mut fields = payload.split(SEPARATOR);
         let mut field = || fields.next().ok_or(EventIdError::Forged);
         let expiry: u64 = field()?.parse().map_err(|_| EventIdError::Forged)?;
-        let place = StreamLocation {
+        let location = StreamLocation {
             engine: field()?.to_owned(),
             stream: field()?.to_owned(),
             entry: field()?.to_owned(),
             request: field()?.to_owned(),
         };
-        if wall.as_secs() > expiry {
+        if unix_time.as_secs() > expiry {
             return Err(EventIdError::Expired);
         }
-        Ok((place, number))
+        Ok((location, number))
     }
 
-    fn mac(&self, owner: &str, payload: &[u8]) -> [u8; MAC] {
+    fn mac(&self, owner: &str, payload: &[u8]) -> [u8; MAC_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&(owner.len() as u64).to_le_bytes());
         hasher.update(owner.as_bytes());
         hasher.update(payload);
-        let mut mac = [0; MAC];
-        mac.copy_from_slice(&hasher.finalize().as_bytes()[..MAC]);
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
         mac
     }
 }
--- a/crates/entry/src/stream/relay.rs
+++ b/crates/entry/src/stream/relay.rs
@@ -1,8 +1,8 @@
-//! Carries the events of one stream from its engine to one caller.
+//! Relays the events of one stream from its engine to one caller.
 //!
-//! The relay survives broken connections to the engine: it asks the engine for the rest by the
-//! number of the next event. It never asks another engine for the rest, because generation is not
-//! deterministic and the caller would get parts of two answers.
+//! When the connection to the engine breaks, the relay reconnects and requests the rest of the
+//! stream by the number of the next event. It never requests the rest from another engine:
+//! generation is not deterministic, so the caller would get parts of two different answers.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -30,119 +30,119 @@
 use crate::upstream::failure::Failure;
 use crate::upstream::stream_guard::StreamGuard;
 
-/// Most bytes that are put together before they go to the caller.
-const COALESCE: usize = 64 << 10;
+/// Chunks are coalesced until they reach this many bytes.
+const MAX_COALESCED_BYTES: usize = 64 << 10;
 
-/// Pause between two tries to reach the engine again.
+/// Pause between two attempts to reconnect to the engine.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Connections in a row that may end without an event. A caller that asks for what comes after the
-/// last event gets such an answer each time, and would otherwise keep the entry asking.
-const MOST_BARREN: u32 = 4;
+/// Largest number of consecutive connections without an event. A request for events after the last
+/// one gets an empty answer each time and would otherwise be retried until the deadline.
+const MAX_EMPTY_CONNECTIONS: u32 = 4;
 
 /// Why a stream ends before its last event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StreamError {
+pub enum Error {
     /// The deadline passed.
     Deadline,
-    /// The engine does not know the stream any more.
+    /// The engine no longer has the stream.
     Gone,
-    /// The engine is not reached any more.
+    /// The engine cannot be reached.
     Unreachable(Failure),
 }
 
-/// Where a relay begins.
+/// The stream to relay and where to start.
 #[derive(Debug)]
 pub struct StreamSource {
-    /// Engine, stream and catalogue entry.
+    /// Engine, stream, catalogue entry and request.
     pub location: StreamLocation,
     /// Address of the engine.
     pub address: SocketAddr,
-    /// Number of the first event that the caller needs.
+    /// Number of the first event to send to the caller.
     pub next_event: EventNumber,
-    /// Owner of the stream.
+    /// Owner whose caller started the stream.
     pub owner: String,
-    /// Id of the request, as the engine must echo it.
+    /// Id of the request, which the engine must echo.
     pub request: HeaderValue,
-    /// When the answer is of no use any more.
+    /// Deadline of the answer.
     pub deadline: Moment,
-    /// Bytes of the prompt, 0 if they are not known here.
+    /// Size of the prompt in bytes; 0 if unknown.
     pub prompt_bytes: usize,
 }
 
-/// The relay of one stream.
+/// Relays one stream.
 #[derive(Debug)]
 pub struct Relay {
     worker: Worker,
-    origin: StreamSource,
-    follower: EventRewriter,
+    source: StreamSource,
+    rewriter: EventRewriter,
     answer: Option<Answer>,
     deadline: Pin<Box<Sleep>>,
-    place_text: String,
-    place_renewal: Moment,
+    encoded_location: String,
+    location_renewal: Moment,
     guard: StreamGuard,
     attempt: Option<Attempt>,
-    account: Option<RequestRecord>,
+    record: Option<RequestRecord>,
     ended: bool,
-    /// Connections in a row that ended without an event.
-    barren: u32,
-    /// Counts the stream as open at its engine, if no attempt does.
-    _open: Option<OpenStream>,
+    /// Number of consecutive connections that ended without an event.
+    empty_connections: u32,
+    /// Counts a resumed stream as open at its engine; other streams are counted by their attempt.
+    _open_stream: Option<OpenStream>,
 }
 
 impl Relay {
-    /// A relay over an engine's open answer; without one it asks for the stream itself.
-    pub fn new(worker: Worker, origin: StreamSource, answer: Option<Answer>) -> Self {
+    /// Creates a relay that reads from `answer`, or connects to the engine if there is none.
+    pub fn new(worker: Worker, source: StreamSource, answer: Option<Answer>) -> Self {
         let now = worker.shared.clock.now();
-        let left = origin.deadline.saturating_sub(now);
+        let left = source.deadline.saturating_sub(now);
         let guard = StreamGuard::new(
             worker.guard_context(),
-            origin.address,
-            origin.location.stream.clone(),
-            origin.request.clone(),
+            source.address,
+            source.location.stream.clone(),
+            source.request.clone(),
         );
-        let follower = EventRewriter::new(&origin.location.stream, origin.next_event);
+        let rewriter = EventRewriter::new(&source.location.stream, source.next_event);
         let open = answer.is_none().then(|| {
             let resumed = &worker.shared.resumed;
-            resumed.open(&origin.location.engine)
+            resumed.open(&source.location.engine)
         });
         Self {
-            follower,
+            rewriter,
             answer,
             deadline: Box::pin(sleep_until(Instant::now() + left)),
-            place_text: String::new(),
-            place_renewal: Moment::ZERO,
+            encoded_location: String::new(),
+            location_renewal: Moment::ZERO,
             guard,
             attempt: None,
-            account: None,
+            record: None,
             ended: false,
-            barren: 0,
-            _open: open,
+            empty_connections: 0,
+            _open_stream: open,
             worker,
-            origin,
+            source,
         }
     }
 
-    /// Waits for the first events. Nothing has gone to the caller before, so that a failure may
-    /// still be answered as an error or tried elsewhere.
+    /// Waits for the first events. Nothing has been sent to the caller yet, so a failure can still
+    /// be reported as an error or retried at another engine.
     ///
     /// # Errors
     ///
-    /// Why no event came.
-    pub async fn first_events(&mut self) -> Result<Relayed, StreamError> {
-        self.step().await
+    /// The stream failed before its first event.
+    pub async fn first_events(&mut self) -> Result<Relayed, Error> {
+        self.next_events().await
     }
 
-    /// Goes on towards the caller as the body of its answer, from the events that came first.
+    /// Turns the relay into the body of the caller's answer, starting with the first events.
     pub fn into_body(
         mut self,
         first: Relayed,
         attempt: Option<Attempt>,
-        account: RequestRecord,
+        record: RequestRecord,
     ) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
         self.attempt = attempt;
-        self.account = Some(account);
-        let opening = self.note(first);
+        self.record = Some(record);
+        let opening = self.record_events(first);
         let rest = stream::unfold(Box::new(self), |mut relay| async move {
             let bytes = relay.next().await?;
             Some((Ok(bytes), relay))
@@ -154,52 +154,52 @@
         if self.ended {
             return None;
         }
-        match self.step().await {
-            Ok(relayed) => Some(self.note(relayed)),
+        match self.next_events().await {
+            Ok(relayed) => Some(self.record_events(relayed)),
             Err(end) => Some(self.fail(&end)),
         }
     }
 
-    /// Accounts for events that are about to go to the caller.
-    fn note(&mut self, relayed: Relayed) -> Bytes {
+    /// Records events that are about to be sent to the caller.
+    fn record_events(&mut self, relayed: Relayed) -> Bytes {
         if let Some(attempt) = &self.attempt {
             attempt.tokens_received(relayed.tokens);
         }
-        if let Some(account) = &mut self.account {
-            account.add_tokens(relayed.tokens);
+        if let Some(record) = &mut self.record {
+            record.add_tokens(relayed.tokens);
         }
         if relayed.done {
-            self.learn(&relayed.bytes);
+            self.record_prompt_tokens(&relayed.bytes);
             self.finish(Outcome::Served);
         }
         relayed.bytes
     }
 
-    /// Learns from the engine's count how many bytes a token of the prompt has.
-    fn learn(&self, events: &[u8]) {
+    /// Passes the engine's count of prompt tokens to the estimator.
+    fn record_prompt_tokens(&self, events: &[u8]) {
         if let Some(tokens) = token_estimator::prompt_token_count(events) {
-            let densities = &self.worker.shared.token_estimator;
-            densities.record(
-                &self.origin.location.entry,
-                self.origin.prompt_bytes,
+            let estimator = &self.worker.shared.token_estimator;
+            estimator.record(
+                &self.source.location.entry,
+                self.source.prompt_bytes,
                 tokens,
             );
         }
     }
 
-    /// Ends a stream of which the caller has a part. It gets an event that says so, and neither
-    /// `[DONE]` nor an id, so that it cannot take the part for the whole.
-    fn fail(&mut self, end: &StreamError) -> Bytes {
-        if matches!(end, StreamError::Gone | StreamError::Unreachable(_)) {
-            let engine = Arc::from(self.origin.location.engine.as_str());
+    /// Ends a stream of which the caller has received a part with an error event. Without `[DONE]`
+    /// and without an id, the part cannot be mistaken for the whole answer.
+    fn fail(&mut self, end: &Error) -> Bytes {
+        if matches!(end, Error::Gone | Error::Unreachable(_)) {
+            let engine = Arc::from(self.source.location.engine.as_str());
             let control = &self.worker.shared.control;
             control.observe(&engine, Observation::Failed);
         }
         let problem = end.problem();
         let body = self
-            .account
+            .record
             .as_ref()
-            .map(|account| problem.body(account.request()))
+            .map(|record| problem.body(record.request()))
             .unwrap_or_default();
         self.finish(Outcome::Cut);
         let mut event = BytesMut::from(&b"event: error\ndata: {\"error\":"[..]);
@@ -215,13 +215,13 @@
             self.guard.disarm();
         }
         self.attempt = None;
-        if let Some(mut account) = self.account.take() {
-            account.conclude(outcome);
+        if let Some(mut record) = self.record.take() {
+            record.conclude(outcome);
         }
     }
 
-    /// The next events, whatever connections it takes.
-    async fn step(&mut self) -> Result<Relayed, StreamError> {
+    /// Waits for the next events, reconnecting as needed.
+    async fn next_events(&mut self) -> Result<Relayed, Error> {
         loop {
             let Some(answer) = &mut self.answer else {
                 self.reconnect().await?;
@@ -230,121 +230,121 @@
             let chunk = tokio::select! {
                 biased;
                 chunk = answer.chunk() => chunk,
-                () = self.deadline.as_mut() => return Err(StreamError::Deadline),
+                () = self.deadline.as_mut() => return Err(Error::Deadline),
             };
             let Ok(Some(chunk)) = chunk else {
-                self.broke();
+                self.connection_lost();
                 continue;
             };
             let (chunk, ended) = coalesce(answer, chunk);
             if ended {
                 self.answer = None;
             }
-            self.renew_place();
-            match self.follower.push(&chunk, &self.place_text) {
+            self.renew_location();
+            match self.rewriter.push(&chunk, &self.encoded_location) {
                 Ok(relayed) if relayed.bytes.is_empty() && !relayed.done => {}
                 Ok(relayed) => {
-                    self.barren = 0;
+                    self.empty_connections = 0;
                     return Ok(relayed);
                 }
-                Err(broken) => self.distrust(broken),
+                Err(broken) => self.reject_events(broken),
             }
         }
     }
 
-    /// The connection to the engine ended before the stream did.
-    fn broke(&mut self) {
+    /// Handles a connection that ended before the stream did.
+    fn connection_lost(&mut self) {
         self.answer = None;
-        self.barren += 1;
-        self.follower.reconnect();
+        self.empty_connections += 1;
+        self.rewriter.reconnect();
     }
 
-    /// What came cannot be the stream, or skips a part of it: the connection is given up, and the
-    /// engine is asked again for what is next.
-    fn distrust(&mut self, broken: EventError) {
+    /// Drops a connection that sent invalid events; the relay reconnects at the next event.
+    fn reject_events(&mut self, broken: EventError) {
         if broken == EventError::Crossed {
             self.worker.shared.metrics.add(Metric::Crossed, 1);
         }
         log::warn!(
-            stream = self.origin.location.stream.as_str(),
-            upstream = self.origin.location.engine.as_str(),
+            stream = self.source.location.stream.as_str(),
+            upstream = self.source.location.engine.as_str(),
             broken:? = broken;
             "an engine's events were dropped"
         );
-        self.broke();
+        self.connection_lost();
     }
 
-    /// Asks the engine for the rest of the stream until it answers or the time for it is over.
+    /// Requests the rest of the stream from the engine, retrying until `upstream.resume` has
+    /// passed.
     ///
-    /// While the caller has nothing yet, one failure is enough: another engine may take the request
-    /// from its beginning, which is quicker than waiting for this one.
-    async fn reconnect(&mut self) -> Result<(), StreamError> {
-        if self.barren > MOST_BARREN {
-            return Err(StreamError::Gone);
+    /// There is no retry before the first event: restarting the request at another engine is then
+    /// faster than waiting for this one.
+    async fn reconnect(&mut self) -> Result<(), Error> {
+        if self.empty_connections > MAX_EMPTY_CONNECTIONS {
+            return Err(Error::Gone);
         }
         self.worker.shared.metrics.add(Metric::Reconnects, 1);
-        let patience = match self.follower.next() {
+        let reconnect_time = match self.rewriter.next() {
             0 => Duration::ZERO,
             _ => self.worker.shared.settings.upstream.resume,
         };
-        let until = Instant::now() + patience;
+        let until = Instant::now() + reconnect_time;
         loop {
             let failure = match self.resume().await {
                 Ok(answer) if answer.status() == StatusCode::OK => {
                     self.answer = Some(answer);
                     return Ok(());
                 }
-                Ok(answer) if answer.status() == StatusCode::NOT_FOUND => {
-                    return Err(StreamError::Gone);
-                }
+                Ok(answer) if answer.status() == StatusCode::NOT_FOUND => return Err(Error::Gone),
                 Ok(answer) => Failure::Declined(answer.status().as_u16()),
                 Err(failure) => failure,
             };
             if self.deadline.is_elapsed() {
-                return Err(StreamError::Deadline);
+                return Err(Error::Deadline);
             }
             if Instant::now() >= until {
-                return Err(StreamError::Unreachable(failure));
+                return Err(Error::Unreachable(failure));
             }
             sleep(RECONNECT_PAUSE).await;
         }
     }
 
     async fn resume(&self) -> Result<Answer, Failure> {
-        let place = &self.origin.location;
+        let location = &self.source.location;
         let target = format!(
             "/engine/streams/{}?from={}",
-            place.stream,
-            self.follower.next()
+            location.stream,
+            self.rewriter.next()
         );
         let call = Call {
-            address: self.origin.address,
+            address: self.source.address,
             method: Method::GET,
             target: &target,
             headers: HeaderMap::new(),
-            request: self.origin.request.clone(),
+            request: self.source.request.clone(),
             timeout: self.worker.shared.settings.upstream.resume,
         };
         self.worker.client.send(call, Bytes::new()).await
     }
 
-    /// Event ids expire; a stream that is longer than their time needs new ones on the way.
-    fn renew_place(&mut self) {
+    /// Renews the encoded location: event ids expire, and a stream may last longer than their
+    /// validity.
+    fn renew_location(&mut self) {
         let shared = &self.worker.shared;
         let now = shared.clock.now();
-        if now < self.place_renewal {
+        if now < self.location_renewal {
             return;
         }
-        self.place_renewal = now + shared.event_ids.validity() / 2;
-        let wall = crate::shared::unix_time(&shared.clock);
-        self.place_text = shared
-            .event_ids
-            .encode(&self.origin.location, &self.origin.owner, wall);
+        self.location_renewal = now + shared.event_ids.validity() / 2;
+        let unix_time = crate::shared::unix_time(&shared.clock);
+        self.encoded_location =
+            shared
+                .event_ids
+                .encode(&self.source.location, &self.source.owner, unix_time);
     }
 }
 
-impl StreamError {
-    /// The error that the caller gets.
+impl Error {
+    /// The error for the caller.
     pub fn problem(&self) -> Problem {
         match self {
             Self::Deadline => Problem::unknown(Kind::DeadlineExceeded, "the deadline passed"),
@@ -357,8 +357,8 @@
     }
 }
 
-/// Puts together what the engine has already sent, so that one write carries it. Says too whether
-/// the answer ended with it; an answer that ended must not be polled again.
+/// Coalesces the chunks that have already arrived into one write. Also returns whether the answer
+/// has ended; an answer must not be polled after its end.
 fn coalesce(answer: &mut Answer, first: Bytes) -> (Bytes, bool) {
     let second = match answer.ready_chunk() {
         None => return (first, false),
@@ -368,7 +368,7 @@
     let mut all = BytesMut::with_capacity(first.len() + second.len());
     all.extend_from_slice(&first);
     all.extend_from_slice(&second);
-    while all.len() < COALESCE {
+    while all.len() < MAX_COALESCED_BYTES {
         match answer.ready_chunk() {
             None => break,
             Some(Ok(Some(chunk))) => all.extend_from_slice(&chunk),
--- a/crates/entry/src/stream/sse.rs
+++ b/crates/entry/src/stream/sse.rs
@@ -1,6 +1,6 @@
-//! Server-sent events as bytes: finds whole events in what an engine sends, checks their numbers
-//! and writes them with the caller's ids. No JSON is read here; a relayed token costs two searches
-//! and one copy.
+//! Rewrites server-sent events: splits an engine's bytes into events, checks their numbers and
+//! replaces their ids by those for the caller. The data is not parsed as JSON, so that relaying a
+//! token costs two searches and one copy.
 
 use std::io::Write as _;
 
@@ -9,99 +9,99 @@
 
 use crate::stream::event_id::EventNumber;
 
-/// Largest event that is taken in, in bytes.
-const MAX_EVENT: usize = 1 << 20;
+/// Largest event that is accepted, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Why a stream of events cannot be relayed further from this connection.
+/// Why the events of a connection are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventError {
-    /// An event of another stream: the answer was crossed.
+    /// An event belongs to another stream.
     Crossed,
     /// An event is missing.
     Gap,
-    /// An event without an id, or one that is too large.
+    /// An event has no valid id or is too large.
     Malformed,
 }
 
-/// What a chunk of bytes gave.
+/// The events of one chunk.
 #[derive(Debug, Default)]
 pub struct Relayed {
-    /// Whole events for the caller.
+    /// Complete events for the caller.
     pub bytes: Bytes,
-    /// How many of them carry tokens.
+    /// Number of these events that carry a token.
     pub tokens: u32,
-    /// The last event of the stream was among them.
+    /// Whether the last event of the stream is among them.
     pub done: bool,
 }
 
-/// Follows the events of one stream over as many connections as it takes.
+/// Rewrites the events of one stream, across any number of connections.
 #[derive(Debug)]
 pub struct EventRewriter {
     stream: String,
     next: EventNumber,
-    rest: BytesMut,
+    buffer: BytesMut,
 }
 
 impl EventRewriter {
-    /// A follower of the engine's stream whose next event is number `next`.
+    /// A rewriter for an engine's stream, starting at event number `next`.
     pub fn new(stream: &str, next: EventNumber) -> Self {
         Self {
             stream: stream.to_owned(),
             next,
-            rest: BytesMut::new(),
+            buffer: BytesMut::new(),
         }
     }
 
-    /// Number of the event that the caller gets next.
+    /// Number of the next event for the caller.
     pub fn next(&self) -> EventNumber {
         self.next
     }
 
-    /// Forgets half an event, since a new connection begins with a whole one.
+    /// Drops a partial event; a new connection starts at the beginning of an event.
     pub fn reconnect(&mut self) {
-        self.rest.clear();
+        self.buffer.clear();
     }
 
-    /// Takes what the engine sent and gives the events that are whole. Events that the caller has
-    /// already are left out: an engine may send them again after a resumption, and a caller that
-    /// got one twice would show its token twice.
+    /// Takes a chunk from the engine and returns the complete events. Events that the caller has
+    /// already received are skipped: an engine may resend them after a resumption, and the caller
+    /// would then show their tokens twice.
     ///
     /// # Errors
     ///
-    /// Something that must not reach the caller. What was whole before it in the same chunk is
-    /// dropped with it, and is read again from [`Self::next`].
-    pub fn push(&mut self, chunk: &[u8], place: &str) -> Result<Relayed, EventError> {
+    /// An event is invalid. Valid events before it in the same chunk are dropped too and have to be
+    /// requested again from [`Self::next`].
+    pub fn push(&mut self, chunk: &[u8], location: &str) -> Result<Relayed, EventError> {
         let before = self.next;
-        self.rest.extend_from_slice(chunk);
-        let mut out = Vec::with_capacity(self.rest.len() + place.len());
+        self.buffer.extend_from_slice(chunk);
+        let mut out = Vec::with_capacity(self.buffer.len() + location.len());
         let mut relayed = Relayed::default();
-        while let Some(end) = event_end(&self.rest) {
-            if let Err(broken) = self.event(end, place, &mut out, &mut relayed) {
+        while let Some(end) = event_end(&self.buffer) {
+            if let Err(error) = self.rewrite_event(end, location, &mut out, &mut relayed) {
                 self.next = before;
-                return Err(broken);
+                return Err(error);
             }
-            self.rest.advance(end);
+            self.buffer.advance(end);
         }
-        if self.rest.len() > MAX_EVENT {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EventError::Malformed);
         }
         relayed.bytes = out.into();
         Ok(relayed)
     }
 
-    fn event(
+    fn rewrite_event(
         &mut self,
         end: usize,
-        place: &str,
+        location: &str,
         out: &mut Vec<u8>,
         relayed: &mut Relayed,
     ) -> Result<(), EventError> {
-        let event = &self.rest[..end];
+        let event = &self.buffer[..end];
         let Some((id, after)) = leading_id(event) else {
-            // Comments keep a connection alive and belong to no event.
+            // Comments serve as keep-alives and have no id.
             return if event.starts_with(b":") || event == b"\n" {
                 Ok(())
             } else {
@@ -119,7 +119,7 @@
             return Err(EventError::Gap);
         }
         let body = &event[after..];
-        write_event(out, place, number, body);
+        write_event(out, location, number, body);
         if is_done(body) {
             relayed.done = true;
         } else {
@@ -130,15 +130,15 @@
     }
 }
 
-fn write_event(out: &mut Vec<u8>, place: &str, number: EventNumber, body: &[u8]) {
+fn write_event(out: &mut Vec<u8>, location: &str, number: EventNumber, body: &[u8]) {
     out.extend_from_slice(b"id: ");
-    out.extend_from_slice(place.as_bytes());
+    out.extend_from_slice(location.as_bytes());
     // Writing to a vector cannot fail.
     let _ = writeln!(out, ".{number}");
     out.extend_from_slice(body);
 }
 
-/// Length of the first event with its empty line.
+/// Length of the first event, including the empty line that ends it.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut from = 0;
     loop {
@@ -151,7 +151,7 @@
     }
 }
 
-/// The value of the leading `id` line and the position behind that line.
+/// The value of the leading `id` line and the offset of the next line.
 fn leading_id(event: &[u8]) -> Option<(&[u8], usize)> {
     let value = event.strip_prefix(b"id:")?;
     let newline = memchr(b'\n', value)?;
