--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -1,4 +1,4 @@
-//! The side towards callers.
+//! The HTTP front end for callers.
 
 pub mod body;
 pub mod caller;
--- a/crates/entry/src/front/body.rs
+++ b/crates/entry/src/front/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, within bounds of size and silence.
+//! Reads request bodies with a size limit and an idle time-out.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use crate::body_buffer::{BodyBuffer, TooLarge};
 use crate::front::problem::{Kind, Problem};
 
-/// Bounds of a body.
+/// Limits for reading a body.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Most bytes.
+    /// Largest size in bytes.
     pub max_bytes: usize,
-    /// Longest silence between two parts. Without it a caller that sends a byte a minute would
-    /// hold a connection and its memory for as long as it likes.
+    /// Longest wait for the next chunk. Without it a caller that sends one byte a minute could hold
+    /// a connection and its memory indefinitely.
     pub idle_timeout: Duration,
 }
 
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 ///
-/// It is too large, too slow, or broke off; it was not run in any case.
+/// The body is too large, too slow or truncated. The call was not run.
 pub async fn read(
     headers: &HeaderMap,
     payload: &mut Payload,
@@ -34,13 +34,13 @@
         return Err(too_large(bounds));
     }
     let mut body = BodyBuffer::new(bounds.max_bytes);
-    while let Some(chunk) = next(payload, bounds).await? {
+    while let Some(chunk) = next_chunk(payload, bounds).await? {
         body.push(chunk).map_err(|TooLarge| too_large(bounds))?;
     }
     Ok(body.finish())
 }
 
-async fn next(payload: &mut Payload, bounds: Bounds) -> Result<Option<Bytes>, Problem> {
+async fn next_chunk(payload: &mut Payload, bounds: Bounds) -> Result<Option<Bytes>, Problem> {
     match timeout(bounds.idle_timeout, payload.next()).await {
         Err(_) => Err(Problem::not_run(
             Kind::TooSlow,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The length that the caller states, if it does.
+/// The value of `Content-Length`, if present and valid.
 pub fn content_length(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(actix_http::header::CONTENT_LENGTH)?;
     value.to_str().ok()?.parse().ok()
--- a/crates/entry/src/front/caller.rs
+++ b/crates/entry/src/front/caller.rs
@@ -1,4 +1,4 @@
-//! Who calls.
+//! Identifies the caller by its bearer key.
 
 use actix_http::header::{self, HeaderMap};
 use catalogue::{Owner, View};
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 ///
-/// The key is missing or no owner has it.
+/// The key is missing or belongs to no owner.
 pub fn identify<'v>(catalogue: &'v View, map: &HeaderMap) -> Result<&'v Owner, Problem> {
     let key = headers::text(map, &header::AUTHORIZATION)
         .and_then(bearer)
@@ -25,7 +25,8 @@
         .ok_or_else(|| Problem::not_run(Kind::Unauthenticated, "no owner has this key"))
 }
 
-/// The key in a bearer authorisation; the scheme is not case-sensitive, RFC 9110 section 11.1.
+/// The key in a bearer `Authorization` header. The scheme is case-insensitive (RFC 9110, section
+/// 11.1).
 pub fn bearer(value: &str) -> Option<&str> {
     let (scheme, key) = value.split_once(' ')?;
     let key = key.trim();
--- a/crates/entry/src/front/handler.rs
+++ b/crates/entry/src/front/handler.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handles a caller's request, from its head to its answer.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -33,12 +33,12 @@
 pub async fn handle(worker: Rc<Worker>, request: Request) -> Response<BoxBody> {
     let mut response = match request.path() {
         "/livez" => Response::new(StatusCode::OK).set_body(BoxBody::new("live\n")),
-        "/readyz" => ready(&worker),
-        _ => serve(&worker, request).await,
+        "/readyz" => readiness(&worker),
+        _ => handle_call(&worker, request).await,
     };
     if worker.shared.lifecycle.is_stopping() {
-        // The balancer keeps connections; closing them one by one moves its traffic elsewhere
-        // without cutting a request.
+        // The balancer reuses connections. Closing each after its answer moves the traffic to other
+        // entries without interrupting a request.
         response
             .head_mut()
             .set_connection_type(ConnectionType::Close);
@@ -46,7 +46,7 @@
     response
 }
 
-fn ready(worker: &Worker) -> Response<BoxBody> {
+fn readiness(worker: &Worker) -> Response<BoxBody> {
     let refusal = if worker.shared.lifecycle.is_stopping() {
         Some("leaving\n")
     } else if !worker.shared.view().ready {
@@ -60,31 +60,31 @@
     }
 }
 
-async fn serve(worker: &Rc<Worker>, request: Request) -> Response<BoxBody> {
+async fn handle_call(worker: &Rc<Worker>, request: Request) -> Response<BoxBody> {
     let id = RequestId::from_headers(request.headers())
         .unwrap_or_else(|| worker.shared.id_generator.next_request_id());
-    let account = RequestRecord::open(Arc::clone(&worker.shared), id.clone());
-    let exchange = Exchange::new(worker, request, account);
+    let record = RequestRecord::open(Arc::clone(&worker.shared), id.clone());
+    let exchange = Exchange::new(worker, request, record);
     let answer = match exchange.check() {
         Ok(()) => exchange.route().await,
         Err(problem) => exchange.refuse(problem),
     };
     match answer {
-        Answer::Reply(reply, account) => reply.into_response(account),
-        Answer::Problem(problem, mut account) => {
-            account.conclude(Outcome::from_problem(&problem));
+        Answer::Reply(reply, record) => reply.into_response(record),
+        Answer::Problem(problem, mut record) => {
+            record.conclude(Outcome::from_problem(&problem));
             problem.response(&id)
         }
     }
 }
 
-/// How the entry's part ended, with the account that is still open.
+/// The result of a request, with its record still open.
 enum Answer {
     Reply(Reply, RequestRecord),
     Problem(Problem, RequestRecord),
 }
 
-/// A request before it is known what serves it.
+/// A request that has not been matched to a catalogue entry yet.
 struct Exchange {
     worker: Rc<Worker>,
     view: Arc<View>,
@@ -92,11 +92,11 @@
     target: String,
     headers: HeaderMap,
     payload: Payload,
-    account: RequestRecord,
+    record: RequestRecord,
 }
 
 impl Exchange {
-    fn new(worker: &Rc<Worker>, mut request: Request, account: RequestRecord) -> Self {
+    fn new(worker: &Rc<Worker>, mut request: Request, record: RequestRecord) -> Self {
         let payload = request.take_payload();
         let target = request
             .uri()
@@ -111,7 +111,7 @@
             target,
             headers: std::mem::take(&mut head.headers),
             payload,
-            account,
+            record,
         }
     }
 
@@ -119,7 +119,7 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// What is checked of every request before its body is looked at.
+    /// Checks that apply to every request, before its body is read.
     fn check(&self) -> Result<(), Problem> {
         let limit = self.worker.shared.settings.limits.head;
         if headers::size(&self.headers) > limit {
@@ -133,11 +133,11 @@
     }
 
     fn refuse(self, problem: Problem) -> Answer {
-        Answer::Problem(problem, self.account)
+        Answer::Problem(problem, self.record)
     }
 
     async fn route(self) -> Answer {
-        let catalogue = match in_force(&self.view) {
+        let catalogue = match active_catalogue(&self.view) {
             Ok(catalogue) => catalogue,
             Err(problem) => return self.refuse(problem),
         };
@@ -166,7 +166,7 @@
             headers: map,
             body: models::list(catalogue, owner).into(),
         };
-        Answer::Reply(reply, self.account)
+        Answer::Reply(reply, self.record)
     }
 
     async fn completion(mut self, catalogue: &Catalogue, owner: &Owner) -> Answer {
@@ -180,14 +180,16 @@
             Ok(body) => body,
             Err(problem) => return self.refuse(problem),
         };
-        let densities = &self.worker.shared.token_estimator;
-        let prepared = prepare(catalogue, owner, &body, densities);
-        let (entry, asked, engine) = match prepared {
+        let estimator = &self.worker.shared.token_estimator;
+        let prepared = prepare(catalogue, owner, &body, estimator);
+        let (entry, params, upstream_body) = match prepared {
             Ok(prepared) => prepared,
             Err(problem) => return self.refuse(problem),
         };
-        match self.into_work(owner, entry, engine) {
-            Ok(work) => at_most_once::completion(work, entry, asked).await.into(),
+        match self.into_proxied(owner, entry, upstream_body) {
+            Ok(proxied) => at_most_once::completion(proxied, entry, params)
+                .await
+                .into(),
             Err(refused) => *refused,
         }
     }
@@ -196,7 +198,7 @@
         let limits = &self.worker.shared.settings.limits;
         let deadline = deadline::resolve(
             &self.headers,
-            self.account.started(),
+            self.record.started(),
             limits.deadline,
             limits.deadline,
         );
@@ -209,9 +211,9 @@
             last: last.to_str().unwrap_or_default(),
             deadline,
         };
-        let result = resume::run(&self.worker, &self.view, &resumption, &mut self.account).await;
+        let result = resume::run(&self.worker, &self.view, &resumption, &mut self.record).await;
         match result {
-            Ok(reply) => Answer::Reply(reply, self.account),
+            Ok(reply) => Answer::Reply(reply, self.record),
             Err(problem) => self.refuse(problem),
         }
     }
@@ -221,15 +223,15 @@
             Ok(entry) => entry,
             Err(problem) => return self.refuse(problem),
         };
-        self.account.set_entry(entry);
+        self.record.set_entry(entry);
         let limit = self.worker.shared.settings.limits.body;
         let limit = limit.min(usize::try_from(entry.max_body).unwrap_or(usize::MAX));
         let body = match self.body(limit).await {
             Ok(body) => body,
             Err(problem) => return self.refuse(problem),
         };
-        match self.into_work(owner, entry, body) {
-            Ok(work) => at_most_once::plain(work, entry).await.into(),
+        match self.into_proxied(owner, entry, body) {
+            Ok(proxied) => at_most_once::plain(proxied, entry).await.into(),
             Err(refused) => *refused,
         }
     }
@@ -242,16 +244,16 @@
         body::read(&self.headers, &mut self.payload, bounds).await
     }
 
-    fn into_work(
+    fn into_proxied(
         mut self,
         owner: &Owner,
         entry: &Entry,
         body: Bytes,
     ) -> Result<ProxiedRequest, Box<Answer>> {
-        self.account.set_entry(entry);
+        self.record.set_entry(entry);
         let cap = self.worker.shared.settings.limits.deadline;
         let contract = entry.contract.deadline;
-        let deadline = deadline::resolve(&self.headers, self.account.started(), contract, cap);
+        let deadline = deadline::resolve(&self.headers, self.record.started(), contract, cap);
         match deadline {
             Ok(deadline) => Ok(ProxiedRequest {
                 worker: Worker::clone(&self.worker),
@@ -261,8 +263,8 @@
                 headers: self.headers,
                 body,
                 deadline,
-                attempt_id: self.account.request().header(),
-                record: self.account,
+                attempt_id: self.record.request().header(),
+                record: self.record,
                 ran: Execution::NotRun,
                 attempt_started: Instant::now(),
             }),
@@ -280,13 +282,14 @@
     }
 }
 
-/// When to come back if this entry takes no new work.
-const NOT_READY: Duration = Duration::from_secs(1);
+/// `Retry-After` while this entry takes no new work.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The catalogue, if new work may be taken by it.
-fn in_force(view: &View) -> Result<Arc<Catalogue>, Problem> {
-    let refusal =
-        |detail: String| Problem::not_run(Kind::Unavailable, detail).retry_after(NOT_READY);
+/// The catalogue, if this entry is ready to take new work.
+fn active_catalogue(view: &View) -> Result<Arc<Catalogue>, Problem> {
+    let refusal = |detail: String| {
+        Problem::not_run(Kind::Unavailable, detail).retry_after(NOT_READY_RETRY_AFTER)
+    };
     if !view.ready {
         let reasons = &view.reasons;
         return Err(refusal(format!(
@@ -297,14 +300,14 @@
     catalogue.ok_or_else(|| refusal("no catalogue is known yet".to_owned()))
 }
 
-/// Reads a completion's body as far as decisions need it, and finds its entry.
+/// Parses a completion's body and finds its catalogue entry; returns both with the engine's body.
 fn prepare<'v>(
     catalogue: &'v Catalogue,
     owner: &Owner,
     body: &Bytes,
-    densities: &TokenEstimator,
+    estimator: &TokenEstimator,
 ) -> Result<(&'v Entry, CompletionParams, Bytes), Problem> {
-    let prompt = Prompt::read(body).map_err(|words| Problem::not_run(Kind::BadRequest, words))?;
+    let prompt = Prompt::read(body).map_err(|detail| Problem::not_run(Kind::BadRequest, detail))?;
     let entry = catalogue
         .entry_for_model(&owner.name, &prompt.model)
         .ok_or_else(|| {
@@ -315,13 +318,13 @@
         let detail = format!("at most {} bytes are taken", entry.max_body);
         return Err(Problem::not_run(Kind::TooLarge, detail));
     }
-    let asked = CompletionParams::new(&prompt, entry, densities);
-    let engine = engine_body(body, &prompt, &asked.model);
-    Ok((entry, asked, engine))
+    let params = CompletionParams::new(&prompt, entry, estimator);
+    let engine = engine_body(body, &prompt, &params.model);
+    Ok((entry, params, engine))
 }
 
-/// The plain entry at a path. One of another owner is told as forbidden and not as missing, so that
-/// a caller with a wrong key does not look for a wrong path.
+/// The plain entry at a path. Another owner's entry is reported as forbidden rather than missing,
+/// so that a caller with a wrong key does not search for an error in the path.
 fn entry_at<'v>(
     catalogue: &'v Catalogue,
     owner: &Owner,
--- a/crates/entry/src/front/models.rs
+++ b/crates/entry/src/front/models.rs
@@ -19,7 +19,7 @@
     version: &'a str,
 }
 
-/// The entries of an owner that name a model, as OpenAI clients read them.
+/// The owner's entries that serve a model, as an OpenAI model list.
 pub fn list(catalogue: &View, owner: &Owner) -> Vec<u8> {
     let data = catalogue
         .entries_of(&owner.name)
--- a/crates/entry/src/front/path.rs
+++ b/crates/entry/src/front/path.rs
@@ -1,4 +1,4 @@
-//! Paths that mean one thing to the entry and another to an upstream are refused.
+//! Rejects paths that the entry and an upstream could resolve differently.
 
 use crate::front::problem::{Kind, Problem};
 
@@ -6,11 +6,11 @@
 ///
 /// # Errors
 ///
-/// It has a segment `.` or `..`, also percent-encoded. The entry would look up the catalogue entry
-/// by the path as it stands while an upstream may resolve it to one that another entry, with other
-/// owners and rules on repeats, stands for.
+/// The path has a `.` or `..` segment, possibly percent-encoded. The catalogue is searched with the
+/// path as given, while an upstream may resolve it to the path of another catalogue entry, with
+/// another owner and other rules on repeats.
 pub fn check(path: &str) -> Result<(), Problem> {
-    if path.split('/').any(is_dots) {
+    if path.split('/').any(is_dot_segment) {
         return Err(Problem::not_run(
             Kind::BadRequest,
             "the path must not have segments . or ..",
@@ -19,7 +19,7 @@
     Ok(())
 }
 
-fn is_dots(segment: &str) -> bool {
+fn is_dot_segment(segment: &str) -> bool {
     if segment.len() > "%2e%2e".len() {
         return false;
     }
--- a/crates/entry/src/front/problem.rs
+++ b/crates/entry/src/front/problem.rs
@@ -1,4 +1,4 @@
-//! Errors towards callers as RFC 9457 `application/problem+json`.
+//! Error answers to callers as `application/problem+json` (RFC 9457).
 
 use std::time::Duration;
 
@@ -13,62 +13,62 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// No byte of it left this process, or the upstream said that it did nothing.
+    /// Nothing was sent, or the upstream confirmed that it did not run the call.
     No,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// What kind of error it is. Every kind has one status, one title and one `type`.
+/// Kind of an error. Each kind has a fixed status, title and `type`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest,
-    /// No key, or one that no owner has.
+    /// The key is missing or belongs to no owner.
     Unauthenticated,
-    /// The key is known and may not do this.
+    /// The key is known but not authorised for this request.
     Forbidden,
-    /// No entry of the catalogue serves this path.
+    /// No catalogue entry serves the path.
     NotFound,
-    /// No entry of the caller's owner has this name or model.
+    /// The caller's owner has no entry with this name or model.
     UnknownModel,
-    /// The entry does not serve this method.
+    /// The path is not served with this method.
     MethodNotAllowed,
-    /// The entry needs an `Idempotency-Key`.
+    /// The entry requires an `Idempotency-Key`.
     KeyRequired,
-    /// An idempotency key came without the number of the attempt.
+    /// The call has an `Idempotency-Key` but lacks the `Idempotency-Attempt` that it needs.
     AttemptRequired,
-    /// The `Idempotency-Key` belongs to another request.
+    /// The `Idempotency-Key` was used for a different request.
     KeyReused,
     /// A call with this `Idempotency-Key` was sent before and its answer is not held here.
     Repeated,
-    /// A racing edit won.
+    /// A concurrent edit was accepted first.
     Conflict,
     /// The body is larger than allowed.
     TooLarge,
-    /// The caller stopped sending in the middle of its body.
+    /// The body did not arrive within the idle time-out.
     TooSlow,
     /// The headers are larger than allowed.
     HeadTooLarge,
-    /// Several findings of an edit or of settings.
+    /// An edit or settings with findings.
     Invalid,
-    /// A limit of the owner.
+    /// A limit of the owner is reached.
     Limited,
-    /// More work than the pool can do, or nothing is there to do it.
+    /// The pool has no capacity left, or no upstream.
     Overloaded,
-    /// The process stops, has no catalogue yet, or the log that the call needs is out.
+    /// The process is stopping, has no catalogue yet, or cannot reach the log that the call needs.
     Unavailable,
-    /// The upstream failed or its answer was not to be trusted.
+    /// The upstream failed, or its answer was invalid.
     BadGateway,
     /// The deadline passed.
     DeadlineExceeded,
-    /// The stream that the event id names is gone.
+    /// The stream of the event id no longer exists.
     StreamGone,
 }
 
 impl Kind {
-    /// Status, short name for `type`, and title.
-    fn row(self) -> (StatusCode, &'static str, &'static str) {
+    /// Status, short name (the last part of `type`) and title.
+    fn definition(self) -> (StatusCode, &'static str, &'static str) {
         use StatusCode as S;
         match self {
             Self::BadRequest => (
@@ -145,27 +145,27 @@
 
     /// The status of the answer.
     pub fn status(self) -> StatusCode {
-        self.row().0
+        self.definition().0
     }
 
     /// The short name, for metrics and logs.
     pub fn name(self) -> &'static str {
-        self.row().1
+        self.definition().1
     }
 }
 
-/// One error, complete but for the request id, which the front door adds.
+/// An error answer without the request id, which is added when the answer is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// What kind of error it is.
     pub kind: Kind,
-    /// What happened, for people.
+    /// Description for people.
     pub detail: String,
     /// What is certain about the call.
     pub ran: Ran,
-    /// When to come back, if that helps.
+    /// Value of `Retry-After`, if a later attempt may succeed.
     pub retry_after: Option<Duration>,
-    /// Single findings with their places, if there are several.
+    /// Individual findings with their places.
     pub findings: Vec<String>,
 }
 
@@ -201,14 +201,14 @@
         }
     }
 
-    /// The same with the time to come back.
+    /// Sets `Retry-After`.
     #[must_use]
     pub fn retry_after(mut self, time: Duration) -> Self {
         self.retry_after = Some(time);
         self
     }
 
-    /// The same with single findings.
+    /// Sets the individual findings.
     #[must_use]
     pub fn findings(mut self, findings: Vec<String>) -> Self {
         self.findings = findings;
@@ -217,7 +217,7 @@
 
     /// The body of the answer.
     pub fn body(&self, request: &RequestId) -> Vec<u8> {
-        let (status, name, title) = self.kind.row();
+        let (status, name, title) = self.kind.definition();
         let document = Document {
             r#type: format!("urn:tarragon:problem:{name}"),
             title,
@@ -230,7 +230,7 @@
         serde_json::to_vec(&document).unwrap_or_default()
     }
 
-    /// The whole answer.
+    /// The HTTP response.
     pub fn response(&self, request: &RequestId) -> Response<BoxBody> {
         let mut response =
             Response::new(self.kind.status()).set_body(BoxBody::new(self.body(request)));
@@ -253,7 +253,7 @@
     }
 }
 
-/// `Retry-After` knows whole seconds only; rounding down would call callers back too early.
+/// `Retry-After` takes whole seconds; rounding down would make callers retry too early.
 fn whole_seconds(time: Duration) -> u64 {
     time.as_millis().div_ceil(1000).max(1) as u64
 }
--- a/crates/entry/src/front/prompt.rs
+++ b/crates/entry/src/front/prompt.rs
@@ -1,4 +1,5 @@
-//! What the entry reads of an OpenAI-compatible body; the rest passes through as it is.
+//! The fields that the entry reads from an OpenAI-compatible body. All others pass through
+//! unchanged.
 
 use std::borrow::Cow;
 use std::ops::Range;
@@ -6,8 +7,8 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Tokens of an answer that is expected where the caller states no bound.
-const DEFAULT_OUTPUT: u32 = 256;
+/// Expected number of output tokens if the caller sets no maximum.
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
 #[derive(Deserialize)]
 struct Body<'a> {
@@ -23,27 +24,28 @@
     messages: Option<&'a RawValue>,
 }
 
-/// A body as far as decisions need it.
+/// The fields of a body that routing needs.
 #[derive(Debug)]
 pub struct Prompt<'a> {
     /// Name of a catalogue entry or of a model.
     pub model: Cow<'a, str>,
-    /// Where the JSON of that name stands in the body.
+    /// Byte range of the model's JSON value in the body.
     pub model_range: Range<usize>,
-    /// The caller wants server-sent events.
+    /// Whether the caller asked for server-sent events.
     pub stream: bool,
-    /// Bytes of the prompt, as JSON.
+    /// The prompt or the messages, as JSON text.
     pub text: &'a str,
-    /// Expected tokens of the answer.
+    /// Expected number of tokens in the answer.
     pub output_tokens: u32,
 }
 
 impl<'a> Prompt<'a> {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// The body is no JSON object with a model and a prompt or messages; in words for the caller.
+    /// The body is not a JSON object with a model and a prompt or messages; returns the detail for
+    /// the caller.
     pub fn read(body: &'a [u8]) -> Result<Self, String> {
         let text = std::str::from_utf8(body).map_err(|error| error.to_string())?;
         let raw: Body<'a> = serde_json::from_str(text).map_err(|error| error.to_string())?;
@@ -59,17 +61,17 @@
             model_range: range_within(text, raw.model.get()),
             stream: raw.stream,
             text: prompt.get(),
-            output_tokens: max.unwrap_or(DEFAULT_OUTPUT),
+            output_tokens: max.unwrap_or(DEFAULT_OUTPUT_TOKENS),
         })
     }
 
-    /// Estimated tokens of the prompt, with so many bytes each.
+    /// Estimated number of tokens in the prompt.
     pub fn tokens(&self, bytes_per_token: f64) -> u32 {
         (self.text.len() as f64 / bytes_per_token).ceil() as u32
     }
 }
 
-/// The range of `part` in `whole`, of which it is a slice.
+/// The byte range of `part`, which must be a slice of `whole`.
 fn range_within(whole: &str, part: &str) -> Range<usize> {
     let start = part.as_ptr() as usize - whole.as_ptr() as usize;
     start..start + part.len()
--- a/crates/entry/src/front/refusal.rs
+++ b/crates/entry/src/front/refusal.rs
@@ -1,10 +1,10 @@
-//! Refusals of the router as errors towards callers.
+//! Turns refusals of the router into error answers.
 
 use routing::decision::{Reason, Refusal};
 
 use crate::front::problem::{Kind, Problem};
 
-/// The error that a refusal means. It goes out at once, with the time to come back.
+/// The error answer for a refusal, with its `Retry-After`.
 pub fn problem(refusal: &Refusal) -> Problem {
     let (kind, detail) = match refusal.reason {
         Reason::RequestLimit => (Kind::Limited, "requests a second of the owner".to_owned()),
--- a/crates/entry/src/front/reply.rs
+++ b/crates/entry/src/front/reply.rs
@@ -1,4 +1,4 @@
-//! What a request leads to, as the body and head of an answer.
+//! Successful results of requests and their HTTP responses.
 
 use std::io;
 
@@ -17,51 +17,51 @@
 use crate::upstream::client::Answer;
 use crate::upstream::failure::Failure;
 
-/// A successful end of the entry's part.
+/// A successful result.
 #[derive(Debug)]
 pub enum Reply {
-    /// A whole answer.
+    /// A buffered answer.
     Whole {
         /// Status.
         status: StatusCode,
-        /// Headers that go to the caller.
+        /// Headers for the caller.
         headers: HeaderMap,
         /// Body.
         body: Bytes,
     },
     /// Server-sent events.
     Events {
-        /// What carries them.
+        /// Relays the events of the stream.
         relay: Box<Relay>,
-        /// The events that are there already.
+        /// The events received so far.
         first: Relayed,
-        /// The attempt at the engine; none for a resumption.
+        /// The attempt at the engine; `None` for a resumed stream.
         attempt: Option<Attempt>,
     },
-    /// An answer that is too large to wait for its end.
+    /// An answer that is forwarded while it arrives.
     Body {
         /// The upstream's answer.
         answer: Box<Answer>,
-        /// Its length, if the upstream stated it.
+        /// The upstream's `Content-Length`, if present.
         length: Option<u64>,
-        /// The attempt.
+        /// The attempt at the upstream.
         attempt: Attempt,
-        /// When the answer is of no use any more.
+        /// Deadline of the answer.
         deadline: Instant,
     },
 }
 
 impl Reply {
-    /// The answer towards the caller.
-    pub fn into_response(self, mut account: RequestRecord) -> Response<BoxBody> {
-        let request = account.request().header();
+    /// The HTTP response for the caller.
+    pub fn into_response(self, mut record: RequestRecord) -> Response<BoxBody> {
+        let request = record.request().header();
         let mut response = match self {
             Self::Whole {
                 status,
                 headers: map,
                 body,
             } => {
-                account.conclude(Outcome::Served);
+                record.conclude(Outcome::Served);
                 with_head(Response::new(status).set_body(BoxBody::new(body)), map)
             }
             Self::Events {
@@ -69,7 +69,7 @@
                 first,
                 attempt,
             } => {
-                let events = relay.into_body(first, attempt, account);
+                let events = relay.into_body(first, attempt, record);
                 let body = BoxBody::new(BodyStream::new(Box::pin(events)));
                 with_head(
                     Response::new(StatusCode::OK).set_body(body),
@@ -82,13 +82,13 @@
                 attempt,
                 deadline,
             } => {
-                let passing = Passing {
+                let body = BodyRelay {
                     answer: *answer,
                     attempt,
-                    account,
+                    record,
                     deadline,
                 };
-                body_response(passing, length)
+                body_response(body, length)
             }
         };
         response.headers_mut().insert(headers::REQUEST_ID, request);
@@ -96,7 +96,7 @@
     }
 }
 
-/// The headers of an upstream's answer that the caller gets.
+/// The headers of an upstream's answer that are forwarded to the caller.
 pub fn caller_headers(map: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::with_capacity(map.len());
     for (name, value) in headers::to_caller(map) {
@@ -105,10 +105,10 @@
     kept
 }
 
-fn body_response(passing: Passing, length: Option<u64>) -> Response<BoxBody> {
-    let status = passing.answer.status();
-    let map = caller_headers(passing.answer.headers());
-    let body = pass(passing);
+fn body_response(relay: BodyRelay, length: Option<u64>) -> Response<BoxBody> {
+    let status = relay.answer.status();
+    let map = caller_headers(relay.answer.headers());
+    let body = relay_body(relay);
     let body = match length {
         Some(length) => BoxBody::new(SizedStream::new(length, Box::pin(body))),
         None => BoxBody::new(BodyStream::new(Box::pin(body))),
@@ -116,29 +116,29 @@
     with_head(Response::new(status).set_body(body), map)
 }
 
-/// A body on its way through.
-struct Passing {
+/// A body that is being forwarded.
+struct BodyRelay {
     answer: Answer,
     attempt: Attempt,
-    account: RequestRecord,
+    record: RequestRecord,
     deadline: Instant,
 }
 
-/// Passes a body through. If the upstream breaks off, the caller's connection is broken off too: an
-/// orderly end would tell it that the part is the whole.
-fn pass(passing: Passing) -> impl Stream<Item = io::Result<Bytes>> {
-    stream::unfold(Some(passing), |passing| async move {
-        let mut passing = passing?;
-        let chunk = timeout_at(passing.deadline, passing.answer.chunk()).await;
+/// Forwards a body. If the upstream's answer is truncated, the caller's connection is aborted: a
+/// regular end would make the truncated body look complete.
+fn relay_body(body: BodyRelay) -> impl Stream<Item = io::Result<Bytes>> {
+    stream::unfold(Some(body), |body| async move {
+        let mut body = body?;
+        let chunk = timeout_at(body.deadline, body.answer.chunk()).await;
         match chunk.unwrap_or(Err(Failure::TimedOut)) {
-            Ok(Some(chunk)) => Some((Ok(chunk), Some(passing))),
+            Ok(Some(chunk)) => Some((Ok(chunk), Some(body))),
             Ok(None) => {
-                passing.account.conclude(Outcome::Served);
-                drop(passing.attempt);
+                body.record.conclude(Outcome::Served);
+                drop(body.attempt);
                 None
             }
             Err(failure) => {
-                passing.account.conclude(Outcome::Cut);
+                body.record.conclude(Outcome::Cut);
                 Some((Err(io::Error::other(failure.to_string())), None))
             }
         }
--- a/crates/entry/src/front/request_id.rs
+++ b/crates/entry/src/front/request_id.rs
@@ -1,4 +1,4 @@
-//! Ids of requests: the caller's own where it gives a usable one, else one of ours.
+//! Request ids: the caller's `x-request-id` if it is usable, otherwise a generated one.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,8 +8,8 @@
 /// Name of the header.
 pub const HEADER: &str = "x-request-id";
 
-/// Longest id of a caller that is taken over.
-const LONGEST: usize = 128;
+/// Longest id of a caller that is accepted, in bytes.
+const MAX_LENGTH: usize = 128;
 
 /// Id of one request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -26,11 +26,11 @@
         self.0.clone()
     }
 
-    /// The caller's id, if it gave one that is short, visible text.
+    /// The caller's id, if it is present, short enough and visible ASCII.
     pub fn from_headers(headers: &HeaderMap) -> Option<Self> {
         let value = headers.get(HEADER)?;
         let usable = !value.is_empty()
-            && value.len() <= LONGEST
+            && value.len() <= MAX_LENGTH
             && value.as_bytes().iter().all(u8::is_ascii_graphic);
         usable.then(|| Self(value.clone()))
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// Makes ids that no other process and no other start of this one makes.
+/// Generates ids that are unique across processes and restarts.
 #[derive(Debug)]
 pub struct IdGenerator {
     prefix: String,
@@ -50,7 +50,7 @@
 }
 
 impl IdGenerator {
-    /// A mint whose ids begin with `prefix`, which has to differ from start to start.
+    /// A generator of ids that start with `prefix`, which must be random for each start.
     pub fn new(prefix: u64) -> Self {
         Self {
             prefix: format!("{prefix:016x}"),
--- a/crates/entry/src/front/server.rs
+++ b/crates/entry/src/front/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP servers towards callers and operators.
+//! The HTTP servers for callers and operators.
 
 use std::convert::Infallible;
 use std::io;
@@ -16,10 +16,10 @@
 use crate::front::handler::handle;
 use crate::shared::{Shared, Worker};
 
-/// Connections that may wait to be accepted.
+/// Listen backlog.
 const BACKLOG: u32 = 4096;
 
-/// The servers, which listen, to be polled until they have stopped.
+/// The listening servers; `server` must be polled until it has stopped.
 pub struct Servers {
     /// The address for callers.
     pub address: SocketAddr,
@@ -71,8 +71,9 @@
     })
 }
 
-/// Binds a listener. The standard library lets 128 connections wait; when a stopped entry's callers
-/// all come to this one, more do, and each of them would wait a second for its next try.
+/// Binds a listener. The standard library's backlog of 128 overflows when all callers of a stopped
+/// entry reconnect here at once, and each dropped connection waits a second for its SYN to be
+/// retransmitted.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -98,8 +99,8 @@
             .client_request_timeout(limits.head_time)
             .client_disconnect_timeout(limits.head_time)
             .tcp_nodelay(true)
-            // A caller that closes its side is gone; without this its request would run on and its
-            // stream would never be cancelled.
+            // Treats a half-closed connection as a disconnect; otherwise the request would continue
+            // and its stream would never be cancelled.
             .h1_allow_half_closed(false)
             .graceful_shutdown_signal(move || {
                 let stopping = stopping.clone();
