--- a/crates/entry/src/body_buffer.rs
+++ b/crates/entry/src/body_buffer.rs
@@ -1,55 +1,55 @@
-//! A body that is gathered piece by piece, without a copy where it comes in one.
+//! Collects the chunks of a body, without a copy if there is only one.
 
 use bytes::{Bytes, BytesMut};
 
-/// The pieces so far, up to a size.
+/// The chunks received so far, up to a size limit.
 #[derive(Debug)]
 pub struct BodyBuffer {
     limit: usize,
     first: Bytes,
-    whole: BytesMut,
+    joined: BytesMut,
 }
 
-/// The body is larger than its limit.
+/// The body exceeds the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLarge;
 
 impl BodyBuffer {
-    /// Nothing yet, of at most `limit` bytes.
+    /// An empty buffer for at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
             first: Bytes::new(),
-            whole: BytesMut::new(),
+            joined: BytesMut::new(),
         }
     }
 
-    /// Adds a piece.
+    /// Appends a chunk.
     ///
     /// # Errors
     ///
-    /// [`TooLarge`] if the body would be larger than the limit.
+    /// [`TooLarge`] if the body would exceed the limit.
     pub fn push(&mut self, piece: Bytes) -> Result<(), TooLarge> {
-        if self.first.len() + self.whole.len() + piece.len() > self.limit {
+        if self.first.len() + self.joined.len() + piece.len() > self.limit {
             return Err(TooLarge);
         }
-        if self.first.is_empty() && self.whole.is_empty() {
+        if self.first.is_empty() && self.joined.is_empty() {
             self.first = piece;
             return Ok(());
         }
-        if self.whole.is_empty() {
-            self.whole
+        if self.joined.is_empty() {
+            self.joined
                 .extend_from_slice(&std::mem::take(&mut self.first));
         }
-        self.whole.extend_from_slice(&piece);
+        self.joined.extend_from_slice(&piece);
         Ok(())
     }
 
     /// The whole body.
     pub fn finish(self) -> Bytes {
-        if self.whole.is_empty() {
+        if self.joined.is_empty() {
             return self.first;
         }
-        self.whole.freeze()
+        self.joined.freeze()
     }
 }
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Calls to engines and plain services.
+//! Client for calls to engines and plain services.
 
 pub mod client;
 pub mod failure;
--- a/crates/entry/src/upstream/client.rs
+++ b/crates/entry/src/upstream/client.rs
@@ -1,4 +1,4 @@
-//! One thread's HTTP client towards upstreams, with answers matched to requests.
+//! Per-thread HTTP client for upstreams that matches answers to requests.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,24 +18,24 @@
 use crate::front::headers;
 use crate::upstream::failure::Failure;
 
-/// What to send where.
+/// A request to an upstream.
 #[derive(Debug)]
 pub struct Call<'a> {
     /// Address of the upstream.
     pub address: SocketAddr,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path with its query.
+    /// Path and query.
     pub target: &'a str,
-    /// Headers, complete but for the request id and those of the body.
+    /// Headers, except the request id and those of the body.
     pub headers: HeaderMap,
-    /// Request id, which the answer must carry.
+    /// Request id, which the answer must echo.
     pub request: HeaderValue,
-    /// Time until the head of the answer has to be there.
+    /// Time limit until the head of the answer.
     pub timeout: Duration,
 }
 
-/// A client of one thread. Clones share connections.
+/// HTTP client of one thread. Clones share connections.
 #[derive(Clone)]
 pub struct Client {
     options: Rc<Options>,
@@ -43,21 +43,20 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client; connections are opened on demand.
     pub fn new(options: &Options) -> Self {
         Self {
-            http: Rc::new(RefCell::new(connections(options))),
+            http: Rc::new(RefCell::new(new_http_client(options))),
             options: Rc::new(options.clone()),
         }
     }
 
-    /// Sends a call and gives its answer once the head is there. An answer that carries another
-    /// request's id is dropped here; one without an id is for the caller to judge, by
-    /// [`Answer::is_matched`].
+    /// Sends a call and returns its answer once the head has arrived. An answer with another
+    /// request's id is an error; for one without an id see [`Answer::is_matched`].
     ///
     /// # Errors
     ///
-    /// No answer that may be used; [`Failure::ran`] says what is certain.
+    /// There is no usable answer; [`Failure::ran`] tells whether the call may have run.
     pub async fn send(&self, call: Call<'_>, body: Bytes) -> Result<Answer, Failure> {
         let Call {
             address,
@@ -84,16 +83,16 @@
         if id.is_none_or(|id| *id == request) {
             return Ok(answer);
         }
-        // An answer that is not ours means that this connection, and perhaps others to the same
-        // upstream, are out of step: the next answer would be wrong as well. Dropping the answer
-        // closes its connection, unless it had no body and went back to the pool already; so the
-        // idle connections go too.
+        // A mismatched answer means that requests and answers on this connection, and perhaps on
+        // others to the same upstream, are out of sync, so that later answers would be wrong too.
+        // Dropping the answer closes its connection, unless it had no body and the connection is
+        // back in the pool already; so the idle connections are dropped as well.
         drop(answer);
-        *self.http.borrow_mut() = connections(&self.options);
+        *self.http.borrow_mut() = new_http_client(&self.options);
         Err(Failure::Crossed)
     }
 
-    /// Sends a small call of the entry's own, such as a cancellation, and reads its answer.
+    /// Sends a small internal call, such as a cancellation, and reads its whole answer.
     ///
     /// # Errors
     ///
@@ -119,11 +118,11 @@
     }
 }
 
-/// The head and the open body of an answer. Its connection is used again when the body was read to
-/// its end, and is closed when the answer is dropped before.
+/// The head and the unread body of an answer. The connection is reused after the body was read to
+/// its end and closed if the answer is dropped before.
 pub struct Answer {
     response: ClientResponse<BoxedPayloadStream>,
-    /// Nothing more comes; the client must not be asked again then.
+    /// The body has ended and must not be polled again.
     ended: bool,
 }
 
@@ -141,26 +140,26 @@
         }
     }
 
-    /// Its status.
+    /// HTTP status.
     pub fn status(&self) -> StatusCode {
         self.response.status()
     }
 
-    /// Its headers.
+    /// HTTP headers.
     pub fn headers(&self) -> &HeaderMap {
         self.response.headers()
     }
 
-    /// Whether it says that it belongs to the request.
+    /// Whether the answer carries the id of the request.
     pub fn is_matched(&self, request: &HeaderValue) -> bool {
         self.headers().get(headers::REQUEST_ID) == Some(request)
     }
 
-    /// The next part of the body; `None` at its end.
+    /// Reads the next chunk of the body; `None` at its end.
     ///
     /// # Errors
     ///
-    /// The connection broke before the end. The answer is over then.
+    /// The connection broke before the end; no further chunk follows.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, Failure> {
         if self.ended {
             return Ok(None);
@@ -174,7 +173,7 @@
         }
     }
 
-    /// What [`Self::chunk`] gives if it need not wait.
+    /// The result of [`Self::chunk`] if it is available without waiting.
     pub fn ready_chunk(&mut self) -> Option<Result<Option<Bytes>, Failure>> {
         self.chunk().now_or_never()
     }
@@ -183,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// The connection broke, or the body is larger than `limit` bytes.
+    /// The connection broke, or the body exceeds `limit` bytes.
     pub async fn read_all(&mut self, limit: usize) -> Result<Bytes, Failure> {
         let mut body = BodyBuffer::new(limit);
         while let Some(chunk) = self.chunk().await? {
@@ -201,12 +200,12 @@
     }
 }
 
-/// A header whose value is a number.
+/// A numeric header value.
 pub fn number_value(value: u64) -> HeaderValue {
     HeaderValue::from(value)
 }
 
-/// A header map from a few pairs.
+/// Builds a header map from pairs.
 pub fn header_map<const N: usize>(pairs: [(HeaderName, HeaderValue); N]) -> HeaderMap {
     let mut map = HeaderMap::with_capacity(N);
     for (name, value) in pairs {
@@ -215,9 +214,10 @@
     map
 }
 
-/// Redirects are off because a followed one sends a call twice, decompression because bodies pass
-/// through as they are, and the limit of connections because admission is the router's matter.
-fn connections(options: &Options) -> Http {
+/// Redirects are disabled because following one would send a call twice, and the limit on
+/// connections because the router controls admission. Decompression is disabled for each request,
+/// because bodies pass through unchanged.
+fn new_http_client(options: &Options) -> Http {
     let connector = dial::connector()
         .timeout(options.connect)
         .handshake_timeout(options.connect)
--- a/crates/entry/src/upstream/failure.rs
+++ b/crates/entry/src/upstream/failure.rs
@@ -1,4 +1,4 @@
-//! How a call to an upstream failed, and what is certain about it.
+//! How a call to an upstream failed, and whether it may have run.
 
 use std::fmt;
 
@@ -6,27 +6,27 @@
 use fleet::upstream::Observation;
 use routing::decision::Execution;
 
-/// Why there is no answer that may be used.
+/// Why a call has no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came about; no byte of the call left.
+    /// No connection was established; nothing was sent.
     NotSent(String),
-    /// The upstream says that it did nothing, with its status.
+    /// The upstream confirmed with this status that it did not run the call.
     Declined(u16),
-    /// The connection broke after a byte may have left.
+    /// The connection broke after something may have been sent.
     Lost(String),
-    /// No answer came in time.
+    /// The upstream did not answer in time.
     TimedOut,
-    /// The answer belongs to another request, or says of none that it belongs to this one.
+    /// The answer carries another request's id, or lacks the id where it is required.
     Crossed,
-    /// The answer is larger than allowed.
+    /// The answer exceeds the size limit.
     TooLarge,
-    /// The caller's own body broke off, so that the call cannot be completed.
+    /// The caller's body was truncated, so that the call cannot be completed.
     CallerGone(String),
 }
 
 impl Failure {
-    /// What is certain about the call.
+    /// Whether the call may have run.
     pub fn ran(&self) -> Execution {
         match self {
             Self::NotSent(_) | Self::Declined(_) => Execution::NotRun,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// What it says of the upstream's health; nothing if the upstream is not to blame.
+    /// The observation for the upstream's health; `None` if the upstream is not at fault.
     pub fn observation(&self) -> Option<Observation> {
         match self {
             Self::NotSent(_) | Self::Lost(_) | Self::Crossed => Some(Observation::Failed),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A short word for metrics and logs.
+    /// Short name for metrics and logs.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not_sent",
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Reads the client's error.
+    /// Classifies an error of the HTTP client.
     ///
-    /// `ConnectError::Disconnected` looks like a failure to connect and is none: the client gives
-    /// it as well when the peer closes after the whole request was written. Called "not run" it
-    /// would lead to a second execution; a service that dies after executing shows it.
+    /// `ConnectError::Disconnected` is not a failure to connect: the client also returns it when
+    /// the peer closes the connection after the whole request was written, for example a service
+    /// that crashes after executing the call. Classified as not run, such a call would run twice.
     pub fn from_client_error(error: &SendRequestError) -> Self {
         match error {
             SendRequestError::Connect(ConnectError::Disconnected) => {
--- a/crates/entry/src/upstream/kv.rs
+++ b/crates/entry/src/upstream/kv.rs
@@ -1,5 +1,5 @@
-//! Prefill at one engine and decode at another: the KV cache is exported by the first and fetched
-//! by the second.
+//! Transfers a KV cache between engines: the prefilling engine exports it and the decoding engine
+//! fetches it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use crate::upstream::client::{Call, Client, header_map, number_value};
 use crate::upstream::failure::Failure;
 
-/// Largest answer to an export or import, in bytes; the cache itself goes between the engines.
-const ANSWER: usize = 64 << 10;
+/// Largest answer to an export or import, in bytes. The cache itself does not pass through here.
+const MAX_ANSWER: usize = 64 << 10;
 
-/// A transfer that is asked for.
+/// A transfer between two engines.
 #[derive(Debug)]
 pub struct Transfer<'a> {
-    /// Engine that prefills.
+    /// Address of the prefilling engine.
     pub prefill: SocketAddr,
-    /// Engine that decodes.
+    /// Address of the decoding engine.
     pub decode: SocketAddr,
-    /// Body of the completion; engines take the model and the prompt or messages out of it.
+    /// Body of the completion, from which the engine reads the model and the prompt or messages.
     pub body: Bytes,
     /// Request id.
     pub request: &'a HeaderValue,
@@ -44,24 +44,25 @@
     handle: String,
 }
 
-/// Which side of a transfer failed, so that the right engine is blamed.
+/// The stage at which a transfer failed, which tells the engine at fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The engine that prefills.
+    /// Export from the prefilling engine.
     Export(Failure),
-    /// The engine that decodes, or the way between the two.
+    /// Import at the decoding engine, or the connection between the engines.
     Import(Failure),
 }
 
 impl Transfer<'_> {
-    /// Runs the transfer and gives the handle for the completion at the decoding engine.
+    /// Runs the transfer and returns the handle for the completion at the decoding engine.
     ///
     /// # Errors
     ///
-    /// Where it failed. The completion itself was not run, so it may go to one engine as a whole.
+    /// The stage that failed. The completion itself was not run, so a single engine can still run
+    /// it.
     pub async fn run(&self, client: &Client) -> Result<HeaderValue, Stage> {
         let exported = self
-            .ask(client, self.prefill, "/engine/kv/export", self.body.clone())
+            .call(client, self.prefill, "/engine/kv/export", self.body.clone())
             .await
             .map_err(Stage::Export)?;
         let import = Import {
@@ -71,14 +72,14 @@
         let import = serde_json::to_vec(&import)
             .map_err(|error| Stage::Import(Failure::NotSent(error.to_string())))?;
         let imported = self
-            .ask(client, self.decode, "/engine/kv/import", import.into())
+            .call(client, self.decode, "/engine/kv/import", import.into())
             .await
             .map_err(Stage::Import)?;
         HeaderValue::try_from(imported.handle)
             .map_err(|error| Stage::Import(Failure::Lost(error.to_string())))
     }
 
-    async fn ask(
+    async fn call(
         &self,
         client: &Client,
         address: SocketAddr,
@@ -93,7 +94,7 @@
             request: self.request.clone(),
             timeout: self.remaining,
         };
-        let (status, answer) = client.send_and_read(call, body, ANSWER).await?;
+        let (status, answer) = client.send_and_read(call, body, MAX_ANSWER).await?;
         if status != StatusCode::OK {
             return Err(Failure::Declined(status.as_u16()));
         }
--- a/crates/entry/src/upstream/stream_guard.rs
+++ b/crates/entry/src/upstream/stream_guard.rs
@@ -1,4 +1,4 @@
-//! Cancels a stream at its engine when nobody will read it.
+//! Cancels a stream at its engine when its caller has disconnected.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 use crate::process::phase::{Lifecycle, Phase};
 use crate::upstream::client::{Call, Client};
 
-/// Time that a cancellation may take.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit of a cancellation.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Largest answer to a cancellation, in bytes.
-const ANSWER: usize = 64 << 10;
+const MAX_ANSWER: usize = 64 << 10;
 
-/// What a guard needs of the process.
+/// Shared state that a guard needs.
 #[derive(Clone, Debug)]
 pub struct GuardContext {
     /// Client of this thread.
     pub client: Client,
     /// Phase of the process.
     pub lifecycle: Lifecycle,
-    /// Whether the process was paused.
+    /// Detects pauses of the process.
     pub pause_detector: PauseDetector,
-    /// Clock of the pulse.
+    /// Clock of the pause detector.
     pub clock: System,
 }
 
-/// Cancels its stream when it is dropped, unless it was released.
+/// Cancels its stream when dropped, unless disarmed.
 #[derive(Debug)]
 pub struct StreamGuard {
     context: GuardContext,
@@ -42,7 +42,7 @@
 }
 
 impl StreamGuard {
-    /// Guards a stream from the moment at which it is asked for.
+    /// Creates an armed guard; to be called before the stream is requested.
     pub fn new(
         context: GuardContext,
         address: SocketAddr,
@@ -58,14 +58,15 @@
         }
     }
 
-    /// The stream ended, or somebody else is to resume it.
+    /// Disarms the guard, because the stream has ended or another guard covers it.
     pub fn disarm(&mut self) {
         self.armed = false;
     }
 
-    /// Whether the caller's absence is to be believed. Not after a pause (see
-    /// [`crate::process::pause_detector`]), and not when the process leaves open streams for other entries.
-    fn is_due(&self) -> bool {
+    /// Whether the stream should be cancelled. Not after a pause of the process, when the caller
+    /// may have resumed the stream elsewhere (see [`crate::process::pause_detector`]), and not when
+    /// the process leaves open streams to other entries.
+    fn should_cancel(&self) -> bool {
         self.armed
             && self.context.lifecycle.phase() < Phase::Abandoning
             && self
@@ -77,7 +78,7 @@
 
 impl Drop for StreamGuard {
     fn drop(&mut self) {
-        if !self.is_due() {
+        if !self.should_cancel() {
             return;
         }
         log::debug!(stream = self.stream.as_str(); "cancelling a stream");
@@ -91,9 +92,9 @@
                 target: &target,
                 headers: HeaderMap::new(),
                 request,
-                timeout: TIMEOUT,
+                timeout: CANCEL_TIMEOUT,
             };
-            if let Err(failure) = client.send_and_read(call, Bytes::new(), ANSWER).await {
+            if let Err(failure) = client.send_and_read(call, Bytes::new(), MAX_ANSWER).await {
                 log::debug!(stream = target.as_str(), failure:% = failure; "a stream was not cancelled");
             }
         });
