--- a/crates/entry/src/command.rs
+++ b/crates/entry/src/command.rs
@@ -11,8 +11,8 @@
 use crate::daemon;
 use crate::policy::Overrides;
 
-/// Exit code when the settings have findings.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for settings with findings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// One of the entries between callers and upstreams.
 #[derive(Debug, Parser)]
@@ -29,7 +29,7 @@
         /// Settings file.
         #[arg(long)]
         settings: PathBuf,
-        /// Lays one setting over the file.
+        /// Overrides one setting of the file.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
     },
@@ -37,7 +37,7 @@
     Check {
         /// Settings file.
         settings: PathBuf,
-        /// Lays one setting over the file.
+        /// Overrides one setting of the file.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
     },
@@ -45,7 +45,7 @@
     Version,
 }
 
-/// Why the command failed.
+/// Reason for the failure of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The settings cannot be read or have findings.
@@ -81,7 +81,7 @@
             Err(report) => {
                 eprintln!("{report:?}");
                 match report.current_context() {
-                    Failure::Settings => ExitCode::from(BAD_SETTINGS),
+                    Failure::Settings => ExitCode::from(EXIT_INVALID_SETTINGS),
                     Failure::Daemon => ExitCode::FAILURE,
                 }
             }
@@ -117,7 +117,7 @@
     Ok(settings)
 }
 
-/// `RUST_LOG` goes before the settings, for a look at one module.
+/// `RUST_LOG` takes precedence over the settings, for debugging a single module.
 fn start_log(level: &str) {
     let environment = env_logger::Env::default().default_filter_or(level);
     env_logger::Builder::from_env(environment)
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts everything, serves, and stops in order.
+//! Starts the daemon, serves, and shuts down in order.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex};
@@ -28,53 +28,53 @@
 use crate::stream::resumed_streams::ResumedStreams;
 use crate::token_estimator::TokenEstimator;
 
-/// Least time for handing over what the control holds.
-const HANDOVER: Duration = Duration::from_millis(500);
+/// Least time that the control gets to hand over what it holds.
+const MIN_HANDOVER_TIME: Duration = Duration::from_millis(500);
 
 /// Why the daemon ended with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The overrides of the policy are not good.
+    /// The overrides of the routing policy are invalid.
     Policy,
-    /// The control did not start.
+    /// The control could not be started.
     Control,
     /// An address could not be bound.
     Bind,
     /// Signals cannot be received.
     Signals,
-    /// A server failed while it ran.
+    /// An HTTP server failed.
     Server,
-    /// The time for the stop was over before all work in hand was done.
+    /// The shutdown limit passed before all work had finished.
     Overdue,
 }
 
 impl std::fmt::Display for Failure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::Policy => "the overrides of the policy are not good",
-            Self::Control => "the control did not start",
+            Self::Policy => "the routing policy overrides are invalid",
+            Self::Control => "the control could not be started",
             Self::Bind => "an address could not be bound",
             Self::Signals => "signals cannot be received",
             Self::Server => "a server failed",
-            Self::Overdue => "work in hand was left when the time for the stop was over",
+            Self::Overdue => "the shutdown limit passed with work in progress",
         })
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// Serves until a signal asks to stop.
+/// Serves until a signal requests a shutdown.
 ///
 /// # Errors
 ///
-/// The process could not start, or did not come to an orderly end.
+/// The process could not start, or its shutdown was not orderly.
 pub fn run(settings: Settings, early: EarlySignals) -> Result<(), Report<Failure>> {
     System::new().block_on(serve(settings, early))
 }
 
 async fn serve(settings: Settings, early: EarlySignals) -> Result<(), Report<Failure>> {
     let mut signals = Signals::new(early).change_context(Failure::Signals)?;
-    let shared = Arc::new(shared(settings)?);
+    let shared = Arc::new(build_shared(settings)?);
     shared.control.set_hooks(hooks(&shared));
     let mut front = server::start(&shared).change_context(Failure::Bind)?;
     if let Some(admin) = front.admin {
@@ -83,18 +83,18 @@
     println!("listening {}", front.address);
     log::info!(address:% = front.address, instance = shared.settings.instance.id.as_str(); "serving callers");
     actix_rt::spawn(router_sync::follow_views(Arc::clone(&shared)));
-    actix_rt::spawn(beat(Arc::clone(&shared)));
-    actix_rt::spawn(tick(Arc::clone(&shared)));
+    actix_rt::spawn(detect_pauses(Arc::clone(&shared)));
+    actix_rt::spawn(tick_router(Arc::clone(&shared)));
     actix_rt::spawn(send_metrics(Arc::clone(&shared)));
     tokio::select! {
         result = &mut front.server => return result.change_context(Failure::Server),
-        () = stopped(&mut signals) => {}
+        () = stop_requested(&mut signals) => {}
     }
     actix_rt::spawn(front.server);
-    stop_within(&shared, front.handle).await
+    shut_down(&shared, front.handle).await
 }
 
-fn shared(settings: Settings) -> Result<Shared, Report<Failure>> {
+fn build_shared(settings: Settings) -> Result<Shared, Report<Failure>> {
     let clock = clock::System::new();
     let control = start_control(&settings, clock)?;
     let mut random = rand::rng();
@@ -134,10 +134,10 @@
     control::start(options, clock).change_context(Failure::Control)
 }
 
-/// Stops in order: tell the balancer, wait for it to notice, take nothing new, finish what is in
-/// hand. The balancer learns by `/readyz` only, so that stopping at once would refuse what it still
-/// sends.
-async fn stop_within(
+/// Shuts down in order: reports not ready, waits for the balancer to notice, refuses new work and
+/// finishes the work in progress. The balancer only polls `/readyz`; without the wait, the requests
+/// that it still sends would be refused.
+async fn shut_down(
     shared: &Shared,
     handle: actix_server::ServerHandle,
 ) -> Result<(), Report<Failure>> {
@@ -147,21 +147,23 @@
     sleep(times.balancer).await;
     shared.lifecycle.advance(Phase::Finishing);
     shared.control.leave();
-    let rest = times.limit.saturating_sub(times.balancer);
-    let until = shared.clock.now() + rest;
-    let finished = timeout(rest, async {
+    let finish_time = times.limit.saturating_sub(times.balancer);
+    let until = shared.clock.now() + finish_time;
+    let finished = timeout(finish_time, async {
         handle.stop(true).await;
         shared.lifecycle.wait_for_tasks().await;
     })
     .await;
     shared.lifecycle.advance(Phase::Abandoning);
-    let left = until.saturating_sub(shared.clock.now()).max(HANDOVER);
-    shared.control.stop(left).await;
+    let handover_time = until
+        .saturating_sub(shared.clock.now())
+        .max(MIN_HANDOVER_TIME);
+    shared.control.stop(handover_time).await;
     log::info!(in_time = finished.is_ok(), open = shared.metrics.get(Metric::Open); "stopped");
     finished.change_context(Failure::Overdue)
 }
 
-async fn beat(shared: Arc<Shared>) {
+async fn detect_pauses(shared: Arc<Shared>) {
     let mut interval = interval(TICK_INTERVAL);
     loop {
         interval.tick().await;
@@ -172,7 +174,7 @@
     }
 }
 
-async fn tick(shared: Arc<Shared>) {
+async fn tick_router(shared: Arc<Shared>) {
     let mut interval = interval(router::TICK);
     loop {
         interval.tick().await;
@@ -194,15 +196,15 @@
     }
 }
 
-/// Waits until the process is asked to stop. A request to read settings again is answered by a line: one daemon
-/// that dies of what another one understands would take its callers along.
-async fn stopped(signals: &mut Signals) {
+/// Waits for a signal that requests a shutdown. A request to reload the settings is only logged: by
+/// default SIGHUP would end the process, and with it the calls of its callers.
+async fn stop_requested(signals: &mut Signals) {
     while signals.next().await == Request::Reload {
         log::warn!("settings are read at the start only; start the process again to change them");
     }
 }
 
-/// Milliseconds since the Unix epoch, which tell two starts of one instance apart.
+/// Milliseconds since the Unix epoch, which distinguish two starts of an instance.
 fn incarnation() -> u64 {
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/entry/src/dispatcher.rs
+++ b/crates/entry/src/dispatcher.rs
@@ -1,9 +1,9 @@
-//! The decisions of `routing` behind one short lock, as the data plane's threads use them: admit,
-//! wait, send, tell how it went.
+//! Shares the router between the threads of the data plane: admits and queues requests and reports
+//! the progress and results of attempts.
 //!
-//! The lock is held for one call of the router and never across an await. Results for waiting
-//! requests are delivered after it is released, because a receiver that is gone gives its attempt
-//! back through the same lock.
+//! The lock is held for one call of the router and never across an await. Results for queued
+//! requests are delivered after it is released: if the receiver is gone, dropping the attempt takes
+//! the same lock.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,37 +17,37 @@
 use routing::router::{Outputs, Router};
 use tokio::sync::oneshot;
 
-/// When to come back if a place in the queue was lost.
-const AFTER_LOSS: Duration = Duration::from_secs(1);
+/// `Retry-After` if the sender of a queued request was lost.
+const LOST_TICKET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-type Placed = Result<Attempt, Refusal>;
+type Admission = Result<Attempt, Refusal>;
 
 #[derive(Debug)]
 struct Inner {
     router: Router,
-    waiting: HashMap<Ticket, oneshot::Sender<Placed>>,
+    waiting: HashMap<Ticket, oneshot::Sender<Admission>>,
 }
 
-/// The router with the requests that wait for it. Clones share both.
+/// The router with its queued requests. Clones share both.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     inner: Arc<Mutex<Inner>>,
     clock: System,
 }
 
-/// What becomes of a request whose attempt failed.
+/// The decision on a request whose attempt failed.
 #[derive(Debug)]
 pub enum Retry {
-    /// It goes to another upstream.
+    /// The request is sent again in a new attempt.
     Again(Attempt),
-    /// It was not refused for load: the failure itself is the answer.
+    /// The request is not retried; the failure itself is reported.
     Final,
-    /// No upstream can take it any more.
+    /// The retry was refused.
     Refused(Refusal),
 }
 
 impl Dispatcher {
-    /// A dispatch over a router.
+    /// Creates a dispatcher for a router.
     pub fn new(router: Router, clock: System) -> Self {
         Self {
             inner: Arc::new(Mutex::new(Inner {
@@ -58,12 +58,12 @@
         }
     }
 
-    /// The moment on the clock that the router's deadlines are on.
+    /// The current time on the clock that the router's deadlines refer to.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Runs a short piece of work on the router and delivers what it frees.
+    /// Runs a short operation on the router and delivers the resulting admissions.
     pub fn with_router<R>(&self, work: impl FnOnce(Moment, &mut Router) -> R) -> R {
         let now = self.now();
         let mut inner = self.lock();
@@ -73,25 +73,25 @@
         result
     }
 
-    /// Admits a request and waits until it may be sent.
+    /// Asks the router for admission and waits until the request may be sent.
     ///
     /// # Errors
     ///
-    /// It is refused; it was not run.
-    pub async fn admit(&self, request: Request) -> Placed {
-        let receiver = {
+    /// The request is refused and was not run.
+    pub async fn admit(&self, request: Request) -> Admission {
+        let queued = {
             let now = self.now();
             let mut inner = self.lock();
             match inner.router.admit(now, request) {
-                Decision::Send(sending) => return Ok(self.attempt(sending)),
+                Decision::Send(assignment) => return Ok(self.attempt(assignment)),
                 Decision::Refuse(refusal) => return Err(refusal),
-                Decision::Wait(ticket) => self.wait(&mut inner, ticket),
+                Decision::Wait(ticket) => self.enqueue(&mut inner, ticket),
             }
         };
-        receiver.placed().await
+        queued.admission().await
     }
 
-    /// Lets time pass; to be called every [`routing::router::TICK`].
+    /// Advances the router's time; to be called every [`routing::router::TICK`].
     pub fn tick(&self) {
         let now = self.now();
         let mut inner = self.lock();
@@ -100,27 +100,27 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // A panic under the lock would be a defect of the router; its counters are still whole
-        // enough to serve on, and refusing all requests from then on would be worse.
+        // Only a bug in the router can poison the lock. Its state is still good enough to continue,
+        // and refusing all further requests would be worse.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn attempt(&self, sending: Assignment) -> Attempt {
+    fn attempt(&self, assignment: Assignment) -> Attempt {
         Attempt {
-            dispatch: self.clone(),
-            sending,
-            ended: false,
+            dispatcher: self.clone(),
+            assignment,
+            reported: false,
         }
     }
 
-    fn wait(&self, inner: &mut Inner, ticket: Ticket) -> Waiting {
+    fn enqueue(&self, inner: &mut Inner, ticket: Ticket) -> QueuedRequest {
         let (sender, receiver) = oneshot::channel();
         inner.waiting.insert(ticket, sender);
-        Waiting {
-            dispatch: self.clone(),
+        QueuedRequest {
+            dispatcher: self.clone(),
             ticket,
             receiver,
-            placed: false,
+            resolved: false,
         }
     }
 
@@ -128,121 +128,123 @@
         if outputs.is_empty() {
             return;
         }
-        let results: Vec<(Option<oneshot::Sender<Placed>>, Placed)> = outputs
+        let results: Vec<(Option<oneshot::Sender<Admission>>, Admission)> = outputs
             .into_iter()
             .map(|output| match output {
-                Output::Send {
-                    ticket,
-                    assignment: sending,
-                } => (inner.waiting.remove(&ticket), Ok(self.attempt(sending))),
+                Output::Send { ticket, assignment } => {
+                    (inner.waiting.remove(&ticket), Ok(self.attempt(assignment)))
+                }
                 Output::Refuse { ticket, refusal } => (inner.waiting.remove(&ticket), Err(refusal)),
             })
             .collect();
         drop(inner);
-        for (sender, placed) in results {
+        for (sender, admission) in results {
             if let Some(sender) = sender {
-                // A failed delivery drops the attempt, which frees its place in the router.
-                let _ = sender.send(placed);
+                // A failed delivery drops the attempt, which releases its capacity in the router.
+                let _ = sender.send(admission);
             }
         }
     }
 }
 
-/// A place in the queue; given up when dropped, because its caller is gone.
+/// A queued request. Dropping it, when its caller is gone, removes it from the queue.
 #[derive(Debug)]
-struct Waiting {
-    dispatch: Dispatcher,
+struct QueuedRequest {
+    dispatcher: Dispatcher,
     ticket: Ticket,
-    receiver: oneshot::Receiver<Placed>,
-    placed: bool,
+    receiver: oneshot::Receiver<Admission>,
+    resolved: bool,
 }
 
-impl Waiting {
-    async fn placed(mut self) -> Placed {
+impl QueuedRequest {
+    async fn admission(mut self) -> Admission {
         let result = (&mut self.receiver).await;
-        self.placed = true;
-        // The sender lives in the router's lock, which this waits on; it is never lost.
+        self.resolved = true;
+        // The sender is owned by the dispatcher, which `self` keeps alive, so it is never lost.
         result.unwrap_or(Err(Refusal {
             reason: Reason::NoPool,
-            retry_after: AFTER_LOSS,
+            retry_after: LOST_TICKET_RETRY_AFTER,
         }))
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
-        if !self.placed {
-            let mut inner = self.dispatch.lock();
+        if !self.resolved {
+            let mut inner = self.dispatcher.lock();
             inner.waiting.remove(&self.ticket);
             inner.router.cancel(self.ticket);
         }
     }
 }
 
-/// An attempt in hand. Dropping it tells the router that it ended.
+/// An attempt in progress. Dropping it reports its end to the router.
 #[derive(Debug)]
 pub struct Attempt {
-    dispatch: Dispatcher,
-    sending: Assignment,
-    ended: bool,
+    dispatcher: Dispatcher,
+    assignment: Assignment,
+    reported: bool,
 }
 
 impl Attempt {
-    /// Where it goes.
+    /// The upstreams that the router assigned.
     pub fn assignment(&self) -> &Assignment {
-        &self.sending
+        &self.assignment
     }
 
-    /// The prefill is done.
+    /// Reports that the prefill is done.
     pub fn prefill_done(&self) {
         self.progress(Progress::Prefilled);
     }
 
-    /// So many tokens came.
+    /// Reports tokens received from the upstream.
     pub fn tokens_received(&self, count: u32) {
         self.progress(Progress::Tokens(count));
     }
 
-    /// The KV transfer failed; the answering engine prefills as well.
+    /// Reports that the KV transfer failed and that the decoding engine prefills as well.
     pub fn transfer_failed(&self) {
-        let now = self.dispatch.now();
-        let attempt = self.sending.attempt;
-        self.dispatch.lock().router.transfer_failed(now, attempt);
+        let now = self.dispatcher.now();
+        let attempt = self.assignment.attempt;
+        self.dispatcher.lock().router.transfer_failed(now, attempt);
     }
 
-    /// The attempt failed before the caller got any of the answer.
+    /// Reports that the attempt failed before any part of the answer was sent to the caller.
     pub async fn fail(mut self, ran: Execution) -> Retry {
-        self.ended = true;
-        let waiting = {
-            let now = self.dispatch.now();
-            let mut inner = self.dispatch.lock();
-            match inner.router.failed(now, self.sending.attempt, ran) {
+        self.reported = true;
+        let queued = {
+            let now = self.dispatcher.now();
+            let mut inner = self.dispatcher.lock();
+            match inner.router.failed(now, self.assignment.attempt, ran) {
                 RetryDecision::Final => return Retry::Final,
-                RetryDecision::Wait(ticket) => self.dispatch.wait(&mut inner, ticket),
+                RetryDecision::Wait(ticket) => self.dispatcher.enqueue(&mut inner, ticket),
             }
         };
-        self.dispatch.tick();
-        match waiting.placed().await {
+        self.dispatcher.tick();
+        match queued.admission().await {
             Ok(attempt) => Retry::Again(attempt),
             Err(refusal) => Retry::Refused(refusal),
         }
     }
 
     fn progress(&self, progress: Progress) {
-        let now = self.dispatch.now();
-        let attempt = self.sending.attempt;
-        self.dispatch.lock().router.progress(now, attempt, progress);
+        let now = self.dispatcher.now();
+        let attempt = self.assignment.attempt;
+        self.dispatcher
+            .lock()
+            .router
+            .progress(now, attempt, progress);
     }
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        if self.ended {
+        if self.reported {
             return;
         }
-        let now = self.dispatch.now();
-        let mut inner = self.dispatch.lock();
-        let outputs = inner.router.finished(now, self.sending.attempt);
-        self.dispatch.deliver(inner, outputs);
+        let now = self.dispatcher.now();
+        let mut inner = self.dispatcher.lock();
+        let outputs = inner.router.finished(now, self.assignment.attempt);
+        self.dispatcher.deliver(inner, outputs);
     }
 }
--- a/crates/entry/src/hooks.rs
+++ b/crates/entry/src/hooks.rs
@@ -1,4 +1,4 @@
-//! What the control asks of the data plane.
+//! Functions of the data plane that the control calls.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
@@ -9,39 +9,39 @@
 use crate::held_answers::{self, Lookup};
 use crate::shared::Shared;
 
-/// The hooks over what all threads share.
+/// Creates the hooks.
 pub fn hooks(shared: &Arc<Shared>) -> Hooks {
-    let with = |shared: &Arc<Shared>| Arc::clone(shared);
+    let share = |shared: &Arc<Shared>| Arc::clone(shared);
     Hooks {
         open_requests: Box::new({
-            let shared = with(shared);
+            let shared = share(shared);
             move |upstream| open(&shared, upstream)
         }),
         oldest_applied_view: Box::new({
-            let shared = with(shared);
+            let shared = share(shared);
             move || shared.applied.load(Ordering::Acquire)
         }),
         held_answer: Box::new({
-            let shared = with(shared);
+            let shared = share(shared);
             move |key| held_answer(&shared, key)
         }),
         outstanding: Box::new({
-            let shared = with(shared);
+            let shared = share(shared);
             move || outstanding(&shared)
         }),
         demand: Box::new({
-            let shared = with(shared);
+            let shared = share(shared);
             move || demand(&shared)
         }),
         burn: Box::new({
-            let shared = with(shared);
+            let shared = share(shared);
             move || shared.burn().burn().buckets
         }),
     }
 }
 
-/// Work that a planned change at the upstream would cut: attempts of the router, and streams that
-/// were resumed here for another entry.
+/// Number of calls that a planned change at the upstream would interrupt: attempts of the router
+/// and streams that were resumed here.
 fn open(shared: &Shared, upstream: &str) -> u32 {
     let routed = shared
         .dispatcher
@@ -62,15 +62,16 @@
 }
 
 fn outstanding(shared: &Shared) -> Vec<Outstanding> {
-    let work = shared
+    let loads = shared
         .dispatcher
         .with_router(|_, router| router.outstanding());
-    work.into_iter()
-        .map(|one| Outstanding {
-            upstream: one.upstream.to_string(),
-            requests: one.load.requests.round() as u32,
-            prefill_tokens: one.load.prefill.round() as u64,
-            decode_tokens: one.load.decode.round() as u64,
+    loads
+        .into_iter()
+        .map(|item| Outstanding {
+            upstream: item.upstream.to_string(),
+            requests: item.load.requests.round() as u32,
+            prefill_tokens: item.load.prefill.round() as u64,
+            decode_tokens: item.load.decode.round() as u64,
         })
         .collect()
 }
@@ -81,11 +82,11 @@
         .with_router(|now, router| router.demand(now));
     demand
         .into_iter()
-        .map(|one| Demand {
-            owner: one.subject.to_string(),
-            requests: one.requests as f32,
-            tokens: one.tokens as f32,
-            open: one.in_flight,
+        .map(|item| Demand {
+            owner: item.subject.to_string(),
+            requests: item.requests as f32,
+            tokens: item.tokens as f32,
+            open: item.in_flight,
         })
         .collect()
 }
@@ -111,7 +112,7 @@
         let headers = answer.headers.into_iter();
         Ok(Self {
             status: u16::try_from(answer.status)?,
-            headers: headers.map(|one| (one.name, one.value)).collect(),
+            headers: headers.map(|header| (header.name, header.value)).collect(),
             body: answer.body.into(),
         })
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon `tarragon-entry`: callers' requests in, upstreams' answers out. It stands at the end
-//! of all dependencies: `settings` tells it what to open, `control` folds the platform's log and
-//! drives membership and authority on a thread of its own, `routing` decides behind one lock, and
-//! the modules here carry the bytes between callers and upstreams.
+//! The daemon `tarragon-entry`, which forwards callers' requests to upstreams. It is the root of
+//! the dependency graph: `settings` configures it, `control` folds the platform's log and drives
+//! membership and authority on a thread of its own, `routing` makes the routing decisions behind
+//! one lock, and the modules of this crate form the data plane between callers and upstreams.
 
 pub mod admin;
 pub mod at_most_once;
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon; see the library for what it does.
+//! Entry point of the daemon; see the library.
 
 use std::process::ExitCode;
 
--- a/crates/entry/src/policy.rs
+++ b/crates/entry/src/policy.rs
@@ -1,12 +1,12 @@
-//! Overrides of the routing policy from the settings, for trials that compare policies on one
-//! catalogue. In service the catalogue's pools say how upstreams are chosen.
+//! Overrides of the routing policy by the settings, for trials that compare policies with one
+//! catalogue. In production, the catalogue's pools define the policy.
 
 use std::collections::BTreeMap;
 
 use routing::choice::Policy;
 use settings::{Finding, Findings, Origin, Problem};
 
-/// What may be overridden.
+/// Overrides of the routing policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Overrides {
     /// `policy.choice`, for all pools.
@@ -15,7 +15,8 @@
     pub transfer: Option<bool>,
 }
 
-/// The choices by name; DRILL as in its paper, with two samples and one remembered.
+/// The policies by name. DRILL uses the parameters of its paper: two samples and one remembered
+/// choice.
 const CHOICES: [(&str, Policy); 8] = [
     ("round-robin", Policy::RoundRobin),
     ("random", Policy::Random),
@@ -39,7 +40,7 @@
     ),
 ];
 
-const CHOICE_WORDS: &str = "one of round-robin, random, least-outstanding, two-choices, drill, \
+const CHOICE_NAMES: &str = "one of round-robin, random, least-outstanding, two-choices, drill, \
      scan, prefix-hash, affinity";
 
 impl TryFrom<&BTreeMap<String, String>> for Overrides {
@@ -55,7 +56,7 @@
                         overrides.choice = Some(*choice);
                         continue;
                     }
-                    None => invalid(value, CHOICE_WORDS),
+                    None => invalid(value, CHOICE_NAMES),
                 },
                 "transfer" => match value.parse() {
                     Ok(transfer) => {
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The life of the process: phases, pauses, and work in hand.
+//! Lifecycle of the process: phases, running tasks and pauses.
 
 pub mod pause_detector;
 pub mod phase;
--- a/crates/entry/src/process/pause_detector.rs
+++ b/crates/entry/src/process/pause_detector.rs
@@ -1,11 +1,10 @@
-//! Notices that the process was paused.
+//! Detects pauses of the process.
 //!
-//! A process that was stopped for a while wakes up with a stale view: callers that it believes to
-//! be gone have long since resumed their streams at another entry, and cancelling those streams at
-//! the engine would cut them there. The symptom is a stream that ends without `[DONE]` at an entry
-//! that did nothing wrong. A task that should run every [`BEAT`] sees the gap; whoever is about to
-//! act on a caller's absence asks [`PauseDetector::has_no_recent_pause`]
-//! first.
+//! After a pause the process has a stale view: callers that appear to be gone may have resumed
+//! their streams at another entry, and cancelling those streams at the engine would interrupt them
+//! there. The symptom is a stream that ends without `[DONE]` at the other entry. A task that runs
+//! every [`TICK_INTERVAL`] detects the gap; code that acts on a caller's absence must check
+//! [`PauseDetector::has_no_recent_pause`] first.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,58 +12,59 @@
 
 use clock::Moment;
 
-/// Time between two beats.
+/// Time between two ticks.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A longer gap between two beats is a pause.
-const GAP: Duration = Duration::from_secs(1);
+/// A longer gap between two ticks counts as a pause.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// How long after a pause what seems to have happened is not trusted.
-const CAUTION: Duration = Duration::from_secs(10);
+/// Time after a pause during which callers' absence is not trusted.
+const RECOVERY_TIME: Duration = Duration::from_secs(10);
 
-/// No pause was seen yet.
-const NEVER: u64 = u64::MAX;
+/// Marks that no pause has been detected yet.
+const NO_PAUSE: u64 = u64::MAX;
 
 #[derive(Debug)]
 struct Inner {
-    last_beat: AtomicU64,
+    last_tick: AtomicU64,
     last_pause: AtomicU64,
 }
 
-/// The pulse of the process. Clones share it.
+/// Detects pauses of the process. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct PauseDetector(Arc<Inner>);
 
 impl PauseDetector {
-    /// A pulse whose last beat is now.
+    /// Creates a detector with a first tick at `now`.
     pub fn new(now: Moment) -> Self {
         Self(Arc::new(Inner {
-            last_beat: AtomicU64::new(millis(now)),
-            last_pause: AtomicU64::new(NEVER),
+            last_tick: AtomicU64::new(millis(now)),
+            last_pause: AtomicU64::new(NO_PAUSE),
         }))
     }
 
-    /// One beat. Returns whether a pause lies before it.
+    /// Records a tick. Returns whether a pause preceded it.
     pub fn tick(&self, now: Moment) -> bool {
-        let last = self.0.last_beat.load(Ordering::Acquire);
-        let paused = millis(now).saturating_sub(last) > millis(GAP);
+        let last = self.0.last_tick.load(Ordering::Acquire);
+        let paused = millis(now).saturating_sub(last) > millis(PAUSE_THRESHOLD);
         if paused {
-            // Before the beat, so that no other thread sees the beat without the pause.
+            // Stored before the tick, so that no other thread sees the tick without the pause.
             self.0.last_pause.store(millis(now), Ordering::Release);
         }
-        self.0.last_beat.store(millis(now), Ordering::Release);
+        self.0.last_tick.store(millis(now), Ordering::Release);
         paused
     }
 
-    /// Whether no pause lies right behind. It holds from the first instruction after a pause on,
-    /// also before the next beat.
+    /// Whether there was no recent pause. A pause is detected from the first instruction after it,
+    /// even before the next tick.
     pub fn has_no_recent_pause(&self, now: Moment) -> bool {
         let now = millis(now);
-        let beat = self.0.last_beat.load(Ordering::Acquire);
-        let pause = self.0.last_pause.load(Ordering::Acquire);
-        let in_step = now.saturating_sub(beat) <= millis(GAP);
-        let recovered = pause == NEVER || now.saturating_sub(pause) > millis(CAUTION);
-        in_step && recovered
+        let last_tick = self.0.last_tick.load(Ordering::Acquire);
+        let last_pause = self.0.last_pause.load(Ordering::Acquire);
+        let is_ticking = now.saturating_sub(last_tick) <= millis(PAUSE_THRESHOLD);
+        let recovered =
+            last_pause == NO_PAUSE || now.saturating_sub(last_pause) > millis(RECOVERY_TIME);
+        is_ticking && recovered
     }
 }
 
--- a/crates/entry/src/process/phase.rs
+++ b/crates/entry/src/process/phase.rs
@@ -1,21 +1,21 @@
-//! Phases from start to stop, and the work in hand that a stop waits for.
+//! Lifecycle phases, and the tasks that a shutdown waits for.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicUsize, Ordering};
 
 use tokio::sync::Notify;
 
-/// Where the process is in its life.
+/// Phase of the lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Phase {
-    /// It serves.
+    /// The process serves.
     Serving = 0,
-    /// It serves, but tells the balancer that it is about to stop.
+    /// The process still serves, but is reported as not ready to the balancer.
     Leaving = 1,
-    /// It takes nothing new and finishes what it has.
+    /// The process refuses new work and finishes the work in progress.
     Finishing = 2,
-    /// Time is up: what is still open is left for other entries to resume.
+    /// The time limit has passed; open streams are left for other entries to resume.
     Abandoning = 3,
 }
 
@@ -26,17 +26,17 @@
     idle: Notify,
 }
 
-/// The phase, shared by all threads. Clones share it.
+/// The current phase and the number of running tasks. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Lifecycle(Arc<Inner>);
 
 impl Lifecycle {
-    /// A process that serves.
+    /// Starts in [`Phase::Serving`].
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         match self.0.phase.load(Ordering::Acquire) {
             0 => Phase::Serving,
@@ -46,24 +46,24 @@
         }
     }
 
-    /// Goes on to a phase; it never goes back.
+    /// Advances to a phase; a call with an earlier phase has no effect.
     pub fn advance(&self, phase: Phase) {
         self.0.phase.fetch_max(phase as u8, Ordering::AcqRel);
     }
 
-    /// Whether the process is about to stop.
+    /// Whether shutdown has started.
     pub fn is_stopping(&self) -> bool {
         self.phase() > Phase::Serving
     }
 
     /// Counts a task that outlives its caller's connection, such as a call that may not be
-    /// repeated: a stop that only waited for connections would cut it.
+    /// repeated. Shutdown would interrupt it if it waited for connections only.
     pub fn start_task(&self) -> TaskGuard {
         self.0.tasks.fetch_add(1, Ordering::AcqRel);
         TaskGuard(self.clone())
     }
 
-    /// Waits until no such task is left.
+    /// Waits until no counted task is running.
     pub async fn wait_for_tasks(&self) {
         loop {
             let changed = self.0.idle.notified();
@@ -75,7 +75,7 @@
     }
 }
 
-/// One counted task.
+/// Counts a task while it exists.
 #[derive(Debug)]
 pub struct TaskGuard(Lifecycle);
 
--- a/crates/entry/src/router_sync.rs
+++ b/crates/entry/src/router_sync.rs
@@ -1,4 +1,4 @@
-//! Follows the control's views and turns them into what the router decides by.
+//! Updates the router from the control's views.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,83 +20,83 @@
 use crate::policy::Overrides;
 use crate::shared::Shared;
 
-/// One-way time to an upstream in the same data centre.
-const NEAR: Duration = Duration::from_micros(100);
+/// One-way latency to an upstream in the same data centre.
+const SAME_DATA_CENTRE_LATENCY: Duration = Duration::from_micros(100);
 
-/// One-way time to an upstream in another data centre.
-const FAR: Duration = Duration::from_millis(1);
+/// One-way latency to an upstream in another data centre.
+const CROSS_DATA_CENTRE_LATENCY: Duration = Duration::from_millis(1);
 
-/// Seconds that the transfer of one token's KV cache takes between two engines, as long as the
-/// pool's own figure is not known: 128 KiB a token over 100 Gbit/s.
-const TRANSFER: f64 = 131_072.0 / 12.5e9;
+/// Time to transfer the KV cache of one token between two engines, in seconds, until a figure of
+/// the pool is known: 128 KiB per token at 100 Gbit/s.
+const TRANSFER_S_PER_TOKEN: f64 = 131_072.0 / 12.5e9;
 
-/// Follows the views until the control stops.
+/// Applies the control's views to the router until the control stops.
 pub async fn follow_views(shared: Arc<Shared>) {
     let mut views = shared.control.watch();
-    let mut before = Arc::new(View::empty());
+    let mut previous = Arc::new(View::empty());
     loop {
         let view = Arc::clone(&views.borrow_and_update());
         let data_centre = shared.settings.instance.data_centre.as_str();
         shared.dispatcher.with_router(|now, router| {
-            let step = Step {
+            let change = ViewChange {
                 now,
                 data_centre,
                 policy: &shared.policy,
-                before: &before,
+                previous: &previous,
                 view: &view,
             };
-            step.apply(router);
+            change.apply(router);
         });
-        // Only now does no request choose by an older view any more; the control may then confirm
-        // that a closed upstream gets no new work from here.
+        // From here on no request is routed by an older view, so the control may confirm that a
+        // closed upstream gets no new work from this entry.
         shared.applied.store(view.sequence, Ordering::Release);
-        if view.revision != before.revision {
+        if view.revision != previous.revision {
             shared.retain_entries(&view);
         }
-        before = view;
+        previous = view;
         if views.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// The step from one view to the next.
-struct Step<'a> {
+/// The change from one view to the next.
+struct ViewChange<'a> {
     now: Moment,
     data_centre: &'a str,
     policy: &'a Overrides,
-    before: &'a View,
+    previous: &'a View,
     view: &'a View,
 }
 
-impl Step<'_> {
+impl ViewChange<'_> {
     fn apply(&self, router: &mut Router) {
-        if self.view.revision != self.before.revision {
-            self.catalogue(router);
+        if self.view.revision != self.previous.revision {
+            self.apply_catalogue(router);
         }
-        let pools_changed = self.view.revision != self.before.revision;
-        if pools_changed || self.view.upstreams != self.before.upstreams {
-            self.upstreams(router);
-            self.reports(router);
+        let pools_changed = self.view.revision != self.previous.revision;
+        if pools_changed || self.view.upstreams != self.previous.upstreams {
+            self.apply_upstreams(router);
+            self.apply_reports(router);
         }
-        if self.view.peers != self.before.peers {
-            self.peers(router);
+        if self.view.peers != self.previous.peers {
+            self.apply_peers(router);
         }
     }
 
-    fn catalogue(&self, router: &mut Router) {
+    fn apply_catalogue(&self, router: &mut Router) {
         let Some(catalogue) = self.view.catalogue.as_deref() else {
             return;
         };
         let pools = catalogue
             .names(Kind::Pool)
             .filter_map(|name| catalogue.pool(name));
-        let configs = pools.map(|pool| config(pool, self.policy));
+        let configs = pools.map(|pool| pool_config(pool, self.policy));
         router.set_pools(self.now, configs.collect());
-        router.set_quotas(self.now, terms(catalogue));
+        router.set_quotas(self.now, quotas(catalogue));
     }
 
-    fn upstreams(&self, router: &mut Router) {
+    fn apply_upstreams(&self, router: &mut Router) {
         let Some(catalogue) = self.view.catalogue.as_deref() else {
             return;
         };
@@ -106,7 +106,7 @@
             .collect();
         for upstream in self.view.upstreams.iter() {
             if let Some(views) = by_pool.get_mut(&*upstream.pool) {
-                views.push(self.upstream(upstream));
+                views.push(self.router_upstream(upstream));
             }
         }
         for (pool, views) in by_pool {
@@ -114,14 +114,14 @@
         }
     }
 
-    fn upstream(&self, upstream: &Upstream) -> upstream::View {
+    fn router_upstream(&self, upstream: &Upstream) -> upstream::View {
         let models = upstream.models.iter();
         upstream::View {
             id: Arc::clone(&upstream.id),
             one_way_latency: if *upstream.data_centre == *self.data_centre {
-                NEAR
+                SAME_DATA_CENTRE_LATENCY
             } else {
-                FAR
+                CROSS_DATA_CENTRE_LATENCY
             },
             role: upstream.role.map_or_else(Default::default, role),
             models: models.map(|model| Arc::from(model_name(model))).collect(),
@@ -131,12 +131,12 @@
         }
     }
 
-    fn reports(&self, router: &mut Router) {
+    fn apply_reports(&self, router: &mut Router) {
         for upstream in self.view.upstreams.iter() {
             let Some(report) = &upstream.report else {
                 continue;
             };
-            let known = self.before.upstream(&upstream.id);
+            let known = self.previous.upstream(&upstream.id);
             let known = known.and_then(|known| known.report.as_ref());
             if known.is_none_or(|known| known.measured_at != report.measured_at) {
                 router.report(&upstream.pool, &upstream.id, routing_report(report));
@@ -144,7 +144,7 @@
         }
     }
 
-    fn peers(&self, router: &mut Router) {
+    fn apply_peers(&self, router: &mut Router) {
         let ids: BTreeSet<&str> = self
             .view
             .peers
@@ -152,13 +152,13 @@
             .map(|peer| peer.id.as_str())
             .collect();
         router.set_peers(ids.iter().map(|id| Arc::from(*id)));
-        for gone in self.before.peers.iter() {
+        for gone in self.previous.peers.iter() {
             if !ids.contains(gone.id.as_str()) {
                 router.peer_gone(&gone.id);
             }
         }
         for peer in self.view.peers.iter() {
-            let known = self.before.peers.iter().find(|known| known.id == peer.id);
+            let known = self.previous.peers.iter().find(|known| known.id == peer.id);
             if let Some((at, load)) = &peer.load
                 && known.is_none_or(|known| known.load != peer.load)
             {
@@ -179,47 +179,47 @@
     }
 }
 
-/// The subject under which an entry's own limits are counted; owners stand under their names.
+/// The quota subject of a catalogue entry. The subject of an owner is its name.
 pub fn entry_subject(entry: &str) -> Arc<str> {
-    // A name of the catalogue has no colon, so that an owner cannot be taken for an entry.
+    // Names in the catalogue contain no colon, so that the subjects of owners and entries differ.
     Arc::from(format!("entry:{entry}"))
 }
 
-fn outstanding(said: &wire::peer::Outstanding) -> Outstanding {
+fn outstanding(reported: &wire::peer::Outstanding) -> Outstanding {
     Outstanding {
-        upstream: Arc::from(said.upstream.as_str()),
+        upstream: Arc::from(reported.upstream.as_str()),
         load: Load {
-            requests: f64::from(said.requests),
-            prefill: said.prefill_tokens as f64,
-            decode: said.decode_tokens as f64,
+            requests: f64::from(reported.requests),
+            prefill: reported.prefill_tokens as f64,
+            decode: reported.decode_tokens as f64,
         },
     }
 }
 
-fn demand(said: &wire::peer::Demand) -> Demand {
+fn demand(reported: &wire::peer::Demand) -> Demand {
     Demand {
-        subject: Arc::from(said.owner.as_str()),
-        requests: f64::from(said.requests),
-        tokens: f64::from(said.tokens),
-        in_flight: said.open,
+        subject: Arc::from(reported.owner.as_str()),
+        requests: f64::from(reported.requests),
+        tokens: f64::from(reported.tokens),
+        in_flight: reported.open,
     }
 }
 
 fn routing_report(report: &control::view::Report) -> upstream::Report {
-    let said = &report.content;
-    let kv_total = (said.kv_total as f64).max(1.0);
+    let reported = &report.content;
+    let kv_total = (reported.kv_total as f64).max(1.0);
     upstream::Report {
         at: report.measured_at,
         load: Load {
-            requests: f64::from(said.running) + f64::from(said.waiting),
-            prefill: said.prefill_tokens_waiting as f64,
-            decode: said.decode_tokens_left as f64,
+            requests: f64::from(reported.running) + f64::from(reported.waiting),
+            prefill: reported.prefill_tokens_waiting as f64,
+            decode: reported.decode_tokens_left as f64,
         },
-        waiting: said.waiting,
-        kv_used: said.kv_used as f64 / kv_total,
-        prefill_rate: said.prefill_rate,
-        decode_slots: said.decode_slots,
-        draining: said.draining,
+        waiting: reported.waiting,
+        kv_used: reported.kv_used as f64 / kv_total,
+        prefill_rate: reported.prefill_rate,
+        decode_slots: reported.decode_slots,
+        draining: reported.draining,
     }
 }
 
@@ -238,13 +238,13 @@
     }
 }
 
-fn config(pool: &Pool, overrides: &Overrides) -> Config {
-    let apart = pool.role_range(Role::Prefill).is_some() && pool.role_range(Role::Decode).is_some();
+fn pool_config(pool: &Pool, overrides: &Overrides) -> Config {
+    let split_roles = pool.role_range(Role::Prefill).is_some() && pool.role_range(Role::Decode).is_some();
     let mut config = Config::new(pool.name.as_str());
     config.policy = overrides.choice.unwrap_or_else(|| policy(pool.choice));
     config.queue_capacity = pool.queue_limit as usize;
-    if pool.kind == PoolKind::Engine && apart && overrides.transfer != Some(false) {
-        config.transfer_s_per_token = TRANSFER;
+    if pool.kind == PoolKind::Engine && split_roles && overrides.transfer != Some(false) {
+        config.transfer_s_per_token = TRANSFER_S_PER_TOKEN;
     }
     config
 }
@@ -264,7 +264,7 @@
     }
 }
 
-fn terms(catalogue: &catalogue::View) -> Vec<Quota> {
+fn quotas(catalogue: &catalogue::View) -> Vec<Quota> {
     let owners = catalogue
         .names(Kind::Owner)
         .filter_map(|name| catalogue.owner(name))
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all threads of the data plane share, and what each has for itself.
+//! State of the data plane, shared by all threads or local to one.
 
 use std::rc::Rc;
 use std::sync::atomic::AtomicU64;
@@ -23,53 +23,53 @@
 use crate::upstream::client::Client;
 use crate::upstream::stream_guard;
 
-/// Shared by all threads.
+/// State shared by all threads.
 #[derive(Debug)]
 pub struct Shared {
     /// Settings of the process.
     pub settings: Settings,
     /// Overrides of the routing policy.
     pub policy: Overrides,
-    /// Clock of all moments.
+    /// Clock of all deadlines and timestamps.
     pub clock: System,
-    /// The control of this process.
+    /// Handle of the control thread.
     pub control: Handle,
-    /// Sequence of the oldest view by which an upstream may still be chosen.
+    /// Sequence number of the router's view; no request is routed by an older one.
     pub applied: AtomicU64,
-    /// Decisions.
+    /// Router and queued requests.
     pub dispatcher: Dispatcher,
-    /// Ids of requests and streams.
+    /// Generator of request and stream ids.
     pub id_generator: request_id::IdGenerator,
-    /// Event ids.
+    /// Mints and verifies event ids.
     pub event_ids: event_id::Mint,
-    /// Streams that were begun at other entries.
+    /// Streams that were started at other entries.
     pub resumed: ResumedStreams,
-    /// Held answers.
+    /// Answers held for repeated calls.
     pub held_answers: Mutex<HeldAnswers>,
-    /// Bytes of prompts per token.
+    /// Estimates the bytes per token of prompts.
     pub token_estimator: TokenEstimator,
     /// Metrics.
     pub metrics: Metrics,
-    /// Counters of the report on burn.
+    /// Counters of the burn report.
     pub burn: Mutex<Counters>,
-    /// Phase of the process.
+    /// Phase and running tasks of the process.
     pub lifecycle: Lifecycle,
-    /// Whether the process was paused.
+    /// Detects pauses of the process.
     pub pause_detector: PauseDetector,
 }
 
 impl Shared {
-    /// The newest view of the world.
+    /// The current view of the control.
     pub fn view(&self) -> Arc<View> {
         self.control.view()
     }
 
-    /// The counters of the report on burn.
+    /// The counters of the burn report.
     pub fn burn(&self) -> MutexGuard<'_, Counters> {
         self.burn.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Forgets the counters of entries that the catalogue has no more.
+    /// Drops the counters and estimates of entries that are no longer in the catalogue.
     pub fn retain_entries(&self, view: &View) {
         if let Some(catalogue) = view.catalogue.as_deref() {
             self.burn().retain(|entry| catalogue.entry(entry).is_some());
@@ -79,23 +79,23 @@
     }
 }
 
-/// What one thread has.
+/// State of one thread.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Shared by all threads.
+    /// State shared by all threads.
     pub shared: Arc<Shared>,
     /// Connections of this thread to upstreams.
     pub client: Client,
 }
 
 impl Worker {
-    /// A worker of the current thread.
+    /// Creates the worker of the current thread.
     pub fn new(shared: Arc<Shared>) -> Rc<Self> {
         let client = Client::new(&shared.settings.upstream);
         Rc::new(Self { shared, client })
     }
 
-    /// What guards of streams need.
+    /// The context for stream guards.
     pub fn guard_context(&self) -> stream_guard::GuardContext {
         stream_guard::GuardContext {
             client: self.client.clone(),
@@ -106,7 +106,7 @@
     }
 }
 
-/// Wall-clock time since the Unix epoch, for expiry times that other entries read.
+/// Wall-clock time since the Unix epoch, for expiry times that other entries check.
 pub fn unix_time(clock: &System) -> Duration {
     clock
         .wall_time()
