--- a/crates/entry/src/admin/answer.rs
+++ b/crates/entry/src/admin/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the administration API.
+//! Responses of the administration API.
 
 use actix_http::body::BoxBody;
 use actix_http::header::{self, HeaderValue};
@@ -9,17 +9,17 @@
 use crate::front::problem::{Kind, Problem};
 use crate::front::request_id::RequestId;
 
-/// What a resource gives.
+/// Result of a request to a resource.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// A value.
+    /// A JSON value.
     Value(Value),
-    /// An error, with further members of its document.
+    /// An error with additional members of its problem document.
     Problem(Problem, Vec<(&'static str, Value)>),
 }
 
 impl Answer {
-    /// A value that serialises.
+    /// Serialises a value.
     pub fn value(value: &impl Serialize) -> Self {
         match serde_json::to_value(value) {
             Ok(value) => Self::Value(value),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The whole answer.
+    /// The HTTP response.
     pub fn response(self, request: &RequestId) -> Response<BoxBody> {
         match self {
             Self::Value(value) => json_response(StatusCode::OK, &value),
--- a/crates/entry/src/admin/burn.rs
+++ b/crates/entry/src/admin/burn.rs
@@ -9,7 +9,7 @@
 
 use crate::shared::{Shared, unix_time};
 
-/// The report of this entry, or merged over all that can be asked.
+/// The report of this entry, or merged over all reachable entries.
 pub async fn report(shared: &Shared, merged: bool) -> Report {
     let view = shared.view();
     let objectives = objectives(&view);
--- a/crates/entry/src/admin/edits.rs
+++ b/crates/entry/src/admin/edits.rs
@@ -1,4 +1,4 @@
-//! Edits of the catalogue and planned changes, as operators send them.
+//! Catalogue edits and planned changes submitted by operators.
 
 use catalogue::{Document, Findings, Refusal};
 use control::order::{ChangeRequest, OrderError};
@@ -9,8 +9,8 @@
 use crate::admin::answer::Answer;
 use crate::front::problem::{Kind, Problem};
 
-/// Name of an operator who gives none with a planned change.
-const NOBODY: &str = "unnamed";
+/// Operator's name for planned changes that give none.
+const UNNAMED_OPERATOR: &str = "unnamed";
 
 /// `POST /admin/v1/catalogue/check`.
 pub async fn check(control: &Handle, body: &str) -> Answer {
@@ -63,7 +63,7 @@
 }
 
 #[derive(Deserialize)]
-struct Asked {
+struct OrderRequest {
     operator: Option<String>,
     #[serde(flatten)]
     wish: ChangeRequest,
@@ -71,12 +71,12 @@
 
 /// `POST /admin/v1/orders`.
 pub async fn order(control: &Handle, body: &str) -> Answer {
-    let asked: Asked = match serde_json::from_str(body) {
+    let request: OrderRequest = match serde_json::from_str(body) {
         Ok(asked) => asked,
         Err(error) => return Problem::not_run(Kind::BadRequest, error.to_string()).into(),
     };
-    let operator = asked.operator.as_deref().unwrap_or(NOBODY);
-    match control.submit_order(&asked.wish, operator).await {
+    let operator = request.operator.as_deref().unwrap_or(UNNAMED_OPERATOR);
+    match control.submit_order(&request.wish, operator).await {
         Ok(()) => Answer::Value(json!({ "taken": true })),
         Err(error) => {
             let kind = match error {
--- a/crates/entry/src/admin/handler.rs
+++ b/crates/entry/src/admin/handler.rs
@@ -1,4 +1,4 @@
-//! Dispatches the resources of the administration API.
+//! Routes requests to the resources of the administration API.
 
 use std::sync::Arc;
 
@@ -17,28 +17,28 @@
 use crate::front::request_id::RequestId;
 use crate::shared::Shared;
 
-/// Where the API lives.
+/// Path prefix of the API.
 const ROOT: &str = "/admin/v1/";
 
-/// Largest body of an operator, in bytes: an edit of a whole catalogue at the target size.
-const LARGEST_BODY: usize = 64 << 20;
+/// Largest request body in bytes; fits an edit of a whole catalogue of the target size.
+const MAX_BODY: usize = 64 << 20;
 
-/// Answers one request of an operator.
+/// Handles an operator's request.
 pub async fn handle(shared: Arc<Shared>, mut request: Request) -> Response<BoxBody> {
     let id = RequestId::from_headers(request.headers())
         .unwrap_or_else(|| shared.id_generator.next_request_id());
-    let answer = match admit(&shared, &request) {
+    let answer = match authenticate(&shared, &request) {
         Ok(()) => dispatch(&shared, &mut request).await,
         Err(problem) => problem.into(),
     };
     answer.response(&id)
 }
 
-fn admit(shared: &Shared, request: &Request) -> Result<(), Problem> {
+fn authenticate(shared: &Shared, request: &Request) -> Result<(), Problem> {
     let given = headers::text(request.headers(), &header::AUTHORIZATION).and_then(bearer);
     let token = shared.settings.admin.token.as_ref();
     match (given, token) {
-        (Some(given), Some(token)) if is_same(given, token) => Ok(()),
+        (Some(given), Some(token)) if tokens_match(given, token) => Ok(()),
         _ => Err(Problem::not_run(
             Kind::Unauthenticated,
             "the administration API needs its token",
@@ -46,9 +46,9 @@
     }
 }
 
-/// Compares digests in constant time: neither the length nor a common beginning shows in the time
-/// that it takes.
-fn is_same(given: &str, token: &Secret) -> bool {
+/// Compares digests in constant time, so that timing reveals neither the length nor a common
+/// prefix.
+fn tokens_match(given: &str, token: &Secret) -> bool {
     let given = blake3::hash(given.as_bytes());
     let token = blake3::hash(token.expose());
     given.as_bytes().ct_eq(token.as_bytes()).into()
@@ -58,13 +58,13 @@
     let method = request.method().clone();
     let path = request.path().to_owned();
     let Some(resource) = path.strip_prefix(ROOT) else {
-        return nothing(&path);
+        return not_found(&path);
     };
     if method == Method::GET {
         let query = request.uri().query().unwrap_or_default().to_owned();
         return read(shared, resource, &query)
             .await
-            .unwrap_or_else(|| nothing(&path));
+            .unwrap_or_else(|| not_found(&path));
     }
     if method != Method::POST {
         return Problem::not_run(Kind::MethodNotAllowed, "GET and POST are served").into();
@@ -75,10 +75,10 @@
     };
     write(shared, resource, &body)
         .await
-        .unwrap_or_else(|| nothing(&path))
+        .unwrap_or_else(|| not_found(&path))
 }
 
-fn nothing(path: &str) -> Answer {
+fn not_found(path: &str) -> Answer {
     Problem::not_run(Kind::NotFound, format!("nothing is at {path}")).into()
 }
 
@@ -123,7 +123,7 @@
 
 async fn read_body(shared: &Shared, request: &mut Request) -> Result<String, Problem> {
     let bounds = Bounds {
-        max_bytes: LARGEST_BODY,
+        max_bytes: MAX_BODY,
         idle_timeout: shared.settings.limits.body_time,
     };
     let mut payload = request.take_payload();
--- a/crates/entry/src/held_answers.rs
+++ b/crates/entry/src/held_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of calls with an `Idempotency-Key` that are held for a repeat, within a bound of memory.
+//! Holds the answers of calls with an `Idempotency-Key` for repeats, within a memory limit.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,12 +12,12 @@
 /// Digest of method, path and body.
 pub type Fingerprint = [u8; 16];
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Status code.
     pub status: u16,
-    /// Headers that go to the caller.
+    /// Headers for the caller.
     pub headers: Vec<(String, Vec<u8>)>,
     /// The body.
     pub body: Bytes,
@@ -30,59 +30,59 @@
             .iter()
             .map(|(name, value)| name.len() + value.len())
             .sum();
-        OVERHEAD + headers + self.body.len()
+        ANSWER_OVERHEAD + headers + self.body.len()
     }
 }
 
-/// What an answer takes beside its bytes, roughly.
-const OVERHEAD: usize = 256;
+/// Approximate memory of an answer beyond its headers and body, in bytes.
+const ANSWER_OVERHEAD: usize = 256;
 
 #[derive(Debug)]
-struct Held {
+struct HeldAnswer {
     answer: Answer,
     fingerprint: Fingerprint,
-    until: Moment,
-    order: u64,
+    expires_at: Moment,
+    sequence: u64,
 }
 
-/// What is known of a key here.
+/// Result of looking up a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// The answer of the same request.
+    /// The answer to the same request.
     Answer(Answer),
-    /// The key was used for another request.
+    /// The key was used for a different request.
     OtherRequest,
 }
 
-/// Held answers, the oldest dropped first when the memory is used up.
+/// The held answers. When the memory limit is reached, the oldest are evicted first.
 #[derive(Debug)]
 pub struct HeldAnswers {
     limit: usize,
     size: usize,
-    next: u64,
-    held: HashMap<Key, Held>,
+    next_sequence: u64,
+    by_key: HashMap<Key, HeldAnswer>,
     by_age: BTreeMap<u64, Key>,
 }
 
 impl HeldAnswers {
-    /// Holds at most `limit` bytes.
+    /// Creates a store of at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
             size: 0,
-            next: 0,
-            held: HashMap::new(),
+            next_sequence: 0,
+            by_key: HashMap::new(),
             by_age: BTreeMap::new(),
         }
     }
 
-    /// Bytes held now.
+    /// Size of the held answers in bytes.
     pub fn size(&self) -> usize {
         self.size
     }
 
-    /// Holds an answer until `now + time`. One that alone is above the limit is not held: a repeat
-    /// is then told that the call ran, which is true.
+    /// Holds an answer until `now + time`. An answer larger than the limit is not held; a repeat is
+    /// then told that the call was executed before.
     pub fn insert(
         &mut self,
         now: Moment,
@@ -103,35 +103,38 @@
             };
             self.remove(&oldest);
         }
-        let order = self.next;
-        self.next += 1;
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
         self.size += size;
-        self.by_age.insert(order, key);
-        let held = Held {
+        self.by_age.insert(sequence, key);
+        let held = HeldAnswer {
             answer,
             fingerprint,
-            until: now + time,
-            order,
+            expires_at: now + time,
+            sequence,
         };
-        self.held.insert(key, held);
+        self.by_key.insert(key, held);
     }
 
-    /// The answer of a key, if it is still held. `fingerprint` is `None` when another entry asks:
-    /// it compares the request itself, by the claim in the log.
+    /// Looks up the answer for a key. `fingerprint` is `None` for requests of other entries, which
+    /// compare the fingerprint with the claim in the log themselves.
     pub fn get(&self, now: Moment, key: &Key, fingerprint: Option<&Fingerprint>) -> Option<Lookup> {
-        let held = self.held.get(key).filter(|held| held.until > now)?;
-        if fingerprint.is_some_and(|asked| *asked != held.fingerprint) {
+        let held = self.by_key.get(key).filter(|held| held.expires_at > now)?;
+        if fingerprint.is_some_and(|given| *given != held.fingerprint) {
             return Some(Lookup::OtherRequest);
         }
         Some(Lookup::Answer(held.answer.clone()))
     }
 
-    /// Drops what is past its time, as far as it stands at the old end.
+    /// Drops expired answers, from the oldest up to the first that has not expired.
     pub fn expire(&mut self, now: Moment) {
         while let Some((_, key)) = self.by_age.first_key_value() {
             let key = *key;
-            let over = self.held.get(&key).is_none_or(|held| held.until <= now);
-            if !over {
+            let expired = self
+                .by_key
+                .get(&key)
+                .is_none_or(|held| held.expires_at <= now);
+            if !expired {
                 break;
             }
             self.by_age.pop_first();
@@ -140,8 +143,8 @@
     }
 
     fn remove(&mut self, key: &Key) {
-        if let Some(held) = self.held.remove(key) {
-            self.by_age.remove(&held.order);
+        if let Some(held) = self.by_key.remove(key) {
+            self.by_age.remove(&held.sequence);
             self.size -= held.answer.size();
         }
     }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,7 +1,8 @@
-//! The one table of all metrics, counted in memory and sent once a second.
+//! All metrics, counted in memory and sent to statsd once a second.
 //!
-//! A request only adds to numbers in memory: a line to the collector per request would cost more
-//! than relaying it. `docs/OPERATORS.md`, section "Metrics", is written from [`TABLE`].
+//! A request only updates counters in memory: sending a line to the collector for each request
+//! would cost more than relaying it. The section "Metrics" of `docs/OPERATORS.md` is generated from
+//! [`TABLE`].
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,61 +10,61 @@
 
 use cadence::{BufferedUdpMetricSink, Counted as _, Gauged as _, NopMetricSink, StatsdClient};
 
-/// Time between two sendings.
+/// Interval at which metrics are sent.
 pub const SEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How a metric behaves.
+/// Type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It only grows; the growth since the last sending is sent.
+    /// Only grows; the increase since the last time is sent.
     Counter,
-    /// Its current value is sent.
+    /// The current value is sent.
     Gauge,
 }
 
-/// One metric.
+/// A metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Metric {
     /// Requests whose head arrived.
     Requests,
-    /// Answers that came from an upstream, whole.
+    /// Answers of upstreams that were sent to the caller completely.
     Served,
     /// Refusals for load or limits.
     Refused,
-    /// Errors of callers.
+    /// Requests that are invalid.
     Rejected,
-    /// Calls without an answer that were certainly not run.
+    /// Failed calls that were certainly not run.
     NotRun,
-    /// Calls without an answer that may have run.
+    /// Failed calls that may have run.
     Unknown,
-    /// Callers that went away before their answer was whole.
+    /// Callers that disconnected before their answer was complete.
     CallerGone,
-    /// Answers that belonged to another request.
+    /// Answers that carried another request's id.
     Crossed,
     /// Attempts after a failed one.
     Retries,
-    /// Streams that were resumed at their engine after a connection broke.
+    /// Reconnections to an engine for the rest of a stream.
     Reconnects,
-    /// Streams that were resumed for a caller that came from another entry.
+    /// Streams resumed for a caller with an event id.
     Resumptions,
-    /// Streams that ended with an error after the caller had a part.
+    /// Streams that ended with an error after a part was sent.
     Cut,
     /// Tokens relayed.
     Tokens,
-    /// Transfers of a KV cache that fell back to one engine.
+    /// Failed KV transfers, after which one engine did both stages.
     KvFallbacks,
-    /// Calls with an `Idempotency-Key` answered from held answers.
+    /// Repeated calls answered from a held answer.
     Repeats,
-    /// Calls in hand.
+    /// Requests in progress.
     Open,
     /// Bytes of held answers.
     HeldBytes,
-    /// Pauses of the process that were noticed.
+    /// Detected pauses of the process.
     Pauses,
 }
 
-/// Name, behaviour and meaning of each metric, in the order of [`Metric`].
+/// Name, type and help text of each metric, in the order of [`Metric`].
 pub const TABLE: [(Metric, &str, Kind, &str); 18] = [
     (
         Metric::Requests,
@@ -173,7 +174,7 @@
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Creates all metrics with value zero.
     pub fn new() -> Self {
         Self::default()
     }
@@ -183,7 +184,7 @@
         self.values[metric as usize].fetch_add(amount, Ordering::Relaxed);
     }
 
-    /// Takes from a gauge.
+    /// Subtracts from a gauge.
     pub fn subtract(&self, metric: Metric, amount: u64) {
         self.values[metric as usize].fetch_sub(amount, Ordering::Relaxed);
     }
@@ -198,8 +199,8 @@
         self.values[metric as usize].load(Ordering::Relaxed)
     }
 
-    /// Sends what changed since the last sending. Failures to send are dropped: metrics must never
-    /// get in the way of serving.
+    /// Sends gauges and the increases of counters. Errors are ignored: metrics must never affect
+    /// serving.
     pub fn send(&self, client: &StatsdClient) {
         for (metric, name, kind, _) in TABLE {
             let value = self.get(metric);
@@ -219,7 +220,7 @@
     }
 }
 
-/// A client of the collector, or one that drops everything if there is no collector or no socket.
+/// Creates a statsd client; without a collector or a socket, it discards everything.
 pub fn client(prefix: &str, collector: Option<SocketAddr>) -> StatsdClient {
     let sink = collector.and_then(|address| {
         let socket = UdpSocket::bind(("0.0.0.0", 0)).ok()?;
--- a/crates/entry/src/request_record.rs
+++ b/crates/entry/src/request_record.rs
@@ -1,4 +1,4 @@
-//! The account of one request: what became of it, for metrics, logs and the report on burn.
+//! Records the outcome of each request for metrics, the log and the burn report.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,29 +11,29 @@
 use crate::metrics::Metric;
 use crate::shared::{Shared, unix_time};
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The caller got the whole answer.
+    /// The complete answer was sent.
     Served,
-    /// Refused for load, limits or deadline.
+    /// Refused because of load, the deadline or unavailability.
     Refused,
-    /// Refused by a limit of the owner's own.
+    /// Refused by a limit of the owner or the entry.
     Limited,
-    /// An error of the caller's.
+    /// The request was invalid.
     Rejected,
-    /// It failed and was certainly not run.
+    /// The call failed and was certainly not run.
     NotRun,
-    /// It failed and may have run.
+    /// The call failed and may have run.
     Unknown,
-    /// The caller had a part of a stream when it ended.
+    /// The stream ended with an error after a part of it was sent.
     Cut,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
 impl Outcome {
-    /// The word for logs.
+    /// Name for the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -59,8 +59,8 @@
         }
     }
 
-    /// How the service level sees it. A caller's own errors, its limits and its going away say
-    /// nothing about the service.
+    /// The outcome for the service level; `None` for invalid requests, owners' limits and
+    /// disconnects, which do not count against the service.
     fn burn(self, late: bool) -> Option<report::Outcome> {
         match self {
             Self::Served if late => Some(report::Outcome::Late),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The outcome that an error means.
+    /// The outcome for an error answer.
     pub fn from_problem(problem: &Problem) -> Self {
         match (problem.kind, problem.ran) {
             (Kind::Limited, Ran::No) => Self::Limited,
@@ -85,8 +85,8 @@
     }
 }
 
-/// The account of one request. It is closed when it is dropped, so that no path can forget it; a
-/// request that nobody concluded is one whose caller went away.
+/// Record of one request. It is written when dropped, so that no code path can omit it; without a
+/// call to [`Self::conclude`] the outcome is [`Outcome::CallerGone`].
 #[derive(Debug)]
 pub struct RequestRecord {
     shared: Arc<Shared>,
@@ -101,7 +101,7 @@
 }
 
 impl RequestRecord {
-    /// Opens the account of a request whose head arrived.
+    /// Opens the record of a request whose head has arrived.
     pub fn open(shared: Arc<Shared>, request: RequestId) -> Self {
         shared.metrics.add(Metric::Requests, 1);
         shared.metrics.add(Metric::Open, 1);
@@ -124,23 +124,23 @@
         &self.request
     }
 
-    /// When the head arrived.
+    /// Arrival of the head.
     pub fn started(&self) -> Moment {
         self.started
     }
 
-    /// The catalogue entry that serves it.
+    /// Sets the catalogue entry that serves the request.
     pub fn set_entry(&mut self, entry: &catalogue::Entry) {
         self.entry = Some(entry.name.as_str().into());
         self.contract = Some(entry.contract);
     }
 
-    /// The upstream of the newest attempt.
+    /// Sets the upstream of the latest attempt.
     pub fn set_upstream(&mut self, id: &Arc<str>) {
         self.upstream = Some(Arc::clone(id));
     }
 
-    /// So many tokens went to the caller.
+    /// Adds tokens that were streamed to the caller.
     pub fn add_tokens(&mut self, count: u32) {
         if self.first_token.is_none() && count > 0 {
             self.first_token = Some(self.shared.clock.now());
@@ -149,17 +149,18 @@
         self.shared.metrics.add(Metric::Tokens, u64::from(count));
     }
 
-    /// A whole answer of so many tokens came; there is no first token to time.
+    /// Counts the tokens of an answer that was not streamed, for which token times are not
+    /// measured.
     pub fn add_unstreamed_tokens(&mut self, count: u32) {
         self.shared.metrics.add(Metric::Tokens, u64::from(count));
     }
 
-    /// States how it ended.
+    /// Sets the outcome.
     pub fn conclude(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Whether it was within its contract.
+    /// Whether the request met its contract.
     fn in_time(&self, now: Moment) -> bool {
         let Some(contract) = &self.contract else {
             return true;
