--- a/crates/control/src/core/records.rs
+++ b/crates/control/src/core/records.rs
@@ -21,7 +21,9 @@
     pub(super) fn handle_log_event(&mut self, event: Event) -> Option<Offset> {
         let now = self.clock.now();
         match event {
-            Event::Chunk { requested_at: asked, chunk ,
+            Event::Chunk {
+                requested_at: asked,
+                chunk,
             } => {
                 self.reader.last_answer = Some(now);
                 self.reader.failing = false;
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -107,7 +107,7 @@
     pub(crate) fn push(&mut self, chunk: Chunk) -> Vec<(Offset, Record)> {
         self.first = self.first.max(chunk.first);
         self.next = self.next.max(chunk.next);
-        let decode = |entry: platform::Entry| {
+        let decode = |entry: platform::LogEntry| {
             let record = Record::decode(entry.data).unwrap_or_default();
             (entry.offset, record)
         };
--- a/crates/control/src/replica/tests.rs
+++ b/crates/control/src/replica/tests.rs
@@ -1,6 +1,6 @@
 //! Folding with gaps and snapshots.
 
-use platform::{Chunk, Entry};
+use platform::{Chunk, LogEntry};
 use wire::Message as _;
 use wire::record::record::Body;
 use wire::record::{Author, Change, Edit, Record, RulesRaise, ScopeClaim, Snapshot};
@@ -44,11 +44,11 @@
 
 /// Reads `records`, the first at offset `from`, from a log that retains offsets from `first`.
 fn read(replica: &mut Replica, first: Offset, from: Offset, records: &[Record]) {
-    let entries = (from..).zip(records).map(|(offset, record)| Entry {
+    let entries = (from..).zip(records).map(|(offset, record)| LogEntry {
         offset,
         data: record.encode_to_vec().into(),
     });
-    let records: Vec<Entry> = entries.collect();
+    let records: Vec<LogEntry> = entries.collect();
     let next = from + records.len() as Offset;
     replica.push(Chunk {
         first,
--- a/crates/entry/src/router_sync.rs
+++ b/crates/entry/src/router_sync.rs
@@ -239,7 +239,8 @@
 }
 
 fn pool_config(pool: &Pool, overrides: &Overrides) -> Config {
-    let split_roles = pool.role_range(Role::Prefill).is_some() && pool.role_range(Role::Decode).is_some();
+    let split_roles =
+        pool.role_range(Role::Prefill).is_some() && pool.role_range(Role::Decode).is_some();
     let mut config = Config::new(pool.name.as_str());
     config.policy = overrides.choice.unwrap_or_else(|| policy(pool.choice));
     config.queue_capacity = pool.queue_limit as usize;
