--- a/crates/report/src/counters.rs
+++ b/crates/report/src/counters.rs
@@ -43,7 +43,7 @@
 /// Counts of all catalogue entries.
 ///
 /// The counters of a process die with it; a process that leaves hands its own to one other, which
-/// [`Counters::inherit`]s them.
+/// [`Counters::merge_once`]s them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Counters {
     entries: BTreeMap<Entry, Tiers>,
@@ -88,7 +88,7 @@
     ///
     /// Symptom without the check: a hand-over that is sent again doubles the leaver's outcomes
     /// and with them the burn.
-    pub fn inherit(&mut self, from: &Author, burn: &Burn) -> bool {
+    pub fn merge_once(&mut self, from: &Author, burn: &Burn) -> bool {
         let fresh = self
             .inherited
             .insert((from.instance.clone(), from.incarnation));
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use bucket::{Counts, Outcome};
 pub use counters::Counters;
-pub use objective::{BadObjective, Objective};
+pub use objective::{InvalidObjective, Objective};
 pub use report::{Line, Pair, Point, Report, Speed, Window};
 
 /// Name of a catalogue entry.
--- a/crates/report/src/objective.rs
+++ b/crates/report/src/objective.rs
@@ -8,9 +8,9 @@
 
 /// An objective that leaves no error budget, or nothing but it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BadObjective(pub f64);
+pub struct InvalidObjective(pub f64);
 
-impl fmt::Display for BadObjective {
+impl fmt::Display for InvalidObjective {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -20,16 +20,16 @@
     }
 }
 
-impl std::error::Error for BadObjective {}
+impl std::error::Error for InvalidObjective {}
 
 impl TryFrom<f64> for Objective {
-    type Error = BadObjective;
+    type Error = InvalidObjective;
 
-    fn try_from(share: f64) -> Result<Self, BadObjective> {
+    fn try_from(share: f64) -> Result<Self, InvalidObjective> {
         if share > 0.0 && share < 1.0 {
             Ok(Self(share))
         } else {
-            Err(BadObjective(share))
+            Err(InvalidObjective(share))
         }
     }
 }
--- a/crates/report/tests/burn.rs
+++ b/crates/report/tests/burn.rs
@@ -7,7 +7,7 @@
 use assert_matches::assert_matches;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use report::{BadObjective, Counters, Line, Objective, Outcome, Report, Speed};
+use report::{Counters, InvalidObjective, Line, Objective, Outcome, Report, Speed};
 use wire::record::Author;
 
 /// Some day at noon.
@@ -162,9 +162,9 @@
         incarnation,
     };
     let mut heir = Counters::new();
-    assert!(heir.inherit(&author(1), &burn));
-    assert!(!heir.inherit(&author(1), &burn));
-    assert!(heir.inherit(&author(2), &burn));
+    assert!(heir.merge_once(&author(1), &burn));
+    assert!(!heir.merge_once(&author(1), &burn));
+    assert!(heir.merge_once(&author(2), &burn));
     assert_eq!(line(&heir, 0.999).counts.total(), 2000);
 }
 
@@ -194,7 +194,7 @@
 #[test]
 fn objectives_leave_a_budget() {
     for share in [0.0, 1.0, -1.0, f64::NAN] {
-        assert_matches!(Objective::try_from(share), Err(BadObjective(_)));
+        assert_matches!(Objective::try_from(share), Err(InvalidObjective(_)));
     }
 }
 
