--- a/crates/report/examples/sample.rs
+++ b/crates/report/examples/sample.rs
@@ -1,9 +1,9 @@
-//! Writes a sample page to standard output, or with `size` the memory of the counters.
+//! Writes a sample report page to standard output, or with `size` the memory use of the counters.
 //!
 //! `cargo run --release -p report --example sample > burn.html`
 //! `cargo run --release -p report --example sample size`
 
-#![allow(clippy::print_stdout, reason = "a program that reports")]
+#![allow(clippy::print_stdout, reason = "a command-line program")]
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -12,10 +12,10 @@
 use report::{Counters, Objective, Outcome, Report};
 use wire::Message;
 
-/// Some day at noon.
+/// Time of the report: noon of an arbitrary day.
 const NOW: u64 = 1_796_040_000;
 
-/// Catalogue entries of the sample, with the share that is bad during its illness.
+/// Catalogue entries of the sample, with their bad outcomes per thousand during the incident.
 const ENTRIES: [(&str, u64); 4] = [
     ("kiosk-authorise", 60),
     ("ticket-sort", 8),
@@ -32,14 +32,14 @@
     Ok(())
 }
 
-/// Six hours, with an illness that began fifty minutes ago.
+/// Six hours of outcomes, with an incident that began fifty minutes ago.
 fn sample() -> Result<Report, Box<dyn Error>> {
     let mut counters = Counters::new();
     let mut objectives = BTreeMap::new();
-    for (entry, ill) in ENTRIES {
+    for (entry, peak) in ENTRIES {
         objectives.insert(entry.to_owned(), Objective::try_from(0.999)?);
         for minute in 0..360 {
-            let bad = if minute < 50 { ill } else { minute % 3 / 2 };
+            let bad = if minute < 50 { peak } else { minute % 3 / 2 };
             for n in 0..1000 {
                 let outcome = if n < bad {
                     Outcome::Late
@@ -55,12 +55,12 @@
     Ok(report)
 }
 
-/// Memory and wire size when every bucket of an entry is in use, and the time of one record.
+/// Prints memory and encoded size with every bucket of an entry in use, and the time per outcome.
 fn sizes() {
     let mut counters = Counters::new();
     let days = 31;
     let minutes = days * 24 * 60;
-    let began = Instant::now();
+    let start = Instant::now();
     for entry in 0..100 {
         let name = format!("owner-{entry:03}-entry");
         for minute in 0..minutes {
@@ -68,7 +68,7 @@
         }
     }
     let records = 100 * minutes;
-    let nanos = began.elapsed().as_nanos() / u128::from(records);
+    let nanos = start.elapsed().as_nanos() / u128::from(records);
     println!("bytes a catalogue entry, full: {}", counters.bytes() / 100);
     println!(
         "bytes on the wire a catalogue entry, full: {}",
--- a/crates/report/src/bucket.rs
+++ b/crates/report/src/bucket.rs
@@ -1,4 +1,4 @@
-//! Counts in buckets of time.
+//! Outcome counts in time buckets.
 
 use std::collections::VecDeque;
 
@@ -6,21 +6,21 @@
 
 use crate::Epoch;
 
-/// How a request ended, as its service level sees it.
+/// How a request ended, as counted against its service-level objective.
 ///
-/// A request that its owner's own limit turns away is none of these: the contract does not cover
-/// it, so it is not recorded.
+/// A request rejected by its owner's own limit is not recorded, since the contract does not cover
+/// it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Outcome {
-    /// Answered whole and in time.
+    /// Answered completely and in time.
     Good,
-    /// Turned away for lack of room within the owner's limits.
+    /// Rejected for lack of capacity although within the owner's limits.
     Refused,
-    /// Answered whole, after its deadline or contracted time.
+    /// Answered completely, but after its deadline or contracted time.
     Late,
-    /// Answered with an error, or cut short.
+    /// Answered with an error, or incompletely.
     Failed,
-    /// It may have run and was not answered.
+    /// Not answered, but may have run.
     Unknown,
 }
 
@@ -28,25 +28,25 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Counts {
-    /// Answered whole and in time.
+    /// Answered completely and in time.
     pub good: u64,
-    /// Turned away for lack of room.
+    /// Rejected for lack of capacity.
     pub refused: u64,
-    /// Answered late.
+    /// Answered completely, but late.
     pub late: u64,
-    /// Answered with an error, or cut short.
+    /// Answered with an error, or incompletely.
     pub failed: u64,
-    /// May have run, not answered.
+    /// Not answered, but may have run.
     pub unknown: u64,
 }
 
 impl Counts {
-    /// All that miss the objective.
+    /// Outcomes that miss the objective.
     pub fn bad(&self) -> u64 {
         self.refused + self.late + self.failed + self.unknown
     }
 
-    /// All.
+    /// All outcomes.
     pub fn total(&self) -> u64 {
         self.good + self.bad()
     }
@@ -74,35 +74,35 @@
     }
 }
 
-/// Width and reach of one series of buckets.
+/// Resolution and retention of one series of buckets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Tier {
     /// Seconds that a bucket spans.
     pub(crate) width: u32,
-    /// Buckets kept.
-    pub(crate) kept: usize,
+    /// Number of newest buckets that are retained.
+    pub(crate) retained: usize,
 }
 
-/// Every outcome is counted once in each tier, so that a window reads one tier only: minutes for
-/// the fast pair (an hour and a bit), ten minutes for the slow pair (six hours and a bit), six
-/// hours for the period of thirty days. One series of minutes for all would take 43,200 buckets.
+/// Every outcome is counted once in each tier, so that a window reads a single tier: minutes for
+/// the fast pair (just over an hour), ten minutes for the slow pair (just over six hours), and six
+/// hours for the thirty-day budget. One-minute buckets alone would take 43,200 of them.
 pub(crate) const TIERS: [Tier; 3] = [
     Tier {
         width: 60,
-        kept: 62,
+        retained: 62,
     },
     Tier {
         width: 600,
-        kept: 38,
+        retained: 38,
     },
     Tier {
         width: 21_600,
-        kept: 121,
+        retained: 121,
     },
 ];
 
-/// One bucket in memory: 24 bytes. Were all 14,000 outcomes a second of the largest fleet on one
-/// entry, a bucket of six hours would hold 302 million, which fits.
+/// One bucket in memory, 24 bytes. 32-bit counts suffice: 14,000 outcomes a second, the load of
+/// the largest fleet, on a single entry add up to 302 million in six hours.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Slot {
     index: u32,
@@ -136,7 +136,7 @@
     }
 }
 
-/// The buckets of one tier that hold anything, oldest first.
+/// The non-empty buckets of one tier, oldest first.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Series {
     tier: Tier,
@@ -155,12 +155,12 @@
         self.tier
     }
 
-    /// Adds counts to the bucket of this time, unless it is older than all that is kept.
+    /// Adds counts to the bucket that contains `at`, unless it is older than the retained ones.
     pub(crate) fn add(&mut self, at: Epoch, counts: &Counts) {
         let index = self.index(at);
-        // Nearly always the last slot or a new one behind it.
-        let place = self.slots.partition_point(|slot| slot.index < index);
-        match self.slots.get_mut(place) {
+        // Nearly always the last slot or a new one after it.
+        let position = self.slots.partition_point(|slot| slot.index < index);
+        match self.slots.get_mut(position) {
             Some(slot) if slot.index == index => slot.add(counts),
             _ => {
                 let mut slot = Slot {
@@ -168,14 +168,13 @@
                     counts: [0; 5],
                 };
                 slot.add(counts);
-                self.slots.insert(place, slot);
+                self.slots.insert(position, slot);
             }
         }
         self.prune();
     }
 
-    /// Sum of the buckets that begin within so many seconds before `now`, the current one
-    /// included.
+    /// Sum over the window of `seconds` that ends with the current bucket, in whole buckets.
     pub(crate) fn sum(&self, now: Epoch, seconds: u64) -> Counts {
         let last = self.index(now);
         let span = u32::try_from(seconds / u64::from(self.tier.width)).unwrap_or(u32::MAX);
@@ -189,7 +188,7 @@
         sum
     }
 
-    /// The buckets that hold anything, by the time at which they start.
+    /// The non-empty buckets with their start times.
     pub(crate) fn buckets(&self) -> impl Iterator<Item = (Epoch, Counts)> {
         let width = u64::from(self.tier.width);
         self.slots
@@ -197,7 +196,7 @@
             .map(move |slot| (u64::from(slot.index) * width, slot.counts()))
     }
 
-    /// Bytes that the buckets take.
+    /// Heap memory of the buckets in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.slots.capacity() * size_of::<Slot>()
     }
@@ -210,11 +209,11 @@
         let Some(newest) = self.slots.back().map(|slot| slot.index) else {
             return;
         };
-        let kept = u32::try_from(self.tier.kept).unwrap_or(u32::MAX);
+        let retained = u32::try_from(self.tier.retained).unwrap_or(u32::MAX);
         while self
             .slots
             .front()
-            .is_some_and(|slot| newest - slot.index >= kept)
+            .is_some_and(|slot| newest - slot.index >= retained)
         {
             self.slots.pop_front();
         }
--- a/crates/report/src/counters.rs
+++ b/crates/report/src/counters.rs
@@ -1,4 +1,4 @@
-//! The counters of one process, and their merging.
+//! Outcome counters of a process and how they are merged.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,53 +23,53 @@
         }
     }
 
-    /// Sum over a window, read from the finest tier that reaches so far back.
+    /// Sum over a window, read from the finest tier that covers it.
     pub(crate) fn sum(&self, now: Epoch, seconds: u64) -> Counts {
-        let reaches = |series: &&Series| {
+        let covers = |series: &&Series| {
             let tier = series.tier();
-            u64::from(tier.width) * (tier.kept as u64) >= seconds
+            u64::from(tier.width) * (tier.retained as u64) >= seconds
         };
         let [.., coarsest] = &self.0;
-        let series = self.0.iter().find(reaches).unwrap_or(coarsest);
+        let series = self.0.iter().find(covers).unwrap_or(coarsest);
         series.sum(now, seconds)
     }
 
-    /// The buckets of the middle tier, which the plot shows.
-    pub(crate) fn slow(&self) -> &Series {
+    /// The ten-minute tier, which the plot shows.
+    pub(crate) fn ten_minutes(&self) -> &Series {
         &self.0[1]
     }
 }
 
 /// Counts of all catalogue entries.
 ///
-/// The counters of a process die with it; a process that leaves hands its own to one other, which
-/// [`Counters::merge_once`]s them.
+/// Counters are held in memory only. A process that shuts down hands its counters over to one
+/// other process, which adds them with [`Counters::merge_once`].
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Counters {
     entries: BTreeMap<Entry, Tiers>,
-    inherited: BTreeSet<(String, u64)>,
+    merged_processes: BTreeSet<(String, u64)>,
 }
 
 impl Counters {
-    /// Nothing counted yet.
+    /// Creates empty counters.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts the end of a request.
+    /// Counts the outcome of a request.
     pub fn record(&mut self, at: Epoch, entry: &str, outcome: Outcome) {
         self.tiers(entry).record(at, &Counts::from(outcome));
     }
 
-    /// Forgets the entries that the catalogue no longer has; without this the memory would grow
-    /// with every name that was ever used.
+    /// Drops entries for which `keep` is false, that is, those removed from the catalogue; otherwise
+    /// memory would grow with every name ever used.
     pub fn retain(&mut self, mut keep: impl FnMut(&str) -> bool) {
         self.entries.retain(|entry, _| keep(entry));
     }
 
-    /// Adds the counters of another process. The caller sees to it that each is added once.
+    /// Adds the counters of another process. The caller has to add each process only once.
     ///
-    /// Buckets of a width that this version doesn't keep are left out.
+    /// Buckets of a width that this version doesn't use are ignored.
     pub fn merge(&mut self, burn: &Burn) {
         for bucket in &burn.buckets {
             let tiers = self.tiers(&bucket.entry);
@@ -83,22 +83,21 @@
         }
     }
 
-    /// Takes over the counters of a process that leaves, once for each process however often the
-    /// frame comes; `false` if they were taken before.
+    /// Adds the counters handed over by a process that shuts down, unless its incarnation has been
+    /// added before; returns whether they were added.
     ///
-    /// Symptom without the check: a hand-over that is sent again doubles the leaver's outcomes
-    /// and with them the burn.
+    /// Without the check, a retransmitted hand-over would count the outcomes and the burn twice.
     pub fn merge_once(&mut self, from: &Author, burn: &Burn) -> bool {
-        let fresh = self
-            .inherited
+        let added = self
+            .merged_processes
             .insert((from.instance.clone(), from.incarnation));
-        if fresh {
+        if added {
             self.merge(burn);
         }
-        fresh
+        added
     }
 
-    /// All buckets, as peers and the administration API get them.
+    /// All buckets as a message for peers and the administration API.
     pub fn burn(&self) -> Burn {
         let mut burn = Burn::default();
         for (entry, tiers) in &self.entries {
@@ -112,27 +111,27 @@
         burn
     }
 
-    /// Bytes that the buckets take, for metrics and `docs/CAPACITY.md`.
+    /// Memory of the counters in bytes, for metrics and `docs/CAPACITY.md`.
     pub fn bytes(&self) -> usize {
-        let of_entry = |(entry, tiers): (&Entry, &Tiers)| {
+        let entry_bytes = |(entry, tiers): (&Entry, &Tiers)| {
             let buckets: usize = tiers.0.iter().map(Series::bytes).sum();
             entry.capacity() + size_of::<Entry>() + size_of::<Tiers>() + buckets
         };
-        self.entries.iter().map(of_entry).sum()
+        self.entries.iter().map(entry_bytes).sum()
     }
 
     pub(crate) fn get(&self, entry: &str) -> Option<&Tiers> {
         self.entries.get(entry)
     }
 
-    /// Looks twice rather than copy the name for every outcome.
+    /// Looks up twice, so that the name is not copied for every outcome.
     fn tiers(&mut self, entry: &str) -> &mut Tiers {
         if !self.entries.contains_key(entry) {
             self.entries.insert(entry.to_owned(), Tiers::new());
         }
         self.entries
             .get_mut(entry)
-            .expect("an entry that was missing was put in")
+            .expect("a missing entry has just been inserted")
     }
 }
 
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML page that needs nothing else.
+//! Renders the report as a self-contained HTML page.
 
 use std::fmt::Write;
 use std::time::{Duration, UNIX_EPOCH};
@@ -100,7 +100,7 @@
     let _never = writeln!(page, "<td>{alarms}</td></tr>");
 }
 
-/// Names come from operators; none may end up as markup in a page that others open.
+/// Escapes markup: operators choose the names, and other people open the page.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,9 +1,9 @@
-//! Service-level burn: counts of good and bad outcomes for each catalogue entry, and how fast
-//! they use up the error budget. The `entry` crate records outcomes, `control` merges the counters
-//! of all entries, and `tarragonctl report burn` shows the result; see `docs/BURN.md`.
+//! Service-level burn: counts of good and bad outcomes for each catalogue entry, and the rate at
+//! which they consume the error budget. The `entry` crate records outcomes, `control` merges the
+//! counters of all entries, and `tarragonctl report burn` shows the result; see `docs/BURN.md`.
 //!
-//! Nothing here reads a clock or does I/O: wall-clock time comes in as seconds since the Unix
-//! epoch and only names buckets.
+//! This crate reads no clock and does no I/O: callers pass wall-clock time as seconds since the
+//! Unix epoch, and it only selects buckets.
 
 mod bucket;
 mod counters;
--- a/crates/report/src/objective.rs
+++ b/crates/report/src/objective.rs
@@ -2,11 +2,11 @@
 
 use std::fmt;
 
-/// Share of outcomes that should be good, above 0 and below 1.
+/// Target share of good outcomes, above 0 and below 1.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Objective(f64);
 
-/// An objective that leaves no error budget, or nothing but it.
+/// An objective outside the open interval from 0 to 1: it has no error budget, or nothing else.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InvalidObjective(pub f64);
 
@@ -35,12 +35,12 @@
 }
 
 impl Objective {
-    /// The share that should be good.
+    /// Target share of good outcomes.
     pub fn share(self) -> f64 {
         self.0
     }
 
-    /// The share that may be bad: the error budget.
+    /// The error budget: the share of outcomes that may be bad.
     pub fn budget(self) -> f64 {
         1.0 - self.0
     }
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -1,4 +1,4 @@
-//! The plot of burn rates as SVG.
+//! Plots burn rates as SVG.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -6,21 +6,20 @@
 use crate::Epoch;
 use crate::report::{Line, Report};
 
-/// Size in pixels.
-const SIZE: (u32, u32) = (960, 380);
-/// Entries shown, the worst first; more lines could not be told apart.
-const SHOWN: usize = 6;
-/// Six hours, in seconds.
-const SPAN: u64 = 21_600;
-/// Seconds in an hour.
-const HOUR: f64 = 3600.0;
-/// Least height of the axis, so that the usual alarm lines show.
-const LEAST_TOP: f64 = 16.0;
-/// Height of the axis over the highest point.
-const HEADROOM: f64 = 1.1;
+/// Width and height.
+const SIZE_PIXELS: (u32, u32) = (960, 380);
+/// Number of entries plotted, worst first; more curves could not be told apart.
+const MAX_ENTRIES: usize = 6;
+/// Time range of the plot: six hours.
+const SPAN_SECONDS: u64 = 21_600;
+const SECONDS_PER_HOUR: f64 = 3600.0;
+/// Smallest upper end of the burn-rate axis, so that the usual alarm thresholds are visible.
+const MIN_AXIS_TOP: f64 = 16.0;
+/// Ratio of the upper end of the axis to the highest point.
+const AXIS_HEADROOM: f64 = 1.1;
 
-/// Colours that stay apart for most kinds of colour blindness (Okabe and Ito).
-const COLOURS: [RGBColor; SHOWN] = [
+/// Colours distinguishable with most kinds of colour blindness (Okabe and Ito).
+const COLOURS: [RGBColor; MAX_ENTRIES] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
     RGBColor(0, 158, 115),
@@ -29,10 +28,10 @@
     RGBColor(86, 180, 233),
 ];
 
-/// Draws the worst entries, or an empty plot if drawing fails.
+/// Draws the worst entries, or returns an HTML comment with the error if drawing fails.
 pub(crate) fn render(report: &Report) -> String {
     let mut svg = String::new();
-    // The drawing library writes to a string, which can't fail; a page without its plot is still of use.
+    // Drawing into a string should not fail, and the page is still useful without the plot.
     if let Err(error) = draw(report, &mut svg) {
         return format!("<!-- no plot: {error} -->");
     }
@@ -40,23 +39,23 @@
 }
 
 fn draw(report: &Report, svg: &mut String) -> Result<(), String> {
-    let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
-    fill(report, &area)?;
+    let area = SVGBackend::with_string(svg, SIZE_PIXELS).into_drawing_area();
+    draw_chart(report, &area)?;
     area.present().map_err(|error| error.to_string())
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-fn fill(report: &Report, area: &Area<'_>) -> Result<(), String> {
-    let text = |error: DrawingAreaErrorKind<_>| error.to_string();
-    area.fill(&WHITE).map_err(text)?;
-    let worst: Vec<&Line> = report.lines.iter().take(SHOWN).collect();
+fn draw_chart(report: &Report, area: &Area<'_>) -> Result<(), String> {
+    let message = |error: DrawingAreaErrorKind<_>| error.to_string();
+    area.fill(&WHITE).map_err(message)?;
+    let worst: Vec<&Line> = report.lines.iter().take(MAX_ENTRIES).collect();
     let mut chart = ChartBuilder::on(area)
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(48)
-        .build_cartesian_2d(-6.0..0.0, 0.0..top(&worst))
-        .map_err(text)?;
+        .build_cartesian_2d(-6.0..0.0, 0.0..axis_top(&worst))
+        .map_err(message)?;
     chart
         .configure_mesh()
         .x_desc("hours before the report")
@@ -64,24 +63,24 @@
         .x_labels(7)
         .light_line_style(WHITE)
         .draw()
-        .map_err(text)?;
+        .map_err(message)?;
     for (line, colour) in worst.iter().zip(COLOURS) {
         let points = points(report, line);
         let style = colour.stroke_width(2);
         let dots = points
             .iter()
             .map(|point| Circle::new(*point, 2, colour.filled()));
-        chart.draw_series(dots).map_err(text)?;
+        chart.draw_series(dots).map_err(message)?;
         chart
             .draw_series(LineSeries::new(points.iter().copied(), style))
-            .map_err(text)?
+            .map_err(message)?
             .label(line.entry.clone())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], style));
     }
     for threshold in thresholds(&worst) {
         let ends = [(-6.0, threshold), (0.0, threshold)];
         let dashed = DashedLineSeries::new(ends, 6, 4, RED.mix(0.6).stroke_width(1));
-        chart.draw_series(dashed).map_err(text)?;
+        chart.draw_series(dashed).map_err(message)?;
     }
     chart
         .configure_series_labels()
@@ -89,7 +88,7 @@
         .background_style(WHITE.mix(0.85))
         .border_style(BLACK.mix(0.3))
         .draw()
-        .map_err(text)
+        .map_err(message)
 }
 
 fn points(report: &Report, line: &Line) -> Vec<(f64, f64)> {
@@ -99,19 +98,19 @@
         .collect()
 }
 
-/// Start of ten minutes, in hours before the report.
+/// Position of a bucket on the time axis: hours relative to the report, at most 0.
 fn hours(at: Epoch, start: Epoch) -> f64 {
-    let back = at.saturating_sub(start).min(SPAN);
-    -(back as f64) / HOUR
+    let age = at.saturating_sub(start).min(SPAN_SECONDS);
+    -(age as f64) / SECONDS_PER_HOUR
 }
 
-fn top(lines: &[&Line]) -> f64 {
+fn axis_top(lines: &[&Line]) -> f64 {
     let burns = lines.iter().flat_map(|line| &line.points);
-    let highest = burns.map(|point| point.burn).fold(LEAST_TOP, f64::max);
-    highest * HEADROOM
+    let highest = burns.map(|point| point.burn).fold(MIN_AXIS_TOP, f64::max);
+    highest * AXIS_HEADROOM
 }
 
-/// The alarm lines of the entries shown, each once.
+/// The distinct alarm thresholds of the plotted entries, ascending.
 fn thresholds(lines: &[&Line]) -> Vec<f64> {
     let pairs = lines.iter().flat_map(|line| &line.pairs);
     let mut thresholds: Vec<f64> = pairs.map(|pair| pair.threshold).collect();
--- a/crates/report/src/report.rs
+++ b/crates/report/src/report.rs
@@ -1,4 +1,4 @@
-//! Burn rates, their alarms and the budget left.
+//! Burn rates, alarms and the remaining error budget.
 
 use std::collections::BTreeMap;
 
@@ -10,30 +10,30 @@
 const MINUTE: u64 = 60;
 const HOUR: u64 = 60 * MINUTE;
 
-/// Time over which the budget is counted.
-const PERIOD: u64 = 30 * 24 * HOUR;
+/// Period that the error budget covers, in seconds.
+const BUDGET_PERIOD: u64 = 30 * 24 * HOUR;
 
-/// Burn rate of the fast pair: 2 % of a 30-day budget within an hour.
-const FAST: f64 = 14.4;
-/// Burn rate of the slow pair: 5 % of a 30-day budget within six hours.
-const SLOW: f64 = 6.0;
+/// Alarm threshold of the fast pair: 2 % of a 30-day budget within an hour.
+const FAST_THRESHOLD: f64 = 14.4;
+/// Alarm threshold of the slow pair: 5 % of a 30-day budget within six hours.
+const SLOW_THRESHOLD: f64 = 6.0;
 
-/// Largest part of the possible burn rate at which the fast pair alarms. An objective of 0.9
-/// can't burn faster than 10, so that 14.4 would never alarm however bad it gets.
-const REACHABLE: f64 = 0.75;
+/// Upper bound of the fast threshold as a share of the highest possible burn rate. With an
+/// objective of 0.9 the burn rate can't exceed 10, so a threshold of 14.4 would never alarm.
+const MAX_SHARE_OF_HIGHEST_BURN: f64 = 0.75;
 
-/// Bad outcomes in the long window below which no pair alarms: one failure at night among two
-/// requests is a burn rate of hundreds, and no news.
-const LEAST_BAD: u64 = 5;
+/// Bad outcomes in the long window below which no pair alarms: on an idle entry, one failure among
+/// two requests is a burn rate of hundreds but needs no action.
+const MIN_BAD_OUTCOMES: u64 = 5;
 
 /// How fast a pair of windows reacts.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Speed {
-    /// Five minutes and an hour: someone has to act now.
+    /// Five minutes and one hour: an operator has to act now.
     Fast,
-    /// Thirty minutes and six hours: someone has to act today.
+    /// Thirty minutes and six hours: an operator has to act today.
     Slow,
 }
 
@@ -43,24 +43,24 @@
 pub struct Window {
     /// Length in seconds.
     pub seconds: u64,
-    /// Speed at which the budget is used; 1 uses it up exactly within the period.
+    /// Rate at which the budget is consumed; 1 exhausts it exactly within the period.
     pub burn: f64,
-    /// What was counted.
+    /// Outcomes within the window.
     pub counts: Counts,
 }
 
-/// Two windows that alarm together: the long one shows that it matters, the short one that it
-/// still goes on.
+/// Two windows that must both exceed the threshold to alarm: the long one shows that the burn is
+/// significant, the short one that it continues.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Pair {
-    /// Which pair.
+    /// Which of the two pairs.
     pub speed: Speed,
     /// The short window.
     pub short: Window,
     /// The long window.
     pub long: Window,
-    /// Burn rate from which both alarm.
+    /// Burn rate that both windows have to reach for an alarm.
     pub threshold: f64,
     /// Whether the pair alarms.
     pub alarm: bool,
@@ -70,54 +70,54 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Point {
-    /// Start of ten minutes.
+    /// Start of the ten-minute bucket.
     pub start: Epoch,
-    /// Burn rate over them.
+    /// Burn rate within the bucket.
     pub burn: f64,
 }
 
-/// One catalogue entry.
+/// Burn of one catalogue entry.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Line {
     /// Name of the catalogue entry.
     pub entry: Entry,
-    /// Share that should be good.
+    /// Target share of good outcomes.
     pub objective: f64,
-    /// Counts over the period, as far as processes that run have them.
+    /// Outcomes over the budget period, as far as running processes have counted them.
     pub counts: Counts,
-    /// Part of the budget that is left, 1 being all; negative if it is overspent.
+    /// Remaining share of the budget, from 1 for all of it; negative if overspent.
     pub left: f64,
-    /// Fast and slow pair.
+    /// The fast and the slow pair.
     pub pairs: Vec<Pair>,
-    /// Burn rate over the last six hours.
+    /// Burn rates of the last six hours, one per ten-minute bucket.
     pub points: Vec<Point>,
 }
 
-/// Burn of all catalogue entries, alarms first, then by the budget left.
+/// Burn of all catalogue entries, ordered by number of alarms, then by remaining budget.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Report {
-    /// When it was made.
+    /// Time of the report.
     pub at: Epoch,
-    /// Number of processes whose counters are in it.
+    /// Number of processes whose counters are included.
     pub sources: usize,
-    /// Processes that did not answer: what they counted is missing.
+    /// Processes that did not answer, so that their counters are not included.
     pub missing: Vec<String>,
-    /// One line a catalogue entry.
+    /// One line per catalogue entry.
     pub lines: Vec<Line>,
 }
 
 impl Report {
-    /// Reports on all entries with an objective from merged counters.
+    /// Computes the report on all entries with an objective from merged counters.
     pub fn new(now: Epoch, counters: &Counters, objectives: &BTreeMap<Entry, Objective>) -> Self {
         let mut lines: Vec<Line> = objectives
             .iter()
             .map(|(entry, objective)| line(now, entry, *objective, counters.get(entry)))
             .collect();
         lines.sort_by(|a, b| {
-            let alarmed = b.alarms().cmp(&a.alarms());
-            alarmed.then(a.left.total_cmp(&b.left))
+            let by_alarms = b.alarms().cmp(&a.alarms());
+            by_alarms.then(a.left.total_cmp(&b.left))
         });
         Self {
             at: now,
@@ -127,21 +127,21 @@
         }
     }
 
-    /// As a table for a terminal.
+    /// Renders the report as a table for a terminal.
     pub fn text(&self) -> String {
         text::render(self)
     }
 
-    /// As JSON, for programs.
+    /// Renders the report as JSON.
     ///
     /// # Errors
     ///
-    /// Only if a figure is not a number that JSON knows, which no line holds.
+    /// Fails if the report can't be serialized, which its types rule out.
     pub fn json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string_pretty(self)
     }
 
-    /// As one HTML page that needs nothing else.
+    /// Renders the report as a self-contained HTML page.
     pub fn html(&self) -> String {
         html::render(self)
     }
@@ -164,7 +164,7 @@
             counts,
         }
     };
-    let counts = sum(PERIOD);
+    let counts = sum(BUDGET_PERIOD);
     Line {
         entry: entry.to_owned(),
         objective: objective.share(),
@@ -191,15 +191,15 @@
         short,
         long,
         threshold,
-        alarm: burning && long.counts.bad() >= LEAST_BAD,
+        alarm: burning && long.counts.bad() >= MIN_BAD_OUTCOMES,
     }
 }
 
 fn threshold(speed: Speed, objective: Objective) -> f64 {
-    let fast = FAST.min(REACHABLE / objective.budget());
+    let fast = FAST_THRESHOLD.min(MAX_SHARE_OF_HIGHEST_BURN / objective.budget());
     match speed {
         Speed::Fast => fast,
-        Speed::Slow => fast * SLOW / FAST,
+        Speed::Slow => fast * SLOW_THRESHOLD / FAST_THRESHOLD,
     }
 }
 
@@ -210,12 +210,12 @@
     }
 }
 
-/// The bucket that is not full yet would show as a peak after a single failure, so it is left out
-/// unless there is no other.
+/// Points of the last six hours. The current bucket is left out unless it is the only one: while it
+/// has few outcomes, a single failure would show as a peak.
 fn points(now: Epoch, tiers: &Tiers, objective: Objective) -> Vec<Point> {
-    let width = u64::from(tiers.slow().tier().width);
+    let width = u64::from(tiers.ten_minutes().tier().width);
     let mut buckets: Vec<(Epoch, Counts)> = tiers
-        .slow()
+        .ten_minutes()
         .buckets()
         .filter(|(start, _)| *start + 6 * HOUR > now && *start <= now)
         .collect();
--- a/crates/report/src/text.rs
+++ b/crates/report/src/text.rs
@@ -1,10 +1,10 @@
-//! The report as a table for a terminal.
+//! Renders the report as a table for a terminal.
 
 use std::fmt::Write;
 
 use crate::report::{Line, Pair, Report, Speed};
 
-/// Columns of figures behind the name.
+/// Headers of the columns after the entry name.
 const HEADER: &str = "  objective     total       bad  refused     late   failed  unknown   left %    5m    1h   30m    6h  alarm";
 
 pub(crate) fn render(report: &Report) -> String {
@@ -52,12 +52,12 @@
     }
 }
 
-/// The words for the alarms of a line that are raised.
+/// Labels of the alarms that are raised on a line.
 pub(crate) fn alarms(line: &Line) -> Vec<&'static str> {
     let raised = line.pairs.iter().filter(|pair| pair.alarm);
-    let word = |pair: &Pair| match pair.speed {
+    let label = |pair: &Pair| match pair.speed {
         Speed::Fast => "FAST",
         Speed::Slow => "SLOW",
     };
-    raised.map(word).collect()
+    raised.map(label).collect()
 }
--- a/crates/report/tests/burn.rs
+++ b/crates/report/tests/burn.rs
@@ -1,6 +1,6 @@
-//! Burn rates, alarms, budget and merging.
+//! Burn rates, alarms, error budgets and the merging of counters.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by it")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use report::{Counters, InvalidObjective, Line, Objective, Outcome, Report, Speed};
 use wire::record::Author;
 
-/// Some day at noon.
+/// Time of the report: noon of an arbitrary day.
 const NOW: u64 = 1_796_040_000;
 
 const OUTCOMES: [Outcome; 5] = [
@@ -31,8 +31,8 @@
     report.lines.remove(0)
 }
 
-/// Records `bad` of every thousand as failed, once a minute from so many minutes ago on.
-fn burning(minutes: u64, bad: u64) -> Counters {
+/// Counters with a thousand outcomes in each of the last `minutes`, of which `bad` failed.
+fn counters_with_failures(minutes: u64, bad: u64) -> Counters {
     let mut counters = Counters::new();
     for minute in 0..minutes {
         for n in 0..1000 {
@@ -48,13 +48,13 @@
 }
 
 fn alarms(line: &Line) -> Vec<Speed> {
-    let alarming = line.pairs.iter().filter(|pair| pair.alarm);
-    alarming.map(|pair| pair.speed).collect()
+    let alarms = line.pairs.iter().filter(|pair| pair.alarm);
+    alarms.map(|pair| pair.speed).collect()
 }
 
 #[test]
 fn burn_is_the_share_of_bad_over_the_budget() {
-    let line = line(&burning(60, 5), 0.999);
+    let line = line(&counters_with_failures(60, 5), 0.999);
     for window in line.pairs.iter().flat_map(|pair| [pair.short, pair.long]) {
         assert!((window.burn - 5.0).abs() < 1e-9, "{window:?}");
     }
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn a_fast_burn_alarms_within_the_hour_and_stops_soon_after() {
-    let line = line(&burning(60, 15), 0.999);
+fn fast_alarm_is_raised_within_an_hour_and_clears_after_recovery() {
+    let line = line(&counters_with_failures(60, 15), 0.999);
     assert_eq!(alarms(&line), [Speed::Fast, Speed::Slow]);
-    // Six minutes of health end the fast alarm, though the hour is still bad.
-    let mut healed = burning(60, 0);
-    let ill = burning(60, 30);
-    healed.merge(&ill.burn());
-    let mut later = Report::new(NOW + 360, &healed, &objectives(0.999));
+    // Six minutes without failures clear the fast alarm, although the hour still exceeds it.
+    let mut recovered = counters_with_failures(60, 0);
+    let failing = counters_with_failures(60, 30);
+    recovered.merge(&failing.burn());
+    let mut later = Report::new(NOW + 360, &recovered, &objectives(0.999));
     let later = later.lines.remove(0);
     assert!(later.pairs[0].long.burn >= 14.4);
     assert_eq!(later.pairs[0].short.counts.total(), 0);
@@ -79,25 +79,24 @@
 }
 
 #[test]
-fn a_short_burst_alarms_neither_pair() {
-    let mut counters = burning(360, 0);
-    counters.merge(&burning(2, 100).burn());
+fn a_short_burst_raises_no_alarm() {
+    let mut counters = counters_with_failures(360, 0);
+    counters.merge(&counters_with_failures(2, 100).burn());
     let line = line(&counters, 0.999);
     assert!(line.pairs[0].short.burn > 14.4);
     assert!(alarms(&line).is_empty());
 }
 
-// Symptom: an entry with an objective of 0.9 fails entirely and nobody is told.
-// Sequence: all requests fail for hours.
-// Cause: its burn rate can't exceed 10, and 14.4 was the alarm line for all.
+// Guards against a missing alarm for an entry with an objective of 0.9 whose requests all fail for
+// hours: its burn rate can't exceed 10, which a common threshold of 14.4 would never detect.
 #[test]
-fn a_low_objective_alarms_as_well() {
-    let line = line(&burning(360, 1000), 0.9);
+fn a_low_objective_can_raise_both_alarms() {
+    let line = line(&counters_with_failures(360, 1000), 0.9);
     assert_eq!(alarms(&line), [Speed::Fast, Speed::Slow]);
 }
 
 #[test]
-fn a_single_failure_on_a_quiet_entry_does_not_alarm() {
+fn a_single_failure_on_an_idle_entry_raises_no_alarm() {
     let mut counters = Counters::new();
     counters.record(NOW, "kiosk", Outcome::Failed);
     let line = line(&counters, 0.999);
@@ -105,11 +104,10 @@
     assert!(alarms(&line).is_empty());
 }
 
-// Symptom: the plot ends in a peak whenever a single request failed lately.
-// Sequence: ten minutes began a moment ago, and their first request fails.
-// Cause: a bucket that is not full yet was drawn beside full ones.
+// Guards against a spurious peak at the end of the plot: a ten-minute bucket has just begun and its
+// first request fails, so the incomplete bucket must not be drawn beside complete ones.
 #[test]
-fn the_plot_leaves_ten_minutes_out_that_are_not_over() {
+fn the_plot_leaves_out_the_incomplete_bucket() {
     let mut counters = Counters::new();
     counters.record(NOW, "kiosk", Outcome::Failed);
     assert_eq!(line(&counters, 0.9).points.len(), 1);
@@ -134,8 +132,8 @@
 }
 
 #[test]
-fn the_worst_come_first_and_silent_entries_are_whole() {
-    let mut counters = burning(60, 15);
+fn entries_are_ordered_worst_first_and_idle_ones_keep_their_budget() {
+    let mut counters = counters_with_failures(60, 15);
     counters.record(NOW, "slow", Outcome::Late);
     let mut objectives = objectives(0.999);
     for name in ["quiet", "slow"] {
@@ -151,21 +149,20 @@
     assert!((report.lines[2].left - 1.0).abs() < f64::EPSILON);
 }
 
-// Symptom: the burn doubles when an entry instance is replaced.
-// Sequence: a leaver hands its counters over, the frame's answer is lost, and it sends them again.
-// Cause: counters were added whenever they came.
+// Guards against a doubled burn when an entry instance is replaced: it hands its counters over,
+// the acknowledgement is lost, and it sends them again.
 #[test]
-fn counters_are_inherited_once_from_each_process() {
-    let burn = burning(1, 10).burn();
+fn counters_of_a_process_are_merged_once() {
+    let burn = counters_with_failures(1, 10).burn();
     let author = |incarnation| Author {
         instance: "entry-1".to_owned(),
         incarnation,
     };
-    let mut heir = Counters::new();
-    assert!(heir.merge_once(&author(1), &burn));
-    assert!(!heir.merge_once(&author(1), &burn));
-    assert!(heir.merge_once(&author(2), &burn));
-    assert_eq!(line(&heir, 0.999).counts.total(), 2000);
+    let mut receiver = Counters::new();
+    assert!(receiver.merge_once(&author(1), &burn));
+    assert!(!receiver.merge_once(&author(1), &burn));
+    assert!(receiver.merge_once(&author(2), &burn));
+    assert_eq!(line(&receiver, 0.999).counts.total(), 2000);
 }
 
 #[test]
@@ -180,8 +177,8 @@
 }
 
 #[test]
-fn a_clock_set_back_and_a_bucket_of_an_unknown_width_do_no_harm() {
-    let mut counters = burning(10, 0);
+fn earlier_times_are_counted_and_unknown_bucket_widths_ignored() {
+    let mut counters = counters_with_failures(10, 0);
     counters.record(NOW - 120, "kiosk", Outcome::Good);
     let mut burn = counters.burn();
     for bucket in &mut burn.buckets {
@@ -192,13 +189,13 @@
 }
 
 #[test]
-fn objectives_leave_a_budget() {
+fn objectives_without_a_budget_are_rejected() {
     for share in [0.0, 1.0, -1.0, f64::NAN] {
         assert_matches!(Objective::try_from(share), Err(InvalidObjective(_)));
     }
 }
 
-/// Seed of the random cases, so that every run tries the same.
+/// Fixed seed, so that every run generates the same cases.
 const SEED: u64 = 1;
 
 proptest! {
@@ -208,17 +205,17 @@
         ..ProptestConfig::default()
     })]
 
-    // Merging any split of the same outcomes gives the same counters, in any order.
+    // However outcomes are split among processes, merging yields the same counters, in any order.
     #[test]
-    fn merging_does_not_depend_on_who_counted(
-        ends in prop::collection::vec((0_u64..100_000, 0_usize..5, 0_usize..3), 0..200)
+    fn merging_is_independent_of_the_split(
+        outcomes in prop::collection::vec((0_u64..100_000, 0_usize..5, 0_usize..3), 0..200)
     ) {
         let mut whole = Counters::new();
         let mut parts = [Counters::new(), Counters::new(), Counters::new()];
-        for (back, outcome, part) in ends {
+        for (age, outcome, part) in outcomes {
             let outcome = OUTCOMES[outcome];
-            whole.record(NOW - back, "kiosk", outcome);
-            parts[part].record(NOW - back, "kiosk", outcome);
+            whole.record(NOW - age, "kiosk", outcome);
+            parts[part].record(NOW - age, "kiosk", outcome);
         }
         let mut merged = Counters::new();
         for part in parts.iter().rev() {
--- a/crates/report/tests/render.rs
+++ b/crates/report/tests/render.rs
@@ -1,6 +1,6 @@
-//! The three forms of the report.
+//! Renders the report as text, JSON and HTML.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by it")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_table_is_as_wide_as_its_names() {
+fn the_table_fits_the_longest_name() {
     let text = sample().text();
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(
@@ -46,18 +46,18 @@
 }
 
 #[test]
-fn json_reads_back() {
+fn json_round_trips() {
     let report = sample();
     let json = report.json().unwrap();
     assert_eq!(serde_json::from_str::<Report>(&json).unwrap(), report);
 }
 
 #[test]
-fn the_page_needs_nothing_else_and_escapes_names() {
+fn the_page_is_self_contained_and_escapes_names() {
     let page = sample().html();
     assert!(page.starts_with("<!doctype html>"));
     assert_eq!(page.matches("<svg").count(), 1);
-    assert_eq!(page.matches("<polyline").count() % 2, 1, "one line of burn");
+    assert_eq!(page.matches("<polyline").count() % 2, 1, "one burn curve");
     assert!(!page.contains("a<b>"));
     for outside in ["<script", "src=", "href="] {
         assert!(!page.contains(outside), "{outside}");
