--- a/crates/report/src/counters.rs
+++ b/crates/report/src/counters.rs
@@ -131,7 +131,7 @@
         }
         self.entries
             .get_mut(entry)
-            .expect("a missing entry has just been inserted")
+            .expect("an entry that was missing was put in")
     }
 }
 
