--- a/crates/wire/examples/sizes.rs
+++ b/crates/wire/examples/sizes.rs
@@ -1,6 +1,5 @@
-//! Prints the encoded size of each record and frame at the sizes that docs/CAPACITY.md works
-//! with, so that its slopes (bytes per peer, per upstream, per owner, per key) are measured and
-//! not guessed: `cargo run -p wire --example sizes`.
+//! Prints the encoded size of each record and frame for the counts in docs/CAPACITY.md, from which
+//! its bytes per peer, upstream, owner and key are derived: `cargo run -p wire --example sizes`.
 
 use wire::Message;
 use wire::peer::{self, frame};
@@ -10,13 +9,13 @@
 const INSTANCE: &str = "entry-north-012";
 /// An upstream id of the length that operators use.
 const UPSTREAM: &str = "engine-north-0123";
-/// An owner's name of ordinary length.
+/// An owner's name of typical length.
 const OWNER: &str = "organisation-0123";
-/// A scope's name of ordinary length.
+/// A scope's name of typical length.
 const SCOPE: &str = "llm-pool";
-/// An offset after some months; the log of a young fleet encodes shorter.
+/// A log offset after some months of operation; smaller offsets have a shorter encoding.
 const OFFSET: u64 = 1_000_000;
-/// A catalogue entry in JSON, in its usual size.
+/// Typical size of a catalogue entry as JSON.
 const ENTRY_JSON_BYTES: usize = 420;
 
 fn author() -> record::Author {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
-//! Generated types of everything that crosses a process border of ours: the records of the
-//! platform's log ([`record`]), the frames between entries ([`peer`]) and those between gateways
-//! ([`gateway`]). The pure crates turn
-//! them into checked types with `TryFrom`; nothing here knows a rule. The sources are in `proto/`
-//! and the generator is `crates/wiregen`; see `docs/DESIGN.md`.
+//! Generated types of all messages between our processes: the records of the platform's log
+//! ([`record`]), the frames between entries ([`peer`]) and those between gateways ([`gateway`]).
+//! The types are unchecked; the pure crates convert them into checked types with `TryFrom`. The
+//! sources are in `proto/` and the generator is `crates/wiregen`; see `docs/DESIGN.md`.
 
 /// Records of the platform's log.
 pub mod record {
@@ -10,7 +9,7 @@
     include!("generated/tarragon.record.rs");
 }
 
-/// Frames between instances.
+/// Frames between entries.
 pub mod peer {
     #![allow(missing_docs, clippy::all, clippy::pedantic)]
     include!("generated/tarragon.peer.rs");
--- a/crates/wiregen/src/main.rs
+++ b/crates/wiregen/src/main.rs
@@ -1,6 +1,6 @@
 //! Generator of the [`wire`] crate's types from `proto/`, run by hand: `cargo run -p wiregen`
 //! rewrites `crates/wire/src/generated/`, and `cargo run -p wiregen -- --check` fails if that
-//! folder is stale. The output is committed so that a build needs no generator.
+//! folder is stale. The output is committed so that builds don't depend on the generator.
 //!
 //! [`wire`]: ../wire/index.html
 
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::{env, fs, io};
 
-/// The protocol files, in the order in which they import each other.
+/// The protocol files; each comes after the files that it imports.
 const PROTOS: [&str; 3] = ["record.proto", "peer.proto", "gateway.proto"];
 
 fn main() -> ExitCode {
@@ -16,7 +16,7 @@
     let root = workspace_root();
     let target = root.join("crates/wire/src/generated");
     let result = if check {
-        check_fresh(&root, &target)
+        check_up_to_date(&root, &target)
     } else {
         generate(&root, &target)
     };
@@ -42,8 +42,8 @@
         .compile_fds(files)
 }
 
-/// Generates into a scratch folder and compares, so that a stale file never passes CI unseen.
-fn check_fresh(root: &Path, target: &Path) -> io::Result<()> {
+/// Fails if files generated into a scratch folder differ from the committed ones.
+fn check_up_to_date(root: &Path, target: &Path) -> io::Result<()> {
     let scratch = env::temp_dir().join(format!("wiregen-{}", std::process::id()));
     generate(root, &scratch)?;
     let stale = stale_files(&scratch, target)?;
