--- a/crates/account/src/call.rs
+++ b/crates/account/src/call.rs
@@ -1,176 +1,180 @@
-//! A call as its lines tell it.
+//! A call, reconstructed from its log lines.
 
 use std::time::Duration;
 
 use crate::line::Line;
 
-/// Where a call's time went, or why it got nothing.
+/// How a call ended: on time, late and where its time went, or why it was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
-    /// Within its target, with no pause over what is allowed.
+pub enum Outcome {
+    /// The first event came within the target, and no pause between events exceeded its limit.
     OnTime,
-    /// Its first answer was late: its prompt waited to be read.
-    LateRead,
-    /// Its first answer was late: it waited at the engine that generates.
-    LateBegin,
-    /// A pause was too long, mostly while its engine read prompts.
-    LateBeside,
-    /// A pause was too long, for another reason: a slow engine or link.
-    LatePause,
-    /// It was refused by the forecast.
+    /// The first event was late: the call waited for prefill.
+    LatePrefill,
+    /// The first event was late: the call waited at the decode engine.
+    LateDecode,
+    /// A pause was too long, mostly while its engine ran prefill.
+    PausedByPrefill,
+    /// A pause was too long for another reason, such as a slow engine or link.
+    PausedOther,
+    /// Refused because of its forecast.
     RefusedForecast,
-    /// It was refused for another reason: no engine, or full ones.
+    /// Refused for another reason: no engine, or all engines were full.
     RefusedOther,
-    /// Its caller's time ended or it left.
-    Left,
-    /// An engine failed, broke off, or its answer was lost.
+    /// The call timed out or its caller disconnected.
+    Abandoned,
+    /// An engine failed, broke the stream off, or its answer was lost.
     Failed,
-    /// No line tells its end: the instance ended before.
-    Untold,
+    /// No log line has its end, for instance because the instance exited first.
+    Unknown,
 }
 
-impl End {
-    /// All, in the order of tables.
+impl Outcome {
+    /// All outcomes, in column order.
     pub const ALL: [Self; 10] = [
         Self::OnTime,
-        Self::LateRead,
-        Self::LateBegin,
-        Self::LateBeside,
-        Self::LatePause,
+        Self::LatePrefill,
+        Self::LateDecode,
+        Self::PausedByPrefill,
+        Self::PausedOther,
         Self::RefusedForecast,
         Self::RefusedOther,
-        Self::Left,
+        Self::Abandoned,
         Self::Failed,
-        Self::Untold,
+        Self::Unknown,
     ];
 
-    /// Its column.
-    pub fn name(self) -> &'static str {
+    /// Column heading in the tables and label in the plot.
+    pub fn column_name(self) -> &'static str {
         match self {
             Self::OnTime => "on time",
-            Self::LateRead => "late: read",
-            Self::LateBegin => "late: begin",
-            Self::LateBeside => "late: beside",
-            Self::LatePause => "late: pause",
+            Self::LatePrefill => "late: read",
+            Self::LateDecode => "late: begin",
+            Self::PausedByPrefill => "late: beside",
+            Self::PausedOther => "late: pause",
             Self::RefusedForecast => "refused",
             Self::RefusedOther => "no room",
-            Self::Left => "left",
+            Self::Abandoned => "left",
             Self::Failed => "failed",
-            Self::Untold => "untold",
+            Self::Unknown => "untold",
         }
     }
 }
 
-/// Step at an engine, with what was expected of it.
+/// A call's step at an engine, with its forecast.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Step {
-    /// Whether it read the prompt for another engine.
-    pub reads: bool,
-    /// Milliseconds until it began to answer.
-    pub took: f64,
-    /// Milliseconds that were expected.
-    pub expected: f64,
+    /// Whether it is the prefill for another engine.
+    pub is_prefill: bool,
+    /// Time until the engine began to answer.
+    pub actual_ms: f64,
+    /// Forecast of that time.
+    pub expected_ms: f64,
 }
 
-/// What is known of a call.
+/// What the log lines read so far say of a call.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// The instance that its caller reached.
+    /// The instance that received the call.
     pub instance: Option<String>,
-    /// When its first line was written.
-    pub at: Option<Duration>,
-    /// Its route, where a line names it.
+    /// Time of its earliest line.
+    pub first_logged_at: Option<Duration>,
+    /// Its route, if a line has it.
     pub route: Option<String>,
-    /// Its steps.
+    /// Steps at engines that have begun.
     pub steps: Vec<Step>,
-    end: Option<End>,
-    target: f64,
+    outcome: Option<Outcome>,
+    target_ms: f64,
 }
 
-/// Share of a pause's allowance that reading beside a stream must have taken to be named as its cause.
-const MOSTLY: f64 = 0.5;
+/// Share of the longest allowed pause that concurrent prefill must have taken to count as the cause
+/// of a pause.
+const PREFILL_SHARE_OF_PAUSE: f64 = 0.5;
 
 impl Call {
-    /// Takes a line of the call in.
-    pub fn add(&mut self, line: &Line) {
-        self.at = Some(self.at.map_or(line.at, |at| at.min(line.at)));
+    /// Adds a line of the call.
+    pub fn add_line(&mut self, line: &Line) {
+        self.first_logged_at = Some(
+            self.first_logged_at
+                .map_or(line.logged_at, |at| at.min(line.logged_at)),
+        );
         if let Some(route) = line.field("route") {
             self.route = Some(route.to_owned());
         }
-        self.target = line.millis("target_ms").unwrap_or(self.target);
-        match line.says {
-            "engine began" => self.steps.extend(step(line)),
-            "streamed" => self.end = Some(self.streamed(line)),
-            "answered" => self.end = Some(answered(line)),
-            "refused" => self.end = Some(refused(line)),
-            "answered at once" => self.end = Some(End::RefusedOther),
-            "stream broken off" => self.end = Some(broken(line)),
-            "out of time" | "the caller left" => self.end = Some(End::Left),
-            "failed" | "failed, may have run" => self.end = Some(End::Failed),
+        self.target_ms = line.millis("target_ms").unwrap_or(self.target_ms);
+        match line.message {
+            "engine began" => self.steps.extend(parse_step(line)),
+            "streamed" => self.outcome = Some(self.stream_outcome(line)),
+            "answered" => self.outcome = Some(answer_outcome(line)),
+            "refused" => self.outcome = Some(refusal_outcome(line)),
+            "answered at once" => self.outcome = Some(Outcome::RefusedOther),
+            "stream broken off" => self.outcome = Some(broken_stream_outcome(line)),
+            "out of time" | "the caller left" => self.outcome = Some(Outcome::Abandoned),
+            "failed" | "failed, may have run" => self.outcome = Some(Outcome::Failed),
             _ => {}
         }
     }
 
-    /// Whether a line told its end.
+    /// Whether a line with its end was added.
     pub fn has_ended(&self) -> bool {
-        self.end.is_some()
+        self.outcome.is_some()
     }
 
-    /// How it ended.
-    pub fn end(&self) -> End {
-        self.end.unwrap_or(End::Untold)
+    /// How the call ended.
+    pub fn outcome(&self) -> Outcome {
+        self.outcome.unwrap_or(Outcome::Unknown)
     }
 
-    fn streamed(&self, line: &Line) -> End {
+    fn stream_outcome(&self, line: &Line) -> Outcome {
         let value = |name| line.millis(name).unwrap_or_default();
-        if value("first_ms") > self.target {
-            let read = self.steps.iter().filter(|step| step.reads);
-            let read: f64 = read.map(|step| step.took).sum();
-            return if read > self.target / 2.0 {
-                End::LateRead
+        if value("first_ms") > self.target_ms {
+            let prefill = self.steps.iter().filter(|step| step.is_prefill);
+            let prefill_ms: f64 = prefill.map(|step| step.actual_ms).sum();
+            return if prefill_ms > self.target_ms / 2.0 {
+                Outcome::LatePrefill
             } else {
-                End::LateBegin
+                Outcome::LateDecode
             };
         }
-        let most = value("most_gap_ms");
-        if most == 0.0 || value("gap_ms") <= most {
-            return End::OnTime;
+        let allowed_ms = value("most_gap_ms");
+        if allowed_ms == 0.0 || value("gap_ms") <= allowed_ms {
+            return Outcome::OnTime;
         }
-        if value("beside_ms") > most * MOSTLY {
-            End::LateBeside
+        if value("beside_ms") > allowed_ms * PREFILL_SHARE_OF_PAUSE {
+            Outcome::PausedByPrefill
         } else {
-            End::LatePause
+            Outcome::PausedOther
         }
     }
 }
 
-fn step(line: &Line) -> Option<Step> {
+fn parse_step(line: &Line) -> Option<Step> {
     Some(Step {
-        reads: line.field("step") == Some("read"),
-        took: line.millis("ms")?,
-        expected: line.millis("expected_ms")?,
+        is_prefill: line.field("step") == Some("read"),
+        actual_ms: line.millis("ms")?,
+        expected_ms: line.millis("expected_ms")?,
     })
 }
 
-/// Plain calls name no target in their line, so that those which were answered count as on time.
-fn answered(line: &Line) -> End {
+/// Log lines of plain calls have no target, so that answered ones count as on time.
+fn answer_outcome(line: &Line) -> Outcome {
     match line.millis("status") {
-        Some(status) if status < 500.0 => End::OnTime,
-        _ => End::Failed,
+        Some(status) if status < 500.0 => Outcome::OnTime,
+        _ => Outcome::Failed,
     }
 }
 
-fn refused(line: &Line) -> End {
+fn refusal_outcome(line: &Line) -> Outcome {
     if line.millis("expected_ms").unwrap_or_default() > 0.0 {
-        End::RefusedForecast
+        Outcome::RefusedForecast
     } else {
-        End::RefusedOther
+        Outcome::RefusedOther
     }
 }
 
-fn broken(line: &Line) -> End {
-    match line.last("why") {
-        Some("out of time" | "the caller has gone") => End::Left,
-        Some(_) | None => End::Failed,
+fn broken_stream_outcome(line: &Line) -> Outcome {
+    match line.last_field("why") {
+        Some("out of time" | "the caller has gone") => Outcome::Abandoned,
+        Some(_) | None => Outcome::Failed,
     }
 }
--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -1,7 +1,7 @@
-//! An account of a stretch of time from the logs of all gateway instances: how many calls of each route were on time,
-//! late and why, refused or failed, by second, and how far forecasts were off. It stands behind the daemons and reads
-//! what they write ([`line`]); [`call`] puts a call's lines together, [`tally`] counts, [`text`] and [`plot`] show.
-//! See `docs/OPERATIONS.md`.
+//! Summarises the logs of all gateway instances: how many calls of each route were on time, late
+//! and why, refused or failed, by second, and the error of the forecasts. It works offline on the
+//! log lines of the gateways ([`line`]); [`call`] groups the lines of a call, [`tally`] counts
+//! calls, [`text`] and [`plot`] format the counts. See `docs/OPERATIONS.md`.
 
 pub mod call;
 pub mod line;
--- a/crates/account/src/line.rs
+++ b/crates/account/src/line.rs
@@ -1,44 +1,44 @@
-//! One line of a gateway's log.
+//! Parser for one line of a gateway's log.
 
 use std::time::Duration;
 
-/// A line: when it was written, what it says and its fields.
+/// A log line: its time, message and fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line<'a> {
     /// Time of day.
-    pub at: Duration,
-    /// What stands before the line, where several logs are in one file: the instance that wrote it.
+    pub logged_at: Duration,
+    /// The instance that wrote the line, from the prefix that a file with several logs has.
     pub writer: Option<&'a str>,
-    /// Text before the fields, with the module that wrote it.
-    pub says: &'a str,
+    /// Text between the bracket and the first field.
+    pub message: &'a str,
     fields: &'a str,
 }
 
 impl<'a> Line<'a> {
-    /// Reads a line as `env_logger` writes it; what stands before its bracket does not matter. Gives none for other
-    /// text.
-    pub fn read(text: &'a str) -> Option<Self> {
+    /// Parses a line in the format of `env_logger`, with any prefix before its bracket. Returns
+    /// `None` for other text.
+    pub fn parse(text: &'a str) -> Option<Self> {
         let (head, rest) = text.split_once("] ")?;
         let (before, head) = head.rsplit_once('[')?;
         let time = head.split(' ').next()?;
         let first = rest.find('=')?;
         let start = rest[..first].rfind(' ')?;
         Some(Self {
-            at: time_of_day(time)?,
+            logged_at: time_of_day(time)?,
             writer: before.split_whitespace().next_back(),
-            says: &rest[..start],
+            message: &rest[..start],
             fields: &rest[start + 1..],
         })
     }
 
-    /// The value of a field. One with spaces in it ends at the first.
+    /// The value of a field, up to its first space.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         let mut words = self.fields.split(' ');
         words.find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// The value of a line's last field, with its spaces.
-    pub fn last(&self, name: &str) -> Option<&'a str> {
+    /// The value of the line's last field, including spaces.
+    pub fn last_field(&self, name: &str) -> Option<&'a str> {
         let at = self.fields.rfind(&format!("{name}="))?;
         Some(self.fields[at + name.len() + 1..].trim())
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// `2026-07-13T01:15:44.900Z`, without the day: an account is of minutes.
+/// Parses `2026-07-13T01:15:44.900Z` and drops the date, since a summary covers minutes.
 fn time_of_day(text: &str) -> Option<Duration> {
     let (_, time) = text.strip_suffix('Z')?.split_once('T')?;
     let mut parts = time.split(':');
--- a/crates/account/src/main.rs
+++ b/crates/account/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the account; see the library.
+//! Command line of the log summary; see the library.
 
 use std::fs::File;
 use std::io::BufReader;
@@ -9,14 +9,15 @@
 use account::{plot, text};
 use clap::Parser;
 
-/// Says from the logs of all instances how calls ended, by route and second, and how far forecasts were off.
+/// Summarises from the logs of all instances how calls ended, by route and second, and the error of
+/// the forecasts.
 #[derive(Debug, Parser)]
 #[command(name = "tarragon-account", version)]
 struct Command {
-    /// Log files, one an instance or several in one.
+    /// Log files, each of one instance or of several.
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// Draws the seconds into an SVG file.
+    /// Plots the calls of each second to this SVG file.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
@@ -25,8 +26,8 @@
     let command = Command::parse();
     let mut account = Account::default();
     for file in &command.logs {
-        let read = File::open(file).and_then(|log| account.add(BufReader::new(log)));
-        if let Err(error) = read {
+        let result = File::open(file).and_then(|log| account.add_log(BufReader::new(log)));
+        if let Err(error) = result {
             eprintln!("{} cannot be read: {error}", file.display());
             return ExitCode::FAILURE;
         }
--- a/crates/account/src/tally.rs
+++ b/crates/account/src/tally.rs
@@ -1,195 +1,201 @@
-//! Counts of calls, by route and by second.
+//! Counts of calls by outcome, per route, instance, data centre, link rate and second.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead};
 use std::time::Duration;
 
-use crate::call::{Call, End};
+use crate::call::{Call, Outcome};
 use crate::line::Line;
 
-/// Calls by how they ended.
-pub type Ends = BTreeMap<End, u32>;
+/// Number of calls of each outcome.
+pub type OutcomeCounts = BTreeMap<Outcome, u32>;
 
-/// How far forecasts of one kind of step were off, in milliseconds.
+/// Totals of the forecasts for one kind of step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Forecast {
-    /// Steps.
+pub struct ForecastTotals {
+    /// Number of steps.
     pub count: u32,
-    /// Sum of what was expected.
-    pub expected: f64,
-    /// Sum of what they took.
-    pub took: f64,
-    /// Sum of the differences, whichever is larger.
-    pub off: f64,
+    /// Sum of the forecast times.
+    pub expected_ms: f64,
+    /// Sum of the actual times.
+    pub actual_ms: f64,
+    /// Sum of the absolute differences.
+    pub error_ms: f64,
 }
 
-/// An account.
+/// Summary of one or several logs.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    /// By route.
-    pub routes: BTreeMap<String, Ends>,
-    /// By data centre of the instance: its name without the number at its end.
-    pub places: BTreeMap<String, Ends>,
-    /// By rate of the instance's link, which tells its kind of machine.
-    pub links: BTreeMap<String, Ends>,
-    /// By instance.
-    pub instances: BTreeMap<String, Ends>,
-    /// By second of the day.
-    pub seconds: BTreeMap<u64, Ends>,
-    /// Of prompts read for another engine.
-    pub reads: Forecast,
-    /// Of engines that generate, up to their first event.
-    pub begins: Forecast,
-    /// Lines that the logs say were dropped.
-    pub dropped: u64,
+    /// Calls by route.
+    pub routes: BTreeMap<String, OutcomeCounts>,
+    /// Calls by data centre of the instance, which is its name without the number at the end.
+    pub data_centres: BTreeMap<String, OutcomeCounts>,
+    /// Calls by rate of the instance's link, which identifies its kind of machine.
+    pub links: BTreeMap<String, OutcomeCounts>,
+    /// Calls by instance.
+    pub instances: BTreeMap<String, OutcomeCounts>,
+    /// Calls by second of the day.
+    pub seconds: BTreeMap<u64, OutcomeCounts>,
+    /// Forecasts of prefill for another engine.
+    pub prefill: ForecastTotals,
+    /// Forecasts of the time to the first event from a decode engine.
+    pub first_events: ForecastTotals,
+    /// Lines that the logs report as dropped.
+    pub dropped_lines: u64,
 }
 
-/// Time after a call's first line from which no other is waited for. Callers wait for some seconds; without this, calls whose instance ended
-/// would stay in memory to the end of a log of all instances.
-const OVER: Duration = Duration::from_secs(120);
-/// Lines between two looks for such calls.
-const LOOK: usize = 100_000;
+/// Time after a call's first line when it is counted without an end. Callers wait for some seconds;
+/// without this, calls whose instance exited would stay in memory to the end of a log of all
+/// instances.
+const CALL_EXPIRY: Duration = Duration::from_secs(120);
+/// Number of lines between two checks for expired calls.
+const EXPIRY_CHECK_LINES: usize = 100_000;
 
-/// What is kept while a log is read: calls that have not ended, and what is known of instances.
+/// State while a log is read.
 #[derive(Debug, Default)]
-struct Reading {
-    calls: HashMap<String, Call>,
+struct LogState {
+    open_calls: HashMap<String, Call>,
     links: HashMap<String, String>,
-    /// In a log of one instance its first line names it.
-    own: Option<String>,
+    /// The instance of a log of one instance, which its first line names.
+    log_instance: Option<String>,
 }
 
 impl Account {
-    /// Makes an account of logs.
+    /// Summarises logs.
     ///
     /// # Errors
     ///
-    /// If one cannot be read.
+    /// If a log cannot be read.
     pub fn new<R: BufRead>(logs: impl IntoIterator<Item = R>) -> io::Result<Self> {
         let mut account = Self::default();
         for log in logs {
-            account.add(log)?;
+            account.add_log(log)?;
         }
         Ok(account)
     }
 
-    /// Takes a log in, of one instance or of several, line by line.
+    /// Adds a log of one or several instances.
     ///
-    /// The logs of hundreds of instances are larger than the memory of whoever reads them; what is kept of one are its calls
-    /// that have not ended.
+    /// The logs of hundreds of instances may exceed memory, so a log is read line by line and only
+    /// its calls that have not ended are kept.
     ///
     /// # Errors
     ///
-    /// If it cannot be read.
-    pub fn add(&mut self, mut log: impl BufRead) -> io::Result<()> {
-        let mut reading = Reading::default();
+    /// If the log cannot be read.
+    pub fn add_log(&mut self, mut log: impl BufRead) -> io::Result<()> {
+        let mut state = LogState::default();
         let mut bytes = Vec::new();
         let mut lines = 0;
         while log.read_until(b'\n', &mut bytes)? > 0 {
-            // An instance that is killed may leave half a character.
+            // A killed instance may leave an incomplete UTF-8 sequence.
             let text = String::from_utf8_lossy(&bytes);
-            let at = self.line(&mut reading, text.trim_end());
+            let at = self.add_line(&mut state, text.trim_end());
             lines += 1;
-            if let Some(at) = at.filter(|_| lines % LOOK == 0) {
-                self.count_old(&mut reading, at);
+            if let Some(at) = at.filter(|_| lines % EXPIRY_CHECK_LINES == 0) {
+                self.count_expired(&mut state, at);
             }
             bytes.clear();
         }
-        for call in std::mem::take(&mut reading.calls).into_values() {
-            self.count(&call, &reading.links);
+        for call in std::mem::take(&mut state.open_calls).into_values() {
+            self.count_call(&call, &state.links);
         }
         Ok(())
     }
 
-    /// Takes a line in. Gives when it was written.
-    fn line(&mut self, reading: &mut Reading, text: &str) -> Option<Duration> {
-        let Some(line) = Line::read(text) else {
-            self.dropped += dropped(text);
+    /// Adds a line and returns its time.
+    fn add_line(&mut self, state: &mut LogState, text: &str) -> Option<Duration> {
+        let Some(line) = Line::parse(text) else {
+            self.dropped_lines += dropped_count(text);
             return None;
         };
-        if line.says == "log lines were dropped" {
-            self.dropped += dropped(text);
+        if line.message == "log lines were dropped" {
+            self.dropped_lines += dropped_count(text);
         }
-        if let Some(own) = line.field("instance") {
-            reading.own = Some(own.to_owned());
+        if let Some(instance) = line.field("instance") {
+            state.log_instance = Some(instance.to_owned());
         }
-        let writer = line.writer.or(reading.own.as_deref());
+        let writer = line.writer.or(state.log_instance.as_deref());
         if let Some(link) = line.field("link_mbps") {
             let writer = writer.unwrap_or_default().to_owned();
-            reading.links.insert(writer, link.to_owned());
+            state.links.insert(writer, link.to_owned());
         }
-        let id = line.field("id").filter(|_| is_call(&line));
-        let Some(id) = id.filter(|id| ends(&line) || is_known(reading, id, &line)) else {
-            return Some(line.at);
+        let id = line.field("id").filter(|_| concerns_call(&line));
+        let Some(id) = id.filter(|id| ends_call(&line) || belongs_to_open_call(state, id, &line))
+        else {
+            return Some(line.logged_at);
         };
-        let call = reading.calls.entry(id.to_owned()).or_default();
-        call.add(&line);
+        let call = state.open_calls.entry(id.to_owned()).or_default();
+        call.add_line(&line);
         if call.instance.is_none() {
             call.instance = writer.map(str::to_owned);
         }
         if call.has_ended()
-            && let Some(call) = reading.calls.remove(id)
+            && let Some(call) = state.open_calls.remove(id)
         {
-            self.count(&call, &reading.links);
+            self.count_call(&call, &state.links);
         }
-        Some(line.at)
+        Some(line.logged_at)
     }
 
-    fn count_old(&mut self, reading: &mut Reading, now: Duration) {
-        let is_old = |call: &Call| call.at.is_some_and(|at| now.saturating_sub(at) > OVER);
-        let old = reading.calls.extract_if(|_, call| is_old(call));
-        let old: Vec<(String, Call)> = old.collect();
-        for (_, call) in old {
-            self.count(&call, &reading.links);
+    fn count_expired(&mut self, state: &mut LogState, now: Duration) {
+        let is_expired = |call: &Call| {
+            call.first_logged_at
+                .is_some_and(|at| now.saturating_sub(at) > CALL_EXPIRY)
+        };
+        let expired = state.open_calls.extract_if(|_, call| is_expired(call));
+        let expired: Vec<(String, Call)> = expired.collect();
+        for (_, call) in expired {
+            self.count_call(&call, &state.links);
         }
     }
 
-    fn count(&mut self, call: &Call, links: &HashMap<String, String>) {
-        let end = call.end();
+    fn count_call(&mut self, call: &Call, links: &HashMap<String, String>) {
+        let outcome = call.outcome();
         let route = call
             .route
             .clone()
             .unwrap_or_else(|| "(no route)".to_owned());
-        note(&mut self.routes, route, end);
+        increment(&mut self.routes, route, outcome);
         let instance = call.instance.as_deref().unwrap_or("(no instance)");
-        note(&mut self.instances, instance.to_owned(), end);
-        let place = instance.trim_end_matches(|c: char| c.is_ascii_digit());
-        let place = place.trim_end_matches('-').to_owned();
-        note(&mut self.places, place, end);
+        increment(&mut self.instances, instance.to_owned(), outcome);
+        let data_centre = instance.trim_end_matches(|c: char| c.is_ascii_digit());
+        let data_centre = data_centre.trim_end_matches('-').to_owned();
+        increment(&mut self.data_centres, data_centre, outcome);
         let link = links.get(instance).map_or("(no rate)", String::as_str);
-        note(&mut self.links, link.to_owned(), end);
-        let second = call.at.map_or(0, |at| at.as_secs());
-        note(&mut self.seconds, second, end);
+        increment(&mut self.links, link.to_owned(), outcome);
+        let second = call.first_logged_at.map_or(0, |at| at.as_secs());
+        increment(&mut self.seconds, second, outcome);
         for step in &call.steps {
-            let forecast = if step.reads {
-                &mut self.reads
+            let forecast = if step.is_prefill {
+                &mut self.prefill
             } else {
-                &mut self.begins
+                &mut self.first_events
             };
             forecast.count += 1;
-            forecast.expected += step.expected;
-            forecast.took += step.took;
-            forecast.off += (step.expected - step.took).abs();
+            forecast.expected_ms += step.expected_ms;
+            forecast.actual_ms += step.actual_ms;
+            forecast.error_ms += (step.expected_ms - step.actual_ms).abs();
         }
     }
 
-    /// Calls by second after the first one.
-    pub fn by_second(&self) -> impl Iterator<Item = (u64, &Ends)> {
+    /// Calls by second, counted from the first second with a call.
+    pub fn by_second(&self) -> impl Iterator<Item = (u64, &OutcomeCounts)> {
         let first = self.seconds.keys().next().copied().unwrap_or_default();
         self.seconds
             .iter()
-            .map(move |(second, ends)| (second - first, ends))
+            .map(move |(second, counts)| (second - first, counts))
     }
 
-    /// The tenth of the instances, one at least, whose calls were on time least often, the worst first.
-    pub fn slowest(&self) -> Vec<(&str, &Ends)> {
-        let share = |ends: &Ends| {
-            let on_time = ends.get(&End::OnTime).copied().unwrap_or_default();
-            f64::from(on_time) / f64::from(ends.values().sum::<u32>().max(1))
+    /// The tenth of the instances, at least one, with the smallest share of calls on time, worst
+    /// first.
+    pub fn slowest(&self) -> Vec<(&str, &OutcomeCounts)> {
+        let share = |counts: &OutcomeCounts| {
+            let on_time = counts.get(&Outcome::OnTime).copied().unwrap_or_default();
+            f64::from(on_time) / f64::from(counts.values().sum::<u32>().max(1))
         };
         let instances = self.instances.iter();
-        let mut instances: Vec<(&str, &Ends)> = instances
-            .map(|(name, ends)| (name.as_str(), ends))
+        let mut instances: Vec<(&str, &OutcomeCounts)> = instances
+            .map(|(name, counts)| (name.as_str(), counts))
             .collect();
         instances.sort_by(|(_, a), (_, b)| share(a).total_cmp(&share(b)));
         instances.truncate(self.instances.len().div_ceil(10));
@@ -197,28 +203,29 @@
     }
 }
 
-/// Whether a line tells of a call that is under way. What is written of one that has ended, like the end of its engine, begins none.
-fn is_known(reading: &Reading, id: &str, line: &Line) -> bool {
-    reading.calls.contains_key(id) || matches!(line.says, "sent" | "engine began")
+/// Whether a line belongs to a call that has not ended. Lines that follow the end of a call, such
+/// as the one for the end of its engine, must not open it again.
+fn belongs_to_open_call(state: &LogState, id: &str, line: &Line) -> bool {
+    state.open_calls.contains_key(id) || matches!(line.message, "sent" | "engine began")
 }
 
-/// Whether a line tells the end of a call.
-fn ends(line: &Line) -> bool {
+/// Whether a line ends a call.
+fn ends_call(line: &Line) -> bool {
     let mut call = Call::default();
-    call.add(line);
+    call.add_line(line);
     call.has_ended()
 }
 
-/// Whether a line is of a call: what no route matches is none.
-fn is_call(line: &Line) -> bool {
-    line.says != "answered at once" || line.field("status") == Some("503")
+/// Whether a line concerns a call; a request that matches no route does not count as one.
+fn concerns_call(line: &Line) -> bool {
+    line.message != "answered at once" || line.field("status") == Some("503")
 }
 
-fn note<K: Ord>(ends: &mut BTreeMap<K, Ends>, key: K, end: End) {
-    *ends.entry(key).or_default().entry(end).or_default() += 1;
+fn increment<K: Ord>(counts: &mut BTreeMap<K, OutcomeCounts>, key: K, outcome: Outcome) {
+    *counts.entry(key).or_default().entry(outcome).or_default() += 1;
 }
 
-fn dropped(text: &str) -> u64 {
+fn dropped_count(text: &str) -> u64 {
     let (_, count) = text.rsplit_once("count=").unwrap_or_default();
     if text.contains("log lines were dropped") {
         count.trim().parse().unwrap_or_default()
--- a/crates/account/src/text.rs
+++ b/crates/account/src/text.rs
@@ -1,77 +1,83 @@
-//! An account as a table for people.
+//! Formats a summary as text tables.
 
-use crate::call::End;
-use crate::tally::{Account, Ends, Forecast};
+use crate::call::Outcome;
+use crate::tally::{Account, ForecastTotals, OutcomeCounts};
 
-/// Width of the first column.
-const FIRST: usize = 24;
-/// Width of the others.
-const OTHER: usize = 13;
+/// Width of the first column, in characters.
+const FIRST_COLUMN_WIDTH: usize = 24;
+/// Width of the other columns, in characters.
+const COLUMN_WIDTH: usize = 13;
 
-/// The account's tables.
+/// Formats all tables of a summary.
 pub fn tables(account: &Account) -> String {
-    let mut text = head("route");
-    for (route, ends) in &account.routes {
-        text.push_str(&row(route, ends));
+    let mut text = header_row("route");
+    for (route, counts) in &account.routes {
+        text.push_str(&row(route, counts));
     }
     for (name, table) in [
-        ("data centre", &account.places),
+        ("data centre", &account.data_centres),
         ("link, Mbit/s", &account.links),
     ] {
         text.push('\n');
-        text.push_str(&head(name));
-        for (key, ends) in table {
-            text.push_str(&row(key, ends));
+        text.push_str(&header_row(name));
+        for (key, counts) in table {
+            text.push_str(&row(key, counts));
         }
     }
     text.push('\n');
-    text.push_str(&head("second"));
-    for (second, ends) in account.by_second() {
-        text.push_str(&row(&second.to_string(), ends));
+    text.push_str(&header_row("second"));
+    for (second, counts) in account.by_second() {
+        text.push_str(&row(&second.to_string(), counts));
     }
     text.push('\n');
-    text.push_str(&head("slowest tenth"));
-    for (instance, ends) in account.slowest() {
-        text.push_str(&row(instance, ends));
+    text.push_str(&header_row("slowest tenth"));
+    for (instance, counts) in account.slowest() {
+        text.push_str(&row(instance, counts));
     }
     text.push('\n');
-    text.push_str(&forecast("prompts read for another engine", &account.reads));
-    text.push_str(&forecast("first events", &account.begins));
-    if account.dropped > 0 {
+    text.push_str(&forecast_line(
+        "prompts read for another engine",
+        &account.prefill,
+    ));
+    text.push_str(&forecast_line("first events", &account.first_events));
+    if account.dropped_lines > 0 {
         text.push_str(&format!(
             "{} lines were dropped; some calls may be untold\n",
-            account.dropped
+            account.dropped_lines
         ));
     }
     text
 }
 
-fn head(first: &str) -> String {
-    let mut text = format!("{first:FIRST$}{:>OTHER$}", "calls");
-    for end in End::ALL {
-        text.push_str(&format!("{:>OTHER$}", end.name()));
+fn header_row(first: &str) -> String {
+    let mut text = format!("{first:FIRST_COLUMN_WIDTH$}{:>COLUMN_WIDTH$}", "calls");
+    for outcome in Outcome::ALL {
+        text.push_str(&format!("{:>COLUMN_WIDTH$}", outcome.column_name()));
     }
     text.push('\n');
     text
 }
 
-fn row(first: &str, ends: &Ends) -> String {
-    let mut text = format!("{first:FIRST$}{:>OTHER$}", ends.values().sum::<u32>());
-    for end in End::ALL {
-        let count = ends.get(&end).copied().unwrap_or_default();
-        text.push_str(&format!("{count:>OTHER$}"));
+fn row(first: &str, counts: &OutcomeCounts) -> String {
+    let mut text = format!(
+        "{first:FIRST_COLUMN_WIDTH$}{:>COLUMN_WIDTH$}",
+        counts.values().sum::<u32>()
+    );
+    for outcome in Outcome::ALL {
+        let count = counts.get(&outcome).copied().unwrap_or_default();
+        text.push_str(&format!("{count:>COLUMN_WIDTH$}"));
     }
     text.push('\n');
     text
 }
 
-fn forecast(what: &str, forecast: &Forecast) -> String {
+fn forecast_line(label: &str, forecast: &ForecastTotals) -> String {
     let count = f64::from(forecast.count.max(1));
     format!(
-        "{what}: {}, expected {:.0} ms, took {:.0} ms, off by {:.0} ms in the mean\n",
+        "{label}: {}, expected {:.0} ms, took {:.0} ms, off by {:.0} ms in the mean\n",
         forecast.count,
-        forecast.expected / count,
-        forecast.took / count,
-        forecast.off / count
+        forecast.expected_ms / count,
+        forecast.actual_ms / count,
+        forecast.error_ms / count
     )
 }
--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -1,10 +1,10 @@
-//! Accounts of logs.
+//! Summaries of logs.
 
-use account::call::End;
+use account::call::Outcome;
 use account::tally::Account;
 use account::{plot, text};
 
-/// A line at a second of the same minute.
+/// A log line at the given second of a fixed minute.
 fn line(second: f64, text: &str) -> String {
     format!("[2026-07-13T01:15:{second:06.3}Z INFO  gateway::generate] {text}\n")
 }
@@ -60,43 +60,49 @@
 }
 
 #[test]
-fn calls_are_counted_by_how_they_ended_and_why() {
+fn calls_are_counted_by_outcome() {
     let log = log();
     let account = account([log.as_str()]);
-    let count = |route: &str, end: End| account.routes[route].get(&end).copied().unwrap_or(0);
-    assert_eq!(count("long", End::OnTime), 1);
-    assert_eq!(count("long", End::LateRead), 1);
-    assert_eq!(count("long", End::RefusedForecast), 1);
-    assert_eq!(count("long", End::RefusedOther), 1);
-    assert_eq!(count("chat", End::LateBeside), 1);
-    assert_eq!(count("chat", End::LatePause), 1);
-    assert_eq!(count("chat", End::Left), 1);
-    assert_eq!(count("chat", End::Failed), 1);
-    assert_eq!(count("plain", End::OnTime), 1);
-    assert_eq!(count("plain", End::Failed), 1);
-    assert_eq!(count("plain", End::Left), 1);
-    assert_eq!(count("(no route)", End::Untold), 1);
+    let count = |route: &str, end: Outcome| account.routes[route].get(&end).copied().unwrap_or(0);
+    assert_eq!(count("long", Outcome::OnTime), 1);
+    assert_eq!(count("long", Outcome::LatePrefill), 1);
+    assert_eq!(count("long", Outcome::RefusedForecast), 1);
+    assert_eq!(count("long", Outcome::RefusedOther), 1);
+    assert_eq!(count("chat", Outcome::PausedByPrefill), 1);
+    assert_eq!(count("chat", Outcome::PausedOther), 1);
+    assert_eq!(count("chat", Outcome::Abandoned), 1);
+    assert_eq!(count("chat", Outcome::Failed), 1);
+    assert_eq!(count("plain", Outcome::OnTime), 1);
+    assert_eq!(count("plain", Outcome::Failed), 1);
+    assert_eq!(count("plain", Outcome::Abandoned), 1);
+    assert_eq!(count("(no route)", Outcome::Unknown), 1);
     let seconds: Vec<u32> = account
         .seconds
         .values()
-        .map(|ends| ends.values().sum())
+        .map(|counts| counts.values().sum())
         .collect();
     assert_eq!(seconds, [1, 5, 6]);
 }
 
 #[test]
-fn forecasts_are_held_against_what_came() {
+fn forecasts_are_compared_with_actual_times() {
     let log = log();
-    let reads = account([log.as_str()]).reads;
+    let reads = account([log.as_str()]).prefill;
     assert_eq!(
-        (reads.count, reads.expected, reads.took, reads.off),
+        (
+            reads.count,
+            reads.expected_ms,
+            reads.actual_ms,
+            reads.error_ms
+        ),
         (2, 440.0, 950.0, 510.0)
     );
 }
 
-/// Symptom: calls look untold although their instances live. Cause: lines were dropped, and the account did not say so.
+/// Calls had an unknown outcome although their instances ran, because the summary did not report
+/// dropped lines.
 #[test]
-fn dropped_lines_are_said() {
+fn dropped_lines_are_reported() {
     let log = [
         log().as_str(),
         "log lines were dropped count=7\n",
@@ -104,12 +110,12 @@
     ]
     .concat();
     let account = account([log.as_str()]);
-    assert_eq!(account.dropped, 12);
+    assert_eq!(account.dropped_lines, 12);
     assert!(text::tables(&account).contains("12 lines were dropped"));
 }
 
 #[test]
-fn what_is_no_log_gives_an_empty_account() {
+fn text_that_is_not_a_log_gives_an_empty_account() {
     let account = account([
         "",
         "nothing\n[x] y=1\n[2026-07-13T99 I a] b c=1",
@@ -120,7 +126,7 @@
 }
 
 #[test]
-fn seconds_are_drawn() {
+fn plot_is_written_as_svg() {
     let log = log();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("a.svg");
@@ -155,14 +161,14 @@
             "answered at once id=x status=404 after_ms=0 why=No route matches.",
         );
     let account = account([first.as_str(), &second, &third]);
-    let count = |table: &std::collections::BTreeMap<String, account::tally::Ends>| {
+    let count = |table: &std::collections::BTreeMap<String, account::tally::OutcomeCounts>| {
         let counts = table
             .iter()
-            .map(|(key, ends)| (key.clone(), ends.values().sum()));
+            .map(|(key, counts)| (key.clone(), counts.values().sum()));
         counts.collect::<Vec<(String, u32)>>()
     };
     assert_eq!(
-        count(&account.places),
+        count(&account.data_centres),
         [("front-ate".to_owned(), 3), ("front-surco".to_owned(), 1)]
     );
     assert_eq!(
@@ -171,8 +177,8 @@
     );
 }
 
-/// Lines of one instance, of which some calls are on time and the rest fail.
-fn instance(name: &str, on_time: u32, failed: u32) -> String {
+/// Log of one instance with some calls on time and some failed.
+fn instance_log(name: &str, on_time: u32, failed: u32) -> String {
     let mut log = line(0.5, &format!("started instance={name} link_mbps=20"));
     for call in 0..on_time + failed {
         let status = if call < on_time { 200 } else { 500 };
@@ -183,11 +189,11 @@
 }
 
 #[test]
-fn the_slowest_tenth_of_instances_is_named() {
+fn slowest_tenth_of_instances_is_listed() {
     let names: Vec<String> = (0..20).map(|number| format!("front-a-{number}")).collect();
     let logs = names.iter().zip(0..);
     let logs: Vec<String> = logs
-        .map(|(name, failed)| instance(name, 40 - failed, failed))
+        .map(|(name, failed)| instance_log(name, 40 - failed, failed))
         .collect();
     let account = account(logs.iter().map(String::as_str));
     assert_eq!(account.instances.len(), 20);
@@ -196,9 +202,10 @@
     assert!(text::tables(&account).contains("front-a-19"));
 }
 
-/// Calls whose instance was killed stayed in memory until all logs were read, those of hundreds of instances at once.
+/// Calls whose instance was killed stayed in memory until all logs were read, those of hundreds of
+/// instances at once.
 #[test]
-fn calls_that_no_line_ends_are_counted_where_their_log_ends() {
+fn calls_without_an_end_are_counted_at_the_end_of_their_log() {
     let killed = line(1.0, "sent id=a engine=e")
         + &line(
             1.1,
@@ -206,5 +213,5 @@
         );
     let account = account([killed.as_str(), &log()]);
     assert_eq!(account.instances["(no instance)"].values().sum::<u32>(), 13);
-    assert_eq!(account.routes["(no route)"][&End::Untold], 2);
+    assert_eq!(account.routes["(no route)"][&Outcome::Unknown], 2);
 }
