--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -11,38 +11,38 @@
 use rand::rngs::StdRng;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::history::{Ask, Call, End};
+use crate::cluster::{Cluster, FATAL_PATH, ORGANISATIONS, key};
+use crate::history::{Call, CallOutcome, RequestKind};
 use crate::plan;
-use crate::world::{FATAL, ORGANISATIONS, World, key};
 
 /// Time that a caller waits, as it tells the gateway.
-const DEADLINE: u32 = 3_000;
+const DEADLINE_MS: u32 = 3_000;
 /// A caller leaves after this: the deadline, and what an answer at its end takes on a busy machine.
-const LEAVES: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest pause between two calls of one caller, in milliseconds.
-const PAUSE: u64 = 60;
+const MAX_PAUSE_MS: u64 = 60;
 /// Longest pause between two repeats of the call that ends engines.
-const FATAL_PAUSE: u64 = 300;
+const MAX_FATAL_PAUSE_MS: u64 = 300;
 /// One call in this many bears forged headers, or is left early.
-const ONE_IN: u32 = 12;
+const UNUSUAL_CALL_EVERY: u32 = 12;
 /// One call that is to go on elsewhere in this many bears a key that nobody was given instead.
-const KEYLESS: u64 = 3;
+const KEYLESS_EVERY: u64 = 3;
 /// Largest answer, in bytes.
-const MOST: usize = 1 << 16;
+const MAX_BODY_BYTES: usize = 1 << 16;
 
 const PATIENCE: TcpTimeouts = TcpTimeouts {
     connect: Duration::from_secs(2),
-    acknowledge: LEAVES,
-    probe_interval: LEAVES,
+    acknowledge: CALL_TIMEOUT,
+    probe_interval: CALL_TIMEOUT,
     probe_count: 1,
 };
 
 /// Whether callers go on.
 #[derive(Debug, Default)]
-pub struct Going(Cell<bool>);
+pub struct Running(Cell<bool>);
 
-impl Going {
-    /// Callers that go on until [`Going::stop`].
+impl Running {
+    /// Callers that go on until [`Running::stop`].
     pub fn new() -> Self {
         Self(Cell::new(true))
     }
@@ -55,100 +55,108 @@
 
 /// One caller.
 pub struct Caller {
-    world: Rc<World>,
+    cluster: Rc<Cluster>,
     name: String,
     organisation: &'static str,
-    begun: Instant,
+    started: Instant,
     rng: StdRng,
-    sent: u64,
+    calls_sent: u64,
     /// A kept connection, with its gateway and the start of it.
-    kept: Option<(Client, usize, u32)>,
+    connection: Option<(Client, usize, u32)>,
 }
 
 impl Caller {
     /// A caller whose ids no other run has.
-    pub fn new(world: &Rc<World>, seed: u64, number: u64, begun: Instant) -> Self {
+    pub fn new(world: &Rc<Cluster>, seed: u64, number: u64, started: Instant) -> Self {
         Self {
-            world: world.clone(),
-            name: format!("{:08x}{number:02x}", plan::mark(seed) >> 32),
+            cluster: world.clone(),
+            name: format!("{:08x}{number:02x}", plan::run_id(seed) >> 32),
             organisation: ORGANISATIONS[usize::from(number % 2 == 1)],
-            begun,
-            rng: plan::callers(seed, number),
-            sent: 0,
-            kept: None,
+            started,
+            rng: plan::caller_rng(seed, number),
+            calls_sent: 0,
+            connection: None,
         }
     }
 
     /// Calls until told to stop.
-    pub async fn run(mut self, going: Rc<Going>) {
-        while going.0.get() {
-            let number = self.rng.random_range(0..self.world.instances.len());
-            let ask = self.draw();
+    pub async fn run(mut self, running: Rc<Running>) {
+        while running.0.get() {
+            let number = self.rng.random_range(0..self.cluster.instances.len());
+            let ask = self.draw_kind();
             self.call(number, ask).await;
-            sleep(Duration::from_millis(self.rng.random_range(0..PAUSE))).await;
+            sleep(Duration::from_millis(
+                self.rng.random_range(0..MAX_PAUSE_MS),
+            ))
+            .await;
         }
     }
 
     /// Sends the call that ends engines while its fault lasts.
-    pub async fn repeat_fatal(mut self, going: Rc<Going>) {
-        while going.0.get() {
-            if self.world.is_fatal.get() {
-                let number = self.rng.random_range(0..self.world.instances.len());
-                self.call(number, Ask::Fatal).await;
+    pub async fn repeat_fatal(mut self, running: Rc<Running>) {
+        while running.0.get() {
+            if self.cluster.sends_fatal.get() {
+                let number = self.rng.random_range(0..self.cluster.instances.len());
+                self.call(number, RequestKind::Fatal).await;
             }
-            sleep(Duration::from_millis(self.rng.random_range(0..FATAL_PAUSE))).await;
+            sleep(Duration::from_millis(
+                self.rng.random_range(0..MAX_FATAL_PAUSE_MS),
+            ))
+            .await;
         }
     }
 
-    fn draw(&mut self) -> Ask {
+    fn draw_kind(&mut self) -> RequestKind {
         match self.rng.random_range(0..10) {
-            0..=2 => Ask::Once,
-            3 | 4 => Ask::Safe,
-            5..=7 => Ask::Stream,
-            8 if self.sent.is_multiple_of(KEYLESS) => Ask::Keyless,
-            8 => Ask::Resume,
-            _ => Ask::Added(self.rng.random_range(1..=self.world.version())),
+            0..=2 => RequestKind::Once,
+            3 | 4 => RequestKind::Safe,
+            5..=7 => RequestKind::Stream,
+            8 if self.calls_sent.is_multiple_of(KEYLESS_EVERY) => RequestKind::Keyless,
+            8 => RequestKind::Resume,
+            _ => RequestKind::Added(self.rng.random_range(1..=self.cluster.version())),
         }
     }
 
     /// Sends one call and notes what came of it.
-    pub async fn call(&mut self, number: usize, ask: Ask) -> End {
-        self.sent += 1;
-        let id = format!("{}{:06x}", self.name, self.sent);
-        let sent = self.begun.elapsed();
+    pub async fn call(&mut self, number: usize, ask: RequestKind) -> CallOutcome {
+        self.calls_sent += 1;
+        let id = format!("{}{:06x}", self.name, self.calls_sent);
+        let sent = self.started.elapsed();
         // The connection's own gateway is called while it lasts.
-        let (client, gateway, start) = match self.open(number).await {
+        let (client, gateway, start) = match self.connect(number).await {
             Ok(open) => open,
             Err(start) => {
-                self.note(id, ask, number, start, sent, End::NotConnected);
-                return End::NotConnected;
+                self.record(id, ask, number, start, sent, CallOutcome::NotConnected);
+                return CallOutcome::NotConnected;
             }
         };
-        let leaves = if self.rng.random_ratio(1, ONE_IN) {
+        let time_limit = if self.rng.random_ratio(1, UNUSUAL_CALL_EVERY) {
             Duration::from_millis(self.rng.random_range(1..30))
         } else {
-            LEAVES
+            CALL_TIMEOUT
         };
-        let forged = self.rng.random_ratio(1, ONE_IN);
-        let asking = exchange(client, ask, &id, self.organisation, forged);
-        let (end, client) = timeout(leaves, asking).await.unwrap_or((End::Left, None));
-        self.kept = client.map(|client| (client, gateway, start));
-        self.note(id, ask, gateway, start, sent, end.clone());
+        let forged = self.rng.random_ratio(1, UNUSUAL_CALL_EVERY);
+        let response = exchange(client, ask, &id, self.organisation, forged);
+        let (end, client) = timeout(time_limit, response)
+            .await
+            .unwrap_or((CallOutcome::Left, None));
+        self.connection = client.map(|client| (client, gateway, start));
+        self.record(id, ask, gateway, start, sent, end.clone());
         end
     }
 
     /// Gives the kept connection up.
-    pub fn forget(&mut self) {
-        self.kept = None;
+    pub fn close_connection(&mut self) {
+        self.connection = None;
     }
 
-    async fn open(&mut self, number: usize) -> Result<(Client, usize, u32), u32> {
-        if let Some((mut client, gateway, start)) = self.kept.take()
+    async fn connect(&mut self, number: usize) -> Result<(Client, usize, u32), u32> {
+        if let Some((mut client, gateway, start)) = self.connection.take()
             && client.is_reusable()
         {
             return Ok((client, gateway, start));
         }
-        let instance = &self.world.instances[number];
+        let instance = &self.cluster.instances[number];
         let start = instance.gateway.borrow().starts;
         let opened = Client::open(instance.callers.address, &PATIENCE, &http1::config()).await;
         opened
@@ -156,42 +164,50 @@
             .map_err(|_| start)
     }
 
-    fn note(&self, id: String, ask: Ask, gateway: usize, start: u32, sent: Duration, end: End) {
-        self.world.history.borrow_mut().calls.push(Call {
+    fn record(
+        &self,
+        id: String,
+        ask: RequestKind,
+        gateway: usize,
+        start: u32,
+        sent: Duration,
+        end: CallOutcome,
+    ) {
+        self.cluster.history.borrow_mut().calls.push(Call {
             id,
-            ask,
+            kind: ask,
             organisation: self.organisation,
             gateway,
-            start,
-            sent,
-            ended: self.begun.elapsed(),
-            end,
+            gateway_start: start,
+            sent_at: sent,
+            ended_at: self.started.elapsed(),
+            outcome: end,
         });
     }
 }
 
-fn path(ask: Ask) -> String {
+fn path(ask: RequestKind) -> String {
     match ask {
-        Ask::Safe | Ask::Keyless => "/safe/x".to_owned(),
-        Ask::Once => "/once/x".to_owned(),
-        Ask::Stream => "/stream/x".to_owned(),
-        Ask::Resume => "/resume/x".to_owned(),
-        Ask::Fatal => FATAL.to_owned(),
-        Ask::Added(version) => format!("/added-{version}/x"),
+        RequestKind::Safe | RequestKind::Keyless => "/safe/x".to_owned(),
+        RequestKind::Once => "/once/x".to_owned(),
+        RequestKind::Stream => "/stream/x".to_owned(),
+        RequestKind::Resume => "/resume/x".to_owned(),
+        RequestKind::Fatal => FATAL_PATH.to_owned(),
+        RequestKind::Added(version) => format!("/added-{version}/x"),
     }
 }
 
 /// Sends a call and reads its answer. Gives the connection back where it can be used on.
 async fn exchange(
     mut client: Client,
-    ask: Ask,
+    ask: RequestKind,
     id: &str,
     organisation: &str,
     forged: bool,
-) -> (End, Option<Client>) {
+) -> (CallOutcome, Option<Client>) {
     let parts = format!("a{id}:80,b{id}:20");
     let key = match ask {
-        Ask::Keyless => "nobody's".to_owned(),
+        RequestKind::Keyless => "nobody's".to_owned(),
         _ => key(organisation),
     };
     let mut headers = vec![("key", key.as_str())];
@@ -201,7 +217,7 @@
     if forged {
         headers.extend(FORGED_HEADERS);
     }
-    let head = request::call(&path(ask), id, DEADLINE, &headers);
+    let head = request::call(&path(ask), id, DEADLINE_MS, &headers);
     let answer = match client.send(head, &Bytes::new()).await {
         Ok(answer) => answer,
         Err(Failure::Broken(why)) => {
@@ -209,7 +225,7 @@
             let body = Some(Bytes::from(why));
             let (status, signed, says_when) = (200, false, false);
             return (
-                End::Answer {
+                CallOutcome::Answer {
                     status,
                     signed,
                     says_when,
@@ -218,12 +234,12 @@
                 None,
             );
         }
-        Err(_) => return (End::Closed, None),
+        Err(_) => return (CallOutcome::Closed, None),
     };
     let seen = ResponseSummary::from(&answer.head);
-    let body = client.body(MOST).await.ok();
+    let body = client.body(MAX_BODY_BYTES).await.ok();
     let client = body.is_some().then_some(client);
-    let end = End::Answer {
+    let end = CallOutcome::Answer {
         status: seen.status,
         signed: seen.signed,
         says_when: seen.retry_after.is_some(),
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -6,21 +6,21 @@
 
 use platform_standin::cloud;
 
-use crate::history::{Ask, Call, End, History, Run};
-use crate::plan::Kind;
+use crate::history::{Call, CallOutcome, EngineRequest, History, RequestKind};
+use crate::plan::FaultKind;
 
 /// What a run promised and did not keep.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// The promise.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// What was seen.
     pub evidence: String,
 }
 
 /// What must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Invariant {
     /// A caller receives the whole answer to its own request, or none.
     WholeOwnAnswer,
     /// A request that may not be repeated runs at most once.
@@ -55,325 +55,351 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.promise, self.evidence)
+        write!(f, "{:?}: {}", self.invariant, self.evidence)
     }
 }
 
 /// Events of a stream.
-pub const EVENTS: usize = 4;
+pub const STREAM_EVENTS: usize = 4;
 /// Time around a call in which an unplanned fault may have cut it. Kernels notice silent peers within
 /// seconds.
-const AFTERMATH: Duration = Duration::from_secs(8);
+const FAULT_AFTEREFFECT: Duration = Duration::from_secs(8);
 
 /// Judges a history. Every finding is told.
 pub fn check(history: &History) -> Vec<Finding> {
     let mut findings = Vec::new();
-    let runs = runs_by_id(history);
+    let engines = engines_by_request(history);
     for call in &history.calls {
-        let ran = runs.get(call.id.as_str()).map_or(0, Vec::len);
-        answer(call, &mut findings);
-        repeats(call, ran, &mut findings);
-        refusal(call, ran, &mut findings);
-        planned_work(call, ran, history, &mut findings);
+        let ran = engines.get(call.id.as_str()).map_or(0, Vec::len);
+        check_answer(call, &mut findings);
+        check_attempts(call, ran, &mut findings);
+        check_refusal(call, ran, &mut findings);
+        check_planned_work(call, ran, history, &mut findings);
     }
-    asked(history, &mut findings);
-    never_back(history, &mut findings);
-    duties(history, &mut findings);
-    orders(history, &mut findings);
-    held(history, &runs, &mut findings);
-    rate_limits(history, &mut findings);
-    let exits = history.exits.iter().map(|exit| (Promise::Lives, exit));
-    let missing = history.missing.iter();
-    let missing = missing.map(|missing| (Promise::Recovery, missing));
+    check_engine_requests(history, &mut findings);
+    check_configuration_versions(history, &mut findings);
+    check_usage_reports(history, &mut findings);
+    check_orders(history, &mut findings);
+    check_quarantine(history, &engines, &mut findings);
+    check_rate_limits(history, &mut findings);
+    let exits = history
+        .unexpected_exits
+        .iter()
+        .map(|exit| (Invariant::Lives, exit));
+    let missing = history.failed_probes.iter();
+    let missing = missing.map(|missing| (Invariant::Recovery, missing));
     findings.extend(exits.chain(missing).map(|(promise, text)| Finding {
-        promise,
+        invariant: promise,
         evidence: text.clone(),
     }));
     findings
 }
 
-fn runs_by_id(history: &History) -> HashMap<&str, Vec<&str>> {
-    let mut runs: HashMap<&str, Vec<&str>> = HashMap::new();
-    for run in history.runs.iter().filter(|run| run.ran) {
-        runs.entry(&run.id).or_default().push(&run.engine);
+fn engines_by_request(history: &History) -> HashMap<&str, Vec<&str>> {
+    let mut engines: HashMap<&str, Vec<&str>> = HashMap::new();
+    for run in history.engine_requests.iter().filter(|run| run.executed) {
+        engines.entry(&run.id).or_default().push(&run.engine);
     }
-    runs
+    engines
 }
 
-fn find(findings: &mut Vec<Finding>, promise: Promise, evidence: String) {
-    findings.push(Finding { promise, evidence });
+fn report(findings: &mut Vec<Finding>, invariant: Invariant, evidence: String) {
+    findings.push(Finding {
+        invariant,
+        evidence,
+    });
 }
 
 /// The body that an engine gives to a request.
-pub fn body(ask: Ask, id: &str) -> String {
-    if !ask.is_stream() {
+pub fn expected_body(kind: RequestKind, id: &str) -> String {
+    if !kind.is_stream() {
         return format!("answer to {id}");
     }
-    let events = (1..=EVENTS).map(|event| format!("id: {event}\ndata: {id} {event}\n\n"));
+    let events = (1..=STREAM_EVENTS).map(|event| format!("id: {event}\ndata: {id} {event}\n\n"));
     events.collect()
 }
 
-fn answer(call: &Call, findings: &mut Vec<Finding>) {
-    let End::Answer {
+fn check_answer(call: &Call, findings: &mut Vec<Finding>) {
+    let CallOutcome::Answer {
         status,
         signed,
         body: Some(seen),
         ..
-    } = &call.end
+    } = &call.outcome
     else {
         return;
     };
-    let whole = body(call.ask, &call.id);
-    if *status == 200 && !(*signed && seen[..] == *whole.as_bytes()) {
+    let expected = expected_body(call.kind, &call.id);
+    if *status == 200 && !(*signed && seen[..] == *expected.as_bytes()) {
         let seen = String::from_utf8_lossy(seen);
-        let evidence = format!("{} {:?} got {seen:?}, signed: {signed}", call.id, call.ask);
-        find(findings, Promise::WholeOwnAnswer, evidence);
+        let evidence = format!("{} {:?} got {seen:?}, signed: {signed}", call.id, call.kind);
+        report(findings, Invariant::WholeOwnAnswer, evidence);
     }
 }
 
-fn repeats(call: &Call, ran: usize, findings: &mut Vec<Finding>) {
-    if ran <= call.ask.attempts() {
+fn check_attempts(call: &Call, ran: usize, findings: &mut Vec<Finding>) {
+    if ran <= call.kind.max_attempts() {
         return;
     }
-    let promise = match call.ask {
-        Ask::Once | Ask::Stream | Ask::Fatal => Promise::AtMostOnce,
-        Ask::Keyless => Promise::Asked,
-        Ask::Safe | Ask::Resume | Ask::Added(_) => Promise::Attempts,
+    let invariant = match call.kind {
+        RequestKind::Once | RequestKind::Stream | RequestKind::Fatal => Invariant::AtMostOnce,
+        RequestKind::Keyless => Invariant::Asked,
+        RequestKind::Safe | RequestKind::Resume | RequestKind::Added(_) => Invariant::Attempts,
     };
-    let evidence = format!("{} {:?} ran {ran} times", call.id, call.ask);
-    find(findings, promise, evidence);
+    let evidence = format!("{} {:?} ran {ran} times", call.id, call.kind);
+    report(findings, invariant, evidence);
 }
 
-fn refusal(call: &Call, ran: usize, findings: &mut Vec<Finding>) {
-    let End::Answer {
+fn check_refusal(call: &Call, ran: usize, findings: &mut Vec<Finding>) {
+    let CallOutcome::Answer {
         status, says_when, ..
-    } = &call.end
+    } = &call.outcome
     else {
         return;
     };
     let evidence = || {
         format!(
             "{} {:?} got {status} and ran {ran} times",
-            call.id, call.ask
+            call.id, call.kind
         )
     };
-    let repeatable = call.ask.attempts() > 1;
+    let repeatable = call.kind.max_attempts() > 1;
     match status {
         408 | 421 | 429 | 503 if ran > 0 && !repeatable => {
-            find(findings, Promise::TrueRefusal, evidence());
+            report(findings, Invariant::TrueRefusal, evidence());
         }
         429 | 503 if !says_when => {
             let evidence = format!("{} got {status} without a time", call.id);
-            find(findings, Promise::TrueRefusal, evidence);
+            report(findings, Invariant::TrueRefusal, evidence);
         }
-        400..=407 if !matches!(call.ask, Ask::Added(_) | Ask::Keyless) => {
-            find(findings, Promise::NotDenied, evidence());
+        400..=407 if !matches!(call.kind, RequestKind::Added(_) | RequestKind::Keyless) => {
+            report(findings, Invariant::NotDenied, evidence());
         }
         _ => {}
     }
 }
 
 /// A call that an engine ran must be answered if nothing but planned work went on around it.
-fn planned_work(call: &Call, ran: usize, history: &History, findings: &mut Vec<Finding>) {
-    let cut = match &call.end {
-        End::Closed => ran > 0,
-        End::Answer { body, .. } => body.is_none(),
-        End::NotConnected | End::Left => false,
+fn check_planned_work(call: &Call, ran: usize, history: &History, findings: &mut Vec<Finding>) {
+    let cut = match &call.outcome {
+        CallOutcome::Closed => ran > 0,
+        CallOutcome::Answer { body, .. } => body.is_none(),
+        CallOutcome::NotConnected | CallOutcome::Left => false,
     };
     let mut unplanned = history.faults.iter().filter(|fault| !fault.is_planned());
-    let near = |from: Duration, to: Duration| from < call.ended && call.sent < to + AFTERMATH;
-    if cut && !unplanned.any(|fault| near(fault.at, fault.at + fault.lasts)) {
-        let evidence = format!("{} {:?} was cut: {:?}", call.id, call.ask, call.end);
-        find(findings, Promise::PlannedWork, evidence);
+    let near = |from: Duration, to: Duration| {
+        from < call.ended_at && call.sent_at < to + FAULT_AFTEREFFECT
+    };
+    if cut && !unplanned.any(|fault| near(fault.at, fault.at + fault.duration)) {
+        let evidence = format!("{} {:?} was cut: {:?}", call.id, call.kind, call.outcome);
+        report(findings, Invariant::PlannedWork, evidence);
     }
 }
 
-fn asked(history: &History, findings: &mut Vec<Finding>) {
-    let calls: HashMap<&str, (Ask, &str)> = history
+fn check_engine_requests(history: &History, findings: &mut Vec<Finding>) {
+    let calls: HashMap<&str, (RequestKind, &str)> = history
         .calls
         .iter()
-        .map(|call| (call.id.as_str(), (call.ask, call.organisation)))
+        .map(|call| (call.id.as_str(), (call.kind, call.organisation)))
         .collect();
-    for run in &history.runs {
+    for run in &history.engine_requests {
         let Some((ask, organisation)) = calls.get(run.id.as_str()) else {
             let evidence = format!("{} at {} was sent by nobody", run.id, run.engine);
-            find(findings, Promise::Asked, evidence);
+            report(findings, Invariant::Asked, evidence);
             continue;
         };
         if run.forged {
             let evidence = format!("{} at {} bore a forged header", run.id, run.engine);
-            find(findings, Promise::Asked, evidence);
+            report(findings, Invariant::Asked, evidence);
         }
         if run.organisation != *organisation {
             let evidence = format!(
                 "{} of {organisation} told as of {}",
                 run.id, run.organisation
             );
-            find(findings, Promise::Asked, evidence);
+            report(findings, Invariant::Asked, evidence);
         }
-        if run.ran && run.service != ask.service() {
+        if run.executed && run.service != ask.service() {
             let evidence = format!("{} {ask:?} ran at {}", run.id, run.engine);
-            find(findings, Promise::Route, evidence);
+            report(findings, Invariant::Route, evidence);
         }
     }
 }
 
 /// At one start of a gateway, a call sent after another one had shown a version in force must not be
 /// handled as only an older version allows.
-fn never_back(history: &History, findings: &mut Vec<Finding>) {
+fn check_configuration_versions(history: &History, findings: &mut Vec<Finding>) {
     let mut shown: BTreeMap<(usize, u32), Vec<(Duration, u64)>> = BTreeMap::new();
     for call in &history.calls {
-        if let (Ask::Added(version), End::Answer { status: 200, .. }) = (call.ask, &call.end) {
-            let seen = shown.entry((call.gateway, call.start)).or_default();
-            seen.push((call.ended, version));
+        if let (RequestKind::Added(version), CallOutcome::Answer { status: 200, .. }) =
+            (call.kind, &call.outcome)
+        {
+            let seen = shown.entry((call.gateway, call.gateway_start)).or_default();
+            seen.push((call.ended_at, version));
         }
     }
     for call in &history.calls {
-        let (Ask::Added(version), End::Answer { status: 404, .. }) = (call.ask, &call.end) else {
+        let (RequestKind::Added(version), CallOutcome::Answer { status: 404, .. }) =
+            (call.kind, &call.outcome)
+        else {
             continue;
         };
-        let seen = shown.get(&(call.gateway, call.start));
+        let seen = shown.get(&(call.gateway, call.gateway_start));
         let mut seen = seen.into_iter().flatten();
-        if seen.any(|(at, newer)| *at <= call.sent && *newer >= version) {
+        if seen.any(|(at, newer)| *at <= call.sent_at && *newer >= version) {
             let evidence = format!("{}: version {version} was in force and is not", call.id);
-            find(findings, Promise::NeverBack, evidence);
+            report(findings, Invariant::NeverBack, evidence);
         }
     }
 }
 
 /// Engines that a call may end before it is held.
-const ENDS: usize = 3;
+const ENDS_BEFORE_QUARANTINE: usize = 3;
 /// Time within which all instances know what one of them does, and for which a fault at one or at the store excuses it.
-const KNOWN: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// How often a call that ends engines may reach them after that, in trials.
-const TRIALS: usize = 3;
+const MAX_TRIALS: usize = 3;
 /// Time after the end of an engine within which an innocent call may be held, since it cannot be told yet from the one to blame. A
 /// hold takes three times as long.
-const SOON: Duration = Duration::from_secs(10);
+const SUSPICION_TIME: Duration = Duration::from_secs(10);
 /// What an answer says whose call is held.
-const HELD: &[u8] = b"Engines that ran this call ended.";
+const QUARANTINE_MESSAGE: &[u8] = b"Engines that ran this call ended.";
 
-fn held(history: &History, runs: &HashMap<&str, Vec<&str>>, findings: &mut Vec<Finding>) {
-    for call in history.calls.iter().filter(|call| call.ask != Ask::Fatal) {
-        let End::Answer {
+fn check_quarantine(
+    history: &History,
+    engines: &HashMap<&str, Vec<&str>>,
+    findings: &mut Vec<Finding>,
+) {
+    for call in history
+        .calls
+        .iter()
+        .filter(|call| call.kind != RequestKind::Fatal)
+    {
+        let CallOutcome::Answer {
             body: Some(body), ..
-        } = &call.end
+        } = &call.outcome
         else {
             continue;
         };
-        let is_held = body.windows(HELD.len()).any(|some| some == HELD);
-        let just_ended = |end: &Duration| *end <= call.ended && call.sent <= *end + SOON;
-        if is_held && !history.ends.iter().any(just_ended) {
-            let evidence = format!("{} {:?} was held", call.id, call.ask);
-            find(findings, Promise::Held, evidence);
+        let is_quarantined = body
+            .windows(QUARANTINE_MESSAGE.len())
+            .any(|some| some == QUARANTINE_MESSAGE);
+        let just_ended =
+            |end: &Duration| *end <= call.ended_at && call.sent_at <= *end + SUSPICION_TIME;
+        if is_quarantined && !history.engine_ends.iter().any(just_ended) {
+            let evidence = format!("{} {:?} was held", call.id, call.kind);
+            report(findings, Invariant::Held, evidence);
         }
     }
-    let Some(third) = history.ends.get(ENDS - 1) else {
+    let Some(third) = history.engine_ends.get(ENDS_BEFORE_QUARANTINE - 1) else {
         return;
     };
     let later = history.calls.iter().filter(|call| {
-        call.ask == Ask::Fatal
-            && call.sent > *third + KNOWN
-            && runs.contains_key(call.id.as_str())
-            && is_in_touch(history, call)
+        call.kind == RequestKind::Fatal
+            && call.sent_at > *third + PROPAGATION_TIME
+            && engines.contains_key(call.id.as_str())
+            && is_free_of_faults(history, call)
     });
     let later: Vec<&str> = later.map(|call| call.id.as_str()).collect();
-    if later.len() > TRIALS {
-        let evidence = format!("ended {} engines, at last {later:?}", history.ends.len());
-        find(findings, Promise::Held, evidence);
+    if later.len() > MAX_TRIALS {
+        let evidence = format!(
+            "ended {} engines, at last {later:?}",
+            history.engine_ends.len()
+        );
+        report(findings, Invariant::Held, evidence);
     }
 }
 
 /// Span of time in which requests to a limited engine are counted.
-const LIMIT_WINDOW: Duration = Duration::from_secs(4);
+const RATE_LIMIT_WINDOW: Duration = Duration::from_secs(4);
 /// Requests beyond one and a half times a limit that are allowed in it.
-const ALLOWED_MORE: f64 = 5.0;
+const RATE_LIMIT_ALLOWANCE: f64 = 5.0;
 
-fn rate_limits(history: &History, findings: &mut Vec<Finding>) {
+fn check_rate_limits(history: &History, findings: &mut Vec<Finding>) {
     let calls = history.calls.iter();
     let calls: HashMap<&str, &Call> = calls.map(|call| (call.id.as_str(), call)).collect();
-    for limit in &history.limits {
-        let bound = limit.from + KNOWN..=limit.until;
-        let counts = |run: &&Run| {
+    for limit in &history.rate_limits {
+        let bound = limit.from + PROPAGATION_TIME..=limit.until;
+        let counts = |run: &&EngineRequest| {
             let call = calls.get(run.id.as_str());
             run.engine == limit.engine
-                && bound.contains(&run.at)
-                && call.is_some_and(|call| is_in_touch(history, call))
-                && !was_held_up(history, run)
+                && bound.contains(&run.received_at)
+                && call.is_some_and(|call| is_free_of_faults(history, call))
+                && !was_delayed_by_link(history, run)
         };
         let mut at: Vec<Duration> = history
-            .runs
+            .engine_requests
             .iter()
             .filter(counts)
-            .map(|run| run.at)
+            .map(|run| run.received_at)
             .collect();
         at.sort_unstable();
         let windows = at.iter().enumerate().map(|(first, from)| {
             let within = at[first..]
                 .iter()
-                .take_while(|at| **at < *from + LIMIT_WINDOW);
+                .take_while(|at| **at < *from + RATE_LIMIT_WINDOW);
             within.count()
         });
         let most = windows.max().unwrap_or(0);
-        let taken = f64::from(limit.taken) / 10.0;
-        let allowed = 1.5 * taken * LIMIT_WINDOW.as_secs_f64() + ALLOWED_MORE;
+        let taken = f64::from(limit.per_ten_seconds) / 10.0;
+        let allowed = 1.5 * taken * RATE_LIMIT_WINDOW.as_secs_f64() + RATE_LIMIT_ALLOWANCE;
         #[allow(clippy::cast_precision_loss)]
         if most as f64 > allowed {
             let evidence = format!(
-                "{} takes {taken}/s and got {most} in {LIMIT_WINDOW:?}",
+                "{} takes {taken}/s and got {most} in {RATE_LIMIT_WINDOW:?}",
                 limit.engine
             );
-            find(findings, Promise::RateLimits, evidence);
+            report(findings, Invariant::RateLimits, evidence);
         }
     }
 }
 
 /// Whether the link to a run's engine had a fault shortly before it: requests that waited there come together.
-fn was_held_up(history: &History, run: &Run) -> bool {
+fn was_delayed_by_link(history: &History, run: &EngineRequest) -> bool {
     let mut faults = history.faults.iter();
     faults.any(|fault| {
         let concerns = |number: usize| run.engine.ends_with(&format!("-{number}"));
-        matches!(fault.kind, Kind::EngineLink(number, _) if concerns(number))
-            && fault.at <= run.at
-            && run.at <= fault.at + fault.lasts + KNOWN
+        matches!(fault.kind, FaultKind::EngineLink(number, _) if concerns(number))
+            && fault.at <= run.received_at
+            && run.received_at <= fault.at + fault.duration + PROPAGATION_TIME
     })
 }
 
-/// Whether neither the store nor the gateway of a call had a fault that ended less than [`KNOWN`] before it.
-fn is_in_touch(history: &History, call: &Call) -> bool {
-    let concerns = |kind: Kind| match kind {
-        Kind::Process(number, _) | Kind::StoreLink(number, _) | Kind::Callers(number, _) => {
-            number == call.gateway
-        }
-        Kind::KillAll | Kind::Store(_) => true,
+/// Whether neither the store nor the gateway of a call had a fault that ended less than [`PROPAGATION_TIME`] before it.
+fn is_free_of_faults(history: &History, call: &Call) -> bool {
+    let concerns = |kind: FaultKind| match kind {
+        FaultKind::Process(number, _)
+        | FaultKind::StoreLink(number, _)
+        | FaultKind::Callers(number, _) => number == call.gateway,
+        FaultKind::KillAll | FaultKind::Store(_) => true,
         _ => false,
     };
     let mut faults = history.faults.iter();
     !faults.any(|fault| {
-        let over = fault.at + fault.lasts + KNOWN;
-        concerns(fault.kind) && fault.at <= call.ended && call.sent <= over
+        let over = fault.at + fault.duration + PROPAGATION_TIME;
+        concerns(fault.kind) && fault.at <= call.ended_at && call.sent_at <= over
     })
 }
 
-fn duties(history: &History, findings: &mut Vec<Finding>) {
+fn check_usage_reports(history: &History, findings: &mut Vec<Finding>) {
     let mut reports: HashMap<u64, &cloud::Call> = HashMap::new();
     let mut holders: HashMap<u64, &str> = HashMap::new();
-    for call in &history.duties {
+    for call in &history.usage_reports {
         let window = call.body["window_seq"].as_u64().unwrap_or_default();
         let before = *reports.entry(window).or_insert(call);
         if before.body != call.body {
             let evidence = format!("window {window}: {} and {}", before.body, call.body);
-            find(findings, Promise::Duties, evidence);
+            report(findings, Invariant::Duties, evidence);
         }
         let holder = *holders.entry(call.fence).or_insert(&call.holder);
         if holder != call.holder {
             let evidence = format!("token {} of {holder} and {}", call.fence, call.holder);
-            find(findings, Promise::Duties, evidence);
+            report(findings, Invariant::Duties, evidence);
         }
     }
 }
 
-fn orders(history: &History, findings: &mut Vec<Finding>) {
+fn check_orders(history: &History, findings: &mut Vec<Finding>) {
     let mut holders: HashMap<u64, HashSet<&str>> = HashMap::new();
     let mut highest: HashMap<&str, u64> = HashMap::new();
     for (engine, order) in &history.orders {
@@ -381,12 +407,12 @@
         known.insert(&order.holder);
         if known.len() > 1 {
             let evidence = format!("token {} at {engine} has holders {known:?}", order.fence);
-            find(findings, Promise::Orders, evidence);
+            report(findings, Invariant::Orders, evidence);
         }
         let highest = highest.entry(engine).or_default();
         if order.fence < *highest {
             let evidence = format!("token {} at {engine} after {highest}", order.fence);
-            find(findings, Promise::Orders, evidence);
+            report(findings, Invariant::Orders, evidence);
         }
         *highest = order.fence.max(*highest);
     }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/cluster.rs
@@ -15,22 +15,22 @@
 use tokio::time::Instant;
 
 use crate::check;
-use crate::gateway::{Gateway, Ports};
-use crate::history::{History, Limit, Run};
-use crate::plan::{self, Kind, Link, Plan, Process};
+use crate::gateway::{Gateway, PortAllocator};
+use crate::history::{EngineRequest, History, RateLimit};
+use crate::plan::{self, FaultKind, LinkState, Plan, ProcessAction};
 use crate::proxy::Proxy;
 
 /// An engine and the link to it.
 #[derive(Debug)]
-struct Place {
+struct EngineNode {
     engine: Engine,
     link: Proxy,
     service: &'static str,
     stage: Option<&'static str>,
     /// Whether it has said that it leaves, or has ended.
-    left: bool,
+    has_left: bool,
     /// What it wrote last of itself; nothing once its record is gone.
-    wrote: Option<&'static str>,
+    recorded_state: Option<&'static str>,
     /// Whether another start of it has its name.
     is_replaced: bool,
 }
@@ -47,46 +47,46 @@
 
 /// All of a run.
 #[derive(Debug)]
-pub struct World {
+pub struct Cluster {
     store: Store,
     cloud: Cloud,
     /// What the store held when it was last copied.
-    copy: RefCell<Option<store::Backup>>,
+    backup: RefCell<Option<store::Backup>>,
     /// When engines write again what a copy lacks.
-    rewrite: Cell<Option<Instant>>,
+    register_again_at: Cell<Option<Instant>>,
     /// The gateways.
     pub instances: Vec<Instance>,
-    places: RefCell<Vec<Place>>,
+    engines: RefCell<Vec<EngineNode>>,
     version: RefCell<u64>,
     /// Whether a caller sends the call that ends engines.
-    pub is_fatal: Cell<bool>,
+    pub sends_fatal: Cell<bool>,
     /// When callers began.
-    pub begun: Cell<Instant>,
+    pub callers_started: Cell<Instant>,
     /// Records of engines that have ended, and when they lapse.
-    lapses: RefCell<Vec<(Instant, usize)>>,
+    expiring_records: RefCell<Vec<(Instant, usize)>>,
     /// What has been seen so far.
     pub history: RefCell<History>,
 }
 
 /// Pause between two events, so that streams are under way whenever something happens.
-const PAUSE: Duration = Duration::from_millis(50);
+const EVENT_INTERVAL: Duration = Duration::from_millis(50);
 /// Path of the call that ends engines.
-pub const FATAL: &str = "/stream/fatal";
+pub const FATAL_PATH: &str = "/stream/fatal";
 /// Organisations of callers.
 pub const ORGANISATIONS: [&str; 2] = ["org-a", "org-b"];
 /// Length of a window whose use is reported, and time after its end within which that is due, in milliseconds.
-const WINDOW: u32 = 1_000;
-const LATE: u32 = 8_000;
+const USAGE_WINDOW_MS: u32 = 1_000;
+const USAGE_REPORT_DUE_MS: u32 = 8_000;
 /// Time until an engine writes its record again.
 const HEARTBEAT: Duration = Duration::from_millis(400);
 /// Time until the record of an engine that has ended lapses.
-const LAPSE: Duration = Duration::from_millis(1_200);
+const RECORD_LIFETIME: Duration = Duration::from_millis(1_200);
 /// Name of the topic with engines' records.
-const ENGINES: &str = "keyed.servers";
+const ENGINE_TOPIC: &str = "keyed.servers";
 /// Topics whose history is dropped.
-const TOPICS: [&str; 2] = [ENGINES, "keyed.op"];
+const COMPACTED_TOPICS: [&str; 2] = [ENGINE_TOPIC, "keyed.op"];
 
-impl World {
+impl Cluster {
     /// Starts everything.
     ///
     /// # Errors
@@ -96,14 +96,14 @@
         plan: &Plan,
         program: &Path,
         directory: &Path,
-        ports: &mut Ports,
+        ports: &mut PortAllocator,
     ) -> io::Result<Rc<Self>> {
         let store = Store::start().await;
         let cloud = Cloud::start().await;
         let duties = Duties {
             address: cloud.address,
-            window_ms: WINDOW,
-            late_ms: LATE,
+            window_ms: USAGE_WINDOW_MS,
+            late_ms: USAGE_REPORT_DUE_MS,
         };
         let mut instances = Vec::new();
         for number in 0..plan.gateways {
@@ -120,14 +120,14 @@
         let world = Self {
             store,
             cloud,
-            copy: RefCell::default(),
-            rewrite: Cell::new(None),
+            backup: RefCell::default(),
+            register_again_at: Cell::new(None),
             instances,
-            places: RefCell::default(),
+            engines: RefCell::default(),
             version: RefCell::new(0),
-            is_fatal: Cell::new(false),
-            begun: Cell::new(Instant::now()),
-            lapses: RefCell::default(),
+            sends_fatal: Cell::new(false),
+            callers_started: Cell::new(Instant::now()),
+            expiring_records: RefCell::default(),
             history: RefCell::default(),
         };
         for _ in 0..plan.services {
@@ -151,24 +151,29 @@
     }
 
     async fn add_engine(&self, service: &'static str, stage: Option<&'static str>) {
-        let id = format!("{service}-{}", self.places.borrow().len());
+        let id = format!("{service}-{}", self.engines.borrow().len());
         let engine = Engine::start(&id).await;
-        self.add(engine, service, stage).await;
+        self.register_engine(engine, service, stage).await;
     }
 
     /// Puts an engine behind a link of its own and registers it.
-    async fn add(&self, engine: Engine, service: &'static str, stage: Option<&'static str>) {
-        engine.set_stream(check::EVENTS, PAUSE);
-        engine.end_on_path(FATAL);
+    async fn register_engine(
+        &self,
+        engine: Engine,
+        service: &'static str,
+        stage: Option<&'static str>,
+    ) {
+        engine.set_stream(check::STREAM_EVENTS, EVENT_INTERVAL);
+        engine.end_on_path(FATAL_PATH);
         let link = Proxy::start(engine.address).await;
         engine.register_at(link.address, &self.store, service, "ready", stage);
-        self.places.borrow_mut().push(Place {
+        self.engines.borrow_mut().push(EngineNode {
             engine,
             link,
             service,
             stage,
-            left: false,
-            wrote: Some("ready"),
+            has_left: false,
+            recorded_state: Some("ready"),
             is_replaced: false,
         });
     }
@@ -201,84 +206,98 @@
     }
 
     /// Begins a fault.
-    pub async fn begin(&self, kind: Kind) {
+    pub async fn begin_fault(&self, kind: FaultKind) {
         match kind {
-            Kind::Process(number, process) => self.signal(number, begin_signal(process)),
-            Kind::KillAll => {
+            FaultKind::Process(number, process) => self.signal(number, process_signal(process)),
+            FaultKind::KillAll => {
                 for number in 0..self.instances.len() {
                     self.signal(number, Signal::KILL);
                 }
             }
-            Kind::Callers(number, link) => self.instances[number].callers.set(link),
-            Kind::StoreLink(number, link) => self.instances[number].store.set(link),
-            Kind::Store(fault) => self.store.fault(store_fault(fault)),
-            Kind::Compact => TOPICS.iter().for_each(|topic| self.store.compact(topic)),
-            Kind::EngineLink(number, link) => self.place(number, |place| place.link.set(link)),
-            Kind::Engine(number, trouble) => {
-                self.place(number, |p| p.engine.set_behaviour(act(trouble)));
+            FaultKind::Callers(number, link) => self.instances[number].callers.set_state(link),
+            FaultKind::StoreLink(number, link) => self.instances[number].store.set_state(link),
+            FaultKind::Store(fault) => self.store.fault(store_fault(fault)),
+            FaultKind::Compact => COMPACTED_TOPICS
+                .iter()
+                .for_each(|topic| self.store.compact(topic)),
+            FaultKind::EngineLink(number, link) => {
+                self.with_engine(number, |place| place.link.set_state(link));
+            }
+            FaultKind::Engine(number, trouble) => {
+                self.with_engine(number, |p| {
+                    p.engine.set_behaviour(engine_behaviour(trouble));
+                });
             }
-            Kind::Leave(number) => self.leave(number).await,
-            Kind::Crash(number) => self.crash(number).await,
-            Kind::Reborn(number) => self.reborn(number).await,
-            Kind::Foreign(number) => self.write_foreign(number),
-            Kind::Fatal => self.is_fatal.set(true),
-            Kind::Limit(number, taken) => self.limit(number, taken),
-            Kind::Configure => self.configure(),
-            Kind::GoesBack => drop(self.copy.replace(Some(self.store.backup()))),
-            Kind::Cloud(fault) => self.cloud.fault(cloud_fault(fault)),
+            FaultKind::Leave(number) => self.drain_engine(number).await,
+            FaultKind::Crash(number) => self.crash_engine(number).await,
+            FaultKind::Reborn(number) => self.restart_engine(number).await,
+            FaultKind::Foreign(number) => self.write_foreign_records(number),
+            FaultKind::Fatal => self.sends_fatal.set(true),
+            FaultKind::Limit(number, taken) => self.announce_rate_limit(number, taken),
+            FaultKind::Configure => self.configure(),
+            FaultKind::GoesBack => drop(self.backup.replace(Some(self.store.backup()))),
+            FaultKind::Cloud(fault) => self.cloud.fault(cloud_fault(fault)),
         }
     }
 
     /// Ends a fault that lasts.
-    pub fn end(&self, kind: Kind) {
+    pub fn end_fault(&self, kind: FaultKind) {
         match kind {
-            Kind::Process(number, Process::Pause) => self.signal(number, Signal::CONT),
-            Kind::Callers(number, _) => self.instances[number].callers.set(Link::Pass),
-            Kind::StoreLink(number, _) => self.instances[number].store.set(Link::Pass),
-            Kind::Store(_) => self.store.fault(store::Fault::None),
-            Kind::EngineLink(number, _) => self.place(number, |place| {
-                if !place.left {
-                    place.link.set(Link::Pass);
+            FaultKind::Process(number, ProcessAction::Pause) => self.signal(number, Signal::CONT),
+            FaultKind::Callers(number, _) => {
+                self.instances[number].callers.set_state(LinkState::Pass);
+            }
+            FaultKind::StoreLink(number, _) => {
+                self.instances[number].store.set_state(LinkState::Pass);
+            }
+            FaultKind::Store(_) => self.store.fault(store::Fault::None),
+            FaultKind::EngineLink(number, _) => self.with_engine(number, |place| {
+                if !place.has_left {
+                    place.link.set_state(LinkState::Pass);
                 }
             }),
-            Kind::Engine(number, _) => {
-                self.place(number, |place| place.engine.set_behaviour(Behaviour::Run));
+            FaultKind::Engine(number, _) => {
+                self.with_engine(number, |place| place.engine.set_behaviour(Behaviour::Run));
             }
-            Kind::Leave(number) => self.unregister(number),
-            Kind::Crash(number) => self.unregister(number),
-            Kind::Foreign(number) => self.write_own(number),
-            Kind::Fatal => self.is_fatal.set(false),
-            Kind::Limit(number, _) => self.lift_limit(number),
-            Kind::GoesBack => self.go_back(),
-            Kind::Cloud(_) => self.cloud.fault(cloud::Fault::None),
-            Kind::Reborn(_)
-            | Kind::Process(..)
-            | Kind::KillAll
-            | Kind::Compact
-            | Kind::Configure => {}
+            FaultKind::Leave(number) => self.unregister(number),
+            FaultKind::Crash(number) => self.unregister(number),
+            FaultKind::Foreign(number) => self.write_engine_record(number),
+            FaultKind::Fatal => self.sends_fatal.set(false),
+            FaultKind::Limit(number, _) => self.withdraw_rate_limit(number),
+            FaultKind::GoesBack => self.restore_store(),
+            FaultKind::Cloud(_) => self.cloud.fault(cloud::Fault::None),
+            FaultKind::Reborn(_)
+            | FaultKind::Process(..)
+            | FaultKind::KillAll
+            | FaultKind::Compact
+            | FaultKind::Configure => {}
         }
     }
 
     /// The store comes back from its copy. The operator writes at once again what it lacks, engines with their next heartbeats.
-    fn go_back(&self) {
-        if let Some(copy) = self.copy.take() {
+    fn restore_store(&self) {
+        if let Some(copy) = self.backup.take() {
             self.store.restore(copy);
             self.write_configuration();
-            self.rewrite.set(Some(Instant::now() + HEARTBEAT));
+            self.register_again_at.set(Some(Instant::now() + HEARTBEAT));
         }
     }
 
     /// Lets engines write again what the store lacks, once that is due.
-    pub fn rewrite_due(&self) {
-        if self.rewrite.get().is_none_or(|at| at > Instant::now()) {
+    pub fn register_again_if_due(&self) {
+        if self
+            .register_again_at
+            .get()
+            .is_none_or(|at| at > Instant::now())
+        {
             return;
         }
-        self.rewrite.set(None);
-        let places = self.places.borrow();
+        self.register_again_at.set(None);
+        let places = self.engines.borrow();
         for place in places.iter().filter(|place| !place.is_replaced) {
-            let Some(state) = place.wrote else {
+            let Some(state) = place.recorded_state else {
                 // Nothing renews what the copy has of it.
-                self.store.put(ENGINES, &place.engine.id, None);
+                self.store.put(ENGINE_TOPIC, &place.engine.id, None);
                 continue;
             };
             let (address, service) = (place.link.address, place.service);
@@ -288,27 +307,27 @@
         }
     }
 
-    fn limit(&self, number: usize, taken: u32) {
-        let from = self.begun.get().elapsed();
-        self.place(number, |place| {
+    fn announce_rate_limit(&self, number: usize, taken: u32) {
+        let from = self.callers_started.get().elapsed();
+        self.with_engine(number, |place| {
             place
                 .engine
                 .announce_limit(Some(&(f64::from(taken) / 10.0).to_string()));
-            self.history.borrow_mut().limits.push(Limit {
+            self.history.borrow_mut().rate_limits.push(RateLimit {
                 engine: place.engine.id.clone(),
-                taken,
+                per_ten_seconds: taken,
                 from,
                 until: Duration::MAX,
             });
         });
     }
 
-    fn lift_limit(&self, number: usize) {
-        let until = self.begun.get().elapsed();
-        self.place(number, |place| {
+    fn withdraw_rate_limit(&self, number: usize) {
+        let until = self.callers_started.get().elapsed();
+        self.with_engine(number, |place| {
             place.engine.announce_limit(None);
             let mut history = self.history.borrow_mut();
-            let limits = history.limits.iter_mut();
+            let limits = history.rate_limits.iter_mut();
             for limit in limits.filter(|limit| limit.engine == place.engine.id) {
                 limit.until = limit.until.min(until);
             }
@@ -319,105 +338,105 @@
         self.instances[number].gateway.borrow_mut().signal(signal);
     }
 
-    fn place(&self, number: usize, change: impl FnOnce(&mut Place)) {
-        change(&mut self.places.borrow_mut()[number]);
+    fn with_engine(&self, number: usize, change: impl FnOnce(&mut EngineNode)) {
+        change(&mut self.engines.borrow_mut()[number]);
     }
 
     /// Marks an engine as left. Gives its service and stage, unless it had left before.
     fn mark_left(&self, number: usize) -> Option<(&'static str, Option<&'static str>)> {
-        let place = &mut self.places.borrow_mut()[number];
-        if std::mem::replace(&mut place.left, true) {
+        let place = &mut self.engines.borrow_mut()[number];
+        if std::mem::replace(&mut place.has_left, true) {
             return None;
         }
         Some((place.service, place.stage))
     }
 
-    async fn leave(&self, number: usize) {
+    async fn drain_engine(&self, number: usize) {
         if let Some((service, stage)) = self.mark_left(number) {
             self.add_engine(service, stage).await;
-            self.place(number, |place| {
+            self.with_engine(number, |place| {
                 let engine = &place.engine;
                 engine.register_at(place.link.address, &self.store, service, "draining", stage);
-                place.wrote = Some("draining");
+                place.recorded_state = Some("draining");
             });
         }
     }
 
-    async fn crash(&self, number: usize) {
+    async fn crash_engine(&self, number: usize) {
         if let Some((service, stage)) = self.mark_left(number) {
-            self.place(number, |place| place.link.set(Link::Reset));
+            self.with_engine(number, |place| place.link.set_state(LinkState::Reset));
             self.add_engine(service, stage).await;
         }
     }
 
     /// The engine ends and another start of it registers under its name, which is where the first one is told from
     /// it.
-    async fn reborn(&self, number: usize) {
+    async fn restart_engine(&self, number: usize) {
         let Some((service, stage)) = self.mark_left(number) else {
             return;
         };
-        let id = self.places.borrow()[number].engine.id.clone();
-        self.place(number, |place| {
+        let id = self.engines.borrow()[number].engine.id.clone();
+        self.with_engine(number, |place| {
             if !place.engine.has_stopped() {
-                place.link.set(Link::Reset);
+                place.link.set_state(LinkState::Reset);
             }
         });
         // Its record is that of the new start from now on.
-        self.places.borrow_mut()[number].is_replaced = true;
+        self.engines.borrow_mut()[number].is_replaced = true;
         // One that starts again has a later place than the start before.
-        let born = self.places.borrow().len() as u64;
-        let engine = Engine::start_with_timestamp(&id, born).await;
-        self.add(engine, service, stage).await;
+        let timestamp = self.engines.borrow().len() as u64;
+        let engine = Engine::start_with_timestamp(&id, timestamp).await;
+        self.register_engine(engine, service, stage).await;
     }
 
     /// Starts engines in the place of those that a call has ended: one half under their names, the other under new ones.
-    pub async fn replace_ended(&self) {
-        let is_ended = |place: &Place| place.engine.has_stopped() && !place.left;
+    pub async fn replace_ended_engines(&self) {
+        let is_ended = |place: &EngineNode| place.engine.has_stopped() && !place.has_left;
         let ended: Vec<usize> = {
-            let places = self.places.borrow();
+            let places = self.engines.borrow();
             let ended = places.iter().enumerate();
             let ended = ended.filter(|(_, place)| is_ended(place));
             ended.map(|(number, _)| number).collect()
         };
         for number in ended {
-            let at = self.begun.get().elapsed();
-            self.history.borrow_mut().ends.push(at);
-            self.place(number, |place| place.link.set(Link::Refuse));
+            let at = self.callers_started.get().elapsed();
+            self.history.borrow_mut().engine_ends.push(at);
+            self.with_engine(number, |place| place.link.set_state(LinkState::Refuse));
             if number.is_multiple_of(2) {
-                self.reborn(number).await;
+                self.restart_engine(number).await;
             } else if let Some((service, stage)) = self.mark_left(number) {
                 self.add_engine(service, stage).await;
-                let lapse = (Instant::now() + LAPSE, number);
-                self.lapses.borrow_mut().push(lapse);
+                let lapse = (Instant::now() + RECORD_LIFETIME, number);
+                self.expiring_records.borrow_mut().push(lapse);
             }
         }
         let now = Instant::now();
         let (due, rest) = {
-            let lapses = self.lapses.take();
+            let lapses = self.expiring_records.take();
             lapses.into_iter().partition(|(at, _)| *at <= now)
         };
         let due: Vec<(Instant, usize)> = due;
-        self.lapses.replace(rest);
+        self.expiring_records.replace(rest);
         for (_, number) in due {
             self.unregister(number);
         }
     }
 
     /// Writes what no engine writes, in a place of its own and over an engine's record.
-    fn write_foreign(&self, number: usize) {
+    fn write_foreign_records(&self, number: usize) {
         let entry = json!({ "service": "app", "address": [10, 0, 0, 1], "state": "resting" });
-        self.store.put(ENGINES, "foreign", Some(&entry));
-        self.place(number, |place| {
-            if !place.left {
-                self.store.put(ENGINES, &place.engine.id, Some(&entry));
+        self.store.put(ENGINE_TOPIC, "foreign", Some(&entry));
+        self.with_engine(number, |place| {
+            if !place.has_left {
+                self.store.put(ENGINE_TOPIC, &place.engine.id, Some(&entry));
             }
         });
     }
 
     /// An engine writes its record again, as it does with each heartbeat.
-    fn write_own(&self, number: usize) {
-        self.place(number, |place| {
-            if !place.left {
+    fn write_engine_record(&self, number: usize) {
+        self.with_engine(number, |place| {
+            if !place.has_left {
                 let address = place.link.address;
                 place
                     .engine
@@ -427,19 +446,19 @@
     }
 
     fn unregister(&self, number: usize) {
-        self.place(number, |place| {
-            place.wrote = None;
-            self.store.put(ENGINES, &place.engine.id, None);
+        self.with_engine(number, |place| {
+            place.recorded_state = None;
+            self.store.put(ENGINE_TOPIC, &place.engine.id, None);
         });
     }
 
     /// Lets engines do what they were ordered last.
-    fn carry_out_orders(&self) {
+    fn apply_orders(&self) {
         for place in self
-            .places
+            .engines
             .borrow_mut()
             .iter_mut()
-            .filter(|place| !place.left)
+            .filter(|place| !place.has_left)
         {
             let Some(order) = place.engine.orders().pop() else {
                 continue;
@@ -465,16 +484,16 @@
     /// # Errors
     ///
     /// If one cannot be started.
-    pub fn restart(&self) -> io::Result<()> {
-        self.carry_out_orders();
+    pub fn apply_orders_and_restart(&self) -> io::Result<()> {
+        self.apply_orders();
         for (number, instance) in self.instances.iter().enumerate() {
             let mut gateway = instance.gateway.borrow_mut();
-            match gateway.has_ended() {
+            match gateway.has_exited() {
                 Ok(false) => continue,
                 Ok(true) => {}
                 Err(status) => {
                     let exit = format!("gateway-{number} ended by itself: {status}");
-                    self.history.borrow_mut().exits.push(exit);
+                    self.history.borrow_mut().unexpected_exits.push(exit);
                 }
             }
             gateway.start()?;
@@ -483,25 +502,27 @@
     }
 
     /// Takes what the engines and the platform saw into the history.
-    pub fn collect(&self) {
+    pub fn collect_history(&self) {
         let mut history = self.history.borrow_mut();
-        history.duties = self.cloud.calls("/usage");
-        for place in self.places.borrow().iter() {
+        history.usage_reports = self.cloud.calls("/usage");
+        for place in self.engines.borrow().iter() {
             let id = &place.engine.id;
             let orders = place.engine.orders();
             history
                 .orders
                 .extend(orders.into_iter().map(|order| (id.clone(), order)));
-            let got = place.engine.received();
-            history.runs.extend(got.into_iter().map(|got| Run {
-                engine: id.clone(),
-                service: place.service,
-                at: got.at.saturating_duration_since(self.begun.get()),
-                ran: got.ran,
-                forged: got.has_forged_header() || got.header("key").is_some(),
-                organisation: got.header("tenant-id").unwrap_or_default().to_owned(),
-                id: got.id,
-            }));
+            let received = place.engine.received();
+            history
+                .engine_requests
+                .extend(received.into_iter().map(|got| EngineRequest {
+                    engine: id.clone(),
+                    service: place.service,
+                    received_at: got.at.saturating_duration_since(self.callers_started.get()),
+                    executed: got.ran,
+                    forged: got.has_forged_header() || got.header("key").is_some(),
+                    organisation: got.header("tenant-id").unwrap_or_default().to_owned(),
+                    id: got.id,
+                }));
         }
     }
 }
@@ -527,37 +548,37 @@
     format!("key-of-{organisation}")
 }
 
-fn cloud_fault(fault: plan::Cloud) -> cloud::Fault {
+fn cloud_fault(fault: plan::CloudFailure) -> cloud::Fault {
     match fault {
-        plan::Cloud::Silent => cloud::Fault::Silent,
-        plan::Cloud::Busy => cloud::Fault::Busy,
+        plan::CloudFailure::Silent => cloud::Fault::Silent,
+        plan::CloudFailure::Busy => cloud::Fault::Busy,
     }
 }
 
-fn begin_signal(process: Process) -> Signal {
+fn process_signal(process: ProcessAction) -> Signal {
     match process {
-        Process::Pause => Signal::STOP,
-        Process::Kill => Signal::KILL,
-        Process::Stop => Signal::TERM,
-        Process::Reload => Signal::HUP,
+        ProcessAction::Pause => Signal::STOP,
+        ProcessAction::Kill => Signal::KILL,
+        ProcessAction::Stop => Signal::TERM,
+        ProcessAction::Reload => Signal::HUP,
     }
 }
 
-fn store_fault(fault: plan::Store) -> store::Fault {
+fn store_fault(fault: plan::StoreFailure) -> store::Fault {
     match fault {
-        plan::Store::Silent => store::Fault::Silent,
-        plan::Store::Busy => store::Fault::Busy,
-        plan::Store::Reset => store::Fault::Reset,
+        plan::StoreFailure::Silent => store::Fault::Silent,
+        plan::StoreFailure::Busy => store::Fault::Busy,
+        plan::StoreFailure::Reset => store::Fault::Reset,
     }
 }
 
-fn act(trouble: plan::Engine) -> Behaviour {
-    match trouble {
-        plan::Engine::Full => Behaviour::Full,
-        plan::Engine::LosesAnswers => Behaviour::CloseUnanswered,
-        plan::Engine::Cuts => Behaviour::CutAfter(2),
-        plan::Engine::Crosses => Behaviour::AnswerOther,
-        plan::Engine::Fails => Behaviour::Fail(500),
-        plan::Engine::Hangs => Behaviour::Hang,
+fn engine_behaviour(failure: plan::EngineFailure) -> Behaviour {
+    match failure {
+        plan::EngineFailure::Full => Behaviour::Full,
+        plan::EngineFailure::LosesAnswers => Behaviour::CloseUnanswered,
+        plan::EngineFailure::Cuts => Behaviour::CutAfter(2),
+        plan::EngineFailure::Crosses => Behaviour::AnswerOther,
+        plan::EngineFailure::Fails => Behaviour::Fail(500),
+        plan::EngineFailure::Hangs => Behaviour::Hang,
     }
 }
--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -25,19 +25,19 @@
     log: PathBuf,
     child: Option<Child>,
     /// Whether its present process is to end, so that its end is no finding.
-    may_end: bool,
+    exit_expected: bool,
 }
 
 /// Seconds from the request to end until the kill. Calls of a run end within three.
-const GRACE: u32 = 6;
+const SHUTDOWN_GRACE_S: u32 = 6;
 /// Repeats beyond the ratio; more than a run has calls that fail.
-const SLACK: u32 = 500;
+const RETRY_SLACK: u32 = 500;
 /// Milliseconds between orders of two instances; less than most faults last.
-const LEASE: u32 = 1_500;
+const LEASE_MS: u32 = 1_500;
 
 /// Looks for a handler, a pause apart; a program takes some milliseconds to its first line on a busy machine.
-const CAUGHT_LOOKS: usize = 500;
-const CAUGHT_PAUSE: Duration = Duration::from_millis(1);
+const HANDLER_POLLS: usize = 500;
+const HANDLER_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The signals that a process has handlers for, from its status, as a bit each.
 fn caught_signals(status: &str) -> Option<u64> {
@@ -53,28 +53,28 @@
 /// ports: it would find those of a process that has just ended, and the process would end by itself from then
 /// on. So ports are taken by blocks, and the first port of each is held for as long as the run lasts.
 #[derive(Debug, Default)]
-pub struct Ports {
+pub struct PortAllocator {
     next: u16,
     end: u16,
     /// The first port of each block.
-    held: Vec<TcpListener>,
+    reserved: Vec<TcpListener>,
 }
 
 /// Ports of a block.
-const BLOCK: u16 = 64;
+const PORTS_PER_BLOCK: u16 = 64;
 /// Ports that are given out; the kernel gives connections none below 32,768.
-const PORTS: Range<u16> = 22_016..32_704;
+const PORT_RANGE: Range<u16> = 22_016..32_704;
 
-impl Ports {
+impl PortAllocator {
     /// The next one.
     ///
     /// # Panics
     ///
     /// If soaks hold all ports.
-    pub fn take(&mut self) -> SocketAddr {
+    pub fn allocate(&mut self) -> SocketAddr {
         loop {
             if self.next == self.end {
-                self.take_block();
+                self.reserve_block();
             }
             let address = loopback(self.next);
             self.next += 1;
@@ -84,17 +84,17 @@
         }
     }
 
-    fn take_block(&mut self) {
-        let firsts = PORTS.step_by(usize::from(BLOCK));
+    fn reserve_block(&mut self) {
+        let firsts = PORT_RANGE.step_by(usize::from(PORTS_PER_BLOCK));
         let mut free = firsts.filter_map(|first| TcpListener::bind(loopback(first)).ok());
         let held = free.next().expect("a block of ports is free");
         let first = held
             .local_addr()
             .expect("a bound socket has an address")
             .port();
-        self.held.push(held);
+        self.reserved.push(held);
         self.next = first + 1;
-        self.end = first + BLOCK;
+        self.end = first + PORTS_PER_BLOCK;
     }
 }
 
@@ -114,9 +114,9 @@
         name: &str,
         store: SocketAddr,
         duties: Duties,
-        ports: &mut Ports,
+        ports: &mut PortAllocator,
     ) -> io::Result<Self> {
-        let (front, ready, mesh) = (ports.take(), ports.take(), ports.take());
+        let (front, ready, mesh) = (ports.allocate(), ports.allocate(), ports.allocate());
         let settings = directory.join(format!("{name}.toml"));
         let values = Settings {
             name,
@@ -124,9 +124,9 @@
             front,
             ready,
             port: mesh.port(),
-            grace_s: GRACE,
-            retry_slack: SLACK,
-            lease_ms: LEASE,
+            grace_s: SHUTDOWN_GRACE_S,
+            retry_slack: RETRY_SLACK,
+            lease_ms: LEASE_MS,
             duties: Some(duties),
         };
         std::fs::write(&settings, values.text())?;
@@ -138,7 +138,7 @@
             log: directory.join(format!("{name}.log")),
             settings,
             child: None,
-            may_end: false,
+            exit_expected: false,
         })
     }
 
@@ -161,7 +161,7 @@
             .stdout(log)
             .spawn()?;
         self.child = Some(child);
-        self.may_end = false;
+        self.exit_expected = false;
         self.starts += 1;
         Ok(())
     }
@@ -169,10 +169,10 @@
     /// Sends a signal to the process, if one runs.
     pub fn signal(&mut self, signal: Signal) {
         if matches!(signal, Signal::KILL | Signal::TERM) {
-            self.may_end = true;
+            self.exit_expected = true;
         }
         if signal == Signal::HUP {
-            self.wait_until_caught(signal);
+            self.wait_for_handler(signal);
         }
         let pid = self.child.as_ref().map(Child::id);
         let pid = pid.and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
@@ -187,17 +187,17 @@
     /// Between the start of a process and the first line of its program lies a millisecond in which the system is at
     /// work for it and no program can have handlers: SIGHUP ends any process then. What the program makes of it from its
     /// first line on is what is checked here, and its own test holds how early that is.
-    fn wait_until_caught(&self, signal: Signal) {
+    fn wait_for_handler(&self, signal: Signal) {
         let Some(child) = &self.child else { return };
         let status = format!("/proc/{}/status", child.id());
         let bit = 1_u64 << (signal.as_raw() - 1);
-        for _ in 0..CAUGHT_LOOKS {
+        for _ in 0..HANDLER_POLLS {
             let caught = std::fs::read_to_string(&status).ok();
             let caught = caught.and_then(|status| caught_signals(&status));
             if caught.is_none_or(|caught| caught & bit != 0) {
                 return;
             }
-            std::thread::sleep(CAUGHT_PAUSE);
+            std::thread::sleep(HANDLER_POLL_INTERVAL);
         }
     }
 
@@ -206,14 +206,18 @@
     /// # Errors
     ///
     /// The status of a process that ended by itself.
-    pub fn has_ended(&mut self) -> Result<bool, ExitStatus> {
+    pub fn has_exited(&mut self) -> Result<bool, ExitStatus> {
         let Some(child) = &mut self.child else {
             return Ok(true);
         };
         match child.try_wait() {
             Ok(Some(status)) => {
                 self.child = None;
-                if self.may_end { Ok(true) } else { Err(status) }
+                if self.exit_expected {
+                    Ok(true)
+                } else {
+                    Err(status)
+                }
             }
             Ok(None) | Err(_) => Ok(false),
         }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -10,7 +10,7 @@
 
 /// What a caller asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum RequestKind {
     /// A plain call that may be repeated.
     Safe,
     /// A plain call that may run once.
@@ -27,9 +27,9 @@
     Added(u64),
 }
 
-impl Ask {
+impl RequestKind {
     /// Engines on which it may run.
-    pub fn attempts(self) -> usize {
+    pub fn max_attempts(self) -> usize {
         match self {
             Self::Keyless => 0,
             Self::Once | Self::Stream | Self::Fatal => 1,
@@ -50,7 +50,7 @@
 
 /// How a call ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CallOutcome {
     /// An answer came, at least its head.
     Answer {
         /// Its status.
@@ -76,27 +76,27 @@
     /// Its id.
     pub id: String,
     /// What it asked for.
-    pub ask: Ask,
+    pub kind: RequestKind,
     /// Whose key it bore.
     pub organisation: &'static str,
     /// The gateway, by its number.
     pub gateway: usize,
     /// Which start of the gateway it was sent to.
-    pub start: u32,
+    pub gateway_start: u32,
     /// When it was sent, since callers began.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// When it ended.
-    pub ended: Duration,
+    pub ended_at: Duration,
     /// How.
-    pub end: End,
+    pub outcome: CallOutcome,
 }
 
 impl Call {
     /// Whether it got a whole success.
-    pub fn is_served(&self) -> bool {
+    pub fn is_success(&self) -> bool {
         matches!(
-            self.end,
-            End::Answer {
+            self.outcome,
+            CallOutcome::Answer {
                 status: 200,
                 body: Some(_),
                 ..
@@ -107,7 +107,7 @@
 
 /// A request that reached an engine.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct EngineRequest {
     /// The engine.
     pub engine: String,
     /// Its service.
@@ -115,9 +115,9 @@
     /// The request's id.
     pub id: String,
     /// When it came, since callers began.
-    pub at: Duration,
+    pub received_at: Duration,
     /// Whether the engine began to work on it.
-    pub ran: bool,
+    pub executed: bool,
     /// Whether it bore a header that the caller had forged, or its key.
     pub forged: bool,
     /// The organisation that the engine was told.
@@ -126,11 +126,11 @@
 
 /// A rate limit that an engine announced.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct RateLimit {
     /// The engine.
     pub engine: String,
     /// The limit, in requests per ten seconds.
-    pub taken: u32,
+    pub per_ten_seconds: u32,
     /// When it began to announce it, since callers began.
     pub from: Duration,
     /// When it ceased to.
@@ -143,19 +143,19 @@
     /// Calls, in the order in which they ended.
     pub calls: Vec<Call>,
     /// Requests at engines; those of one engine in order of arrival.
-    pub runs: Vec<Run>,
+    pub engine_requests: Vec<EngineRequest>,
     /// Orders by engine, in order of arrival.
     pub orders: Vec<(String, Order)>,
     /// Calls to the platform's interface for duties, in order of arrival.
-    pub duties: Vec<cloud::Call>,
+    pub usage_reports: Vec<cloud::Call>,
     /// Processes that ended by themselves.
-    pub exits: Vec<String>,
+    pub unexpected_exits: Vec<String>,
     /// States that did not come after the last fault.
-    pub missing: Vec<String>,
+    pub failed_probes: Vec<String>,
     /// When engines ended under the call that ends them, since callers began.
-    pub ends: Vec<Duration>,
+    pub engine_ends: Vec<Duration>,
     /// Rate limits that engines announced.
-    pub limits: Vec<Limit>,
+    pub rate_limits: Vec<RateLimit>,
     /// What was done.
     pub faults: Vec<Fault>,
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -7,10 +7,10 @@
 
 use clap::{Parser, Subcommand};
 use soak::plan::{Plan, Size};
-use soak::run::{self, Outcome, Places};
+use soak::run::{self, Paths, RunResult};
 
 /// Findings that are printed of one run; one cause often gives thousands.
-const SHOWN: usize = 20;
+const MAX_PRINTED_FINDINGS: usize = 20;
 
 /// Runs gateways between stand-ins under random faults and checks what callers and engines see.
 #[derive(Debug, Parser)]
@@ -61,7 +61,7 @@
 
 fn main() -> ExitCode {
     let command = Command::parse();
-    match actix_rt::System::new().block_on(act(&command)) {
+    match actix_rt::System::new().block_on(execute(&command)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -72,18 +72,18 @@
 }
 
 /// Says whether every promise was kept.
-async fn act(command: &Command) -> io::Result<bool> {
+async fn execute(command: &Command) -> io::Result<bool> {
     let length = Duration::from_secs(command.seconds);
     let size = Size {
         gateways: command.gateways,
         engines: command.engines,
     };
-    let draw = |seed| Plan::draw_sized(seed, length, size);
+    let draw = |seed| Plan::generate_sized(seed, length, size);
     let program = match &command.program {
         Some(program) => program.clone(),
-        None => run::program(&std::env::current_exe()?)?,
+        None => run::gateway_program(&std::env::current_exe()?)?,
     };
-    let places = Places {
+    let paths = Paths {
         program,
         directory: command.directory.clone(),
     };
@@ -97,19 +97,19 @@
             if calm {
                 plan.faults.clear();
             }
-            let outcome = run::run(&plan, &places).await?;
+            let outcome = run::run(&plan, &paths).await?;
             print_outcome(&outcome);
             if outcome.findings.is_empty() {
                 return Ok(true);
             }
             println!("trying smaller plans");
-            print_plan(&run::shrink(&outcome, &places).await?);
+            print_plan(&run::shrink(&outcome, &paths).await?);
             Ok(false)
         }
         Action::Many { from, count } => {
             let mut failed = Vec::new();
             for seed in from..from + count {
-                let outcome = run::run(&draw(seed), &places).await?;
+                let outcome = run::run(&draw(seed), &paths).await?;
                 print_outcome(&outcome);
                 if !outcome.findings.is_empty() {
                     failed.push(seed);
@@ -131,20 +131,24 @@
     }
 }
 
-fn print_outcome(outcome: &Outcome) {
+fn print_outcome(outcome: &RunResult) {
     let calls = outcome.history.calls.len();
-    let served = outcome.history.calls.iter().filter(|call| call.is_served());
+    let served = outcome
+        .history
+        .calls
+        .iter()
+        .filter(|call| call.is_success());
     println!(
         "seed {}: {} faults, {calls} calls, {} served, {} requests at engines, {} orders, {} findings; logs in {}",
         outcome.plan.seed,
         outcome.plan.faults.len(),
         served.count(),
-        outcome.history.runs.len(),
+        outcome.history.engine_requests.len(),
         outcome.history.orders.len(),
         outcome.findings.len(),
         outcome.logs.display()
     );
-    for finding in outcome.findings.iter().take(SHOWN) {
+    for finding in outcome.findings.iter().take(MAX_PRINTED_FINDINGS) {
         println!("  {finding}");
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -8,7 +8,7 @@
 
 /// What a link does instead of passing bytes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub enum LinkState {
     /// Passes all on.
     Pass,
     /// Passes all on later.
@@ -25,7 +25,7 @@
 
 /// How an engine fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Engine {
+pub enum EngineFailure {
     /// It refuses, without running anything.
     Full,
     /// It runs calls and closes without an answer.
@@ -42,7 +42,7 @@
 
 /// What is done to a gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Process {
+pub enum ProcessAction {
     /// Stopped and continued.
     Pause,
     /// Killed, and started again.
@@ -55,7 +55,7 @@
 
 /// What is wrong with the store for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Store {
+pub enum StoreFailure {
     /// It answers nothing.
     Silent,
     /// It refuses every call.
@@ -66,7 +66,7 @@
 
 /// What is wrong with the platform's interface for duties.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cloud {
+pub enum CloudFailure {
     /// It carries calls out and answers none.
     Silent,
     /// It refuses every call.
@@ -75,27 +75,27 @@
 
 /// One thing that happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     /// To one gateway, by its number.
-    Process(usize, Process),
+    Process(usize, ProcessAction),
     /// To all gateways at once: killed, and started again.
     KillAll,
     /// To the link between callers and a gateway.
-    Callers(usize, Link),
+    Callers(usize, LinkState),
     /// To the link between a gateway and the store.
-    StoreLink(usize, Link),
+    StoreLink(usize, LinkState),
     /// To the store.
-    Store(Store),
+    Store(StoreFailure),
     /// The store forgets its history but the newest of each key.
     Compact,
     /// The store comes back from a copy that was made when this began.
     GoesBack,
     /// The platform's interface for duties does not answer.
-    Cloud(Cloud),
+    Cloud(CloudFailure),
     /// To the link between all gateways and an engine, by its number.
-    EngineLink(usize, Link),
+    EngineLink(usize, LinkState),
     /// To an engine.
-    Engine(usize, Engine),
+    Engine(usize, EngineFailure),
     /// An engine says that it leaves, and a new one comes.
     Leave(usize),
     /// An engine ends without a word; its record goes later, and a new one comes.
@@ -119,14 +119,14 @@
     /// Time since callers began.
     pub at: Duration,
     /// How long it lasts, where it does.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (at, lasts) = (self.at.as_millis(), self.lasts.as_millis());
+        let (at, lasts) = (self.at.as_millis(), self.duration.as_millis());
         write!(f, "at {at} ms for {lasts} ms: {:?}", self.kind)
     }
 }
@@ -136,7 +136,9 @@
     pub fn is_planned(&self) -> bool {
         matches!(
             self.kind,
-            Kind::Process(_, Process::Stop | Process::Reload) | Kind::Configure | Kind::Leave(_)
+            FaultKind::Process(_, ProcessAction::Stop | ProcessAction::Reload)
+                | FaultKind::Configure
+                | FaultKind::Leave(_)
         )
     }
 }
@@ -147,7 +149,7 @@
     /// Where it was drawn from.
     pub seed: u64,
     /// How long callers send.
-    pub length: Duration,
+    pub duration: Duration,
     /// Gateway processes.
     pub gateways: usize,
     /// Engines of plain calls.
@@ -168,114 +170,114 @@
 }
 
 /// Time before the first fault, in which the processes serve.
-const LEAD: Duration = Duration::from_millis(800);
+const WARM_UP: Duration = Duration::from_millis(800);
 /// Longest time that a fault lasts.
-const LONGEST: u64 = 4_000;
+const MAX_FAULT_MS: u64 = 4_000;
 /// Shortest time that a fault lasts.
-const SHORTEST: u64 = 150;
+const MIN_FAULT_MS: u64 = 150;
 /// Mean time between two faults: they overlap more often than not.
-const BETWEEN: u64 = 700;
+const MEAN_FAULT_INTERVAL_MS: u64 = 700;
 
 /// Of this many seeds one has planned work only, during which no call may be cut. Among other faults
 /// nobody could tell what cut a call.
-const PLANNED: u64 = 3;
+const PLANNED_ONLY_EVERY: u64 = 3;
 
 /// Of this many seeds one has engines that start again under their names and entries of another writer beside its other
 /// faults.
-const RENEWED: u64 = 4;
+const RESTARTS_EVERY: u64 = 4;
 /// Of this many seeds one has a caller that sends a call which ends engines, beside its other faults.
-const FATAL: u64 = 4;
+const FATAL_EVERY: u64 = 4;
 /// Of this many seeds one has a store that comes back from copies, and an interface for duties that fails, beside its other faults.
-const COPIED: u64 = 4;
+const RESTORES_EVERY: u64 = 4;
 /// Of this many seeds one has engines that announce rate limits, beside its other faults.
-const LIMITED: u64 = 4;
+const RATE_LIMITS_EVERY: u64 = 4;
 /// How many engines.
-const LIMITS: usize = 3;
+const RATE_LIMIT_COUNT: usize = 3;
 /// Their rate limits, in requests per ten seconds.
-const TAKEN: [u32; 4] = [2, 10, 15, 40];
+const RATES_PER_TEN_SECONDS: [u32; 4] = [2, 10, 15, 40];
 /// How often either happens there.
-const COPIES: usize = 2;
+const RESTORE_COUNT: usize = 2;
 /// Longest time until it begins.
-const FATAL_LEAD: u64 = 1_500;
+const MAX_EARLY_START_MS: u64 = 1_500;
 /// How many engines that start again and entries there are, half of either.
-const RENEWALS: usize = 4;
+const RESTART_COUNT: usize = 4;
 
 impl Plan {
     /// Draws a plan. The same seed and length give the same plan.
-    pub fn draw(seed: u64, length: Duration) -> Self {
-        Self::draw_sized(seed, length, Size::default())
+    pub fn generate(seed: u64, duration: Duration) -> Self {
+        Self::generate_sized(seed, duration, Size::default())
     }
 
     /// Draws a plan for a world of a given size.
-    pub fn draw_sized(seed: u64, length: Duration, size: Size) -> Self {
+    pub fn generate_sized(seed: u64, duration: Duration, size: Size) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let drawn = rng.random_range(2..=4);
         let gateways = size.gateways.unwrap_or(drawn);
         let services = rng.random_range(2..=3);
         let drawn = rng.random_range(3..=8);
         let engines = size.engines.unwrap_or(drawn);
-        let planned = seed.is_multiple_of(PLANNED);
-        let count = (length.as_millis() / u128::from(BETWEEN)).max(1);
-        let last = length.saturating_sub(LEAD).as_millis();
-        let last = u64::try_from(last).unwrap_or(u64::MAX).max(1);
+        let planned = seed.is_multiple_of(PLANNED_ONLY_EVERY);
+        let count = (duration.as_millis() / u128::from(MEAN_FAULT_INTERVAL_MS)).max(1);
+        let last_ms = duration.saturating_sub(WARM_UP).as_millis();
+        let last_ms = u64::try_from(last_ms).unwrap_or(u64::MAX).max(1);
         let mut faults: Vec<Fault> = (0..count)
             .map(|_| Fault {
-                at: LEAD + Duration::from_millis(rng.random_range(0..last)),
-                lasts: Duration::from_millis(rng.random_range(SHORTEST..=LONGEST)),
+                at: WARM_UP + Duration::from_millis(rng.random_range(0..last_ms)),
+                duration: Duration::from_millis(rng.random_range(MIN_FAULT_MS..=MAX_FAULT_MS)),
                 kind: if planned {
-                    planned_kind(&mut rng, gateways, services + engines)
+                    random_planned_work(&mut rng, gateways, services + engines)
                 } else {
-                    kind(&mut rng, gateways, services + engines)
+                    random_fault(&mut rng, gateways, services + engines)
                 },
             })
             .collect();
-        if !planned && seed % RENEWED == RENEWED - 1 {
+        if !planned && seed % RESTARTS_EVERY == RESTARTS_EVERY - 1 {
             // Drawn apart, so that the plans of other seeds stay as they were.
             let mut rng = StdRng::seed_from_u64(!seed);
-            faults.extend((0..RENEWALS).map(|number| Fault {
-                at: LEAD + Duration::from_millis(rng.random_range(0..last)),
-                lasts: Duration::from_millis(rng.random_range(SHORTEST..=LONGEST)),
+            faults.extend((0..RESTART_COUNT).map(|number| Fault {
+                at: WARM_UP + Duration::from_millis(rng.random_range(0..last_ms)),
+                duration: Duration::from_millis(rng.random_range(MIN_FAULT_MS..=MAX_FAULT_MS)),
                 kind: if number % 2 == 0 {
-                    Kind::Reborn(rng.random_range(0..services + engines))
+                    FaultKind::Reborn(rng.random_range(0..services + engines))
                 } else {
-                    Kind::Foreign(rng.random_range(0..services + engines))
+                    FaultKind::Foreign(rng.random_range(0..services + engines))
                 },
             }));
         }
-        if !planned && seed % FATAL == 1 {
+        if !planned && seed % FATAL_EVERY == 1 {
             // Drawn apart, for the same reason.
             let mut rng = StdRng::seed_from_u64(seed.rotate_left(32));
-            let at = LEAD + Duration::from_millis(rng.random_range(0..FATAL_LEAD));
+            let at = WARM_UP + Duration::from_millis(rng.random_range(0..MAX_EARLY_START_MS));
             faults.push(Fault {
                 at,
-                lasts: length.saturating_sub(at),
-                kind: Kind::Fatal,
+                duration: duration.saturating_sub(at),
+                kind: FaultKind::Fatal,
             });
         }
-        if !planned && seed % COPIED == COPIED / 2 {
+        if !planned && seed % RESTORES_EVERY == RESTORES_EVERY / 2 {
             // Drawn apart, for the same reason.
             let mut rng = StdRng::seed_from_u64(seed.rotate_left(16));
-            faults.extend((0..2 * COPIES).map(|number| Fault {
-                at: LEAD + Duration::from_millis(rng.random_range(0..last)),
-                lasts: Duration::from_millis(rng.random_range(SHORTEST..=LONGEST)),
+            faults.extend((0..2 * RESTORE_COUNT).map(|number| Fault {
+                at: WARM_UP + Duration::from_millis(rng.random_range(0..last_ms)),
+                duration: Duration::from_millis(rng.random_range(MIN_FAULT_MS..=MAX_FAULT_MS)),
                 kind: match number % 4 {
-                    0 | 1 => Kind::GoesBack,
-                    2 => Kind::Cloud(Cloud::Silent),
-                    _ => Kind::Cloud(Cloud::Busy),
+                    0 | 1 => FaultKind::GoesBack,
+                    2 => FaultKind::Cloud(CloudFailure::Silent),
+                    _ => FaultKind::Cloud(CloudFailure::Busy),
                 },
             }));
         }
-        if !planned && seed.is_multiple_of(LIMITED) {
+        if !planned && seed.is_multiple_of(RATE_LIMITS_EVERY) {
             // Drawn apart, for the same reason.
             let mut rng = StdRng::seed_from_u64(seed.rotate_left(48));
-            faults.extend((0..LIMITS).map(|_| {
-                let at = LEAD + Duration::from_millis(rng.random_range(0..FATAL_LEAD));
+            faults.extend((0..RATE_LIMIT_COUNT).map(|_| {
+                let at = WARM_UP + Duration::from_millis(rng.random_range(0..MAX_EARLY_START_MS));
                 Fault {
                     at,
-                    lasts: length.saturating_sub(at),
-                    kind: Kind::Limit(
+                    duration: duration.saturating_sub(at),
+                    kind: FaultKind::Limit(
                         rng.random_range(0..services + engines),
-                        pick(&mut rng, &TAKEN),
+                        pick(&mut rng, &RATES_PER_TEN_SECONDS),
                     ),
                 }
             }));
@@ -283,7 +285,7 @@
         faults.sort_by_key(|fault| fault.at);
         Self {
             seed,
-            length,
+            duration,
             gateways,
             services,
             engines,
@@ -292,53 +294,65 @@
     }
 }
 
-fn kind(rng: &mut StdRng, gateways: usize, engines: usize) -> Kind {
+fn random_fault(rng: &mut StdRng, gateways: usize, engines: usize) -> FaultKind {
     let gateway = rng.random_range(0..gateways);
     let engine = rng.random_range(0..engines);
     match rng.random_range(0..20) {
-        0 => Kind::Process(gateway, Process::Pause),
-        1 => Kind::Process(gateway, Process::Kill),
-        2 | 3 => Kind::Process(gateway, Process::Stop),
-        4 => Kind::Process(gateway, Process::Reload),
-        5 => Kind::KillAll,
-        6 => Kind::Callers(gateway, link(rng)),
-        7 | 8 => Kind::StoreLink(gateway, link(rng)),
-        9 => Kind::Store(pick(rng, &[Store::Silent, Store::Busy, Store::Reset])),
-        10 => Kind::Compact,
-        11 | 12 => Kind::EngineLink(engine, link(rng)),
-        13..=15 => Kind::Engine(engine, trouble(rng)),
-        16 => Kind::Leave(engine),
-        17 => Kind::Crash(engine),
-        _ => Kind::Configure,
+        0 => FaultKind::Process(gateway, ProcessAction::Pause),
+        1 => FaultKind::Process(gateway, ProcessAction::Kill),
+        2 | 3 => FaultKind::Process(gateway, ProcessAction::Stop),
+        4 => FaultKind::Process(gateway, ProcessAction::Reload),
+        5 => FaultKind::KillAll,
+        6 => FaultKind::Callers(gateway, random_link_state(rng)),
+        7 | 8 => FaultKind::StoreLink(gateway, random_link_state(rng)),
+        9 => FaultKind::Store(pick(
+            rng,
+            &[
+                StoreFailure::Silent,
+                StoreFailure::Busy,
+                StoreFailure::Reset,
+            ],
+        )),
+        10 => FaultKind::Compact,
+        11 | 12 => FaultKind::EngineLink(engine, random_link_state(rng)),
+        13..=15 => FaultKind::Engine(engine, random_engine_failure(rng)),
+        16 => FaultKind::Leave(engine),
+        17 => FaultKind::Crash(engine),
+        _ => FaultKind::Configure,
     }
 }
 
-fn planned_kind(rng: &mut StdRng, gateways: usize, engines: usize) -> Kind {
+fn random_planned_work(rng: &mut StdRng, gateways: usize, engines: usize) -> FaultKind {
     let gateway = rng.random_range(0..gateways);
     match rng.random_range(0..6) {
-        0..=2 => Kind::Process(gateway, Process::Stop),
-        3 => Kind::Process(gateway, Process::Reload),
-        4 => Kind::Leave(rng.random_range(0..engines)),
-        _ => Kind::Configure,
+        0..=2 => FaultKind::Process(gateway, ProcessAction::Stop),
+        3 => FaultKind::Process(gateway, ProcessAction::Reload),
+        4 => FaultKind::Leave(rng.random_range(0..engines)),
+        _ => FaultKind::Configure,
     }
 }
 
-fn link(rng: &mut StdRng) -> Link {
+fn random_link_state(rng: &mut StdRng) -> LinkState {
     let delay = Duration::from_millis(rng.random_range(5..400));
     pick(
         rng,
-        &[Link::Delay(delay), Link::Silent, Link::OneWay, Link::Reset],
+        &[
+            LinkState::Delay(delay),
+            LinkState::Silent,
+            LinkState::OneWay,
+            LinkState::Reset,
+        ],
     )
 }
 
-fn trouble(rng: &mut StdRng) -> Engine {
+fn random_engine_failure(rng: &mut StdRng) -> EngineFailure {
     let all = [
-        Engine::Full,
-        Engine::LosesAnswers,
-        Engine::Cuts,
-        Engine::Crosses,
-        Engine::Fails,
-        Engine::Hangs,
+        EngineFailure::Full,
+        EngineFailure::LosesAnswers,
+        EngineFailure::Cuts,
+        EngineFailure::Crosses,
+        EngineFailure::Fails,
+        EngineFailure::Hangs,
     ];
     pick(rng, &all)
 }
@@ -348,11 +362,11 @@
 }
 
 /// Where callers draw from: apart from the plan, so that leaving a fault out changes nothing else.
-pub fn callers(seed: u64, caller: u64) -> StdRng {
+pub fn caller_rng(seed: u64, caller: u64) -> StdRng {
     StdRng::seed_from_u64(seed ^ caller.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
 /// A number for ids that no other run has.
-pub fn mark(seed: u64) -> u64 {
+pub fn run_id(seed: u64) -> u64 {
     StdRng::seed_from_u64(seed).next_u64()
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -9,19 +9,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::plan::Link;
+use crate::plan::LinkState;
 
 /// A link to one address.
 #[derive(Debug)]
 pub struct Proxy {
     /// Where it listens.
     pub address: SocketAddr,
-    link: watch::Sender<Link>,
+    link: watch::Sender<LinkState>,
 }
 
 /// Which way bytes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToTarget,
     FromTarget,
 }
@@ -38,33 +38,37 @@
         let address = listener
             .local_addr()
             .expect("a bound socket has an address");
-        let (link, seen) = watch::channel(Link::Pass);
+        let (link, seen) = watch::channel(LinkState::Pass);
         actix_rt::spawn(async move {
             let mut refuses = seen.clone();
             loop {
                 let accepted = tokio::select! {
                     biased;
-                    () = until(&mut refuses, |link| link == Link::Refuse) => return,
+                    () = wait_for_state(&mut refuses, |link| link == LinkState::Refuse) => return,
                     accepted = listener.accept() => accepted,
                 };
                 let Ok((stream, _)) = accepted else { return };
-                actix_rt::spawn(connection(stream, target, seen.clone()));
+                actix_rt::spawn(forward_connection(stream, target, seen.clone()));
             }
         });
         Self { address, link }
     }
 
     /// Changes what the link does.
-    pub fn set(&self, link: Link) {
+    pub fn set_state(&self, link: LinkState) {
         self.link.send_replace(link);
     }
 }
 
-async fn connection(near: TcpStream, target: SocketAddr, mut link: watch::Receiver<Link>) {
+async fn forward_connection(
+    near: TcpStream,
+    target: SocketAddr,
+    mut link: watch::Receiver<LinkState>,
+) {
     // Without this, small pieces wait for acknowledgements, which is no fault that a plan names.
     drop(near.set_nodelay(true));
     let near_end = SockRef::from(&near).try_clone();
-    if *link.borrow() == Link::Reset {
+    if *link.borrow() == LinkState::Reset {
         return reset(near_end);
     }
     let Ok(far) = TcpStream::connect(target).await else {
@@ -74,11 +78,11 @@
     let far_end = SockRef::from(&far).try_clone();
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let up = pump(near_read, far_write, link.clone(), Way::ToTarget);
-    let down = pump(far_read, near_write, link.clone(), Way::FromTarget);
+    let up = forward(near_read, far_write, link.clone(), Direction::ToTarget);
+    let down = forward(far_read, near_write, link.clone(), Direction::FromTarget);
     let broken = tokio::select! {
         (up, down) = async { tokio::join!(up, down) } => !(up && down),
-        () = until(&mut link, |link| matches!(link, Link::Reset | Link::Refuse)) => true,
+        () = wait_for_state(&mut link, |link| matches!(link, LinkState::Reset | LinkState::Refuse)) => true,
     };
     if broken {
         reset(near_end);
@@ -95,20 +99,20 @@
 }
 
 /// Passes bytes on. Says whether their source came to an orderly end.
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut link: watch::Receiver<Link>,
-    way: Way,
+    mut link: watch::Receiver<LinkState>,
+    direction: Direction,
 ) -> bool {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let Ok(size) = from.read(&mut buffer).await else {
             return false;
         };
-        until(&mut link, |link| passes(link, way)).await;
+        wait_for_state(&mut link, |link| forwards(link, direction)).await;
         let delay = *link.borrow();
-        if let Link::Delay(delay) = delay {
+        if let LinkState::Delay(delay) = delay {
             tokio::time::sleep(delay).await;
         }
         if size == 0 {
@@ -120,15 +124,15 @@
     }
 }
 
-fn passes(link: Link, way: Way) -> bool {
+fn forwards(link: LinkState, direction: Direction) -> bool {
     match link {
-        Link::Pass | Link::Delay(_) => true,
-        Link::Silent | Link::Reset | Link::Refuse => false,
-        Link::OneWay => way == Way::ToTarget,
+        LinkState::Pass | LinkState::Delay(_) => true,
+        LinkState::Silent | LinkState::Reset | LinkState::Refuse => false,
+        LinkState::OneWay => direction == Direction::ToTarget,
     }
 }
 
-async fn until(link: &mut watch::Receiver<Link>, state: impl Fn(Link) -> bool) {
+async fn wait_for_state(link: &mut watch::Receiver<LinkState>, state: impl Fn(LinkState) -> bool) {
     // The sender lives as long as the run; after it nothing is to be passed on.
     if link.wait_for(|link| state(*link)).await.is_err() {
         std::future::pending::<()>().await;
--- a/crates/soak/tests/ports.rs
+++ b/crates/soak/tests/ports.rs
@@ -2,17 +2,17 @@
 
 use std::collections::BTreeSet;
 
-use soak::gateway::Ports;
+use soak::gateway::PortAllocator;
 
 /// Symptom: processes of one soak end by themselves, again and again. Sequence: a process is killed; before it
 /// is started again, a soak beside it finds its port free and takes it. Cause: a port counted as free as
 /// soon as nobody listened there.
 #[test]
-fn soaks_side_by_side_share_no_port() {
-    let (mut one, mut other) = (Ports::default(), Ports::default());
+fn concurrent_allocators_share_no_port() {
+    let (mut one, mut other) = (PortAllocator::default(), PortAllocator::default());
     let mut given = BTreeSet::new();
     for _ in 0..100 {
-        assert!(given.insert(one.take()));
-        assert!(given.insert(other.take()));
+        assert!(given.insert(one.allocate()));
+        assert!(given.insert(other.allocate()));
     }
 }
