--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes, links and stand-ins of a run, and how faults begin and end there.
+//! The processes, links and stand-ins of a run, and the injection of faults into them.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,74 +20,74 @@
 use crate::plan::{self, FaultKind, LinkState, Plan, ProcessAction};
 use crate::proxy::Proxy;
 
-/// An engine and the link to it.
+/// An engine stand-in and the proxy in front of it.
 #[derive(Debug)]
 struct EngineNode {
     engine: Engine,
     link: Proxy,
     service: &'static str,
     stage: Option<&'static str>,
-    /// Whether it has said that it leaves, or has ended.
+    /// Whether it drains or has exited.
     has_left: bool,
-    /// What it wrote last of itself; nothing once its record is gone.
+    /// State in its newest record; `None` once the record has been removed.
     recorded_state: Option<&'static str>,
-    /// Whether another start of it has its name.
+    /// Whether it was restarted under its name as another entry.
     is_replaced: bool,
 }
 
-/// A gateway process and the links at its two sides.
+/// A gateway process and the proxies on both sides of it.
 #[derive(Debug)]
 pub struct Instance {
     /// The process.
     pub gateway: RefCell<Gateway>,
-    /// Between callers and it.
+    /// Proxy between callers and the gateway.
     pub callers: Proxy,
     store: Proxy,
 }
 
-/// All of a run.
+/// All processes and stand-ins of a run.
 #[derive(Debug)]
 pub struct Cluster {
     store: Store,
     cloud: Cloud,
-    /// What the store held when it was last copied.
+    /// Newest backup of the store.
     backup: RefCell<Option<store::Backup>>,
-    /// When engines write again what a copy lacks.
+    /// When engines write records again that the backup lacked.
     register_again_at: Cell<Option<Instant>>,
     /// The gateways.
     pub instances: Vec<Instance>,
     engines: RefCell<Vec<EngineNode>>,
     version: RefCell<u64>,
-    /// Whether a caller sends the call that ends engines.
+    /// Whether a caller sends the call that crashes engines.
     pub sends_fatal: Cell<bool>,
-    /// When callers began.
+    /// When the callers started.
     pub callers_started: Cell<Instant>,
-    /// Records of engines that have ended, and when they lapse.
+    /// Engines that crashed, with the time at which their records expire.
     expiring_records: RefCell<Vec<(Instant, usize)>>,
-    /// What has been seen so far.
+    /// Observations so far.
     pub history: RefCell<History>,
 }
 
-/// Pause between two events, so that streams are under way whenever something happens.
+/// Interval between events, long enough that streams are open whenever a fault begins.
 const EVENT_INTERVAL: Duration = Duration::from_millis(50);
-/// Path of the call that ends engines.
+/// Path of the call that crashes engines.
 pub const FATAL_PATH: &str = "/stream/fatal";
-/// Organisations of callers.
+/// Organisations of the callers.
 pub const ORGANISATIONS: [&str; 2] = ["org-a", "org-b"];
-/// Length of a window whose use is reported, and time after its end within which that is due, in milliseconds.
+/// Length of a window for usage reports, and time after its end when the report is due.
 const USAGE_WINDOW_MS: u32 = 1_000;
 const USAGE_REPORT_DUE_MS: u32 = 8_000;
-/// Time until an engine writes its record again.
+/// Time until an engine renews its record.
 const HEARTBEAT: Duration = Duration::from_millis(400);
-/// Time until the record of an engine that has ended lapses.
+/// Time until the record of a crashed engine expires.
 const RECORD_LIFETIME: Duration = Duration::from_millis(1_200);
-/// Name of the topic with engines' records.
+/// Topic with the records of engines.
 const ENGINE_TOPIC: &str = "keyed.servers";
-/// Topics whose history is dropped.
+/// Topics to compact.
 const COMPACTED_TOPICS: [&str; 2] = [ENGINE_TOPIC, "keyed.op"];
 
 impl Cluster {
-    /// Starts everything.
+    /// Starts all processes and stand-ins.
     ///
     /// # Errors
     ///
@@ -117,7 +117,7 @@
                 store: link,
             });
         }
-        let world = Self {
+        let cluster = Self {
             store,
             cloud,
             backup: RefCell::default(),
@@ -131,21 +131,21 @@
             history: RefCell::default(),
         };
         for _ in 0..plan.services {
-            world.add_engine("app", None).await;
+            cluster.add_engine("app", None).await;
         }
         for number in 0..plan.engines {
-            // A third of them read, as on the users' deployments.
+            // A third of them do prefill, as in the users' deployments.
             let stage = if number % 3 == 1 { "prefill" } else { "decode" };
-            world.add_engine("pool", Some(stage)).await;
+            cluster.add_engine("pool", Some(stage)).await;
         }
-        world.configure();
-        for instance in &world.instances {
+        cluster.configure();
+        for instance in &cluster.instances {
             instance.gateway.borrow_mut().start()?;
         }
-        Ok(Rc::new(world))
+        Ok(Rc::new(cluster))
     }
 
-    /// The newest version of the configuration.
+    /// Newest version of the configuration.
     pub fn version(&self) -> u64 {
         *self.version.borrow()
     }
@@ -156,7 +156,7 @@
         self.register_engine(engine, service, stage).await;
     }
 
-    /// Puts an engine behind a link of its own and registers it.
+    /// Puts an engine behind its own proxy and registers it.
     async fn register_engine(
         &self,
         engine: Engine,
@@ -178,7 +178,7 @@
         });
     }
 
-    /// Writes a configuration with one route more.
+    /// Writes a configuration with an additional route.
     fn configure(&self) {
         *self.version.borrow_mut() += 1;
         self.write_configuration();
@@ -214,50 +214,42 @@
                     self.signal(number, Signal::KILL);
                 }
             }
-            FaultKind::Callers(number, link) => self.instances[number].callers.set_state(link),
-            FaultKind::StoreLink(number, link) => self.instances[number].store.set_state(link),
+            FaultKind::Callers(number, link) => self.instances[number].callers.set(link),
+            FaultKind::StoreLink(number, link) => self.instances[number].store.set(link),
             FaultKind::Store(fault) => self.store.fault(store_fault(fault)),
             FaultKind::Compact => COMPACTED_TOPICS
                 .iter()
                 .for_each(|topic| self.store.compact(topic)),
-            FaultKind::EngineLink(number, link) => {
-                self.with_engine(number, |place| place.link.set_state(link));
-            }
-            FaultKind::Engine(number, trouble) => {
-                self.with_engine(number, |p| {
-                    p.engine.set_behaviour(engine_behaviour(trouble));
-                });
+            FaultKind::EngineLink(number, link) => self.with_engine(number, |e| e.link.set(link)),
+            FaultKind::Engine(number, failure) => {
+                self.with_engine(number, |e| e.engine.set_behaviour(behaviour(failure)));
             }
             FaultKind::Leave(number) => self.drain_engine(number).await,
             FaultKind::Crash(number) => self.crash_engine(number).await,
             FaultKind::Reborn(number) => self.restart_engine(number).await,
             FaultKind::Foreign(number) => self.write_foreign_records(number),
             FaultKind::Fatal => self.sends_fatal.set(true),
-            FaultKind::Limit(number, taken) => self.announce_rate_limit(number, taken),
+            FaultKind::Limit(number, rate) => self.announce_rate_limit(number, rate),
             FaultKind::Configure => self.configure(),
             FaultKind::GoesBack => drop(self.backup.replace(Some(self.store.backup()))),
             FaultKind::Cloud(fault) => self.cloud.fault(cloud_fault(fault)),
         }
     }
 
-    /// Ends a fault that lasts.
+    /// Ends a fault, if its kind has an end.
     pub fn end_fault(&self, kind: FaultKind) {
         match kind {
             FaultKind::Process(number, ProcessAction::Pause) => self.signal(number, Signal::CONT),
-            FaultKind::Callers(number, _) => {
-                self.instances[number].callers.set_state(LinkState::Pass);
-            }
-            FaultKind::StoreLink(number, _) => {
-                self.instances[number].store.set_state(LinkState::Pass);
-            }
+            FaultKind::Callers(number, _) => self.instances[number].callers.set(LinkState::Pass),
+            FaultKind::StoreLink(number, _) => self.instances[number].store.set(LinkState::Pass),
             FaultKind::Store(_) => self.store.fault(store::Fault::None),
-            FaultKind::EngineLink(number, _) => self.with_engine(number, |place| {
-                if !place.has_left {
-                    place.link.set_state(LinkState::Pass);
+            FaultKind::EngineLink(number, _) => self.with_engine(number, |node| {
+                if !node.has_left {
+                    node.link.set(LinkState::Pass);
                 }
             }),
             FaultKind::Engine(number, _) => {
-                self.with_engine(number, |place| place.engine.set_behaviour(Behaviour::Run));
+                self.with_engine(number, |node| node.engine.set_behaviour(Behaviour::Run));
             }
             FaultKind::Leave(number) => self.unregister(number),
             FaultKind::Crash(number) => self.unregister(number),
@@ -274,7 +266,8 @@
         }
     }
 
-    /// The store comes back from its copy. The operator writes at once again what it lacks, engines with their next heartbeats.
+    /// Restores the store from its backup. The operator writes what it lacks at once, engines with
+    /// their next heartbeats.
     fn restore_store(&self) {
         if let Some(copy) = self.backup.take() {
             self.store.restore(copy);
@@ -283,7 +276,7 @@
         }
     }
 
-    /// Lets engines write again what the store lacks, once that is due.
+    /// Makes engines write records again that the restored store lacks, once that is due.
     pub fn register_again_if_due(&self) {
         if self
             .register_again_at
@@ -293,29 +286,27 @@
             return;
         }
         self.register_again_at.set(None);
-        let places = self.engines.borrow();
-        for place in places.iter().filter(|place| !place.is_replaced) {
-            let Some(state) = place.recorded_state else {
-                // Nothing renews what the copy has of it.
-                self.store.put(ENGINE_TOPIC, &place.engine.id, None);
+        let nodes = self.engines.borrow();
+        for node in nodes.iter().filter(|node| !node.is_replaced) {
+            let Some(state) = node.recorded_state else {
+                // Nobody renews its record in the backup.
+                self.store.put(ENGINE_TOPIC, &node.engine.id, None);
                 continue;
             };
-            let (address, service) = (place.link.address, place.service);
-            place
-                .engine
-                .register_at(address, &self.store, service, state, place.stage);
+            let (address, service) = (node.link.address, node.service);
+            node.engine
+                .register_at(address, &self.store, service, state, node.stage);
         }
     }
 
-    fn announce_rate_limit(&self, number: usize, taken: u32) {
+    fn announce_rate_limit(&self, number: usize, rate: u32) {
         let from = self.callers_started.get().elapsed();
-        self.with_engine(number, |place| {
-            place
-                .engine
-                .announce_limit(Some(&(f64::from(taken) / 10.0).to_string()));
+        self.with_engine(number, |node| {
+            node.engine
+                .announce_limit(Some(&(f64::from(rate) / 10.0).to_string()));
             self.history.borrow_mut().rate_limits.push(RateLimit {
-                engine: place.engine.id.clone(),
-                per_ten_seconds: taken,
+                engine: node.engine.id.clone(),
+                per_ten_seconds: rate,
                 from,
                 until: Duration::MAX,
             });
@@ -324,11 +315,11 @@
 
     fn withdraw_rate_limit(&self, number: usize) {
         let until = self.callers_started.get().elapsed();
-        self.with_engine(number, |place| {
-            place.engine.announce_limit(None);
+        self.with_engine(number, |node| {
+            node.engine.announce_limit(None);
             let mut history = self.history.borrow_mut();
             let limits = history.rate_limits.iter_mut();
-            for limit in limits.filter(|limit| limit.engine == place.engine.id) {
+            for limit in limits.filter(|limit| limit.engine == node.engine.id) {
                 limit.until = limit.until.min(until);
             }
         });
@@ -342,66 +333,67 @@
         change(&mut self.engines.borrow_mut()[number]);
     }
 
-    /// Marks an engine as left. Gives its service and stage, unless it had left before.
+    /// Marks an engine as having left. Returns its service and stage unless it had left before.
     fn mark_left(&self, number: usize) -> Option<(&'static str, Option<&'static str>)> {
-        let place = &mut self.engines.borrow_mut()[number];
-        if std::mem::replace(&mut place.has_left, true) {
+        let node = &mut self.engines.borrow_mut()[number];
+        if std::mem::replace(&mut node.has_left, true) {
             return None;
         }
-        Some((place.service, place.stage))
+        Some((node.service, node.stage))
     }
 
     async fn drain_engine(&self, number: usize) {
         if let Some((service, stage)) = self.mark_left(number) {
             self.add_engine(service, stage).await;
-            self.with_engine(number, |place| {
-                let engine = &place.engine;
-                engine.register_at(place.link.address, &self.store, service, "draining", stage);
-                place.recorded_state = Some("draining");
+            self.with_engine(number, |node| {
+                let engine = &node.engine;
+                engine.register_at(node.link.address, &self.store, service, "draining", stage);
+                node.recorded_state = Some("draining");
             });
         }
     }
 
     async fn crash_engine(&self, number: usize) {
         if let Some((service, stage)) = self.mark_left(number) {
-            self.with_engine(number, |place| place.link.set_state(LinkState::Reset));
+            self.with_engine(number, |node| node.link.set(LinkState::Reset));
             self.add_engine(service, stage).await;
         }
     }
 
-    /// The engine ends and another start of it registers under its name, which is where the first one is told from
-    /// it.
+    /// Ends an engine and registers a restart under its name, which gateways must tell from the old
+    /// one.
     async fn restart_engine(&self, number: usize) {
         let Some((service, stage)) = self.mark_left(number) else {
             return;
         };
         let id = self.engines.borrow()[number].engine.id.clone();
-        self.with_engine(number, |place| {
-            if !place.engine.has_stopped() {
-                place.link.set_state(LinkState::Reset);
+        self.with_engine(number, |node| {
+            if !node.engine.has_stopped() {
+                node.link.set(LinkState::Reset);
             }
         });
-        // Its record is that of the new start from now on.
+        // From now on the record under its name is that of the restarted engine.
         self.engines.borrow_mut()[number].is_replaced = true;
-        // One that starts again has a later place than the start before.
+        // The position in the list is the start timestamp, so that a restart has a later one.
         let timestamp = self.engines.borrow().len() as u64;
         let engine = Engine::start_with_timestamp(&id, timestamp).await;
         self.register_engine(engine, service, stage).await;
     }
 
-    /// Starts engines in the place of those that a call has ended: one half under their names, the other under new ones.
+    /// Replaces engines that a call has crashed: those with an even index under the same name, the
+    /// others under new names.
     pub async fn replace_ended_engines(&self) {
-        let is_ended = |place: &EngineNode| place.engine.has_stopped() && !place.has_left;
+        let is_ended = |node: &EngineNode| node.engine.has_stopped() && !node.has_left;
         let ended: Vec<usize> = {
-            let places = self.engines.borrow();
-            let ended = places.iter().enumerate();
-            let ended = ended.filter(|(_, place)| is_ended(place));
+            let nodes = self.engines.borrow();
+            let ended = nodes.iter().enumerate();
+            let ended = ended.filter(|(_, node)| is_ended(node));
             ended.map(|(number, _)| number).collect()
         };
         for number in ended {
             let at = self.callers_started.get().elapsed();
             self.history.borrow_mut().engine_ends.push(at);
-            self.with_engine(number, |place| place.link.set_state(LinkState::Refuse));
+            self.with_engine(number, |node| node.link.set(LinkState::Refuse));
             if number.is_multiple_of(2) {
                 self.restart_engine(number).await;
             } else if let Some((service, stage)) = self.mark_left(number) {
@@ -412,8 +404,8 @@
         }
         let now = Instant::now();
         let (due, rest) = {
-            let lapses = self.expiring_records.take();
-            lapses.into_iter().partition(|(at, _)| *at <= now)
+            let records = self.expiring_records.take();
+            records.into_iter().partition(|(at, _)| *at <= now)
         };
         let due: Vec<(Instant, usize)> = due;
         self.expiring_records.replace(rest);
@@ -422,45 +414,44 @@
         }
     }
 
-    /// Writes what no engine writes, in a place of its own and over an engine's record.
+    /// Writes an entry that no engine writes, under a key of its own and over an engine's record.
     fn write_foreign_records(&self, number: usize) {
         let entry = json!({ "service": "app", "address": [10, 0, 0, 1], "state": "resting" });
         self.store.put(ENGINE_TOPIC, "foreign", Some(&entry));
-        self.with_engine(number, |place| {
-            if !place.has_left {
-                self.store.put(ENGINE_TOPIC, &place.engine.id, Some(&entry));
+        self.with_engine(number, |node| {
+            if !node.has_left {
+                self.store.put(ENGINE_TOPIC, &node.engine.id, Some(&entry));
             }
         });
     }
 
-    /// An engine writes its record again, as it does with each heartbeat.
+    /// Makes an engine write its record again, as with each heartbeat.
     fn write_engine_record(&self, number: usize) {
-        self.with_engine(number, |place| {
-            if !place.has_left {
-                let address = place.link.address;
-                place
-                    .engine
-                    .register_at(address, &self.store, place.service, "ready", place.stage);
+        self.with_engine(number, |node| {
+            if !node.has_left {
+                let address = node.link.address;
+                node.engine
+                    .register_at(address, &self.store, node.service, "ready", node.stage);
             }
         });
     }
 
     fn unregister(&self, number: usize) {
-        self.with_engine(number, |place| {
-            place.recorded_state = None;
-            self.store.put(ENGINE_TOPIC, &place.engine.id, None);
+        self.with_engine(number, |node| {
+            node.recorded_state = None;
+            self.store.put(ENGINE_TOPIC, &node.engine.id, None);
         });
     }
 
-    /// Lets engines do what they were ordered last.
+    /// Makes engines follow their latest orders.
     fn apply_orders(&self) {
-        for place in self
+        for node in self
             .engines
             .borrow_mut()
             .iter_mut()
-            .filter(|place| !place.has_left)
+            .filter(|node| !node.has_left)
         {
-            let Some(order) = place.engine.orders().pop() else {
+            let Some(order) = node.engine.orders().pop() else {
                 continue;
             };
             let stage = if order.stage == "prefill" {
@@ -468,22 +459,21 @@
             } else {
                 "decode"
             };
-            if place.stage != Some(stage) {
-                place.stage = Some(stage);
-                let (address, service) = (place.link.address, place.service);
-                place
-                    .engine
-                    .register_at(address, &self.store, service, "ready", place.stage);
+            if node.stage != Some(stage) {
+                node.stage = Some(stage);
+                let (address, service) = (node.link.address, node.service);
+                node.engine
+                    .register_at(address, &self.store, service, "ready", node.stage);
             }
         }
     }
 
-    /// Lets engines do what they were ordered, starts processes that have ended, and notes those that ended
-    /// by themselves.
+    /// Makes engines follow their orders, restarts processes that have exited, and records
+    /// unexpected exits.
     ///
     /// # Errors
     ///
-    /// If one cannot be started.
+    /// If a process cannot be started.
     pub fn apply_orders_and_restart(&self) -> io::Result<()> {
         self.apply_orders();
         for (number, instance) in self.instances.iter().enumerate() {
@@ -501,27 +491,31 @@
         Ok(())
     }
 
-    /// Takes what the engines and the platform saw into the history.
+    /// Adds the requests that engines and the platform received to the history.
     pub fn collect_history(&self) {
         let mut history = self.history.borrow_mut();
         history.usage_reports = self.cloud.calls("/usage");
-        for place in self.engines.borrow().iter() {
-            let id = &place.engine.id;
-            let orders = place.engine.orders();
+        for node in self.engines.borrow().iter() {
+            let id = &node.engine.id;
+            let orders = node.engine.orders();
             history
                 .orders
                 .extend(orders.into_iter().map(|order| (id.clone(), order)));
-            let received = place.engine.received();
+            let received = node.engine.received();
             history
                 .engine_requests
-                .extend(received.into_iter().map(|got| EngineRequest {
-                    engine: id.clone(),
-                    service: place.service,
-                    received_at: got.at.saturating_duration_since(self.callers_started.get()),
-                    executed: got.ran,
-                    forged: got.has_forged_header() || got.header("key").is_some(),
-                    organisation: got.header("tenant-id").unwrap_or_default().to_owned(),
-                    id: got.id,
+                .extend(received.into_iter().map(|request| {
+                    EngineRequest {
+                        engine: id.clone(),
+                        service: node.service,
+                        received_at: request
+                            .at
+                            .saturating_duration_since(self.callers_started.get()),
+                        executed: request.ran,
+                        forged: request.has_forged_header() || request.header("key").is_some(),
+                        organisation: request.header("tenant-id").unwrap_or_default().to_owned(),
+                        id: request.id,
+                    }
                 }));
         }
     }
@@ -543,7 +537,7 @@
     }
 }
 
-/// The key of an organisation.
+/// The API key of an organisation.
 pub fn key(organisation: &str) -> String {
     format!("key-of-{organisation}")
 }
@@ -572,7 +566,7 @@
     }
 }
 
-fn engine_behaviour(failure: plan::EngineFailure) -> Behaviour {
+fn behaviour(failure: plan::EngineFailure) -> Behaviour {
     match failure {
         plan::EngineFailure::Full => Behaviour::Full,
         plan::EngineFailure::LosesAnswers => Behaviour::CloseUnanswered,
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers and back ends saw in a run.
+//! Record of what callers and back ends saw in a run.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 
 use crate::plan::Fault;
 
-/// What a caller asks for.
+/// Kind of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// A plain call that may be repeated.
     Safe,
-    /// A plain call that may run once.
+    /// A plain call that may run at most once.
     Once,
-    /// A stream that may run once.
+    /// A stream that may run at most once.
     Stream,
-    /// A stream that may go on elsewhere.
+    /// A stream that may resume on another engine.
     Resume,
-    /// A stream that ends each engine which runs it.
+    /// A stream that crashes each engine that runs it.
     Fatal,
-    /// A plain call with a key that nobody was given.
+    /// A plain call with a key that no organisation has.
     Keyless,
-    /// A plain call on the route that a version of the configuration brought.
+    /// A plain call on the route that this version of the configuration added.
     Added(u64),
 }
 
 impl RequestKind {
-    /// Engines on which it may run.
+    /// Largest number of engines on which it may run.
     pub fn max_attempts(self) -> usize {
         match self {
             Self::Keyless => 0,
@@ -37,62 +37,62 @@
         }
     }
 
-    /// Whether it is answered in events.
+    /// Whether its answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resume | Self::Fatal)
     }
 
-    /// The service that may run it.
+    /// The service that its route leads to.
     pub fn service(self) -> &'static str {
         if self.is_stream() { "pool" } else { "app" }
     }
 }
 
-/// How a call ended for its caller.
+/// Outcome of a call for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// An answer came, at least its head.
+    /// At least the head of an answer arrived.
     Answer {
-        /// Its status.
+        /// Status code.
         status: u16,
-        /// Whether it bears an engine's signature.
+        /// Whether it has an engine's signature.
         signed: bool,
-        /// Whether it says when to come back.
+        /// Whether it has a `Retry-After` header.
         says_when: bool,
-        /// Its body, unless it ended early.
+        /// The body, unless it was cut short.
         body: Option<Bytes>,
     },
-    /// No connection opened.
+    /// The connection could not be opened.
     NotConnected,
-    /// The connection ended without an answer.
+    /// The connection closed without an answer.
     Closed,
-    /// The caller left.
+    /// The caller stopped waiting.
     Left,
 }
 
-/// One call.
+/// A call as its caller saw it.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// What it asked for.
+    /// What it requested.
     pub kind: RequestKind,
-    /// Whose key it bore.
+    /// The organisation whose key it carried.
     pub organisation: &'static str,
-    /// The gateway, by its number.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// Which start of the gateway it was sent to.
+    /// Number of starts of the gateway when the connection was opened.
     pub gateway_start: u32,
-    /// When it was sent, since callers began.
+    /// When it was sent, since the callers started.
     pub sent_at: Duration,
-    /// When it ended.
+    /// When it ended, since the callers started.
     pub ended_at: Duration,
-    /// How.
+    /// How it ended.
     pub outcome: CallOutcome,
 }
 
 impl Call {
-    /// Whether it got a whole success.
+    /// Whether it got a complete answer with status 200.
     pub fn is_success(&self) -> bool {
         matches!(
             self.outcome,
@@ -105,22 +105,22 @@
     }
 }
 
-/// A request that reached an engine.
+/// A request as an engine received it.
 #[derive(Clone, Debug)]
 pub struct EngineRequest {
     /// The engine.
     pub engine: String,
-    /// Its service.
+    /// The engine's service.
     pub service: &'static str,
-    /// The request's id.
+    /// Request id.
     pub id: String,
-    /// When it came, since callers began.
+    /// When it arrived, since the callers started.
     pub received_at: Duration,
-    /// Whether the engine began to work on it.
+    /// Whether the engine began to execute it.
     pub executed: bool,
-    /// Whether it bore a header that the caller had forged, or its key.
+    /// Whether it still carried a header forged by the caller, or the caller's key.
     pub forged: bool,
-    /// The organisation that the engine was told.
+    /// The organisation that the gateway named to the engine.
     pub organisation: String,
 }
 
@@ -131,31 +131,31 @@
     pub engine: String,
     /// The limit, in requests per ten seconds.
     pub per_ten_seconds: u32,
-    /// When it began to announce it, since callers began.
+    /// When the engine began to announce it, since the callers started.
     pub from: Duration,
-    /// When it ceased to.
+    /// When the engine stopped announcing it.
     pub until: Duration,
 }
 
-/// All that was seen.
+/// Everything observed in a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Calls, in the order in which they ended.
     pub calls: Vec<Call>,
-    /// Requests at engines; those of one engine in order of arrival.
+    /// Requests at engines; those of one engine are in order of arrival.
     pub engine_requests: Vec<EngineRequest>,
     /// Orders by engine, in order of arrival.
     pub orders: Vec<(String, Order)>,
-    /// Calls to the platform's interface for duties, in order of arrival.
+    /// Calls to the platform's interface for usage reports, in order of arrival.
     pub usage_reports: Vec<cloud::Call>,
-    /// Processes that ended by themselves.
+    /// Processes that exited without being asked to.
     pub unexpected_exits: Vec<String>,
-    /// States that did not come after the last fault.
+    /// Probes that got no success in time, before the first fault or after the last one.
     pub failed_probes: Vec<String>,
-    /// When engines ended under the call that ends them, since callers began.
+    /// When engines crashed under [`RequestKind::Fatal`], since the callers started.
     pub engine_ends: Vec<Duration>,
     /// Rate limits that engines announced.
     pub rate_limits: Vec<RateLimit>,
-    /// What was done.
+    /// The faults that were injected.
     pub faults: Vec<Fault>,
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! A soak of the gateway under random faults: real processes on loopback between stand-ins of the
-//! platform, faults from outside them, and checks of what callers and back ends see. A seed gives a
-//! [`plan`]; [`run`] carries it out in a [`cluster`] of processes, [`proxy`] links and stand-ins while
-//! [`caller`]s send; [`check`] judges the [`history`]. It stands at the end of the dependencies and
-//! nothing depends on it. See `docs/SOAK.md`.
+//! Soak test of the gateway under random faults: real processes on loopback between stand-ins of
+//! the platform, faults injected from outside, and checks of what callers and back ends see. A seed
+//! generates a [`plan`]; [`run`] executes it in a [`cluster`] of processes, [`proxy`] links and
+//! stand-ins while each [`caller`] sends requests; [`check`] evaluates the [`history`]. No other
+//! crate depends on this one. See `docs/SOAK.md`.
 
 pub mod caller;
 pub mod check;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, drawn from a seed.
+//! Plan of the faults of a run, generated from a seed.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,33 +6,33 @@
 use rand::rngs::StdRng;
 use rand::{Rng as _, RngExt as _, SeedableRng as _};
 
-/// What a link does instead of passing bytes on.
+/// State of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Passes all on.
+    /// Forwards everything.
     Pass,
-    /// Passes all on later.
+    /// Forwards everything after a delay.
     Delay(Duration),
-    /// Passes nothing on in either direction, on open connections and new ones.
+    /// Forwards nothing in either direction, on open and new connections.
     Silent,
-    /// Passes nothing on that comes from the accepting side.
+    /// Forwards nothing that comes from the target.
     OneWay,
-    /// Resets open connections and new ones.
+    /// Resets open and new connections.
     Reset,
-    /// Resets open connections and refuses new ones, since nothing listens there any more.
+    /// Resets open connections and refuses new ones, as if nothing listened there.
     Refuse,
 }
 
 /// How an engine fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineFailure {
-    /// It refuses, without running anything.
+    /// It refuses calls without running them.
     Full,
-    /// It runs calls and closes without an answer.
+    /// It runs calls and closes the connection without an answer.
     LosesAnswers,
-    /// It breaks streams off.
+    /// It closes streams early.
     Cuts,
-    /// It answers other requests first.
+    /// It answers with the response to another request.
     Crosses,
     /// It runs calls and answers 500.
     Fails,
@@ -40,23 +40,23 @@
     Hangs,
 }
 
-/// What is done to a gateway process.
+/// Action on a gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessAction {
-    /// Stopped and continued.
+    /// `SIGSTOP`, then `SIGCONT`.
     Pause,
-    /// Killed, and started again.
+    /// `SIGKILL`, then a restart.
     Kill,
-    /// Asked to end, and started again once it has.
+    /// `SIGTERM`, then a restart once it has exited.
     Stop,
-    /// Asked to read its settings again.
+    /// `SIGHUP`, to reload its settings.
     Reload,
 }
 
-/// What is wrong with the store for all.
+/// Failure of the store that all clients see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFailure {
-    /// It answers nothing.
+    /// It does not answer.
     Silent,
     /// It refuses every call.
     Busy,
@@ -64,75 +64,75 @@
     Reset,
 }
 
-/// What is wrong with the platform's interface for duties.
+/// Failure of the platform's interface for usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloudFailure {
-    /// It carries calls out and answers none.
+    /// It executes calls without answering.
     Silent,
     /// It refuses every call.
     Busy,
 }
 
-/// One thing that happens.
+/// Kind of a fault or of planned work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// To one gateway, by its number.
+    /// Action on one gateway, by its index.
     Process(usize, ProcessAction),
-    /// To all gateways at once: killed, and started again.
+    /// All gateways are killed at once and restarted.
     KillAll,
-    /// To the link between callers and a gateway.
+    /// State of the link between callers and a gateway.
     Callers(usize, LinkState),
-    /// To the link between a gateway and the store.
+    /// State of the link between a gateway and the store.
     StoreLink(usize, LinkState),
-    /// To the store.
+    /// Failure of the store.
     Store(StoreFailure),
-    /// The store forgets its history but the newest of each key.
+    /// The store compacts its topics to the newest entry of each key.
     Compact,
-    /// The store comes back from a copy that was made when this began.
+    /// The store is restored from a backup taken when the fault began.
     GoesBack,
-    /// The platform's interface for duties does not answer.
+    /// Failure of the platform's interface for usage reports.
     Cloud(CloudFailure),
-    /// To the link between all gateways and an engine, by its number.
+    /// State of the link between all gateways and an engine, by its index.
     EngineLink(usize, LinkState),
-    /// To an engine.
+    /// Failure of an engine.
     Engine(usize, EngineFailure),
-    /// An engine says that it leaves, and a new one comes.
+    /// An engine announces that it drains, and a new one replaces it.
     Leave(usize),
-    /// An engine ends without a word; its record goes later, and a new one comes.
+    /// An engine crashes; its record is removed later, and a new engine replaces it.
     Crash(usize),
-    /// An engine ends and starts again under its name, at another address.
+    /// An engine crashes and restarts under the same name at another address.
     Reborn(usize),
-    /// Another program writes entries among the engines' records, one of them in the place of an engine's.
+    /// Another program writes entries to the engines' topic, one of them over an engine's record.
     Foreign(usize),
-    /// A caller sends a call that ends each engine which runs it, again and again. Engines are back under their names or new
-    /// ones.
+    /// A caller repeats a call that crashes each engine that runs it. Engines restart under their
+    /// old names or under new ones.
     Fatal,
     /// An engine announces a rate limit, in requests per ten seconds.
     Limit(usize, u32),
-    /// A new configuration, with one route more.
+    /// A new configuration with an additional route.
     Configure,
 }
 
-/// Something that happens at a time, and for how long where it lasts.
+/// A scheduled fault or piece of planned work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Time since callers began.
+    /// When it begins, since the callers started.
     pub at: Duration,
-    /// How long it lasts, where it does.
+    /// How long it lasts; ignored for kinds without an end.
     pub duration: Duration,
-    /// What.
+    /// What happens.
     pub kind: FaultKind,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (at, lasts) = (self.at.as_millis(), self.duration.as_millis());
-        write!(f, "at {at} ms for {lasts} ms: {:?}", self.kind)
+        let (at, duration) = (self.at.as_millis(), self.duration.as_millis());
+        write!(f, "at {at} ms for {duration} ms: {:?}", self.kind)
     }
 }
 
 impl Fault {
-    /// Whether it is planned work, during which no call may be cut.
+    /// Whether it is planned work, which must not cut any call.
     pub fn is_planned(&self) -> bool {
         matches!(
             self.kind,
@@ -143,72 +143,73 @@
     }
 }
 
-/// All that happens in a run.
+/// Sizes and faults of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Where it was drawn from.
+    /// Seed that generated it.
     pub seed: u64,
-    /// How long callers send.
+    /// How long the callers send.
     pub duration: Duration,
-    /// Gateway processes.
+    /// Number of gateway processes.
     pub gateways: usize,
-    /// Engines of plain calls.
+    /// Number of engines for plain calls.
     pub services: usize,
-    /// Engines that generate.
+    /// Number of engines for generation.
     pub engines: usize,
-    /// What happens, in order of time.
+    /// Faults in order of time.
     pub faults: Vec<Fault>,
 }
 
-/// Sizes that a plan is not left to draw.
+/// Sizes that replace the generated ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Gateway processes.
+    /// Number of gateway processes.
     pub gateways: Option<usize>,
-    /// Engines that generate.
+    /// Number of engines for generation.
     pub engines: Option<usize>,
 }
 
-/// Time before the first fault, in which the processes serve.
+/// Time before the first fault in which the processes serve undisturbed.
 const WARM_UP: Duration = Duration::from_millis(800);
-/// Longest time that a fault lasts.
+/// Longest duration of a fault.
 const MAX_FAULT_MS: u64 = 4_000;
-/// Shortest time that a fault lasts.
+/// Shortest duration of a fault.
 const MIN_FAULT_MS: u64 = 150;
-/// Mean time between two faults: they overlap more often than not.
+/// Mean time between the starts of two faults, short enough that most faults overlap.
 const MEAN_FAULT_INTERVAL_MS: u64 = 700;
 
-/// Of this many seeds one has planned work only, during which no call may be cut. Among other faults
-/// nobody could tell what cut a call.
+/// One seed in this many has only planned work, which must not cut any call. Among other faults the
+/// cause of a cut call would be unknown.
 const PLANNED_ONLY_EVERY: u64 = 3;
 
-/// Of this many seeds one has engines that start again under their names and entries of another writer beside its other
-/// faults.
+/// One seed in this many adds engines that restart under their names, and entries of a foreign
+/// writer.
 const RESTARTS_EVERY: u64 = 4;
-/// Of this many seeds one has a caller that sends a call which ends engines, beside its other faults.
+/// One seed in this many adds a caller whose call crashes engines.
 const FATAL_EVERY: u64 = 4;
-/// Of this many seeds one has a store that comes back from copies, and an interface for duties that fails, beside its other faults.
+/// One seed in this many adds restores of the store from backups, and failures of the interface for
+/// usage reports.
 const RESTORES_EVERY: u64 = 4;
-/// Of this many seeds one has engines that announce rate limits, beside its other faults.
+/// One seed in this many adds engines that announce rate limits.
 const RATE_LIMITS_EVERY: u64 = 4;
-/// How many engines.
+/// Number of engines that announce rate limits in such a plan.
 const RATE_LIMIT_COUNT: usize = 3;
-/// Their rate limits, in requests per ten seconds.
+/// Rate limits to choose from, in requests per ten seconds.
 const RATES_PER_TEN_SECONDS: [u32; 4] = [2, 10, 15, 40];
-/// How often either happens there.
+/// Number of restores, and of interface failures, in such a plan.
 const RESTORE_COUNT: usize = 2;
-/// Longest time until it begins.
+/// Longest time after the warm-up until fatal calls and rate limits begin.
 const MAX_EARLY_START_MS: u64 = 1_500;
-/// How many engines that start again and entries there are, half of either.
+/// Number of restarts and foreign entries together in such a plan, half of each.
 const RESTART_COUNT: usize = 4;
 
 impl Plan {
-    /// Draws a plan. The same seed and length give the same plan.
+    /// Generates a plan. The same seed and duration give the same plan.
     pub fn generate(seed: u64, duration: Duration) -> Self {
         Self::generate_sized(seed, duration, Size::default())
     }
 
-    /// Draws a plan for a world of a given size.
+    /// Generates a plan for a cluster of a given size.
     pub fn generate_sized(seed: u64, duration: Duration, size: Size) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let drawn = rng.random_range(2..=4);
@@ -232,7 +233,7 @@
             })
             .collect();
         if !planned && seed % RESTARTS_EVERY == RESTARTS_EVERY - 1 {
-            // Drawn apart, so that the plans of other seeds stay as they were.
+            // A separate generator keeps the plans of other seeds unchanged.
             let mut rng = StdRng::seed_from_u64(!seed);
             faults.extend((0..RESTART_COUNT).map(|number| Fault {
                 at: WARM_UP + Duration::from_millis(rng.random_range(0..last_ms)),
@@ -245,7 +246,7 @@
             }));
         }
         if !planned && seed % FATAL_EVERY == 1 {
-            // Drawn apart, for the same reason.
+            // A separate generator, for the same reason.
             let mut rng = StdRng::seed_from_u64(seed.rotate_left(32));
             let at = WARM_UP + Duration::from_millis(rng.random_range(0..MAX_EARLY_START_MS));
             faults.push(Fault {
@@ -255,7 +256,7 @@
             });
         }
         if !planned && seed % RESTORES_EVERY == RESTORES_EVERY / 2 {
-            // Drawn apart, for the same reason.
+            // A separate generator, for the same reason.
             let mut rng = StdRng::seed_from_u64(seed.rotate_left(16));
             faults.extend((0..2 * RESTORE_COUNT).map(|number| Fault {
                 at: WARM_UP + Duration::from_millis(rng.random_range(0..last_ms)),
@@ -268,7 +269,7 @@
             }));
         }
         if !planned && seed.is_multiple_of(RATE_LIMITS_EVERY) {
-            // Drawn apart, for the same reason.
+            // A separate generator, for the same reason.
             let mut rng = StdRng::seed_from_u64(seed.rotate_left(48));
             faults.extend((0..RATE_LIMIT_COUNT).map(|_| {
                 let at = WARM_UP + Duration::from_millis(rng.random_range(0..MAX_EARLY_START_MS));
@@ -361,12 +362,13 @@
     all[rng.random_range(0..all.len())]
 }
 
-/// Where callers draw from: apart from the plan, so that leaving a fault out changes nothing else.
+/// Random numbers of a caller, separate from those of the plan so that removing a fault changes
+/// nothing else.
 pub fn caller_rng(seed: u64, caller: u64) -> StdRng {
     StdRng::seed_from_u64(seed ^ caller.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// A number for ids that no other run has.
+/// A number for request ids that is unique to the run.
 pub fn run_id(seed: u64) -> u64 {
     StdRng::seed_from_u64(seed).next_u64()
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A link on loopback whose behaviour changes from outside, on open connections as on new ones.
+//! TCP proxy on loopback whose behaviour can be changed at run time, for open and new connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 
 use crate::plan::LinkState;
 
-/// A link to one address.
+/// Proxy to one address.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     link: watch::Sender<LinkState>,
 }
 
-/// Which way bytes go.
+/// Direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
     ToTarget,
@@ -27,20 +27,20 @@
 }
 
 impl Proxy {
-    /// Starts a link that passes all on.
+    /// Starts a proxy that forwards everything.
     ///
     /// # Panics
     ///
-    /// If loopback has no port left.
+    /// If loopback has no free port.
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.expect("loopback has a free port");
         let address = listener
             .local_addr()
             .expect("a bound socket has an address");
-        let (link, seen) = watch::channel(LinkState::Pass);
+        let (link, state) = watch::channel(LinkState::Pass);
         actix_rt::spawn(async move {
-            let mut refuses = seen.clone();
+            let mut refuses = state.clone();
             loop {
                 let accepted = tokio::select! {
                     biased;
@@ -48,14 +48,14 @@
                     accepted = listener.accept() => accepted,
                 };
                 let Ok((stream, _)) = accepted else { return };
-                actix_rt::spawn(forward_connection(stream, target, seen.clone()));
+                actix_rt::spawn(forward_connection(stream, target, state.clone()));
             }
         });
         Self { address, link }
     }
 
-    /// Changes what the link does.
-    pub fn set_state(&self, link: LinkState) {
+    /// Changes the behaviour of the link.
+    pub fn set(&self, link: LinkState) {
         self.link.send_replace(link);
     }
 }
@@ -65,7 +65,7 @@
     target: SocketAddr,
     mut link: watch::Receiver<LinkState>,
 ) {
-    // Without this, small pieces wait for acknowledgements, which is no fault that a plan names.
+    // With Nagle's algorithm small writes wait for acknowledgements, a delay that no plan asks for.
     drop(near.set_nodelay(true));
     let near_end = SockRef::from(&near).try_clone();
     if *link.borrow() == LinkState::Reset {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Closes so that the peer sees a reset and not an end.
+/// Closes the socket so that the peer sees a reset instead of an orderly close.
 fn reset(socket: std::io::Result<socket2::Socket>) {
     if let Ok(socket) = socket {
         drop(socket.set_linger(Some(Duration::ZERO)));
@@ -98,7 +98,7 @@
     }
 }
 
-/// Passes bytes on. Says whether their source came to an orderly end.
+/// Forwards bytes. Returns whether the source closed in order.
 async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -133,7 +133,7 @@
 }
 
 async fn wait_for_state(link: &mut watch::Receiver<LinkState>, state: impl Fn(LinkState) -> bool) {
-    // The sender lives as long as the run; after it nothing is to be passed on.
+    // The sender is dropped at the end of the run, after which nothing needs to be forwarded.
     if link.wait_for(|link| state(*link)).await.is_err() {
         std::future::pending::<()>().await;
     }
