--- a/crates/soak/src/gateway.rs
+++ b/crates/soak/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway process: its settings file, its starts and ends.
+//! A gateway process: its settings file, ports, signals and restarts.
 
 use std::fs::File;
 use std::io;
@@ -11,35 +11,36 @@
 use platform_standin::configuration::{Duties, Settings};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A gateway and the files that it needs.
+/// A gateway process with its settings and log.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Where callers are served.
+    /// Address for callers.
     pub front: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
-    /// Starts so far.
+    /// Number of starts so far.
     pub starts: u32,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// Whether its present process is to end, so that its end is no finding.
+    /// Whether the current process was told to exit, so that its exit is not a finding.
     exit_expected: bool,
 }
 
-/// Seconds from the request to end until the kill. Calls of a run end within three.
+/// Grace period for a shutdown. Calls of a run end within 3 s.
 const SHUTDOWN_GRACE_S: u32 = 6;
-/// Repeats beyond the ratio; more than a run has calls that fail.
+/// Retries allowed beyond the ratio: more than the number of failing calls in a run.
 const RETRY_SLACK: u32 = 500;
-/// Milliseconds between orders of two instances; less than most faults last.
+/// Lease duration, which separates orders of two instances; shorter than most faults.
 const LEASE_MS: u32 = 1_500;
 
-/// Looks for a handler, a pause apart; a program takes some milliseconds to its first line on a busy machine.
+/// Number of polls for a signal handler. On a busy machine a program takes some milliseconds to
+/// reach its first statement.
 const HANDLER_POLLS: usize = 500;
 const HANDLER_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The signals that a process has handlers for, from its status, as a bit each.
+/// Bit mask of the signals that a process handles, from `/proc/PID/status`.
 fn caught_signals(status: &str) -> Option<u64> {
     let caught = status
         .lines()
@@ -47,30 +48,30 @@
     u64::from_str_radix(caught.trim(), 16).ok()
 }
 
-/// Addresses that nobody listens on, each given out once.
+/// Allocates free loopback addresses, each of them once.
 ///
-/// Processes that are started again need their ports back, while another soak beside this one looks for
-/// ports: it would find those of a process that has just ended, and the process would end by itself from then
-/// on. So ports are taken by blocks, and the first port of each is held for as long as the run lasts.
+/// A restarted process needs its ports back, but a concurrent soak that looks for ports could take
+/// those of a process that has just exited, and every restart would then fail. Ports are therefore
+/// reserved in blocks, by listening on the first port of each block until the run ends.
 #[derive(Debug, Default)]
 pub struct PortAllocator {
     next: u16,
     end: u16,
-    /// The first port of each block.
+    /// Listeners on the first port of each block.
     reserved: Vec<TcpListener>,
 }
 
-/// Ports of a block.
+/// Number of ports in a block, including the reserved first one.
 const PORTS_PER_BLOCK: u16 = 64;
-/// Ports that are given out; the kernel gives connections none below 32,768.
+/// Ports to allocate from, below the kernel's ephemeral range, which starts at 32,768.
 const PORT_RANGE: Range<u16> = 22_016..32_704;
 
 impl PortAllocator {
-    /// The next one.
+    /// Allocates the next free address.
     ///
     /// # Panics
     ///
-    /// If soaks hold all ports.
+    /// If all blocks are reserved.
     pub fn allocate(&mut self) -> SocketAddr {
         loop {
             if self.next == self.end {
@@ -103,7 +104,7 @@
 }
 
 impl Gateway {
-    /// Writes the settings of a gateway. It does not run yet.
+    /// Writes the settings of a gateway without starting it.
     ///
     /// # Errors
     ///
@@ -142,11 +143,11 @@
         })
     }
 
-    /// Starts a process, if none runs.
+    /// Starts the process unless it runs.
     ///
     /// # Errors
     ///
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -166,7 +167,7 @@
         Ok(())
     }
 
-    /// Sends a signal to the process, if one runs.
+    /// Sends a signal to the process if it runs.
     pub fn signal(&mut self, signal: Signal) {
         if matches!(signal, Signal::KILL | Signal::TERM) {
             self.exit_expected = true;
@@ -177,16 +178,17 @@
         let pid = self.child.as_ref().map(Child::id);
         let pid = pid.and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
         if let Some(pid) = pid {
-            // It may have ended a moment ago.
+            // The process may have exited already.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Waits until the process has a handler for a signal.
+    /// Waits until the process handles a signal, for a bounded time.
     ///
-    /// Between the start of a process and the first line of its program lies a millisecond in which the system is at
-    /// work for it and no program can have handlers: SIGHUP ends any process then. What the program makes of it from its
-    /// first line on is what is checked here, and its own test holds how early that is.
+    /// For about a millisecond between the start of a process and the first statement of its
+    /// program, no handler can be installed and SIGHUP ends any process. The soak checks the
+    /// program's behaviour after that; the gateway has a test of its own for how early it installs
+    /// the handler.
     fn wait_for_handler(&self, signal: Signal) {
         let Some(child) = &self.child else { return };
         let status = format!("/proc/{}/status", child.id());
@@ -201,11 +203,11 @@
         }
     }
 
-    /// Whether no process runs. `Err` tells how one ended that nobody asked to.
+    /// Whether no process runs.
     ///
     /// # Errors
     ///
-    /// The status of a process that ended by itself.
+    /// The exit status of a process that was not told to exit.
     pub fn has_exited(&mut self) -> Result<bool, ExitStatus> {
         let Some(child) = &mut self.child else {
             return Ok(true);
@@ -227,7 +229,7 @@
 impl Drop for Gateway {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // A stopped process takes this signal, too.
+            // SIGKILL also ends a process that SIGSTOP has stopped.
             drop(child.kill());
             drop(child.wait());
         }
