--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! The promises, judged from a history. Each check says what callers or engines would notice.
+//! Checks a history against the invariants of the service, as callers and engines see them.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -9,47 +9,50 @@
 use crate::history::{Call, CallOutcome, EngineRequest, History, RequestKind};
 use crate::plan::FaultKind;
 
-/// What a run promised and did not keep.
+/// An invariant that a run violated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The promise.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// What was seen.
+    /// What was observed.
     pub evidence: String,
 }
 
-/// What must always hold.
+/// Property that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Invariant {
     /// A caller receives the whole answer to its own request, or none.
     WholeOwnAnswer,
-    /// A request that may not be repeated runs at most once.
+    /// A request that must not be repeated runs at most once.
     AtMostOnce,
     /// A request runs on no more engines than its route allows.
     Attempts,
-    /// A refusal that says "not run" is true, and says when to come back.
+    /// A refusal that reports "not run" is true, and has a `Retry-After` header.
     TrueRefusal,
-    /// What the configuration allows is not denied.
+    /// A call that the configuration allows is not denied.
     NotDenied,
-    /// Engines run only what callers asked for, without what callers forged.
+    /// Engines receive only requests that callers sent, without forged headers and for the right
+    /// organisation.
     Asked,
     /// A request runs at its route's service.
     Route,
-    /// A configuration that was in force at a process stays, or a newer one comes.
+    /// A process never goes back to an older configuration.
     NeverBack,
-    /// Engines see one holder a fencing token, and tokens that do not fall.
+    /// Engines see one holder for each fencing token, and tokens that never decrease.
     Orders,
-    /// The platform gets one report a window, and sees one holder a fencing token, and tokens of what it takes that do not fall.
+    /// The platform gets one report for each window, sees one holder for each fencing token, and
+    /// accepts tokens that never decrease.
     Duties,
-    /// A call that has ended three engines reaches no more than a few, and an innocent one is not held for it.
+    /// A call that crashed three engines reaches only a few more, and no innocent call is
+    /// quarantined for it.
     Held,
-    /// Engines get no more requests than the rate limits that they announce allow.
+    /// Engines get no more requests than the rate limits that they announce.
     RateLimits,
-    /// No call is cut by planned work.
+    /// Planned work cuts no call.
     PlannedWork,
-    /// Processes run until they are asked to end.
+    /// Processes run until they are told to exit.
     Lives,
-    /// Once all faults are over, all is served.
+    /// Every kind of call is served again once all faults are over.
     Recovery,
 }
 
@@ -59,22 +62,22 @@
     }
 }
 
-/// Events of a stream.
+/// Number of events in a stream.
 pub const STREAM_EVENTS: usize = 4;
-/// Time around a call in which an unplanned fault may have cut it. Kernels notice silent peers within
-/// seconds.
+/// Time after an unplanned fault in which it may still cut a call: kernels detect silent peers
+/// within seconds.
 const FAULT_AFTEREFFECT: Duration = Duration::from_secs(8);
 
-/// Judges a history. Every finding is told.
+/// Checks a history and returns all findings.
 pub fn check(history: &History) -> Vec<Finding> {
     let mut findings = Vec::new();
     let engines = engines_by_request(history);
     for call in &history.calls {
-        let ran = engines.get(call.id.as_str()).map_or(0, Vec::len);
+        let executions = engines.get(call.id.as_str()).map_or(0, Vec::len);
         check_answer(call, &mut findings);
-        check_attempts(call, ran, &mut findings);
-        check_refusal(call, ran, &mut findings);
-        check_planned_work(call, ran, history, &mut findings);
+        check_attempts(call, executions, &mut findings);
+        check_refusal(call, executions, &mut findings);
+        check_planned_work(call, executions, history, &mut findings);
     }
     check_engine_requests(history, &mut findings);
     check_configuration_versions(history, &mut findings);
@@ -86,10 +89,10 @@
         .unexpected_exits
         .iter()
         .map(|exit| (Invariant::Lives, exit));
-    let missing = history.failed_probes.iter();
-    let missing = missing.map(|missing| (Invariant::Recovery, missing));
-    findings.extend(exits.chain(missing).map(|(promise, text)| Finding {
-        invariant: promise,
+    let probes = history.failed_probes.iter();
+    let probes = probes.map(|probe| (Invariant::Recovery, probe));
+    findings.extend(exits.chain(probes).map(|(invariant, text)| Finding {
+        invariant,
         evidence: text.clone(),
     }));
     findings
@@ -97,8 +100,15 @@
 
 fn engines_by_request(history: &History) -> HashMap<&str, Vec<&str>> {
     let mut engines: HashMap<&str, Vec<&str>> = HashMap::new();
-    for run in history.engine_requests.iter().filter(|run| run.executed) {
-        engines.entry(&run.id).or_default().push(&run.engine);
+    for request in history
+        .engine_requests
+        .iter()
+        .filter(|request| request.executed)
+    {
+        engines
+            .entry(&request.id)
+            .or_default()
+            .push(&request.engine);
     }
     engines
 }
@@ -110,7 +120,7 @@
     });
 }
 
-/// The body that an engine gives to a request.
+/// The body with which an engine answers a request.
 pub fn expected_body(kind: RequestKind, id: &str) -> String {
     if !kind.is_stream() {
         return format!("answer to {id}");
@@ -137,8 +147,8 @@
     }
 }
 
-fn check_attempts(call: &Call, ran: usize, findings: &mut Vec<Finding>) {
-    if ran <= call.kind.max_attempts() {
+fn check_attempts(call: &Call, executions: usize, findings: &mut Vec<Finding>) {
+    if executions <= call.kind.max_attempts() {
         return;
     }
     let invariant = match call.kind {
@@ -146,11 +156,11 @@
         RequestKind::Keyless => Invariant::Asked,
         RequestKind::Safe | RequestKind::Resume | RequestKind::Added(_) => Invariant::Attempts,
     };
-    let evidence = format!("{} {:?} ran {ran} times", call.id, call.kind);
+    let evidence = format!("{} {:?} ran {executions} times", call.id, call.kind);
     report(findings, invariant, evidence);
 }
 
-fn check_refusal(call: &Call, ran: usize, findings: &mut Vec<Finding>) {
+fn check_refusal(call: &Call, executions: usize, findings: &mut Vec<Finding>) {
     let CallOutcome::Answer {
         status, says_when, ..
     } = &call.outcome
@@ -159,13 +169,13 @@
     };
     let evidence = || {
         format!(
-            "{} {:?} got {status} and ran {ran} times",
+            "{} {:?} got {status} and ran {executions} times",
             call.id, call.kind
         )
     };
     let repeatable = call.kind.max_attempts() > 1;
     match status {
-        408 | 421 | 429 | 503 if ran > 0 && !repeatable => {
+        408 | 421 | 429 | 503 if executions > 0 && !repeatable => {
             report(findings, Invariant::TrueRefusal, evidence());
         }
         429 | 503 if !says_when => {
@@ -179,10 +189,15 @@
     }
 }
 
-/// A call that an engine ran must be answered if nothing but planned work went on around it.
-fn check_planned_work(call: &Call, ran: usize, history: &History, findings: &mut Vec<Finding>) {
+/// A call that an engine ran must be answered unless an unplanned fault happened around it.
+fn check_planned_work(
+    call: &Call,
+    executions: usize,
+    history: &History,
+    findings: &mut Vec<Finding>,
+) {
     let cut = match &call.outcome {
-        CallOutcome::Closed => ran > 0,
+        CallOutcome::Closed => executions > 0,
         CallOutcome::Answer { body, .. } => body.is_none(),
         CallOutcome::NotConnected | CallOutcome::Left => false,
     };
@@ -202,32 +217,32 @@
         .iter()
         .map(|call| (call.id.as_str(), (call.kind, call.organisation)))
         .collect();
-    for run in &history.engine_requests {
-        let Some((ask, organisation)) = calls.get(run.id.as_str()) else {
-            let evidence = format!("{} at {} was sent by nobody", run.id, run.engine);
+    for request in &history.engine_requests {
+        let Some((kind, organisation)) = calls.get(request.id.as_str()) else {
+            let evidence = format!("{} at {} was sent by nobody", request.id, request.engine);
             report(findings, Invariant::Asked, evidence);
             continue;
         };
-        if run.forged {
-            let evidence = format!("{} at {} bore a forged header", run.id, run.engine);
+        if request.forged {
+            let evidence = format!("{} at {} bore a forged header", request.id, request.engine);
             report(findings, Invariant::Asked, evidence);
         }
-        if run.organisation != *organisation {
+        if request.organisation != *organisation {
             let evidence = format!(
                 "{} of {organisation} told as of {}",
-                run.id, run.organisation
+                request.id, request.organisation
             );
             report(findings, Invariant::Asked, evidence);
         }
-        if run.executed && run.service != ask.service() {
-            let evidence = format!("{} {ask:?} ran at {}", run.id, run.engine);
+        if request.executed && request.service != kind.service() {
+            let evidence = format!("{} {kind:?} ran at {}", request.id, request.engine);
             report(findings, Invariant::Route, evidence);
         }
     }
 }
 
-/// At one start of a gateway, a call sent after another one had shown a version in force must not be
-/// handled as only an older version allows.
+/// Within one start of a gateway, once a call has shown that a version is in force, a later call
+/// must not be refused as under an older version.
 fn check_configuration_versions(history: &History, findings: &mut Vec<Finding>) {
     let mut shown: BTreeMap<(usize, u32), Vec<(Duration, u64)>> = BTreeMap::new();
     for call in &history.calls {
@@ -253,16 +268,17 @@
     }
 }
 
-/// Engines that a call may end before it is held.
+/// Number of engines that a call may crash before it is quarantined.
 const ENDS_BEFORE_QUARANTINE: usize = 3;
-/// Time within which all instances know what one of them does, and for which a fault at one or at the store excuses it.
+/// Time for a change at one instance to reach all others, and time for which a fault at an instance
+/// or the store still excuses the instance.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// How often a call that ends engines may reach them after that, in trials.
+/// Number of trials on engines that a quarantined call may get.
 const MAX_TRIALS: usize = 3;
-/// Time after the end of an engine within which an innocent call may be held, since it cannot be told yet from the one to blame. A
-/// hold takes three times as long.
+/// Time after the crash of an engine in which an innocent call may be quarantined, since it cannot
+/// yet be told from the cause. A quarantine lasts three times as long.
 const SUSPICION_TIME: Duration = Duration::from_secs(10);
-/// What an answer says whose call is held.
+/// Text in the answer to a quarantined call.
 const QUARANTINE_MESSAGE: &[u8] = b"Engines that ran this call ended.";
 
 fn check_quarantine(
@@ -310,9 +326,9 @@
     }
 }
 
-/// Span of time in which requests to a limited engine are counted.
+/// Window in which requests to an engine with a rate limit are counted.
 const RATE_LIMIT_WINDOW: Duration = Duration::from_secs(4);
-/// Requests beyond one and a half times a limit that are allowed in it.
+/// Requests allowed in the window beyond one and a half times the limit.
 const RATE_LIMIT_ALLOWANCE: f64 = 5.0;
 
 fn check_rate_limits(history: &History, findings: &mut Vec<Finding>) {
@@ -320,18 +336,18 @@
     let calls: HashMap<&str, &Call> = calls.map(|call| (call.id.as_str(), call)).collect();
     for limit in &history.rate_limits {
         let bound = limit.from + PROPAGATION_TIME..=limit.until;
-        let counts = |run: &&EngineRequest| {
-            let call = calls.get(run.id.as_str());
-            run.engine == limit.engine
-                && bound.contains(&run.received_at)
+        let counts = |request: &&EngineRequest| {
+            let call = calls.get(request.id.as_str());
+            request.engine == limit.engine
+                && bound.contains(&request.received_at)
                 && call.is_some_and(|call| is_free_of_faults(history, call))
-                && !was_delayed_by_link(history, run)
+                && !was_delayed_by_link(history, request)
         };
         let mut at: Vec<Duration> = history
             .engine_requests
             .iter()
             .filter(counts)
-            .map(|run| run.received_at)
+            .map(|request| request.received_at)
             .collect();
         at.sort_unstable();
         let windows = at.iter().enumerate().map(|(first, from)| {
@@ -341,12 +357,12 @@
             within.count()
         });
         let most = windows.max().unwrap_or(0);
-        let taken = f64::from(limit.per_ten_seconds) / 10.0;
-        let allowed = 1.5 * taken * RATE_LIMIT_WINDOW.as_secs_f64() + RATE_LIMIT_ALLOWANCE;
+        let per_second = f64::from(limit.per_ten_seconds) / 10.0;
+        let allowed = 1.5 * per_second * RATE_LIMIT_WINDOW.as_secs_f64() + RATE_LIMIT_ALLOWANCE;
         #[allow(clippy::cast_precision_loss)]
         if most as f64 > allowed {
             let evidence = format!(
-                "{} takes {taken}/s and got {most} in {RATE_LIMIT_WINDOW:?}",
+                "{} takes {per_second}/s and got {most} in {RATE_LIMIT_WINDOW:?}",
                 limit.engine
             );
             report(findings, Invariant::RateLimits, evidence);
@@ -354,18 +370,20 @@
     }
 }
 
-/// Whether the link to a run's engine had a fault shortly before it: requests that waited there come together.
-fn was_delayed_by_link(history: &History, run: &EngineRequest) -> bool {
+/// Whether the link to the engine had a fault shortly before the request, since delayed requests
+/// arrive in a burst.
+fn was_delayed_by_link(history: &History, request: &EngineRequest) -> bool {
     let mut faults = history.faults.iter();
     faults.any(|fault| {
-        let concerns = |number: usize| run.engine.ends_with(&format!("-{number}"));
+        let concerns = |number: usize| request.engine.ends_with(&format!("-{number}"));
         matches!(fault.kind, FaultKind::EngineLink(number, _) if concerns(number))
-            && fault.at <= run.received_at
-            && run.received_at <= fault.at + fault.duration + PROPAGATION_TIME
+            && fault.at <= request.received_at
+            && request.received_at <= fault.at + fault.duration + PROPAGATION_TIME
     })
 }
 
-/// Whether neither the store nor the gateway of a call had a fault that ended less than [`PROPAGATION_TIME`] before it.
+/// Whether neither the store nor the gateway of a call had a fault that ended less than
+/// [`PROPAGATION_TIME`] before it.
 fn is_free_of_faults(history: &History, call: &Call) -> bool {
     let concerns = |kind: FaultKind| match kind {
         FaultKind::Process(number, _)
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each check finds the fault that it is for, planted in a history that is good without it.
+//! Tests of each check on a valid history with one violation added.
 
 use std::time::Duration;
 
@@ -23,10 +23,10 @@
     Duration::from_millis(ms)
 }
 
-fn call(id: &str, ask: RequestKind, at: u64) -> Call {
+fn call(id: &str, kind: RequestKind, at: u64) -> Call {
     Call {
         id: id.to_owned(),
-        kind: ask,
+        kind,
         organisation: ORGANISATIONS[0],
         gateway: 0,
         gateway_start: 1,
@@ -36,15 +36,15 @@
             status: 200,
             signed: true,
             says_when: false,
-            body: Some(Bytes::from(check::expected_body(ask, id))),
+            body: Some(Bytes::from(check::expected_body(kind, id))),
         },
     }
 }
 
-fn executed(id: &str, ask: RequestKind, engine: &str) -> EngineRequest {
+fn executed(id: &str, kind: RequestKind, engine: &str) -> EngineRequest {
     EngineRequest {
         engine: engine.to_owned(),
-        service: ask.service(),
+        service: kind.service(),
         id: id.to_owned(),
         received_at: Duration::ZERO,
         executed: true,
@@ -53,13 +53,13 @@
     }
 }
 
-/// One served call of each kind.
+/// One successful call of each kind.
 fn valid_history() -> History {
     let mut history = History::default();
-    for (at, ask) in (0..).zip(REQUEST_KINDS) {
+    for (at, kind) in (0..).zip(REQUEST_KINDS) {
         let id = format!("c{at}");
-        history.engine_requests.push(executed(&id, ask, "e0"));
-        history.calls.push(call(&id, ask, at * 100));
+        history.engine_requests.push(executed(&id, kind, "e0"));
+        history.calls.push(call(&id, kind, at * 100));
     }
     history
 }
@@ -73,13 +73,13 @@
     };
 }
 
-/// Plants a fault; the check must find just that.
-fn assert_only_finding(promise: Invariant, plant: impl FnOnce(&mut History)) {
+/// Asserts that a violation added to a valid history gives exactly one finding, for that invariant.
+fn assert_only_finding(invariant: Invariant, add_violation: impl FnOnce(&mut History)) {
     let mut history = valid_history();
-    plant(&mut history);
+    add_violation(&mut history);
     let findings = check::check(&history);
-    let promises: Vec<Invariant> = findings.iter().map(|f| f.invariant).collect();
-    assert_eq!(promises, [promise], "{findings:?}");
+    let invariants: Vec<Invariant> = findings.iter().map(|f| f.invariant).collect();
+    assert_eq!(invariants, [invariant], "{findings:?}");
 }
 
 #[test]
@@ -118,11 +118,11 @@
 
 #[test]
 fn second_execution_is_reported() {
-    for (at, ask) in [(1, RequestKind::Once), (2, RequestKind::Stream)] {
+    for (at, kind) in [(1, RequestKind::Once), (2, RequestKind::Stream)] {
         assert_only_finding(Invariant::AtMostOnce, |history| {
             history
                 .engine_requests
-                .push(executed(&format!("c{at}"), ask, "e1"));
+                .push(executed(&format!("c{at}"), kind, "e1"));
         });
     }
 }
@@ -171,16 +171,12 @@
             .engine_requests
             .push(executed("nobody's", RequestKind::Once, "e0"));
     });
-    assert_only_finding(Invariant::Asked, |history| {
-        history.engine_requests[3].forged = true;
-    });
+    assert_only_finding(Invariant::Asked, |h| h.engine_requests[3].forged = true);
 }
 
 #[test]
 fn execution_at_another_service_is_reported() {
-    assert_only_finding(Invariant::Route, |history| {
-        history.engine_requests[0].service = "pool";
-    });
+    assert_only_finding(Invariant::Route, |h| h.engine_requests[0].service = "pool");
 }
 
 #[test]
@@ -190,7 +186,7 @@
         refuse(&mut late, 404, false);
         history.calls.push(late);
     });
-    // Another start may know less for a moment, and a newer version was not seen yet.
+    // A restarted gateway may briefly have an older version, and no call has shown version 3 yet.
     for (start, version) in [(2, 1), (1, 3)] {
         let mut history = valid_history();
         let mut late = call("late", RequestKind::Added(version), 5_000);
@@ -247,7 +243,7 @@
     });
 }
 
-/// Three engines that end under a call, and four sends of it that reach one later, each a second after the one before.
+/// Adds three crashes by a call, and four later repeats of it, 1 s apart, that reach an engine.
 fn add_fatal_calls(history: &mut History, from: u64) {
     history.engine_ends = [100, 200, 300].map(ms).to_vec();
     for number in 0..4 {
@@ -259,7 +255,7 @@
             .push(executed(&id, RequestKind::Fatal, &format!("e{number}")));
         history.calls.push(sent);
     }
-    // What cuts a call that ends engines is no planned work.
+    // An unplanned fault, so that these cut calls are no finding of their own.
     history.faults = vec![Fault {
         at: ms(50),
         duration: ms(20_000),
@@ -344,7 +340,8 @@
     });
 }
 
-/// A history in which one engine takes a request a second and gets so many, one each 200 ms.
+/// Adds an engine with a rate limit of one request per second that gets `count` requests, 200 ms
+/// apart.
 fn with_rate_limit(count: u64) -> impl FnOnce(&mut History) {
     move |history| {
         history.rate_limits.push(RateLimit {
