--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends one call after the other, on connections that it keeps as long as they are open.
+//! Callers: each sends calls one at a time and reuses its connection while it is open.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,19 +15,20 @@
 use crate::history::{Call, CallOutcome, RequestKind};
 use crate::plan;
 
-/// Time that a caller waits, as it tells the gateway.
+/// Deadline that a caller gives the gateway.
 const DEADLINE_MS: u32 = 3_000;
-/// A caller leaves after this: the deadline, and what an answer at its end takes on a busy machine.
+/// Time until a caller gives up: the deadline plus the time that a late answer takes on a busy
+/// machine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest pause between two calls of one caller, in milliseconds.
+/// Longest pause between two calls of a caller.
 const MAX_PAUSE_MS: u64 = 60;
-/// Longest pause between two repeats of the call that ends engines.
+/// Longest pause between two repeats of the call that crashes engines.
 const MAX_FATAL_PAUSE_MS: u64 = 300;
-/// One call in this many bears forged headers, or is left early.
+/// One call in this many carries forged headers, and one in as many is abandoned early.
 const UNUSUAL_CALL_EVERY: u32 = 12;
-/// One call that is to go on elsewhere in this many bears a key that nobody was given instead.
+/// One resumable call in this many is replaced by a call with an unknown key.
 const KEYLESS_EVERY: u64 = 3;
-/// Largest answer, in bytes.
+/// Largest body of an answer.
 const MAX_BODY_BYTES: usize = 1 << 16;
 
 const PATIENCE: TcpTimeouts = TcpTimeouts {
@@ -37,23 +38,23 @@
     probe_count: 1,
 };
 
-/// Whether callers go on.
+/// Whether callers continue to send.
 #[derive(Debug, Default)]
 pub struct Running(Cell<bool>);
 
 impl Running {
-    /// Callers that go on until [`Running::stop`].
+    /// Callers send until [`Running::stop`].
     pub fn new() -> Self {
         Self(Cell::new(true))
     }
 
-    /// Lets them finish the call in hand.
+    /// Stops callers after their current call.
     pub fn stop(&self) {
         self.0.set(false);
     }
 }
 
-/// One caller.
+/// A caller.
 pub struct Caller {
     cluster: Rc<Cluster>,
     name: String,
@@ -61,15 +62,15 @@
     started: Instant,
     rng: StdRng,
     calls_sent: u64,
-    /// A kept connection, with its gateway and the start of it.
+    /// Open connection, with the gateway's index and number of starts.
     connection: Option<(Client, usize, u32)>,
 }
 
 impl Caller {
-    /// A caller whose ids no other run has.
-    pub fn new(world: &Rc<Cluster>, seed: u64, number: u64, started: Instant) -> Self {
+    /// Creates a caller whose request ids are unique to the run.
+    pub fn new(cluster: &Rc<Cluster>, seed: u64, number: u64, started: Instant) -> Self {
         Self {
-            cluster: world.clone(),
+            cluster: cluster.clone(),
             name: format!("{:08x}{number:02x}", plan::run_id(seed) >> 32),
             organisation: ORGANISATIONS[usize::from(number % 2 == 1)],
             started,
@@ -79,12 +80,12 @@
         }
     }
 
-    /// Calls until told to stop.
+    /// Sends calls until stopped.
     pub async fn run(mut self, running: Rc<Running>) {
         while running.0.get() {
             let number = self.rng.random_range(0..self.cluster.instances.len());
-            let ask = self.draw_kind();
-            self.call(number, ask).await;
+            let kind = self.draw_kind();
+            self.call(number, kind).await;
             sleep(Duration::from_millis(
                 self.rng.random_range(0..MAX_PAUSE_MS),
             ))
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Sends the call that ends engines while its fault lasts.
+    /// Sends the call that crashes engines while its fault lasts.
     pub async fn repeat_fatal(mut self, running: Rc<Running>) {
         while running.0.get() {
             if self.cluster.sends_fatal.get() {
@@ -117,16 +118,16 @@
         }
     }
 
-    /// Sends one call and notes what came of it.
-    pub async fn call(&mut self, number: usize, ask: RequestKind) -> CallOutcome {
+    /// Sends a call and records its outcome.
+    pub async fn call(&mut self, number: usize, kind: RequestKind) -> CallOutcome {
         self.calls_sent += 1;
         let id = format!("{}{:06x}", self.name, self.calls_sent);
         let sent = self.started.elapsed();
-        // The connection's own gateway is called while it lasts.
+        // An open connection determines the gateway.
         let (client, gateway, start) = match self.connect(number).await {
             Ok(open) => open,
             Err(start) => {
-                self.record(id, ask, number, start, sent, CallOutcome::NotConnected);
+                self.record(id, kind, number, start, sent, CallOutcome::NotConnected);
                 return CallOutcome::NotConnected;
             }
         };
@@ -136,16 +137,16 @@
             CALL_TIMEOUT
         };
         let forged = self.rng.random_ratio(1, UNUSUAL_CALL_EVERY);
-        let response = exchange(client, ask, &id, self.organisation, forged);
-        let (end, client) = timeout(time_limit, response)
+        let response = exchange(client, kind, &id, self.organisation, forged);
+        let (outcome, client) = timeout(time_limit, response)
             .await
             .unwrap_or((CallOutcome::Left, None));
         self.connection = client.map(|client| (client, gateway, start));
-        self.record(id, ask, gateway, start, sent, end.clone());
-        end
+        self.record(id, kind, gateway, start, sent, outcome.clone());
+        outcome
     }
 
-    /// Gives the kept connection up.
+    /// Closes the open connection.
     pub fn close_connection(&mut self) {
         self.connection = None;
     }
@@ -167,27 +168,27 @@
     fn record(
         &self,
         id: String,
-        ask: RequestKind,
+        kind: RequestKind,
         gateway: usize,
         start: u32,
         sent: Duration,
-        end: CallOutcome,
+        outcome: CallOutcome,
     ) {
         self.cluster.history.borrow_mut().calls.push(Call {
             id,
-            kind: ask,
+            kind,
             organisation: self.organisation,
             gateway,
             gateway_start: start,
             sent_at: sent,
             ended_at: self.started.elapsed(),
-            outcome: end,
+            outcome,
         });
     }
 }
 
-fn path(ask: RequestKind) -> String {
-    match ask {
+fn path(kind: RequestKind) -> String {
+    match kind {
         RequestKind::Safe | RequestKind::Keyless => "/safe/x".to_owned(),
         RequestKind::Once => "/once/x".to_owned(),
         RequestKind::Stream => "/stream/x".to_owned(),
@@ -197,31 +198,31 @@
     }
 }
 
-/// Sends a call and reads its answer. Gives the connection back where it can be used on.
+/// Sends a call and reads its answer. Returns the connection if it can be reused.
 async fn exchange(
     mut client: Client,
-    ask: RequestKind,
+    kind: RequestKind,
     id: &str,
     organisation: &str,
     forged: bool,
 ) -> (CallOutcome, Option<Client>) {
     let parts = format!("a{id}:80,b{id}:20");
-    let key = match ask {
+    let key = match kind {
         RequestKind::Keyless => "nobody's".to_owned(),
         _ => key(organisation),
     };
     let mut headers = vec![("key", key.as_str())];
-    if ask.is_stream() {
+    if kind.is_stream() {
         headers.extend(request::generation_headers("100,20", &parts));
     }
     if forged {
         headers.extend(FORGED_HEADERS);
     }
-    let head = request::call(&path(ask), id, DEADLINE_MS, &headers);
+    let head = request::call(&path(kind), id, DEADLINE_MS, &headers);
     let answer = match client.send(head, &Bytes::new()).await {
         Ok(answer) => answer,
         Err(Failure::Broken(why)) => {
-            // Bytes that are no answer: as bad as another call's answer.
+            // A malformed answer counts as a violation, like the answer to another call.
             let body = Some(Bytes::from(why));
             let (status, signed, says_when) = (200, false, false);
             return (
@@ -236,14 +237,14 @@
         }
         Err(_) => return (CallOutcome::Closed, None),
     };
-    let seen = ResponseSummary::from(&answer.head);
+    let summary = ResponseSummary::from(&answer.head);
     let body = client.body(MAX_BODY_BYTES).await.ok();
     let client = body.is_some().then_some(client);
-    let end = CallOutcome::Answer {
-        status: seen.status,
-        signed: seen.signed,
-        says_when: seen.retry_after.is_some(),
+    let outcome = CallOutcome::Answer {
+        status: summary.status,
+        signed: summary.signed,
+        says_when: summary.retry_after.is_some(),
         body,
     };
-    (end, client)
+    (outcome, client)
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The soak's command line; see the library.
+//! Command line of the soak test; see the library.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,26 +9,26 @@
 use soak::plan::{Plan, Size};
 use soak::run::{self, Paths, RunResult};
 
-/// Findings that are printed of one run; one cause often gives thousands.
+/// Number of findings printed for a run, since one cause often gives thousands.
 const MAX_PRINTED_FINDINGS: usize = 20;
 
 /// Runs gateways between stand-ins under random faults and checks what callers and engines see.
 #[derive(Debug, Parser)]
 #[command(name = "tarragon-soak", version)]
 struct Command {
-    /// Program of the gateway; without it the one beside this program.
+    /// Path of the gateway program; by default the one in the directory of this program.
     #[arg(long, global = true)]
     program: Option<PathBuf>,
-    /// Folder for settings and logs.
+    /// Directory for settings and logs.
     #[arg(long, global = true, default_value = "target/soak")]
     directory: PathBuf,
-    /// Seconds for which callers send.
+    /// Time in seconds for which callers send.
     #[arg(long, global = true, default_value_t = 12)]
     seconds: u64,
-    /// Gateway processes; drawn by the seed without it.
+    /// Number of gateway processes; by default chosen by the seed.
     #[arg(long, global = true)]
     gateways: Option<usize>,
-    /// Engines that generate; drawn by the seed without it.
+    /// Number of engines for generation; by default chosen by the seed.
     #[arg(long, global = true)]
     engines: Option<usize>,
     #[command(subcommand)]
@@ -37,22 +37,22 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Runs one seed. On a failure it tries smaller plans.
+    /// Runs one seed. After a failure, tries to find a smaller plan that fails.
     Run {
         /// The seed.
         seed: u64,
-        /// Leaves all faults out: the path on stand-ins, as it serves.
+        /// Injects no faults.
         #[arg(long)]
         calm: bool,
     },
-    /// Runs several seeds, one after the other, and goes on after failures.
+    /// Runs several seeds in sequence and continues after failures.
     Many {
         /// First seed.
         from: u64,
         /// Number of seeds.
         count: u64,
     },
-    /// Prints a seed's plan.
+    /// Prints the plan of a seed.
     Plan {
         /// The seed.
         seed: u64,
@@ -71,14 +71,14 @@
     }
 }
 
-/// Says whether every promise was kept.
+/// Executes the command. Returns whether no run had findings.
 async fn execute(command: &Command) -> io::Result<bool> {
-    let length = Duration::from_secs(command.seconds);
+    let duration = Duration::from_secs(command.seconds);
     let size = Size {
         gateways: command.gateways,
         engines: command.engines,
     };
-    let draw = |seed| Plan::generate_sized(seed, length, size);
+    let generate = |seed| Plan::generate_sized(seed, duration, size);
     let program = match &command.program {
         Some(program) => program.clone(),
         None => run::gateway_program(&std::env::current_exe()?)?,
@@ -89,29 +89,29 @@
     };
     match command.action {
         Action::Plan { seed } => {
-            print_plan(&draw(seed));
+            print_plan(&generate(seed));
             Ok(true)
         }
         Action::Run { seed, calm } => {
-            let mut plan = draw(seed);
+            let mut plan = generate(seed);
             if calm {
                 plan.faults.clear();
             }
-            let outcome = run::run(&plan, &paths).await?;
-            print_outcome(&outcome);
-            if outcome.findings.is_empty() {
+            let result = run::run(&plan, &paths).await?;
+            print_result(&result);
+            if result.findings.is_empty() {
                 return Ok(true);
             }
             println!("trying smaller plans");
-            print_plan(&run::shrink(&outcome, &paths).await?);
+            print_plan(&run::shrink(&result, &paths).await?);
             Ok(false)
         }
         Action::Many { from, count } => {
             let mut failed = Vec::new();
             for seed in from..from + count {
-                let outcome = run::run(&draw(seed), &paths).await?;
-                print_outcome(&outcome);
-                if !outcome.findings.is_empty() {
+                let result = run::run(&generate(seed), &paths).await?;
+                print_result(&result);
+                if !result.findings.is_empty() {
                     failed.push(seed);
                 }
             }
@@ -131,24 +131,20 @@
     }
 }
 
-fn print_outcome(outcome: &RunResult) {
-    let calls = outcome.history.calls.len();
-    let served = outcome
-        .history
-        .calls
-        .iter()
-        .filter(|call| call.is_success());
+fn print_result(result: &RunResult) {
+    let calls = result.history.calls.len();
+    let served = result.history.calls.iter().filter(|call| call.is_success());
     println!(
         "seed {}: {} faults, {calls} calls, {} served, {} requests at engines, {} orders, {} findings; logs in {}",
-        outcome.plan.seed,
-        outcome.plan.faults.len(),
+        result.plan.seed,
+        result.plan.faults.len(),
         served.count(),
-        outcome.history.engine_requests.len(),
-        outcome.history.orders.len(),
-        outcome.findings.len(),
-        outcome.logs.display()
+        result.history.engine_requests.len(),
+        result.history.orders.len(),
+        result.findings.len(),
+        result.logs.display()
     );
-    for finding in outcome.findings.iter().take(MAX_PRINTED_FINDINGS) {
+    for finding in result.findings.iter().take(MAX_PRINTED_FINDINGS) {
         println!("  {finding}");
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries a plan out, and finds a smaller one that fails alike.
+//! Executes a plan, and shrinks a failing plan to a smaller one with the same violation.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,60 +14,60 @@
 use crate::history::{CallOutcome, History, RequestKind};
 use crate::plan::{Fault, Plan};
 
-/// Callers of a run.
+/// Number of callers in a run.
 const CALLERS: u64 = 12;
-/// Pause between two looks at a state.
+/// Interval between two polls of a state.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Looks at a state before it counts as missing: a minute, so that a busy machine gets there.
+/// Polls before a probe fails: a minute in all, to allow for a busy machine.
 const MAX_POLLS: usize = 600;
-/// Smaller plans that are tried after a failure.
+/// Largest number of smaller plans that are run after a failure.
 const MAX_SHRINK_RUNS: usize = 12;
 
-/// Where programs and files lie.
+/// Paths of the program and of the files of runs.
 #[derive(Clone, Debug)]
 pub struct Paths {
-    /// The gateway's program.
+    /// Path of the gateway program.
     pub program: PathBuf,
-    /// Folder for settings and logs of runs.
+    /// Directory for settings and logs of runs.
     pub directory: PathBuf,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug)]
 pub struct RunResult {
-    /// The plan.
+    /// The executed plan.
     pub plan: Plan,
-    /// What was seen.
+    /// What was observed.
     pub history: History,
-    /// What was promised and not kept.
+    /// Violated invariants.
     pub findings: Vec<Finding>,
-    /// Where its logs lie.
+    /// Directory with its logs.
     pub logs: PathBuf,
 }
 
-/// Carries a plan out and judges it.
+/// Executes a plan and checks its history.
 ///
 /// # Errors
 ///
-/// If processes or files cannot be had.
+/// If processes cannot be started or files cannot be written.
 pub async fn run(plan: &Plan, paths: &Paths) -> io::Result<RunResult> {
     let logs = paths.directory.join(format!("seed-{}", plan.seed));
     std::fs::create_dir_all(&logs)?;
     let mut ports = PortAllocator::default();
     let cluster = Cluster::start(plan, &paths.program, &logs, &mut ports).await?;
-    let begun = Instant::now();
-    let mut probe = Caller::new(&cluster, plan.seed, CALLERS, begun);
+    let started = Instant::now();
+    let mut probe = Caller::new(&cluster, plan.seed, CALLERS, started);
     probe_gateways(&cluster, &mut probe, "at the start").await?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let running = Rc::new(Running::new());
     let callers: Vec<_> = (0..CALLERS)
-        .map(|number| Caller::new(&cluster, plan.seed, number, begun))
+        .map(|number| Caller::new(&cluster, plan.seed, number, started))
         .map(|caller| actix_rt::spawn(caller.run(running.clone())))
         .collect();
-    cluster.callers_started.set(begun);
-    let fatal = Caller::new(&cluster, plan.seed, CALLERS + 1, begun);
+    cluster.callers_started.set(started);
+    let fatal = Caller::new(&cluster, plan.seed, CALLERS + 1, started);
     let fatal = actix_rt::spawn(fatal.repeat_fatal(running.clone()));
-    apply_faults(&cluster, plan, begun).await?;
+    apply_faults(&cluster, plan, started).await?;
     running.stop();
     fatal.await.map_err(io::Error::other)?;
     for caller in callers {
@@ -86,8 +86,8 @@
     })
 }
 
-/// Begins and ends the faults at their times.
-async fn apply_faults(cluster: &Cluster, plan: &Plan, begun: Instant) -> io::Result<()> {
+/// Begins and ends the faults of the plan on time.
+async fn apply_faults(cluster: &Cluster, plan: &Plan, started: Instant) -> io::Result<()> {
     let begins = plan.faults.iter().map(|fault| (fault.at, true, fault));
     let ends = plan
         .faults
@@ -96,17 +96,17 @@
     let mut steps: Vec<(Duration, bool, &Fault)> = begins.chain(ends).collect();
     steps.sort_by_key(|(at, begins, _)| (*at, !begins));
     for (at, begins, fault) in steps {
-        wait_until(cluster, begun + at).await?;
+        wait_until(cluster, started + at).await?;
         if begins {
             cluster.begin_fault(fault.kind).await;
         } else {
             cluster.end_fault(fault.kind);
         }
     }
-    wait_until(cluster, begun + plan.duration).await
+    wait_until(cluster, started + plan.duration).await
 }
 
-/// Waits, and starts processes that have ended meanwhile.
+/// Waits, and meanwhile restarts processes that have exited.
 async fn wait_until(cluster: &Cluster, until: Instant) -> io::Result<()> {
     while Instant::now() < until {
         sleep_until(until.min(Instant::now() + POLL_INTERVAL)).await;
@@ -117,22 +117,27 @@
     Ok(())
 }
 
-/// Waits until every gateway serves every kind of call, with the newest configuration.
+/// Waits until every gateway serves the ordinary kinds of calls under the newest configuration, and
+/// records those that are not served.
 async fn probe_gateways(cluster: &Rc<Cluster>, probe: &mut Caller, when: &str) -> io::Result<()> {
     for number in 0..cluster.instances.len() {
-        let asks = [
+        let kinds = [
             RequestKind::Safe,
             RequestKind::Once,
             RequestKind::Stream,
             RequestKind::Resume,
         ];
-        for ask in asks
+        for kind in kinds
             .into_iter()
             .chain([RequestKind::Added(cluster.version())])
         {
-            if !is_served(cluster, probe, number, ask).await? {
-                let missing = format!("gateway-{number} does not serve {ask:?} {when}");
-                cluster.history.borrow_mut().failed_probes.push(missing);
+            if !is_served(cluster, probe, number, kind).await? {
+                let probe_failure = format!("gateway-{number} does not serve {kind:?} {when}");
+                cluster
+                    .history
+                    .borrow_mut()
+                    .failed_probes
+                    .push(probe_failure);
             }
         }
     }
@@ -143,13 +148,13 @@
     cluster: &Cluster,
     probe: &mut Caller,
     number: usize,
-    ask: RequestKind,
+    kind: RequestKind,
 ) -> io::Result<bool> {
     for _ in 0..MAX_POLLS {
         cluster.apply_orders_and_restart()?;
         probe.close_connection();
         if matches!(
-            probe.call(number, ask).await,
+            probe.call(number, kind).await,
             CallOutcome::Answer {
                 status: 200,
                 body: Some(_),
@@ -163,13 +168,13 @@
     Ok(false)
 }
 
-/// Finds a plan with fewer faults that breaks the same promise.
+/// Finds a plan with fewer faults that violates one of the same invariants.
 ///
 /// # Errors
 ///
 /// As [`run`].
 pub async fn shrink(failed: &RunResult, paths: &Paths) -> io::Result<Plan> {
-    let promises: Vec<Invariant> = failed.findings.iter().map(|f| f.invariant).collect();
+    let invariants: Vec<Invariant> = failed.findings.iter().map(|f| f.invariant).collect();
     let mut plan = failed.plan.clone();
     let mut part = plan.faults.len() / 2;
     let mut tries = 0;
@@ -180,11 +185,11 @@
             let mut smaller = plan.clone();
             let to = (from + part).min(smaller.faults.len());
             smaller.faults.drain(from..to);
-            let outcome = run(&smaller, paths).await?;
-            if outcome
+            let result = run(&smaller, paths).await?;
+            if result
                 .findings
                 .iter()
-                .any(|f| promises.contains(&f.invariant))
+                .any(|f| invariants.contains(&f.invariant))
             {
                 plan = smaller;
             } else {
@@ -196,11 +201,11 @@
     Ok(plan)
 }
 
-/// The gateway's program beside the present one.
+/// Path of the gateway program in the directory of another program.
 ///
 /// # Errors
 ///
-/// If it is not there.
+/// If it does not exist.
 pub fn gateway_program(beside: &Path) -> io::Result<PathBuf> {
     let program = beside.with_file_name("tarragon-gateway");
     if program.is_file() {
--- a/crates/soak/tests/seeds.rs
+++ b/crates/soak/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! A short soak, and every seed that ever failed.
+//! Runs a short soak on fixed seeds and on every seed that has failed before.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use soak::plan::Plan;
 use soak::run::{self, Paths};
 
-/// Seeds that are run each time, and those that failed once with the cause beside them.
+/// Fixed seeds, and seeds that have failed with their cause.
 const SEEDS: &str = include_str!("seeds.txt");
-/// Callers send for this long in each.
+/// Time for which callers send in each run.
 const DURATION: Duration = Duration::from_secs(6);
 
 #[test]
@@ -30,12 +30,12 @@
     for line in seeds {
         let seed = line.split_whitespace().next().expect("a seed");
         let seed = seed.parse().expect("a number");
-        let outcome = run::run(&Plan::generate(seed, DURATION), &paths).await;
-        let outcome = outcome.expect("the run can be carried out");
+        let result = run::run(&Plan::generate(seed, DURATION), &paths).await;
+        let result = result.expect("the run can be carried out");
         assert!(
-            outcome.findings.is_empty(),
+            result.findings.is_empty(),
             "seed {seed}: {:?}",
-            outcome.findings
+            result.findings
         );
     }
 }
