--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -63,7 +63,8 @@
 fn calls_are_counted_by_outcome() {
     let log = log();
     let account = account([log.as_str()]);
-    let count = |route: &str, end: Outcome| account.routes[route].get(&end).copied().unwrap_or(0);
+    let count =
+        |route: &str, outcome: Outcome| account.routes[route].get(&outcome).copied().unwrap_or(0);
     assert_eq!(count("long", Outcome::OnTime), 1);
     assert_eq!(count("long", Outcome::LatePrefill), 1);
     assert_eq!(count("long", Outcome::RefusedForecast), 1);
@@ -87,13 +88,13 @@
 #[test]
 fn forecasts_are_compared_with_actual_times() {
     let log = log();
-    let reads = account([log.as_str()]).prefill;
+    let prefill = account([log.as_str()]).prefill;
     assert_eq!(
         (
-            reads.count,
-            reads.expected_ms,
-            reads.actual_ms,
-            reads.error_ms
+            prefill.count,
+            prefill.expected_ms,
+            prefill.actual_ms,
+            prefill.error_ms
         ),
         (2, 440.0, 950.0, 510.0)
     );
