--- a/crates/load/src/admin.rs
+++ b/crates/load/src/admin.rs
@@ -46,7 +46,7 @@
 /// The accepted edit.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
-struct Accepted {
+struct AcceptedEdit {
     revision: u64,
 }
 
@@ -56,12 +56,12 @@
     /// # Errors
     /// No answer, or a refusal.
     pub async fn catalogue(&self, client: &Client) -> Result<Catalogue, Report<Error>> {
-        let url = self.at("catalogue");
+        let url = self.endpoint("catalogue");
         let sent = client.get(&url).bearer_auth(&self.token).send().await;
-        let mut answer = sent.map_err(|error| self.refusal(error.to_string()))?;
+        let mut answer = sent.map_err(|error| self.error(error.to_string()))?;
         let body = answer.body().limit(64 << 20).await;
-        let body = body.map_err(|error| self.refusal(error.to_string()))?;
-        self.read(answer.status().is_success(), &body)
+        let body = body.map_err(|error| self.error(error.to_string()))?;
+        self.parse(answer.status().is_success(), &body)
     }
 
     /// Merges fields into a pool and gives the new revision.
@@ -79,7 +79,7 @@
             .entities
             .into_iter()
             .find(|entity| entity.kind == "pool" && entity.name == pool)
-            .ok_or_else(|| self.refusal(format!("no pool `{pool}` in the catalogue")))?
+            .ok_or_else(|| self.error(format!("no pool `{pool}` in the catalogue")))?
             .value;
         let before = value.clone();
         merge(&mut value, fields);
@@ -92,31 +92,31 @@
             "note": "comparison",
             "changes": [{"kind": "pool", "name": pool, "value": value}],
         });
-        let url = self.at("catalogue/edits");
+        let url = self.endpoint("catalogue/edits");
         let request = client.post(&url).bearer_auth(&self.token);
         let sent = request.send_json(&edit).await;
-        let mut answer = sent.map_err(|error| self.refusal(error.to_string()))?;
+        let mut answer = sent.map_err(|error| self.error(error.to_string()))?;
         let body = answer.body().await;
-        let body = body.map_err(|error| self.refusal(error.to_string()))?;
-        let accepted: Accepted = self.read(answer.status().is_success(), &body)?;
+        let body = body.map_err(|error| self.error(error.to_string()))?;
+        let accepted: AcceptedEdit = self.parse(answer.status().is_success(), &body)?;
         Ok(accepted.revision)
     }
 
-    fn at(&self, path: &str) -> String {
+    fn endpoint(&self, path: &str) -> String {
         format!("{}/admin/v1/{path}", self.url.trim_end_matches('/'))
     }
 
-    fn read<T: DeserializeOwned>(&self, success: bool, body: &[u8]) -> Result<T, Report<Error>> {
+    fn parse<T: DeserializeOwned>(&self, success: bool, body: &[u8]) -> Result<T, Report<Error>> {
         let text = || String::from_utf8_lossy(body).into_owned();
         if !success {
-            return Err(self.refusal(text()));
+            return Err(self.error(text()));
         }
         serde_json::from_slice(body)
             .change_context_lazy(|| Error::Admin(self.url.clone()))
             .attach_with(text)
     }
 
-    fn refusal(&self, detail: String) -> Report<Error> {
+    fn error(&self, detail: String) -> Report<Error> {
         Report::new(Error::Admin(self.url.clone())).attach(detail)
     }
 }
--- a/crates/load/src/answer.rs
+++ b/crates/load/src/answer.rs
@@ -7,9 +7,9 @@
 
 /// How a piece of text fits to what is due next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fit {
+pub enum PieceMatch {
     /// It is what is due.
-    Due,
+    Expected,
     /// It is the caller's own, but not due now: a part came twice, too early or was left out.
     Garbled,
     /// It is no part of the caller's answer.
@@ -18,32 +18,35 @@
 
 /// Holds what is due of the answer to one completion.
 #[derive(Clone, Debug)]
-pub struct Judge {
-    due: String,
-    at: usize,
+pub struct AnswerChecker {
+    expected: String,
+    offset: usize,
 }
 
-impl Judge {
+impl AnswerChecker {
     /// A judge that waits for this text.
-    pub fn new(due: String) -> Self {
-        Self { due, at: 0 }
+    pub fn new(expected: String) -> Self {
+        Self {
+            expected,
+            offset: 0,
+        }
     }
 
     /// Judges the next piece.
-    pub fn take(&mut self, piece: &str) -> Fit {
-        if self.due[self.at..].starts_with(piece) {
-            self.at += piece.len();
-            Fit::Due
-        } else if self.due.contains(piece) {
-            Fit::Garbled
+    pub fn check_next(&mut self, piece: &str) -> PieceMatch {
+        if self.expected[self.offset..].starts_with(piece) {
+            self.offset += piece.len();
+            PieceMatch::Expected
+        } else if self.expected.contains(piece) {
+            PieceMatch::Garbled
         } else {
-            Fit::Crossed
+            PieceMatch::Crossed
         }
     }
 
     /// Whether the whole text has come.
     pub fn is_complete(&self) -> bool {
-        self.at == self.due.len()
+        self.offset == self.expected.len()
     }
 }
 
@@ -65,7 +68,7 @@
 }
 
 /// What an error answer gives as its cause, if it does.
-pub fn detail(body: &[u8]) -> Option<String> {
+pub fn problem_detail(body: &[u8]) -> Option<String> {
     serde_json::from_slice::<Problem>(body).ok()?.detail
 }
 
@@ -92,7 +95,7 @@
 }
 
 /// The text in an answer or event of a completion; nothing if it is no such thing.
-pub fn text(json: &[u8]) -> Option<String> {
+pub fn completion_text(json: &[u8]) -> Option<String> {
     let answer: Completion = serde_json::from_slice(json).ok()?;
     let mut text = String::new();
     for choice in answer.choices {
@@ -111,6 +114,6 @@
 }
 
 /// Whether the answer of the plain stand-in belongs to a request with this digest of its body.
-pub fn echoes(json: &[u8], digest: &str) -> bool {
+pub fn is_echo_of(json: &[u8], digest: &str) -> bool {
     serde_json::from_slice::<Echo>(json).is_ok_and(|echo| echo.digest == digest)
 }
--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -22,7 +22,7 @@
 #[derive(Subcommand)]
 pub enum Action {
     /// Checks a plan and tells every finding.
-    Check(Source),
+    Check(PlanSource),
     /// Runs a plan.
     Run(Run),
     /// Compares variants in one run, their segments interleaved.
@@ -34,7 +34,7 @@
 /// A plan and what is changed of it.
 #[derive(Clone, Debug)]
 #[derive(Args)]
-pub struct Source {
+pub struct PlanSource {
     /// The plan, in YAML.
     pub plan: PathBuf,
 
@@ -58,7 +58,7 @@
 /// Where to send, and with how many threads.
 #[derive(Clone, Debug)]
 #[derive(Args)]
-pub struct Place {
+pub struct Destinations {
     /// URL root of an entry, such as `http://127.0.0.1:8080`; one each.
     #[arg(long = "target", required = true)]
     pub targets: Vec<String>,
@@ -82,11 +82,11 @@
 pub struct Run {
     /// The plan and what is changed of it.
     #[command(flatten)]
-    pub source: Source,
+    pub source: PlanSource,
 
     /// Where to send.
     #[command(flatten)]
-    pub place: Place,
+    pub destinations: Destinations,
 
     /// Writes the result as JSON into this file; `-` is standard output, in place of the text.
     #[arg(long)]
@@ -103,14 +103,14 @@
 pub struct Compare {
     /// The plan of each segment and what is changed of it.
     #[command(flatten)]
-    pub source: Source,
+    pub source: PlanSource,
 
     /// The variants, in YAML.
     pub variants: PathBuf,
 
     /// Where to send.
     #[command(flatten)]
-    pub place: Place,
+    pub place: Destinations,
 
     /// URL root of the administration API of an entry, if variants edit pools.
     #[arg(long)]
@@ -137,7 +137,7 @@
 /// What a bench measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ValueEnum)]
-pub enum Part {
+pub enum BenchPart {
     /// Added latency.
     Latency,
     /// Requests and tokens at saturation.
@@ -156,7 +156,7 @@
 
     /// What to measure.
     #[arg(long, value_delimiter = ',', default_values = ["latency", "saturation", "memory"])]
-    pub parts: Vec<Part>,
+    pub parts: Vec<BenchPart>,
 
     /// Process id of the entry, for processor time and memory.
     #[arg(long)]
--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -15,45 +15,45 @@
 /// The process is thinned: candidates come at the highest rate that the swings allow, and each is
 /// kept with the probability that the rate at its time has of the highest.
 #[derive(Debug)]
-pub struct Process<'a> {
+pub struct Arrivals<'a> {
     class: &'a Class,
     end: Duration,
-    highest: f64,
-    share: f64,
+    max_rate: f64,
+    base_rate: f64,
     at: f64,
     random: StdRng,
 }
 
-impl<'a> Process<'a> {
+impl<'a> Arrivals<'a> {
     /// The process of one of `workers` workers; their sum is the class's process.
     pub fn new(plan: &Plan, class: &'a Class, seed: u64, workers: usize) -> Self {
-        let share = class.rate / workers as f64;
+        let base_rate = class.rate / workers as f64;
         Self {
             class,
             end: plan.duration,
-            highest: share * swing::highest(&class.swings, Quantity::Rate),
-            share,
+            max_rate: base_rate * swing::max_factor(&class.swings, Quantity::Rate),
+            base_rate,
             at: 0.0,
             random: StdRng::seed_from_u64(seed),
         }
     }
 }
 
-impl Iterator for Process<'_> {
+impl Iterator for Arrivals<'_> {
     type Item = Duration;
 
     fn next(&mut self) -> Option<Duration> {
-        if self.highest <= 0.0 {
+        if self.max_rate <= 0.0 {
             return None;
         }
         loop {
-            self.at += -(1.0 - self.random.random::<f64>()).ln() / self.highest;
+            self.at += -(1.0 - self.random.random::<f64>()).ln() / self.max_rate;
             if self.at >= self.end.as_secs_f64() {
                 return None;
             }
             let at = Duration::from_secs_f64(self.at);
-            let rate = self.share * swing::factor(&self.class.swings, Quantity::Rate, at);
-            if self.random.random::<f64>() * self.highest < rate {
+            let rate = self.base_rate * swing::factor(&self.class.swings, Quantity::Rate, at);
+            if self.random.random::<f64>() * self.max_rate < rate {
                 return Some(at);
             }
         }
--- a/crates/load/src/audit.rs
+++ b/crates/load/src/audit.rs
@@ -11,11 +11,11 @@
 use crate::verdict::Verdict;
 
 /// Most bytes of a service's list of executions.
-const LONGEST_LIST: usize = 1 << 30;
+const MAX_LIST_BYTES: usize = 1 << 30;
 
 /// A call of a plain service whose executions are to be looked up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct AuditedCall {
     /// Name of its class.
     pub class: String,
     /// Digest of its body, as the services count it.
@@ -52,15 +52,15 @@
 }
 
 /// Most examples that are kept.
-const EXAMPLES: usize = 20;
+const MAX_EXAMPLES: usize = 20;
 
 impl Audit {
     /// Compares what callers were told with what the services executed.
-    pub fn compare(entries: &[Entry], executions: &Executions) -> Self {
+    pub fn compare(calls: &[AuditedCall], executions: &Executions) -> Self {
         let mut audit = Self::default();
-        for entry in entries {
-            let runs = executions.get(&entry.digest).copied().unwrap_or(0);
-            audit.entry(entry, runs);
+        for call in calls {
+            let runs = executions.get(&call.digest).copied().unwrap_or(0);
+            audit.record_call(call, runs);
         }
         audit
     }
@@ -70,20 +70,20 @@
         self.doubled == 0 && self.wrongly_not_run == 0 && self.never_run == 0
     }
 
-    fn entry(&mut self, entry: &Entry, runs: u64) {
+    fn record_call(&mut self, call: &AuditedCall, runs: u64) {
         self.calls += 1;
-        let doubled = runs > 1 && !entry.repeatable;
-        let denied = runs > 0 && entry.never_ran && entry.verdict != Verdict::Served;
-        let invented = runs == 0 && entry.verdict == Verdict::Served;
+        let doubled = runs > 1 && !call.repeatable;
+        let wrongly_denied = runs > 0 && call.never_ran && call.verdict != Verdict::Served;
+        let served_not_run = runs == 0 && call.verdict == Verdict::Served;
         self.doubled += u64::from(doubled);
-        self.wrongly_not_run += u64::from(denied);
-        self.never_run += u64::from(invented);
-        let bad = doubled || denied || invented;
-        if bad && self.examples.len() < EXAMPLES {
+        self.wrongly_not_run += u64::from(wrongly_denied);
+        self.never_run += u64::from(served_not_run);
+        let bad = doubled || wrongly_denied || served_not_run;
+        if bad && self.examples.len() < MAX_EXAMPLES {
             self.examples
-                .push(format!("{} {}", entry.class, entry.digest));
+                .push(format!("{} {}", call.class, call.digest));
         }
-        let certain = entry.verdict == Verdict::Served || entry.never_ran;
+        let certain = call.verdict == Verdict::Served || call.never_ran;
         match (certain, runs) {
             (true, _) => {}
             (false, 0) => self.uncertain_not_run += 1,
@@ -95,7 +95,7 @@
 /// The part of a service's list that the audit reads.
 #[derive(Debug)]
 #[derive(Deserialize)]
-struct List {
+struct ExecutionList {
     by_body: Executions,
 }
 
@@ -104,16 +104,19 @@
 /// # Errors
 /// A service that does not answer with its list; the audit would otherwise call lost what it merely
 /// did not see.
-pub async fn read(client: &Client, services: &[String]) -> Result<Executions, Report<Error>> {
+pub async fn read_executions(
+    client: &Client,
+    services: &[String],
+) -> Result<Executions, Report<Error>> {
     let mut executions = Executions::new();
     for service in services {
         let url = format!("{}/standin/executions", service.trim_end_matches('/'));
         let failed = || Error::Service(url.clone());
         let sent = client.get(&url).no_decompress().send().await;
         let mut answer = sent.map_err(|error| Report::new(failed()).attach(error.to_string()))?;
-        let body = answer.body().limit(LONGEST_LIST).await;
+        let body = answer.body().limit(MAX_LIST_BYTES).await;
         let body = body.map_err(|error| Report::new(failed()).attach(error.to_string()))?;
-        let list: List = serde_json::from_slice(&body).change_context_lazy(failed)?;
+        let list: ExecutionList = serde_json::from_slice(&body).change_context_lazy(failed)?;
         for (digest, count) in list.by_body {
             *executions.entry(digest).or_default() += count;
         }
--- a/crates/load/src/bench.rs
+++ b/crates/load/src/bench.rs
@@ -3,8 +3,8 @@
 
 mod latency;
 mod memory;
+mod route;
 mod saturation;
-mod side;
 
 use std::fmt;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 use error_stack::Report;
 use serde::Serialize;
 
-use crate::args::{Bench, Part};
+use crate::args::{Bench, BenchPart};
 use crate::command::{FAULT, to_json, write};
 use crate::error::Error;
 use crate::process::Process;
@@ -21,8 +21,8 @@
 
 pub use latency::Latency;
 pub use memory::Memory;
+pub use route::{Route, RoutePair};
 pub use saturation::Saturation;
-pub use side::{Side, Sides};
 
 /// All figures of a bench.
 #[derive(Clone, Debug, Default)]
@@ -60,26 +60,28 @@
     let client = worker::client();
     let process = options.pid.map(|pid| Process { pid });
     // Read before the first call, as later there is no idle process any more.
-    let idle = process.map(|process| process.resident()).transpose()?;
+    let idle = process
+        .map(|process| process.resident_bytes())
+        .transpose()?;
     let wanted = |part| options.parts.contains(&part);
     let mut figures = Figures::default();
-    if wanted(Part::Latency) {
-        for sides in Sides::all(options) {
+    if wanted(BenchPart::Latency) {
+        for pair in RoutePair::all(options) {
             for rate in &options.rates {
-                let latency = latency::measure(&client, &sides, *rate, options.samples).await;
+                let latency = latency::measure(&client, &pair, *rate, options.samples).await;
                 figures.latency.push(latency);
             }
         }
     }
-    if let (Some(process), true) = (process, wanted(Part::Saturation)) {
+    if let (Some(process), true) = (process, wanted(BenchPart::Saturation)) {
         let length = Duration::from_secs(options.seconds);
         let (at_once, streams) = (options.connections, options.streams);
-        let plain = Side::plain(&options.entry, &options.plain_path, &options.plain_key);
-        let stream = Side::stream(options, options.relay_tokens);
+        let plain = Route::plain(&options.entry, &options.plain_path, &options.plain_key);
+        let stream = Route::stream(options, options.relay_tokens);
         figures.whole = Some(saturation::measure(process, &plain, at_once, length)?);
         figures.streamed = Some(saturation::measure(process, &stream, streams, length)?);
     }
-    if let (Some(process), Some(idle), true) = (process, idle, wanted(Part::Memory)) {
+    if let (Some(process), Some(idle), true) = (process, idle, wanted(BenchPart::Memory)) {
         figures.memory = Some(memory::measure(&client, process, idle, options).await?);
     }
     Ok(figures)
@@ -95,7 +97,7 @@
 
 impl fmt::Display for Figures {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{}", Latency::HEAD)?;
+        writeln!(f, "{}", Latency::TABLE_HEADER)?;
         for latency in &self.latency {
             writeln!(f, "{latency}")?;
         }
--- a/crates/load/src/bench/latency.rs
+++ b/crates/load/src/bench/latency.rs
@@ -12,17 +12,17 @@
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
 
-use super::side::{Call, Side, Sides};
-use crate::request::Source;
+use super::route::{CallResult, Route, RoutePair};
+use crate::request::RequestSource;
 use crate::summary::Quantiles;
-use crate::tally::Times;
-use crate::verdict::End;
+use crate::tally::TimeHistogram;
+use crate::verdict::AttemptEnd;
 
 /// Calls of each side that are not counted, until connections stand.
-const WARM_UP: u32 = 10;
+const WARM_UP_CALLS: u32 = 10;
 
 /// A rate is measured for at least as long as this many calls take, and at most this long.
-const LONGEST: Duration = Duration::from_secs(30);
+const MAX_DURATION: Duration = Duration::from_secs(30);
 
 /// Added latency of one kind of call at one rate.
 #[derive(Clone, Debug)]
@@ -48,37 +48,42 @@
 
 #[derive(Debug, Default)]
 struct Timing {
-    whole: Times,
-    first: Times,
+    whole: TimeHistogram,
+    first: TimeHistogram,
 }
 
 /// Measures both sides at a rate, with about this many samples each.
-pub(super) async fn measure(client: &Client, sides: &Sides, rate: f64, samples: u32) -> Latency {
+pub(super) async fn measure(client: &Client, pair: &RoutePair, rate: f64, samples: u32) -> Latency {
     let timings = Rc::new(RefCell::new([Timing::default(), Timing::default()]));
     let failures = Rc::new(RefCell::new(Vec::new()));
-    let mut sources = [source(&sides.direct, "d"), source(&sides.entry, "e")];
-    let both = [&sides.direct, &sides.entry];
-    for _ in 0..WARM_UP {
-        for (side, source) in both.iter().zip(&mut sources) {
-            side.call(client, source).await;
+    let mut sources = [
+        unique_source(&pair.direct, "d"),
+        unique_source(&pair.entry, "e"),
+    ];
+    let routes = [&pair.direct, &pair.entry];
+    for _ in 0..WARM_UP_CALLS {
+        for (route, source) in routes.iter().zip(&mut sources) {
+            route.call(client, source).await;
         }
     }
-    let count = 2 * samples.min((rate * LONGEST.as_secs_f64()) as u32).max(1);
+    let count = 2 * samples
+        .min((rate * MAX_DURATION.as_secs_f64()) as u32)
+        .max(1);
     let mut random = StdRng::seed_from_u64(u64::from(samples));
     let mut due = Instant::now();
     let mut calls = Vec::new();
     for number in 0..count {
         due += Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / (2.0 * rate));
         sleep_until(due.into()).await;
-        let turn = (number % 2) as usize;
-        let side = both[turn].clone();
+        let index = (number % 2) as usize;
+        let route = routes[index].clone();
         let client = client.clone();
         let (timings, failures) = (Rc::clone(&timings), Rc::clone(&failures));
         calls.push(actix_rt::spawn(async move {
-            let mut source = source(&side, &format!("{number}"));
-            let call = side.call(&client, &mut source).await;
-            if call.end == End::Whole {
-                timings.borrow_mut()[turn].record(&call);
+            let mut source = unique_source(&route, &format!("{number}"));
+            let call = route.call(&client, &mut source).await;
+            if call.end == AttemptEnd::Whole {
+                timings.borrow_mut()[index].record(&call);
             } else {
                 failures.borrow_mut().push(call.failure());
             }
@@ -90,7 +95,7 @@
     let [direct, entry] = timings.take();
     let failures = failures.take();
     Latency {
-        kind: sides.name,
+        kind: pair.name,
         rate,
         direct: Quantiles::from(&direct.whole),
         entry: Quantiles::from(&entry.whole),
@@ -102,15 +107,15 @@
 }
 
 /// A source whose ids no other source of any run has.
-pub(super) fn source<'a>(side: &'a Side, label: &str) -> Source<'a> {
+pub(super) fn unique_source<'a>(route: &'a Route, label: &str) -> RequestSource<'a> {
     let unique = uuid::Uuid::new_v4().simple().to_string();
-    Source::new(&side.class, 0, format!("{}-{label}", &unique[..8]), 0)
+    RequestSource::new(&route.class, 0, format!("{}-{label}", &unique[..8]), 0)
 }
 
 impl Timing {
-    fn record(&mut self, call: &Call) {
+    fn record(&mut self, call: &CallResult) {
         self.whole.record(call.whole);
-        if let Some(first) = call.first {
+        if let Some(first) = call.first_token {
             self.first.record(first);
         }
     }
@@ -118,7 +123,7 @@
 
 impl Latency {
     /// Head of the table of which each latency is a row.
-    pub const HEAD: &str = "kind       part  rate/s  samples  direct p50/p99 ms   entry p50/p99 ms  \
+    pub const TABLE_HEADER: &str = "kind       part  rate/s  samples  direct p50/p99 ms   entry p50/p99 ms  \
                             added p50/p99 ms  ratio p50/p99  failed";
 
     fn row(
--- a/crates/load/src/bench/memory.rs
+++ b/crates/load/src/bench/memory.rs
@@ -8,18 +8,18 @@
 use error_stack::Report;
 use serde::Serialize;
 
-use super::latency::source;
-use super::side::{Call, Side};
+use super::latency::unique_source;
+use super::route::{CallResult, Route};
 use crate::args::Bench;
 use crate::error::Error;
 use crate::process::Process;
 
 /// Time between two streams. Thousands of connections in one moment overflow the backlog of the
 /// engine's stand-in, and connecting times out.
-const BETWEEN: Duration = Duration::from_millis(2);
+const STREAM_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Time for the last streams to open.
-const OPENING: Duration = Duration::from_secs(5);
+const OPEN_WAIT: Duration = Duration::from_secs(5);
 
 /// Resident memory in bytes.
 #[derive(Clone, Debug)]
@@ -46,19 +46,19 @@
     idle: u64,
     options: &Bench,
 ) -> Result<Memory, Report<Error>> {
-    let after_load = process.resident()?;
-    let side = Side::stream(options, options.open_tokens);
+    let after_load = process.resident_bytes()?;
+    let route = Route::stream(options, options.open_tokens);
     let mut streams = Vec::with_capacity(options.open_streams);
     for number in 0..options.open_streams {
-        let (side, client) = (side.clone(), client.clone());
+        let (route, client) = (route.clone(), client.clone());
         streams.push(actix_rt::spawn(async move {
-            let mut source = source(&side, &number.to_string());
-            side.call(&client, &mut source).await
+            let mut source = unique_source(&route, &number.to_string());
+            route.call(&client, &mut source).await
         }));
-        sleep(BETWEEN).await;
+        sleep(STREAM_INTERVAL).await;
     }
-    sleep(OPENING).await;
-    let open = process.resident()?;
+    sleep(OPEN_WAIT).await;
+    let open = process.resident_bytes()?;
     let asked = streams.len();
     let mut ended = Vec::new();
     for stream in streams {
@@ -74,21 +74,21 @@
         open,
         streams: asked,
         ended: ended.len(),
-        first_end: ended.first().map(Call::failure),
+        first_end: ended.first().map(CallResult::failure),
     })
 }
 
 impl fmt::Display for Memory {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mega = |bytes: u64| bytes as f64 / f64::from(1 << 20);
+        let mebibytes = |bytes: u64| bytes as f64 / f64::from(1 << 20);
         write!(
             f,
             "resident: idle {:.1} MiB, after load {:.1} MiB, with {} streams open {:.1} MiB \
              ({} had ended, the first as {})",
-            mega(self.idle),
-            mega(self.after_load),
+            mebibytes(self.idle),
+            mebibytes(self.after_load),
             self.streams - self.ended,
-            mega(self.open),
+            mebibytes(self.open),
             self.ended,
             self.first_end.as_deref().unwrap_or("none"),
         )
--- a/crates/load/src/bench/side.rs
+++ b/crates/load/src/bench/route.rs
@@ -4,12 +4,12 @@
 
 use awc::Client;
 
-use crate::answer::Judge;
+use crate::answer::AnswerChecker;
 use crate::args::Bench;
 use crate::attempt::{Attempt, Progress};
-use crate::plan::{Ask, Class, Contract, raw};
-use crate::request::Source;
-use crate::verdict::End;
+use crate::plan::{Class, Contract, RequestKind, raw};
+use crate::request::RequestSource;
+use crate::verdict::AttemptEnd;
 
 /// No call of a bench takes longer.
 const DEADLINE: Duration = Duration::from_secs(30);
@@ -19,7 +19,7 @@
 
 /// One way of a call.
 #[derive(Clone, Debug)]
-pub struct Side {
+pub struct Route {
     /// URL root.
     pub url: String,
     /// What is asked.
@@ -28,22 +28,22 @@
 
 /// Both ways of one kind of call.
 #[derive(Clone, Debug)]
-pub struct Sides {
+pub struct RoutePair {
     /// Name of the kind.
     pub name: &'static str,
     /// Straight to the stand-in.
-    pub direct: Side,
+    pub direct: Route,
     /// Through the entry.
-    pub entry: Side,
+    pub entry: Route,
 }
 
 /// What came of one call.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct CallResult {
     /// How it ended.
-    pub end: End,
+    pub end: AttemptEnd,
     /// Until its first token.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// Until its end.
     pub whole: Duration,
     /// Tokens that came.
@@ -52,7 +52,7 @@
     pub detail: Option<String>,
 }
 
-impl Call {
+impl CallResult {
     /// What went wrong, for a look.
     pub fn failure(&self) -> String {
         let detail = self.detail.as_deref().unwrap_or("no detail");
@@ -60,41 +60,41 @@
     }
 }
 
-impl Sides {
+impl RoutePair {
     /// The kinds of calls for which the command line names both ways.
     pub fn all(options: &Bench) -> Vec<Self> {
-        let mut sides = Vec::new();
+        let mut pairs = Vec::new();
         if let Some(service) = &options.service {
-            sides.push(Self {
+            pairs.push(Self {
                 name: "plain",
-                direct: Side::plain(service, &options.plain_path, ""),
-                entry: Side::plain(&options.entry, &options.plain_path, &options.plain_key),
+                direct: Route::plain(service, &options.plain_path, ""),
+                entry: Route::plain(&options.entry, &options.plain_path, &options.plain_key),
             });
         }
         if let Some(engine) = &options.engine {
             let tokens = options.tokens;
             let direct =
-                |stream| Side::completion(engine, &options.engine_model, "", stream, tokens);
+                |stream| Route::completion(engine, &options.engine_model, "", stream, tokens);
             let entry = |stream| {
                 let (model, key) = (&options.entry_model, &options.entry_key);
-                Side::completion(&options.entry, model, key, stream, tokens)
+                Route::completion(&options.entry, model, key, stream, tokens)
             };
             for (name, stream) in [("completion", false), ("stream", true)] {
-                sides.push(Self {
+                pairs.push(Self {
                     name,
                     direct: direct(stream),
                     entry: entry(stream),
                 });
             }
         }
-        sides
+        pairs
     }
 }
 
-impl Side {
+impl Route {
     /// A call of a plain service.
     pub fn plain(url: &str, path: &str, key: &str) -> Self {
-        let ask = Ask::Plain(raw::Plain {
+        let ask = RequestKind::Plain(raw::Plain {
             method: "POST".to_owned(),
             path: path.to_owned(),
             body_bytes: 64,
@@ -114,7 +114,7 @@
             sigma: 0.0,
             max: u32::MAX,
         };
-        let ask = Ask::Completion(raw::Completion {
+        let ask = RequestKind::Completion(raw::Completion {
             model: model.to_owned(),
             chat: false,
             stream,
@@ -125,12 +125,12 @@
         Self::new(url, key, ask)
     }
 
-    fn new(url: &str, key: &str, ask: Ask) -> Self {
+    fn new(url: &str, key: &str, ask: RequestKind) -> Self {
         let class = Class {
             name: "bench".to_owned(),
             key: key.to_owned(),
             rate: 0.0,
-            ask,
+            kind: ask,
             contract: Contract {
                 deadline: DEADLINE,
                 first_token: None,
@@ -140,7 +140,7 @@
             keyed: false,
             retries: 0,
             attempt_timeout: None,
-            patience: DEADLINE,
+            gives_up_after: DEADLINE,
             swings: Vec::new(),
         };
         Self {
@@ -150,25 +150,25 @@
     }
 
     /// Makes one call and waits for its end.
-    pub async fn call(&self, client: &Client, source: &mut Source<'_>) -> Call {
-        let request = source.draw(Duration::ZERO);
-        let judge = request
+    pub async fn call(&self, client: &Client, source: &mut RequestSource<'_>) -> CallResult {
+        let request = source.next_request(Duration::ZERO);
+        let checker = request
             .prompt
             .as_ref()
-            .map(|prompt| Judge::new(prompt.due()));
-        let mut progress = Progress::new(judge);
+            .map(|prompt| AnswerChecker::new(prompt.expected_text()));
+        let mut progress = Progress::new(checker);
         let attempt = Attempt {
             url: &self.url,
             class: &self.class,
             request: &request,
             number: 1,
-            left: DEADLINE,
+            time_left: DEADLINE,
         };
         let sent = Instant::now();
         let end = actix_rt::time::timeout(DEADLINE, attempt.run(client, &mut progress)).await;
-        Call {
-            end: end.unwrap_or(End::TimedOut),
-            first: progress.first.map(|first| first - sent),
+        CallResult {
+            end: end.unwrap_or(AttemptEnd::TimedOut),
+            first_token: progress.first_token_at.map(|first| first - sent),
             whole: sent.elapsed(),
             tokens: progress.tokens,
             detail: progress.detail,
--- a/crates/load/src/bench/saturation.rs
+++ b/crates/load/src/bench/saturation.rs
@@ -10,11 +10,11 @@
 use error_stack::Report;
 use serde::Serialize;
 
-use super::latency::source;
-use super::side::Side;
+use super::latency::unique_source;
+use super::route::Route;
 use crate::error::Error;
 use crate::process::Process;
-use crate::verdict::End;
+use crate::verdict::AttemptEnd;
 use crate::worker;
 
 /// Threads that call; the load generator must not be what is saturated.
@@ -58,7 +58,7 @@
 /// Calls without pause, so many at once, for this long.
 pub(super) fn measure(
     process: Process,
-    side: &Side,
+    route: &Route,
     at_once: usize,
     length: Duration,
 ) -> Result<Saturation, Report<Error>> {
@@ -67,9 +67,9 @@
     let ends = begun + length;
     let threads: Vec<_> = (0..THREADS)
         .map(|_| {
-            let side = side.clone();
+            let route = route.clone();
             let share = at_once.div_ceil(THREADS);
-            thread::spawn(move || actix_rt::System::new().block_on(keep_busy(side, share, ends)))
+            thread::spawn(move || actix_rt::System::new().block_on(call_until(route, share, ends)))
         })
         .collect();
     let mut sum = Count::default();
@@ -89,17 +89,17 @@
     })
 }
 
-async fn keep_busy(side: Side, at_once: usize, ends: Instant) -> Count {
+async fn call_until(route: Route, at_once: usize, ends: Instant) -> Count {
     let client = worker::client();
     let sum = Rc::new(RefCell::new(Count::default()));
     let calls: Vec<_> = (0..at_once)
         .map(|number| {
-            let (side, client, sum) = (side.clone(), client.clone(), Rc::clone(&sum));
+            let (route, client, sum) = (route.clone(), client.clone(), Rc::clone(&sum));
             actix_rt::spawn(async move {
-                let mut source = source(&side, &number.to_string());
+                let mut source = unique_source(&route, &number.to_string());
                 while Instant::now() < ends {
-                    let call = side.call(&client, &mut source).await;
-                    let served = u64::from(call.end == End::Whole);
+                    let call = route.call(&client, &mut source).await;
+                    let served = u64::from(call.end == AttemptEnd::Whole);
                     sum.borrow_mut().add(Count {
                         served,
                         tokens: call.tokens,
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -6,17 +6,17 @@
 use actix_rt::time::{sleep, timeout};
 use awc::Client;
 
-use crate::answer::Judge;
+use crate::answer::AnswerChecker;
 use crate::attempt::{Attempt, Progress};
 use crate::plan::Class;
 use crate::request::Request;
 use crate::tally::Outcome;
 use crate::target;
-use crate::verdict::{End, Ran, Standing, Step, Verdict};
+use crate::verdict::{AttemptEnd, NextStep, Ran, RequestState, Verdict};
 
 /// How a request went, with what the audit needs.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct RequestResult {
     /// How it went for the caller.
     pub outcome: Outcome,
     /// Whether each attempt was either told not to have run or never reached an entry.
@@ -29,66 +29,66 @@
     /// Its class.
     pub class: &'a Class,
     /// Entries to choose from.
-    pub targets: &'a target::Set,
+    pub targets: &'a target::TargetSet,
     /// Start of the run.
     pub start: Instant,
 }
 
 impl Caller<'_> {
     /// Carries a request to its end.
-    pub async fn place(&self, client: &Client, request: &Request) -> Done {
+    pub async fn send(&self, client: &Client, request: &Request) -> RequestResult {
         let arrived = self.start + request.at;
-        let leaves = arrived + self.class.patience;
-        let judge = request
+        let gives_up_at = arrived + self.class.gives_up_after;
+        let checker = request
             .prompt
             .as_ref()
-            .map(|prompt| Judge::new(prompt.due()));
-        let mut progress = Progress::new(judge);
-        let mut course = Course::default();
+            .map(|prompt| AnswerChecker::new(prompt.expected_text()));
+        let mut progress = Progress::new(checker);
+        let mut history = AttemptHistory::default();
         let verdict = loop {
             let end = self
-                .attempt(client, request, leaves, &mut progress, &mut course)
+                .attempt(client, request, gives_up_at, &mut progress, &mut history)
                 .await;
-            course.uncertain += u32::from(!is_not_run(&end));
-            let standing = Standing {
+            history.may_have_run += u32::from(!certainly_not_run(&end));
+            let state = RequestState {
                 class: self.class,
-                attempts: course.attempts,
-                left: leaves.saturating_duration_since(Instant::now()),
-                begun: progress.last_id.is_some(),
+                attempts: history.attempts,
+                time_left: gives_up_at.saturating_duration_since(Instant::now()),
+                stream_started: progress.last_event_id.is_some(),
             };
-            match standing.step(&end) {
-                Step::Again(wait) => sleep(wait).await,
-                Step::Finish(verdict) => break verdict,
+            match state.next_step(&end) {
+                NextStep::Retry(wait) => sleep(wait).await,
+                NextStep::Finish(verdict) => break verdict,
             }
         };
-        course.done(request.at, arrived, verdict, progress)
+        history.into_result(request.at, arrived, verdict, progress)
     }
 
     async fn attempt(
         &self,
         client: &Client,
         request: &Request,
-        leaves: Instant,
+        gives_up_at: Instant,
         progress: &mut Progress,
-        course: &mut Course,
-    ) -> End {
-        let target = self.targets.choose(course.target);
-        course.target = Some(target);
-        course.attempts += 1;
-        course.resumes += u32::from(progress.last_id.is_some());
-        let left = leaves.saturating_duration_since(Instant::now());
+        history: &mut AttemptHistory,
+    ) -> AttemptEnd {
+        let target = self.targets.choose(history.target);
+        history.target = Some(target);
+        history.attempts += 1;
+        history.resumes += u32::from(progress.last_event_id.is_some());
+        let time_left = gives_up_at.saturating_duration_since(Instant::now());
         let attempt = Attempt {
             url: self.targets.url(target),
             class: self.class,
             request,
             // An attempt that certainly did not run is none: counted, the next one would be told
             // that an earlier one may have run, and a card would stay unauthorised for nothing.
-            number: course.uncertain + 1,
-            left,
+            number: history.may_have_run + 1,
+            time_left,
         };
-        let end = timeout(left, attempt.run(client, progress)).await;
-        let end = end.unwrap_or(End::TimedOut);
-        if end == End::Unreached {
+        let end = timeout(time_left, attempt.run(client, progress)).await;
+        let end = end.unwrap_or(AttemptEnd::TimedOut);
+        if end == AttemptEnd::Unreached {
             self.targets.mark_down(target);
         }
         end
@@ -97,36 +97,45 @@
 
 /// The attempts of one request.
 #[derive(Debug, Default)]
-struct Course {
+struct AttemptHistory {
     attempts: u32,
     resumes: u32,
     target: Option<usize>,
     /// Attempts that may have run.
-    uncertain: u32,
+    may_have_run: u32,
 }
 
-impl Course {
-    fn done(&self, at: Duration, arrived: Instant, verdict: Verdict, progress: Progress) -> Done {
-        Done {
+impl AttemptHistory {
+    fn into_result(
+        &self,
+        at: Duration,
+        arrived: Instant,
+        verdict: Verdict,
+        progress: Progress,
+    ) -> RequestResult {
+        RequestResult {
             outcome: Outcome {
                 at,
                 verdict,
                 status: progress.status,
                 detail: progress.detail,
                 whole: arrived.elapsed(),
-                first: progress
-                    .first
+                first_token: progress
+                    .first_token_at
                     .map(|first| first.saturating_duration_since(arrived)),
-                gaps: progress.gaps,
+                token_gaps: progress.token_gaps,
                 tokens: progress.tokens,
                 retries: self.attempts.saturating_sub(1),
                 resumes: self.resumes,
             },
-            never_ran: self.uncertain == 0,
+            never_ran: self.may_have_run == 0,
         }
     }
 }
 
-fn is_not_run(end: &End) -> bool {
-    matches!(end, End::Unreached | End::Refused { ran: Ran::No, .. })
+fn certainly_not_run(end: &AttemptEnd) -> bool {
+    matches!(
+        end,
+        AttemptEnd::Unreached | AttemptEnd::Refused { ran: Ran::No, .. }
+    )
 }
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -6,7 +6,7 @@
 
 use error_stack::{Report, ResultExt};
 
-use crate::args::{Action, Run, Source};
+use crate::args::{Action, PlanSource, Run};
 use crate::bench;
 use crate::compare;
 use crate::error::Error;
@@ -44,7 +44,7 @@
     })
 }
 
-fn check(source: &Source) -> Result<ExitCode, Report<Error>> {
+fn check(source: &PlanSource) -> Result<ExitCode, Report<Error>> {
     let plan = read_plan(source)?;
     println!(
         "{}: {} classes, no findings",
@@ -58,13 +58,13 @@
     let plan = read_plan(&options.source)?;
     let run = run::Run {
         plan,
-        targets: options.place.targets.clone(),
-        services: options.place.services.clone(),
-        engines: options.place.engines.clone(),
-        workers: options.place.workers,
+        targets: options.destinations.targets.clone(),
+        services: options.destinations.services.clone(),
+        engines: options.destinations.engines.clone(),
+        workers: options.destinations.workers,
     };
     let summary = Summary::from(&run.run()?);
-    tell(&summary, options)?;
+    report(&summary, options)?;
     let faults = summary.faults();
     for fault in &faults {
         eprintln!("fault: {fault}");
@@ -79,7 +79,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn tell(summary: &Summary, options: &Run) -> Result<(), Report<Error>> {
+fn report(summary: &Summary, options: &Run) -> Result<(), Report<Error>> {
     if let Some(path) = &options.plot {
         let curves = [
             Curve::offered(&summary.curve),
@@ -100,14 +100,14 @@
 }
 
 /// Reads and checks a plan and changes it as the command line says.
-pub(crate) fn read_plan(source: &Source) -> Result<Plan, Report<Error>> {
+pub(crate) fn read_plan(source: &PlanSource) -> Result<Plan, Report<Error>> {
     let yaml = read(&source.plan)?;
     let swings: Result<Vec<_>, _> = source.swings.iter().map(|path| read(path)).collect();
     let plan = Plan::parse_with(&yaml, &swings?).map_err(|findings| {
         let list = findings.current_context().to_string();
         Report::new(Error::Usage(format!("{}:\n{list}", source.plan.display())))
     })?;
-    let mut plan = plan.at_rate(source.rate);
+    let mut plan = plan.with_rate_factor(source.rate);
     plan.seed = source.seed.unwrap_or(plan.seed);
     plan.duration = source.duration.unwrap_or(plan.duration);
     Ok(plan)
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -10,12 +10,12 @@
 use crate::admin::Admin;
 use crate::args::Compare;
 use crate::command::{FAULT, NOT_AS_PLANNED, read, read_plan, to_json, write};
-use crate::contest::{self, Contest, Score, Segment, Spread, Variant};
 use crate::error::Error;
+use crate::experiment::{self, Experiment, Score, Segment, Spread, Variant};
 use crate::plan::Plan;
 use crate::plot::{self, Curve};
 use crate::run;
-use crate::summary::{Point, Summary};
+use crate::summary::{CurvePoint, Summary};
 use crate::worker;
 
 /// All that a comparison has shown.
@@ -34,14 +34,14 @@
 /// Unreadable files, a refused edit, a worker that ended early.
 pub fn run(options: &Compare) -> Result<ExitCode, Report<Error>> {
     let plan = read_plan(&options.source)?;
-    let contest = read_contest(options)?;
+    let experiment = read_experiment(options)?;
     let mut segments = Vec::new();
-    for round in 0..contest.rounds {
-        for index in contest.order(round) {
-            let variant = &contest.variants[index];
-            put_in_force(options, variant)?;
-            thread::sleep(contest.settle);
-            let segment = segment(options, &plan, variant, round)?;
+    for round in 0..experiment.rounds {
+        for index in experiment.order(round) {
+            let variant = &experiment.variants[index];
+            apply_variant(options, variant)?;
+            thread::sleep(experiment.settle);
+            let segment = run_segment(options, &plan, variant, round)?;
             eprintln!(
                 "round {round} {:<16} goodput {:.4}, role changes {}",
                 segment.variant, segment.summary.all.goodput, segment.summary.engines.role_changes
@@ -50,21 +50,21 @@
         }
     }
     let comparison = Comparison {
-        scores: contest::scores(&contest, &segments),
+        scores: experiment::scores(&experiment, &segments),
         segments,
     };
-    tell(options, &comparison)
+    report(options, &comparison)
 }
 
-fn read_contest(options: &Compare) -> Result<Contest, Report<Error>> {
+fn read_experiment(options: &Compare) -> Result<Experiment, Report<Error>> {
     let path = &options.variants;
-    Contest::parse(&read(path)?).map_err(|findings| {
+    Experiment::parse(&read(path)?).map_err(|findings| {
         let list = findings.current_context().to_string();
         Report::new(Error::Usage(format!("{}:\n{list}", path.display())))
     })
 }
 
-fn put_in_force(options: &Compare, variant: &Variant) -> Result<(), Report<Error>> {
+fn apply_variant(options: &Compare, variant: &Variant) -> Result<(), Report<Error>> {
     if variant.pools.is_empty() {
         return Ok(());
     }
@@ -90,7 +90,7 @@
 
 /// One segment. Its seed follows from the round alone, so all variants of a round meet the same
 /// arrivals.
-fn segment(
+fn run_segment(
     options: &Compare,
     plan: &Plan,
     variant: &Variant,
@@ -116,7 +116,7 @@
     })
 }
 
-fn tell(options: &Compare, comparison: &Comparison) -> Result<ExitCode, Report<Error>> {
+fn report(options: &Compare, comparison: &Comparison) -> Result<ExitCode, Report<Error>> {
     if let Some(path) = &options.json {
         write(path, &to_json(comparison)?)?;
     }
@@ -139,7 +139,7 @@
     fn curves(&self) -> Vec<Curve> {
         let mut curves = Vec::new();
         for score in &self.scores {
-            let sum = self.sum(&score.variant);
+            let sum = self.summed_curve(&score.variant);
             if curves.is_empty() {
                 curves.push(Curve::offered(&sum));
             }
@@ -149,8 +149,8 @@
     }
 
     /// The curve of a variant, summed over the rounds.
-    fn sum(&self, variant: &str) -> Vec<Point> {
-        let mut sum: Vec<Point> = Vec::new();
+    fn summed_curve(&self, variant: &str) -> Vec<CurvePoint> {
+        let mut sum: Vec<CurvePoint> = Vec::new();
         let own = self
             .segments
             .iter()
@@ -191,9 +191,9 @@
                 f,
                 "{:<16} {:>30} {:>30} {:>24} {:>18}  {}{planned}",
                 score.variant,
-                spread(&score.goodput, 4),
-                spread(&score.ratio, 3),
-                spread(&score.role_changes, 1),
+                format_spread(&score.goodput, 4),
+                format_spread(&score.ratio, 3),
+                format_spread(&score.role_changes, 1),
                 format!(
                     "{:.2}±{:.2}",
                     score.spread_open.mean, score.spread_open.deviation
@@ -212,7 +212,7 @@
     }
 }
 
-fn spread(figure: &Spread, digits: usize) -> String {
+fn format_spread(figure: &Spread, digits: usize) -> String {
     format!(
         "{:.digits$}±{:.digits$} [{:.digits$}, {:.digits$}]",
         figure.mean, figure.deviation, figure.least, figure.most
--- a/crates/load/src/watch.rs
+++ b/crates/load/src/engine_monitor.rs
@@ -9,10 +9,10 @@
 
 /// How often the engines are asked. A role change takes an engine away for longer than that, even
 /// with scaled time, so none is missed.
-pub const LOOK_EVERY: Duration = Duration::from_millis(100);
+pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// An engine that does not answer within this time is left out of a look.
-const PATIENCE: Duration = Duration::from_millis(100);
+const STATE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The part of an engine's state that is looked at.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
 /// What was seen of the engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Sight {
+pub struct EngineStats {
     /// Role changes of all engines.
     pub role_changes: u64,
     /// Looks at the engines.
@@ -40,18 +40,18 @@
 
 /// Collects looks.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct EngineMonitor {
     roles: BTreeMap<usize, String>,
-    sight: Sight,
+    stats: EngineStats,
 }
 
-impl Watch {
+impl EngineMonitor {
     /// Takes one look in: the states of the engines that answered, by their number.
-    pub fn take(&mut self, states: &[(usize, State)]) {
+    pub fn record_sample(&mut self, states: &[(usize, State)]) {
         for (engine, state) in states {
             let before = self.roles.insert(*engine, state.role.clone());
             let changed = before.is_some_and(|role| role != state.role);
-            self.sight.role_changes += u64::from(changed);
+            self.stats.role_changes += u64::from(changed);
         }
         if states.is_empty() {
             return;
@@ -60,31 +60,31 @@
         let open = || states.iter().map(|(_, state)| state.open as f64);
         let mean = open().sum::<f64>() / count;
         let variance = open().map(|open| (open - mean).powi(2)).sum::<f64>() / count;
-        self.sight.looks += 1;
-        let weight = 1.0 / self.sight.looks as f64;
-        self.sight.mean_open += (mean - self.sight.mean_open) * weight;
-        self.sight.spread_open += (variance.sqrt() - self.sight.spread_open) * weight;
+        self.stats.looks += 1;
+        let weight = 1.0 / self.stats.looks as f64;
+        self.stats.mean_open += (mean - self.stats.mean_open) * weight;
+        self.stats.spread_open += (variance.sqrt() - self.stats.spread_open) * weight;
     }
 
     /// What was seen so far.
-    pub fn sight(&self) -> Sight {
-        self.sight
+    pub fn stats(&self) -> EngineStats {
+        self.stats
     }
 }
 
 /// One look: the states of the engines that answer, by their number.
-pub async fn look(client: &Client, engines: &[String]) -> Vec<(usize, State)> {
+pub async fn sample_engines(client: &Client, engines: &[String]) -> Vec<(usize, State)> {
     let mut states = Vec::with_capacity(engines.len());
     for (number, engine) in engines.iter().enumerate() {
-        if let Some(state) = ask(client, engine).await {
+        if let Some(state) = read_state(client, engine).await {
             states.push((number, state));
         }
     }
     states
 }
 
-async fn ask(client: &Client, engine: &str) -> Option<State> {
+async fn read_state(client: &Client, engine: &str) -> Option<State> {
     let url = format!("{}/engine/state", engine.trim_end_matches('/'));
-    let mut answer = client.get(url).timeout(PATIENCE).send().await.ok()?;
+    let mut answer = client.get(url).timeout(STATE_TIMEOUT).send().await.ok()?;
     answer.json().await.ok()
 }
--- a/crates/load/src/event.rs
+++ b/crates/load/src/event.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, BytesMut};
 
 /// An event longer than this is no event of ours; the stream is given up.
-const LONGEST: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -16,13 +16,13 @@
 
 /// Cuts a byte stream into events.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct EventReader {
     buffer: BytesMut,
-    open: Event,
+    event: Event,
     has_data: bool,
 }
 
-impl Reader {
+impl EventReader {
     /// Takes bytes in; [`Reader::next_event`] gives the events that they complete.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -30,7 +30,7 @@
 
     /// Whether more was buffered for one line than any event of ours has.
     pub fn is_overlong(&self) -> bool {
-        self.buffer.len() > LONGEST
+        self.buffer.len() > MAX_LINE_BYTES
     }
 
     /// The next complete event.
@@ -40,31 +40,31 @@
             self.buffer.advance(1);
             let line = line.strip_suffix(b"\r").unwrap_or(&line);
             if line.is_empty() {
-                if let Some(event) = self.take() {
+                if let Some(event) = self.take_event() {
                     return Some(event);
                 }
             } else {
-                self.line(&String::from_utf8_lossy(line));
+                self.parse_line(&String::from_utf8_lossy(line));
             }
         }
         None
     }
 
-    fn take(&mut self) -> Option<Event> {
-        let event = std::mem::take(&mut self.open);
+    fn take_event(&mut self) -> Option<Event> {
+        let event = std::mem::take(&mut self.event);
         std::mem::take(&mut self.has_data).then_some(event)
     }
 
-    fn line(&mut self, line: &str) {
+    fn parse_line(&mut self, line: &str) {
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
-            "id" => self.open.id = Some(value.to_owned()),
+            "id" => self.event.id = Some(value.to_owned()),
             "data" => {
                 if self.has_data {
-                    self.open.data.push('\n');
+                    self.event.data.push('\n');
                 }
-                self.open.data.push_str(value);
+                self.event.data.push_str(value);
                 self.has_data = true;
             }
             _ => {}
--- a/crates/load/src/contest.rs
+++ b/crates/load/src/experiment.rs
@@ -15,12 +15,12 @@
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Contest {
+pub struct Experiment {
     /// Rounds; each variant runs once in each.
-    #[serde(default = "five")]
+    #[serde(default = "default_rounds")]
     pub rounds: usize,
     /// Wait after a variant was put in force.
-    #[serde(default = "three_seconds", with = "humantime_serde")]
+    #[serde(default = "default_settle", with = "humantime_serde")]
     pub settle: Duration,
     /// The variants; ratios are told against the first.
     pub variants: Vec<Variant>,
@@ -41,34 +41,34 @@
     pub pools: BTreeMap<String, Value>,
 }
 
-impl Contest {
+impl Experiment {
     /// Reads and checks a comparison.
     ///
     /// # Errors
     /// Every finding, with its place.
-    pub fn parse(yaml: &str) -> Result<Self, Report<finding::List>> {
-        let mut findings = finding::List::default();
-        let contest: Self = serde_saphyr::from_str(yaml).map_err(|error| {
-            let mut findings = finding::List::default();
+    pub fn parse(yaml: &str) -> Result<Self, Report<finding::Findings>> {
+        let mut findings = finding::Findings::default();
+        let experiment: Self = serde_saphyr::from_str(yaml).map_err(|error| {
+            let mut findings = finding::Findings::default();
             findings.add("comparison", error.to_string());
             Report::new(findings)
         })?;
-        let rounds = contest.rounds;
+        let rounds = experiment.rounds;
         findings.require(
             (1..=100).contains(&rounds),
             "rounds",
             "must be from 1 to 100",
         );
-        let enough = contest.variants.len() >= 2;
+        let enough = experiment.variants.len() >= 2;
         findings.require(enough, "variants", "must name at least two");
-        for (index, variant) in contest.variants.iter().enumerate() {
-            let earlier = &contest.variants[..index];
+        for (index, variant) in experiment.variants.iter().enumerate() {
+            let earlier = &experiment.variants[..index];
             if earlier.iter().any(|other| other.name == variant.name) {
                 let detail = format!("`{}` stands twice", variant.name);
                 findings.add(format!("variants[{index}].name"), detail);
             }
         }
-        findings.conclude(|| contest).map_err(Report::new)
+        findings.into_result(|| experiment).map_err(Report::new)
     }
 
     /// The order of the variants in a round. It turns by one each round, so that none always
@@ -150,23 +150,23 @@
 }
 
 /// What the rounds showed, by variant in the order of the comparison.
-pub fn scores(contest: &Contest, segments: &[Segment]) -> Vec<Score> {
-    let of = |name: &str| -> Vec<&Segment> {
+pub fn scores(experiment: &Experiment, segments: &[Segment]) -> Vec<Score> {
+    let segments_of = |name: &str| -> Vec<&Segment> {
         let own = segments.iter().filter(|segment| segment.variant == name);
         own.collect()
     };
-    let Some(first) = contest.variants.first() else {
+    let Some(first) = experiment.variants.first() else {
         return Vec::new();
     };
-    let base = of(&first.name);
-    contest
+    let baseline = segments_of(&first.name);
+    experiment
         .variants
         .iter()
-        .map(|variant| score(&variant.name, &of(&variant.name), &base))
+        .map(|variant| score(&variant.name, &segments_of(&variant.name), &baseline))
         .collect()
 }
 
-fn score(name: &str, own: &[&Segment], base: &[&Segment]) -> Score {
+fn score(name: &str, own: &[&Segment], baseline: &[&Segment]) -> Score {
     let figures = |figure: fn(&Segment) -> f64| -> Spread {
         let all: Vec<_> = own.iter().map(|segment| figure(segment)).collect();
         Spread::of(&all)
@@ -174,7 +174,7 @@
     let ratios: Vec<_> = own
         .iter()
         .filter_map(|segment| {
-            let other = base.iter().find(|other| other.round == segment.round)?;
+            let other = baseline.iter().find(|other| other.round == segment.round)?;
             Some(segment.summary.all.goodput / other.summary.all.goodput.max(f64::EPSILON))
         })
         .collect();
@@ -205,10 +205,10 @@
     by_class.into_iter().map(spread).collect()
 }
 
-const fn five() -> usize {
+const fn default_rounds() -> usize {
     5
 }
 
-const fn three_seconds() -> Duration {
+const fn default_settle() -> Duration {
     Duration::from_secs(3)
 }
--- a/crates/load/src/finding.rs
+++ b/crates/load/src/finding.rs
@@ -20,37 +20,37 @@
 
 /// All faults of one input file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct List {
-    found: Vec<Finding>,
+pub struct Findings {
+    findings: Vec<Finding>,
 }
 
-impl List {
+impl Findings {
     /// Notes a fault at a place.
     pub fn add(&mut self, place: impl Into<String>, detail: impl Into<String>) {
-        self.found.push(Finding {
+        self.findings.push(Finding {
             place: place.into(),
             detail: detail.into(),
         });
     }
 
     /// Notes a fault if the condition does not hold.
-    pub fn require(&mut self, holds: bool, place: impl Into<String>, detail: &str) {
-        if !holds {
+    pub fn require(&mut self, condition: bool, place: impl Into<String>, detail: &str) {
+        if !condition {
             self.add(place, detail);
         }
     }
 
     /// The faults in the order in which they were found.
     pub fn all(&self) -> &[Finding] {
-        &self.found
+        &self.findings
     }
 
     /// Gives the value if nothing was found, otherwise every finding.
     ///
     /// # Errors
     /// The list itself, if it is not empty.
-    pub fn conclude<T>(self, value: impl FnOnce() -> T) -> Result<T, Self> {
-        if self.found.is_empty() {
+    pub fn into_result<T>(self, value: impl FnOnce() -> T) -> Result<T, Self> {
+        if self.findings.is_empty() {
             Ok(value())
         } else {
             Err(self)
@@ -58,9 +58,9 @@
     }
 }
 
-impl fmt::Display for List {
+impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, finding) in self.found.iter().enumerate() {
+        for (index, finding) in self.findings.iter().enumerate() {
             if index > 0 {
                 writeln!(f)?;
             }
@@ -70,4 +70,4 @@
     }
 }
 
-impl error::Error for List {}
+impl error::Error for Findings {}
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -39,7 +39,7 @@
     /// Mean arrivals a second before swings.
     pub rate: f64,
     /// What is asked.
-    pub ask: Ask,
+    pub kind: RequestKind,
     /// What the caller was promised.
     pub contract: Contract,
     /// Whether the caller may send it again without a key.
@@ -51,14 +51,14 @@
     /// The caller tries again if no answer has begun after this.
     pub attempt_timeout: Option<Duration>,
     /// When the caller goes away, after its arrival.
-    pub patience: Duration,
+    pub gives_up_after: Duration,
     /// Changes of its rate and sizes.
     pub swings: Vec<Swing>,
 }
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum RequestKind {
     /// Tokens of a model.
     Completion(raw::Completion),
     /// A call of a plain service.
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// Every finding, with its place.
-    pub fn parse(yaml: &str) -> Result<Self, Report<finding::List>> {
+    pub fn parse(yaml: &str) -> Result<Self, Report<finding::Findings>> {
         Self::parse_with(yaml, &[])
     }
 
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// Every finding, with its place; places of swings count on from those of the plan.
-    pub fn parse_with(yaml: &str, swings: &[String]) -> Result<Self, Report<finding::List>> {
+    pub fn parse_with(yaml: &str, swings: &[String]) -> Result<Self, Report<finding::Findings>> {
         let mut raw: raw::Plan = read(yaml)?;
         for file in swings {
             raw.swings.extend(read::<raw::Swings>(file)?.swings);
@@ -91,7 +91,7 @@
 
     /// The plan with every rate multiplied.
     #[must_use]
-    pub fn at_rate(mut self, factor: f64) -> Self {
+    pub fn with_rate_factor(mut self, factor: f64) -> Self {
         for class in &mut self.classes {
             class.rate *= factor;
         }
@@ -111,12 +111,12 @@
     }
 }
 
-fn read<T: DeserializeOwned>(yaml: &str) -> Result<T, Report<finding::List>> {
+fn read<T: DeserializeOwned>(yaml: &str) -> Result<T, Report<finding::Findings>> {
     serde_saphyr::from_str(yaml).map_err(|error| {
         let detail = error.to_string();
         let line = unknown_key_line(yaml, &detail);
         let place = line.map_or_else(|| "file".to_owned(), |line| format!("line {line}"));
-        let mut findings = finding::List::default();
+        let mut findings = finding::Findings::default();
         findings.add(place, detail);
         Report::new(findings)
     })
--- a/crates/load/src/plan/check.rs
+++ b/crates/load/src/plan/check.rs
@@ -3,18 +3,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::{Ask, Class, Plan, raw};
+use super::{Class, Plan, RequestKind, raw};
 use crate::finding;
 use crate::swing::{Shape, Swing};
 
 /// A run is bounded: nobody wants a load that was forgotten on a shared machine.
-const LONGEST: Duration = Duration::from_secs(2 * 60 * 60);
+const MAX_RUN_TIME: Duration = Duration::from_secs(2 * 60 * 60);
 
 impl TryFrom<raw::Plan> for Plan {
-    type Error = finding::List;
+    type Error = finding::Findings;
 
-    fn try_from(mut raw: raw::Plan) -> Result<Self, finding::List> {
-        let mut findings = finding::List::default();
+    fn try_from(mut raw: raw::Plan) -> Result<Self, finding::Findings> {
+        let mut findings = finding::Findings::default();
         check_times(&raw, &mut findings);
         check_names(&raw, &mut findings);
         for (index, class) in raw.classes.iter().enumerate() {
@@ -23,30 +23,30 @@
         for (index, swing) in raw.swings.iter().enumerate() {
             check_swing(&raw, swing, &format!("swings[{index}]"), &mut findings);
         }
-        findings.conclude(move || {
-            scale(&mut raw);
+        findings.into_result(move || {
+            apply_time_scale(&mut raw);
             build(raw)
         })
     }
 }
 
-fn check_times(raw: &raw::Plan, findings: &mut finding::List) {
+fn check_times(raw: &raw::Plan, findings: &mut finding::Findings) {
     findings.require(
-        positive(raw.time_scale),
+        is_positive(raw.time_scale),
         "time_scale",
         "must be a number above 0",
     );
     findings.require(!raw.duration.is_zero(), "duration", "must be above 0");
     findings.require(!raw.bucket.is_zero(), "bucket", "must be above 0");
     findings.require(
-        raw.duration + raw.grace <= LONGEST,
+        raw.duration + raw.grace <= MAX_RUN_TIME,
         "duration",
         "with grace must not be above 2 hours",
     );
     findings.require(raw.max_open > 0, "max_open", "must be above 0");
 }
 
-fn check_names(raw: &raw::Plan, findings: &mut finding::List) {
+fn check_names(raw: &raw::Plan, findings: &mut finding::Findings) {
     findings.require(
         !raw.classes.is_empty(),
         "classes",
@@ -63,7 +63,7 @@
     }
 }
 
-fn check_class(class: &raw::Class, place: &str, findings: &mut finding::List) {
+fn check_class(class: &raw::Class, place: &str, findings: &mut finding::Findings) {
     findings.require(
         class.rate.is_finite() && class.rate >= 0.0,
         format!("{place}.rate"),
@@ -88,7 +88,7 @@
     }
 }
 
-fn check_completion(completion: &raw::Completion, place: &str, findings: &mut finding::List) {
+fn check_completion(completion: &raw::Completion, place: &str, findings: &mut finding::Findings) {
     check_size(completion.prompt, &format!("{place}.prompt"), findings);
     check_size(completion.output, &format!("{place}.output"), findings);
     if let Some(prefix) = completion.prefix {
@@ -105,7 +105,7 @@
     }
 }
 
-fn check_size(size: raw::Size, place: &str, findings: &mut finding::List) {
+fn check_size(size: raw::Size, place: &str, findings: &mut finding::Findings) {
     findings.require(
         size.median.is_finite() && size.median >= 1.0,
         format!("{place}.median"),
@@ -123,7 +123,7 @@
     );
 }
 
-fn check_plain(plain: &raw::Plain, place: &str, findings: &mut finding::List) {
+fn check_plain(plain: &raw::Plain, place: &str, findings: &mut finding::Findings) {
     findings.require(
         plain.path.starts_with('/'),
         format!("{place}.path"),
@@ -136,7 +136,7 @@
     );
 }
 
-fn check_swing(raw: &raw::Plan, swing: &raw::Swing, place: &str, findings: &mut finding::List) {
+fn check_swing(raw: &raw::Plan, swing: &raw::Swing, place: &str, findings: &mut finding::Findings) {
     for (index, name) in swing.classes.iter().enumerate() {
         if !raw.classes.iter().any(|class| class.name == *name) {
             findings.add(
@@ -174,7 +174,7 @@
     }
 }
 
-fn check_factor(factor: f64, place: &str, findings: &mut finding::List) {
+fn check_factor(factor: f64, place: &str, findings: &mut finding::Findings) {
     findings.require(
         factor.is_finite() && factor >= 0.0,
         place,
@@ -182,11 +182,11 @@
     );
 }
 
-fn positive(number: f64) -> bool {
+fn is_positive(number: f64) -> bool {
     number.is_finite() && number > 0.0
 }
 
-fn scale(raw: &mut raw::Plan) {
+fn apply_time_scale(raw: &mut raw::Plan) {
     let by = raw.time_scale;
     raw.duration = raw.duration.div_f64(by);
     raw.grace = raw.grace.div_f64(by);
@@ -223,8 +223,8 @@
 
 fn build_class(class: raw::Class, swings: &[raw::Swing], seed: u64) -> Option<Class> {
     let ask = match (class.completion, class.plain) {
-        (Some(completion), _) => Ask::Completion(completion),
-        (None, Some(plain)) => Ask::Plain(plain),
+        (Some(completion), _) => RequestKind::Completion(completion),
+        (None, Some(plain)) => RequestKind::Plain(plain),
         (None, None) => return None,
     };
     let swings = swings
@@ -241,8 +241,8 @@
         name: class.name,
         key: class.key,
         rate: class.rate,
-        ask,
-        patience: class.contract.deadline.mul_f64(class.patience),
+        kind: ask,
+        gives_up_after: class.contract.deadline.mul_f64(class.patience),
         contract: class.contract,
         repeatable: class.repeatable,
         keyed: class.keyed,
--- a/crates/load/src/plan/raw.rs
+++ b/crates/load/src/plan/raw.rs
@@ -12,22 +12,22 @@
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// Seed of arrivals, sizes and noise; the same seed gives the same load.
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// How long requests arrive.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
     /// How long the run waits for answers after the last arrival.
-    #[serde(default = "ten_seconds", with = "humantime_serde")]
+    #[serde(default = "default_grace", with = "humantime_serde")]
     pub grace: Duration,
     /// Width of a step of the goodput curve.
-    #[serde(default = "one_second", with = "humantime_serde")]
+    #[serde(default = "default_bucket", with = "humantime_serde")]
     pub bucket: Duration,
     /// Divides every time of the plan and multiplies its rates.
-    #[serde(default = "unit")]
+    #[serde(default = "default_factor")]
     pub time_scale: f64,
     /// Most requests that may be open at once; arrivals beyond are counted as unsent.
-    #[serde(default = "many")]
+    #[serde(default = "default_max_open")]
     pub max_open: usize,
     /// Kinds of requests.
     pub classes: Vec<Class>,
@@ -63,20 +63,20 @@
     /// What the caller was promised.
     pub contract: Contract,
     /// Whether the caller may send it again without a key.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub repeatable: bool,
     /// Whether the caller sends an `Idempotency-Key`.
     #[serde(default)]
     pub keyed: bool,
     /// How often the caller tries again.
-    #[serde(default = "two")]
+    #[serde(default = "default_retries")]
     pub retries: u32,
     /// The caller tries again at another entry if no answer has begun after this; never, if left
     /// out.
     #[serde(default, with = "humantime_serde")]
     pub attempt_timeout: Option<Duration>,
     /// The caller goes away after its deadline times this.
-    #[serde(default = "two_times")]
+    #[serde(default = "default_patience")]
     pub patience: f64,
 }
 
@@ -91,7 +91,7 @@
     #[serde(default)]
     pub chat: bool,
     /// Whether it is streamed.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub stream: bool,
     /// Tokens of the prompt after its shared prefix.
     pub prompt: Size,
@@ -107,7 +107,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Plain {
     /// HTTP method.
-    #[serde(default = "post")]
+    #[serde(default = "default_method")]
     pub method: String,
     /// Path from the root.
     pub path: String,
@@ -140,7 +140,7 @@
     /// Tokens of each.
     pub tokens: u32,
     /// Part of the requests that use one.
-    #[serde(default = "unit")]
+    #[serde(default = "default_factor")]
     pub share: f64,
 }
 
@@ -173,38 +173,38 @@
     pub shape: swing::Shape,
 }
 
-const fn one() -> u64 {
+const fn default_seed() -> u64 {
     1
 }
 
-const fn two() -> u32 {
+const fn default_retries() -> u32 {
     2
 }
 
-const fn unit() -> f64 {
+const fn default_factor() -> f64 {
     1.0
 }
 
-const fn two_times() -> f64 {
+const fn default_patience() -> f64 {
     2.0
 }
 
-const fn yes() -> bool {
+const fn default_true() -> bool {
     true
 }
 
-const fn many() -> usize {
+const fn default_max_open() -> usize {
     20_000
 }
 
-const fn one_second() -> Duration {
+const fn default_bucket() -> Duration {
     Duration::from_secs(1)
 }
 
-const fn ten_seconds() -> Duration {
+const fn default_grace() -> Duration {
     Duration::from_secs(10)
 }
 
-fn post() -> String {
+fn default_method() -> String {
     "POST".to_owned()
 }
--- a/crates/load/src/plot.rs
+++ b/crates/load/src/plot.rs
@@ -6,7 +6,7 @@
 use plotters::prelude::*;
 
 use crate::error::Error;
-use crate::summary::Point;
+use crate::summary::CurvePoint;
 
 /// Size of a plot in pixels.
 const SIZE: (u32, u32) = (900, 420);
@@ -22,16 +22,16 @@
 
 impl Curve {
     /// The offered requests a second.
-    pub fn offered(points: &[Point]) -> Self {
+    pub fn offered(points: &[CurvePoint]) -> Self {
         Self::rate("offered", points, |point| point.offered)
     }
 
     /// The requests a second that were served within their contract, by arrival.
-    pub fn good(name: &str, points: &[Point]) -> Self {
+    pub fn good(name: &str, points: &[CurvePoint]) -> Self {
         Self::rate(name, points, |point| point.good)
     }
 
-    fn rate(name: &str, points: &[Point], count: impl Fn(&Point) -> u64) -> Self {
+    fn rate(name: &str, points: &[CurvePoint], count: impl Fn(&CurvePoint) -> u64) -> Self {
         let width = match points {
             [first, second, ..] => second.at_s - first.at_s,
             _ => 1.0,
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -8,10 +8,10 @@
 use crate::error::Error;
 
 /// Length of the kernel's unit of processor time towards programs; fixed on Linux.
-const TICK: Duration = Duration::from_millis(10);
+const CPU_TICK: Duration = Duration::from_millis(10);
 
 /// Position of the user time among the fields of `/proc/PID/stat` after the program's name.
-const USER_TIME: usize = 11;
+const USER_TIME_FIELD: usize = 11;
 
 /// A process by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,16 +32,16 @@
         let ticks = |position| -> Option<u32> {
             fields.split_ascii_whitespace().nth(position)?.parse().ok()
         };
-        let sum = ticks(USER_TIME).zip(ticks(USER_TIME + 1));
+        let sum = ticks(USER_TIME_FIELD).zip(ticks(USER_TIME_FIELD + 1));
         let (user, system) = sum.ok_or_else(|| Report::new(Error::Process(self.pid)))?;
-        Ok(TICK * (user + system))
+        Ok(CPU_TICK * (user + system))
     }
 
     /// Resident memory in bytes.
     ///
     /// # Errors
     /// The process is gone or may not be read.
-    pub fn resident(&self) -> Result<u64, Report<Error>> {
+    pub fn resident_bytes(&self) -> Result<u64, Report<Error>> {
         let status = self.read("status")?;
         status
             .lines()
--- a/crates/load/src/request.rs
+++ b/crates/load/src/request.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use standin::engine;
 
-use crate::plan::{Ask, Class, raw};
+use crate::plan::{Class, RequestKind, raw};
 use crate::swing::{self, Quantity};
 
 /// Who speaks in a chat.
@@ -49,14 +49,14 @@
 
 impl Prompt {
     /// The text that the stand-in engine answers to this prompt.
-    pub fn due(&self) -> String {
+    pub fn expected_text(&self) -> String {
         engine::expected_text(&self.text, self.output)
     }
 }
 
 /// Draws the requests of one class at one worker.
 #[derive(Debug)]
-pub struct Source<'a> {
+pub struct RequestSource<'a> {
     class: &'a Class,
     index: usize,
     label: String,
@@ -64,7 +64,7 @@
     random: StdRng,
 }
 
-impl<'a> Source<'a> {
+impl<'a> RequestSource<'a> {
     /// A source; `label` makes its ids unique over workers and runs.
     pub fn new(class: &'a Class, index: usize, label: String, seed: u64) -> Self {
         Self {
@@ -77,12 +77,12 @@
     }
 
     /// The request that arrives at this time.
-    pub fn draw(&mut self, at: Duration) -> Request {
+    pub fn next_request(&mut self, at: Duration) -> Request {
         self.count += 1;
         let id = format!("{}-{}-{}", self.label, self.index, self.count);
-        match &self.class.ask {
-            Ask::Completion(completion) => self.completion(id, at, completion),
-            Ask::Plain(plain) => Request {
+        match &self.class.kind {
+            RequestKind::Completion(completion) => self.completion(id, at, completion),
+            RequestKind::Plain(plain) => Request {
                 class: self.index,
                 at,
                 method: plain.method.clone(),
@@ -126,28 +126,28 @@
 
 /// A shared prefix: which one, and its length in tokens.
 #[derive(Clone, Copy, Debug)]
-struct Shared {
+struct SharedPrefix {
     number: u32,
     tokens: u32,
 }
 
 fn draw_size(random: &mut StdRng, size: raw::Size, factor: f64) -> u32 {
-    let spread = (size.sigma * swing::normal(random)).exp();
+    let spread = (size.sigma * swing::standard_normal(random)).exp();
     let tokens = size.median * spread * factor;
     tokens.clamp(1.0, f64::from(size.max)).round() as u32
 }
 
-fn draw_prefix(random: &mut StdRng, prefix: Option<raw::Prefix>) -> Option<Shared> {
+fn draw_prefix(random: &mut StdRng, prefix: Option<raw::Prefix>) -> Option<SharedPrefix> {
     let prefix = prefix?;
     let number = random.random_range(0..prefix.count);
-    random.random_bool(prefix.share).then_some(Shared {
+    random.random_bool(prefix.share).then_some(SharedPrefix {
         number,
         tokens: prefix.tokens,
     })
 }
 
 /// A prompt of words, one token each: the shared prefix, the id and the rest.
-fn prompt_text(class: &str, id: &str, prefix: Option<Shared>, tokens: u32) -> String {
+fn prompt_text(class: &str, id: &str, prefix: Option<SharedPrefix>, tokens: u32) -> String {
     let mut text = String::new();
     if let Some(shared) = prefix {
         for word in 0..shared.tokens {
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -7,15 +7,15 @@
 use error_stack::Report;
 
 use crate::audit::{self, Audit};
+use crate::engine_monitor::EngineStats;
 use crate::error::Error;
 use crate::plan::Plan;
-use crate::tally::{Tally, Times};
+use crate::tally::{Tally, TimeHistogram};
 use crate::target;
-use crate::watch::Sight;
-use crate::worker::{self, Found, Job};
+use crate::worker::{self, Job, WorkerResult};
 
 /// Time for the workers to start before the first arrival.
-const START: Duration = Duration::from_millis(200);
+const START_DELAY: Duration = Duration::from_millis(200);
 
 /// What to run and where.
 #[derive(Clone, Debug)]
@@ -34,19 +34,19 @@
 
 /// What a run has shown.
 #[derive(Debug)]
-pub struct Result {
+pub struct RunResult {
     /// The plan that was run.
     pub plan: Plan,
     /// By class, in the order of the plan.
     pub tallies: Vec<Tally>,
     /// By how much arrivals were sent late.
-    pub lag: Times,
+    pub lag: TimeHistogram,
     /// Requests without an end when the run was over.
     pub unfinished: u64,
     /// What the services executed against what callers were told; none without services.
     pub audit: Option<Audit>,
     /// What was seen of the engines.
-    pub engines: Sight,
+    pub engines: EngineStats,
 }
 
 impl Run {
@@ -54,15 +54,15 @@
     ///
     /// # Errors
     /// A worker that ended early, or a service that does not tell its executions.
-    pub fn run(self) -> std::result::Result<Result, Report<Error>> {
+    pub fn run(self) -> std::result::Result<RunResult, Report<Error>> {
         let workers = self.workers.max(1);
         let job = Job {
             plan: Arc::new(self.plan.clone()),
-            targets: Arc::new(target::Set::new(&self.targets)),
+            targets: Arc::new(target::TargetSet::new(&self.targets)),
             label: uuid::Uuid::new_v4().simple().to_string()[..8].to_owned(),
             engines: Arc::new(self.engines.clone()),
             workers,
-            start: Instant::now() + START,
+            start: Instant::now() + START_DELAY,
         };
         let threads: Vec<_> = (0..workers)
             .map(|number| {
@@ -70,36 +70,39 @@
                 thread::spawn(move || actix_rt::System::new().block_on(worker::run(job, number)))
             })
             .collect();
-        let mut sum = Found {
+        let mut sum = WorkerResult {
             tallies: vec![Tally::default(); self.plan.classes.len()],
-            ..Found::default()
+            ..WorkerResult::default()
         };
         for thread in threads {
-            let found = thread.join().map_err(|_| Report::new(Error::Worker))?;
-            sum.add(found);
+            let worker_result = thread.join().map_err(|_| Report::new(Error::Worker))?;
+            sum.add(worker_result);
         }
         let audit = self.audit(&sum.calls)?;
-        Ok(Result {
+        Ok(RunResult {
             plan: self.plan,
             tallies: sum.tallies,
             lag: sum.lag,
             unfinished: sum.unfinished,
             audit,
-            engines: sum.sight,
+            engines: sum.engines,
         })
     }
 
-    fn audit(&self, calls: &[audit::Entry]) -> std::result::Result<Option<Audit>, Report<Error>> {
+    fn audit(
+        &self,
+        calls: &[audit::AuditedCall],
+    ) -> std::result::Result<Option<Audit>, Report<Error>> {
         if self.services.is_empty() {
             return Ok(None);
         }
         let executions = actix_rt::System::new()
-            .block_on(async { audit::read(&worker::client(), &self.services).await })?;
+            .block_on(async { audit::read_executions(&worker::client(), &self.services).await })?;
         Ok(Some(Audit::compare(calls, &executions)))
     }
 }
 
-impl Found {
+impl WorkerResult {
     fn add(&mut self, other: Self) {
         for (tally, more) in self.tallies.iter_mut().zip(&other.tallies) {
             tally.add(more);
@@ -107,8 +110,8 @@
         self.calls.extend(other.calls);
         self.lag.add(&other.lag);
         self.unfinished += other.unfinished;
-        if other.sight.looks > 0 {
-            self.sight = other.sight;
+        if other.engines.looks > 0 {
+            self.engines = other.engines;
         }
     }
 }
--- a/crates/load/src/summary.rs
+++ b/crates/load/src/summary.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::audit::Audit;
+use crate::engine_monitor::EngineStats;
 use crate::run;
-use crate::tally::{Step, Tally, Times};
+use crate::tally::{Bucket, Tally, TimeHistogram};
 use crate::verdict::Verdict;
-use crate::watch::Sight;
 
 /// A run whose arrivals were sent later than this, at the 99th percentile, measured itself.
-const LAG_LIMIT_MS: f64 = 50.0;
+const MAX_LAG_P99_MS: f64 = 50.0;
 
 /// Three quantiles of a distribution, and its longest time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -32,14 +32,14 @@
     pub max_ms: f64,
 }
 
-impl From<&Times> for Quantiles {
-    fn from(times: &Times) -> Self {
+impl From<&TimeHistogram> for Quantiles {
+    fn from(times: &TimeHistogram) -> Self {
         Self {
             count: times.count(),
             p50_ms: millis(times.quantile(0.5)),
             p95_ms: millis(times.quantile(0.95)),
             p99_ms: millis(times.quantile(0.99)),
-            max_ms: millis(times.longest()),
+            max_ms: millis(times.max()),
         }
     }
 }
@@ -47,7 +47,7 @@
 /// The result of one class, or of all together.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Class {
+pub struct ClassSummary {
     /// Its name.
     pub name: String,
     /// Requests that arrived.
@@ -80,7 +80,7 @@
     pub refusal: Quantiles,
 }
 
-impl Class {
+impl ClassSummary {
     fn new(name: &str, tally: &Tally) -> Self {
         let ended = Verdict::ALL
             .iter()
@@ -98,8 +98,8 @@
             retries: tally.retries,
             resumes: tally.resumes,
             tokens: tally.tokens,
-            first_token: Quantiles::from(&tally.first),
-            between_tokens: Quantiles::from(&tally.between),
+            first_token: Quantiles::from(&tally.first_token),
+            between_tokens: Quantiles::from(&tally.between_tokens),
             whole: Quantiles::from(&tally.whole),
             refusal: Quantiles::from(&tally.refusal),
         }
@@ -114,7 +114,7 @@
 /// One step of the goodput curve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Point {
+pub struct CurvePoint {
     /// Start of the step.
     pub at_s: f64,
     /// Requests that arrived in it.
@@ -132,9 +132,9 @@
     /// How long requests arrived.
     pub seconds: f64,
     /// All classes together.
-    pub all: Class,
+    pub all: ClassSummary,
     /// Each class.
-    pub classes: Vec<Class>,
+    pub classes: Vec<ClassSummary>,
     /// By how much arrivals were sent late.
     pub lag: Quantiles,
     /// Requests without an end when the run was over; they count as lost.
@@ -142,29 +142,29 @@
     /// What the services executed against what callers were told.
     pub audit: Option<Audit>,
     /// What was seen of the engines; no looks if none were given.
-    pub engines: Sight,
+    pub engines: EngineStats,
     /// Goodput over time, by arrival.
-    pub curve: Vec<Point>,
+    pub curve: Vec<CurvePoint>,
 }
 
-impl From<&run::Result> for Summary {
-    fn from(result: &run::Result) -> Self {
+impl From<&run::RunResult> for Summary {
+    fn from(result: &run::RunResult) -> Self {
         let mut sum = Tally::default();
         let mut classes = Vec::new();
         for (class, tally) in result.plan.classes.iter().zip(&result.tallies) {
             sum.add(tally);
-            classes.push(Class::new(&class.name, tally));
+            classes.push(ClassSummary::new(&class.name, tally));
         }
         Self {
             seed: result.plan.seed,
             seconds: result.plan.duration.as_secs_f64(),
-            all: Class::new("all", &sum),
+            all: ClassSummary::new("all", &sum),
             classes,
             lag: Quantiles::from(&result.lag),
             unfinished: result.unfinished,
             audit: result.audit.clone(),
             engines: result.engines,
-            curve: curve(&sum.steps, result.plan.bucket),
+            curve: curve(&sum.buckets, result.plan.bucket),
         }
     }
 }
@@ -192,7 +192,7 @@
 
     /// Whether the load was sent as planned; otherwise the figures tell of the load generator.
     pub fn is_as_planned(&self) -> bool {
-        self.all.unsent == 0 && self.lag.p99_ms <= LAG_LIMIT_MS
+        self.all.unsent == 0 && self.lag.p99_ms <= MAX_LAG_P99_MS
     }
 }
 
@@ -202,11 +202,11 @@
     }
 }
 
-fn curve(steps: &[Step], bucket: Duration) -> Vec<Point> {
+fn curve(steps: &[Bucket], bucket: Duration) -> Vec<CurvePoint> {
     steps
         .iter()
         .enumerate()
-        .map(|(index, step)| Point {
+        .map(|(index, step)| CurvePoint {
             at_s: bucket.as_secs_f64() * index as f64,
             offered: step.offered,
             good: step.good,
--- a/crates/load/src/summary/table.rs
+++ b/crates/load/src/summary/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
-use super::{Class, Quantiles, Summary};
+use super::{ClassSummary, Quantiles, Summary};
 use crate::verdict::Verdict;
 
 impl fmt::Display for Summary {
@@ -55,7 +55,11 @@
     }
 }
 
-fn write_counts(f: &mut fmt::Formatter<'_>, classes: &[Class], all: &Class) -> fmt::Result {
+fn write_counts(
+    f: &mut fmt::Formatter<'_>,
+    classes: &[ClassSummary],
+    all: &ClassSummary,
+) -> fmt::Result {
     write!(
         f,
         "{:<16} {:>8} {:>8} {:>8}",
@@ -85,7 +89,7 @@
     Ok(())
 }
 
-fn write_times(f: &mut fmt::Formatter<'_>, classes: &[Class]) -> fmt::Result {
+fn write_times(f: &mut fmt::Formatter<'_>, classes: &[ClassSummary]) -> fmt::Result {
     writeln!(
         f,
         "{:<16} {:>26} {:>26} {:>26} {:>17}",
@@ -96,16 +100,16 @@
             f,
             "{:<16} {:>26} {:>26} {:>26} {:>17}",
             class.name,
-            three(&class.first_token),
-            three(&class.between_tokens),
-            three(&class.whole),
-            two(&class.refusal),
+            format_p50_p95_p99(&class.first_token),
+            format_p50_p95_p99(&class.between_tokens),
+            format_p50_p95_p99(&class.whole),
+            format_p50_p99(&class.refusal),
         )?;
     }
     Ok(())
 }
 
-fn three(times: &Quantiles) -> String {
+fn format_p50_p95_p99(times: &Quantiles) -> String {
     if times.count == 0 {
         return "-".to_owned();
     }
@@ -115,7 +119,7 @@
     )
 }
 
-fn two(times: &Quantiles) -> String {
+fn format_p50_p99(times: &Quantiles) -> String {
     if times.count == 0 {
         return "-".to_owned();
     }
--- a/crates/load/src/swing.rs
+++ b/crates/load/src/swing.rs
@@ -107,15 +107,15 @@
                 wave,
                 phase,
             } => {
-                let turn = (at.as_secs_f64() / period.as_secs_f64() + phase).fract();
-                low + (high - low) * height(wave, turn)
+                let cycle_position = (at.as_secs_f64() / period.as_secs_f64() + phase).fract();
+                low + (high - low) * wave_level(wave, cycle_position)
             }
             Self::Noise { every, sigma } => noise(at, every, sigma, seed),
         }
     }
 
     /// A factor that is never exceeded, for the thinning of arrivals.
-    pub fn highest(&self) -> f64 {
+    pub fn max_factor(&self) -> f64 {
         match *self {
             Self::Step { factor, .. } | Self::Ramp { factor, .. } => factor.max(1.0),
             Self::Oscillation { low, high, .. } => low.max(high),
@@ -161,11 +161,11 @@
 }
 
 /// A product that [`factor`] never exceeds.
-pub fn highest(swings: &[Swing], quantity: Quantity) -> f64 {
+pub fn max_factor(swings: &[Swing], quantity: Quantity) -> f64 {
     swings
         .iter()
         .filter(|swing| swing.quantity == quantity)
-        .map(|swing| swing.shape.highest())
+        .map(|swing| swing.shape.max_factor())
         .product()
 }
 
@@ -177,10 +177,10 @@
     passed / (to - from).as_secs_f64()
 }
 
-fn height(wave: Wave, turn: f64) -> f64 {
+fn wave_level(wave: Wave, cycle_position: f64) -> f64 {
     match wave {
-        Wave::Sine => f64::midpoint((turn * TAU).sin(), 1.0),
-        Wave::Square if turn < 0.5 => 1.0,
+        Wave::Sine => f64::midpoint((cycle_position * TAU).sin(), 1.0),
+        Wave::Square if cycle_position < 0.5 => 1.0,
         Wave::Square => 0.0,
     }
 }
@@ -188,11 +188,13 @@
 fn noise(at: Duration, every: Duration, sigma: f64, seed: u64) -> f64 {
     let step = (at.as_secs_f64() / every.as_secs_f64()) as u64;
     let mut random = StdRng::seed_from_u64(seed ^ step.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-    (sigma * normal(&mut random)).exp().min(NOISE_LIMIT)
+    (sigma * standard_normal(&mut random))
+        .exp()
+        .min(NOISE_LIMIT)
 }
 
 /// A draw of the standard normal distribution (Box and Muller).
-pub(crate) fn normal(random: &mut StdRng) -> f64 {
+pub(crate) fn standard_normal(random: &mut StdRng) -> f64 {
     let radius = (-2.0 * (1.0 - random.random::<f64>()).ln()).sqrt();
     radius * (TAU * random.random::<f64>()).cos()
 }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -10,32 +10,32 @@
 use crate::verdict::Verdict;
 
 /// Longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_TIME_US: u64 = 3_600_000_000;
 
 /// Significant digits of the distributions.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Causes of error answers that are told apart in one class.
-const MOST_CAUSES: usize = 50;
+const MAX_CAUSES: usize = 50;
 
 /// A distribution of times.
 #[derive(Clone, Debug)]
-pub struct Times {
+pub struct TimeHistogram {
     micros: Histogram<u64>,
 }
 
-impl Default for Times {
+impl Default for TimeHistogram {
     fn default() -> Self {
-        let micros = Histogram::new_with_bounds(1, LONGEST_US, DIGITS)
+        let micros = Histogram::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
             .expect("the bounds are constants that the library accepts");
         Self { micros }
     }
 }
 
-impl Times {
+impl TimeHistogram {
     /// Counts a time.
     pub fn record(&mut self, time: Duration) {
-        let micros = u64::try_from(time.as_micros()).unwrap_or(LONGEST_US);
+        let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_TIME_US);
         self.micros.saturating_record(micros.max(1));
     }
 
@@ -52,12 +52,12 @@
     }
 
     /// The time that this part of the counted ones does not exceed, zero if there are none.
-    pub fn quantile(&self, part: f64) -> Duration {
-        Duration::from_micros(self.micros.value_at_quantile(part))
+    pub fn quantile(&self, fraction: f64) -> Duration {
+        Duration::from_micros(self.micros.value_at_quantile(fraction))
     }
 
     /// The longest counted time.
-    pub fn longest(&self) -> Duration {
+    pub fn max(&self) -> Duration {
         Duration::from_micros(self.micros.max())
     }
 }
@@ -76,9 +76,9 @@
     /// From its arrival to its end.
     pub whole: Duration,
     /// From its arrival to its first token.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// Times between its events.
-    pub gaps: Vec<Duration>,
+    pub token_gaps: Vec<Duration>,
     /// Tokens that came.
     pub tokens: u64,
     /// Attempts after the first.
@@ -96,19 +96,19 @@
         };
         self.verdict == Verdict::Served
             && self.whole <= contract.deadline
-            && within(self.first, contract.first_token)
+            && within(self.first_token, contract.first_token)
             && within(self.mean_gap(), contract.between_tokens)
     }
 
     fn mean_gap(&self) -> Option<Duration> {
-        let count = u32::try_from(self.gaps.len()).ok()?;
-        self.gaps.iter().sum::<Duration>().checked_div(count)
+        let count = u32::try_from(self.token_gaps.len()).ok()?;
+        self.token_gaps.iter().sum::<Duration>().checked_div(count)
     }
 }
 
 /// One step of the goodput curve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Step {
+pub struct Bucket {
     /// Requests that arrived in it.
     pub offered: u64,
     /// Those of them that were served within their contract.
@@ -137,15 +137,15 @@
     /// Tokens that came.
     pub tokens: u64,
     /// From arrival to first token, of served requests.
-    pub first: Times,
+    pub first_token: TimeHistogram,
     /// Between events, of served requests.
-    pub between: Times,
+    pub between_tokens: TimeHistogram,
     /// From arrival to the whole answer, of served requests.
-    pub whole: Times,
+    pub whole: TimeHistogram,
     /// From arrival to the final refusal.
-    pub refusal: Times,
+    pub refusal: TimeHistogram,
     /// Goodput over time.
-    pub steps: Vec<Step>,
+    pub buckets: Vec<Bucket>,
 }
 
 impl Tally {
@@ -158,7 +158,7 @@
         self.retries += u64::from(outcome.retries);
         self.resumes += u64::from(outcome.resumes);
         self.tokens += outcome.tokens;
-        self.step_at(outcome.at, bucket, good);
+        self.count_arrival(outcome.at, bucket, good);
         match outcome.verdict {
             Verdict::Served => self.record_times(outcome),
             Verdict::Refused => self.refusal.record(outcome.whole),
@@ -173,7 +173,7 @@
     pub fn record_unsent(&mut self, at: Duration, bucket: Duration) {
         self.offered += 1;
         self.unsent += 1;
-        self.step_at(at, bucket, false);
+        self.count_arrival(at, bucket, false);
     }
 
     /// Requests that ended so.
@@ -206,13 +206,13 @@
         for (cause, count) in &other.causes {
             *self.causes.entry(cause.clone()).or_default() += count;
         }
-        self.first.add(&other.first);
-        self.between.add(&other.between);
+        self.first_token.add(&other.first_token);
+        self.between_tokens.add(&other.between_tokens);
         self.whole.add(&other.whole);
         self.refusal.add(&other.refusal);
-        let steps = self.steps.len().max(other.steps.len());
-        self.steps.resize(steps, Step::default());
-        for (step, more) in self.steps.iter_mut().zip(&other.steps) {
+        let steps = self.buckets.len().max(other.buckets.len());
+        self.buckets.resize(steps, Bucket::default());
+        for (step, more) in self.buckets.iter_mut().zip(&other.buckets) {
             step.offered += more.offered;
             step.good += more.good;
         }
@@ -220,11 +220,11 @@
 
     fn record_times(&mut self, outcome: &Outcome) {
         self.whole.record(outcome.whole);
-        if let Some(first) = outcome.first {
-            self.first.record(first);
+        if let Some(first) = outcome.first_token {
+            self.first_token.record(first);
         }
-        for gap in &outcome.gaps {
-            self.between.record(*gap);
+        for gap in &outcome.token_gaps {
+            self.between_tokens.record(*gap);
         }
     }
 
@@ -234,18 +234,18 @@
         }
         if let Some(detail) = &outcome.detail {
             // Causes may name single requests, and a run has many.
-            if self.causes.len() < MOST_CAUSES || self.causes.contains_key(detail) {
+            if self.causes.len() < MAX_CAUSES || self.causes.contains_key(detail) {
                 *self.causes.entry(detail.clone()).or_default() += 1;
             }
         }
     }
 
-    fn step_at(&mut self, at: Duration, bucket: Duration, good: bool) {
+    fn count_arrival(&mut self, at: Duration, bucket: Duration, good: bool) {
         let index = (at.as_secs_f64() / bucket.as_secs_f64()) as usize;
-        if self.steps.len() <= index {
-            self.steps.resize(index + 1, Step::default());
+        if self.buckets.len() <= index {
+            self.buckets.resize(index + 1, Bucket::default());
         }
-        self.steps[index].offered += 1;
-        self.steps[index].good += u64::from(good);
+        self.buckets[index].offered += 1;
+        self.buckets[index].good += u64::from(good);
     }
 }
--- a/crates/load/src/target.rs
+++ b/crates/load/src/target.rs
@@ -7,7 +7,7 @@
 use awc::Client;
 
 /// How often each entry is asked whether it is ready.
-const PROBE_EVERY: Duration = Duration::from_millis(250);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// One entry.
 #[derive(Debug)]
@@ -19,12 +19,12 @@
 
 /// All entries of a run, shared by its workers.
 #[derive(Debug)]
-pub struct Set {
+pub struct TargetSet {
     targets: Vec<Target>,
-    turn: AtomicUsize,
+    next: AtomicUsize,
 }
 
-impl Set {
+impl TargetSet {
     /// A set of entries by their URLs; all count as ready until a probe says otherwise.
     pub fn new(urls: &[String]) -> Self {
         let targets = urls
@@ -36,7 +36,7 @@
             .collect();
         Self {
             targets,
-            turn: AtomicUsize::new(0),
+            next: AtomicUsize::new(0),
         }
     }
 
@@ -44,11 +44,11 @@
     /// ready all take their turn, since a refused connection tells more than silence does.
     pub fn choose(&self, avoid: Option<usize>) -> usize {
         let count = self.targets.len();
-        let first = self.turn.fetch_add(1, Ordering::Relaxed);
-        let in_turn = || (0..count).map(move |step| (first + step) % count);
-        in_turn()
+        let first = self.next.fetch_add(1, Ordering::Relaxed);
+        let rotation = || (0..count).map(move |step| (first + step) % count);
+        rotation()
             .find(|index| self.is_ready(*index) && Some(*index) != avoid)
-            .or_else(|| in_turn().find(|index| Some(*index) != avoid))
+            .or_else(|| rotation().find(|index| Some(*index) != avoid))
             .unwrap_or(0)
     }
 
@@ -67,11 +67,11 @@
         loop {
             for target in &self.targets {
                 let url = format!("{}/readyz", target.url);
-                let answer = client.get(url).timeout(PROBE_EVERY).send().await;
+                let answer = client.get(url).timeout(PROBE_INTERVAL).send().await;
                 let ready = answer.is_ok_and(|answer| answer.status().is_success());
                 target.ready.store(ready, Ordering::Relaxed);
             }
-            actix_rt::time::sleep(PROBE_EVERY).await;
+            actix_rt::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
--- a/crates/load/src/verdict.rs
+++ b/crates/load/src/verdict.rs
@@ -7,13 +7,13 @@
 use crate::plan::Class;
 
 /// Wait before another entry is tried when one could not be reached.
-const RECONNECT: Duration = Duration::from_millis(20);
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
 /// First wait after a refusal that names no time; it doubles with each try.
-const BACKOFF: Duration = Duration::from_millis(200);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Status of a conflict with an earlier attempt under the same key.
-const CONFLICT: u16 = 409;
+const STATUS_CONFLICT: u16 = 409;
 
 /// What a refusal says of the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 /// How one attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// The whole answer, and it belongs to this request.
     Whole,
     /// An error answer.
@@ -99,83 +99,86 @@
 
 /// What a caller does after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum NextStep {
     /// Tries again at another entry after a wait; a stream that has begun is resumed.
-    Again(Duration),
+    Retry(Duration),
     /// Gives up or is content.
     Finish(Verdict),
 }
 
 /// Where a request stands when an attempt has ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing<'a> {
+pub struct RequestState<'a> {
     /// Its class, with its contract.
     pub class: &'a Class,
     /// Attempts made so far.
     pub attempts: u32,
     /// Time until the caller goes away.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether a part of a stream has arrived that can be resumed.
-    pub begun: bool,
+    pub stream_started: bool,
 }
 
-impl Standing<'_> {
+impl RequestState<'_> {
     /// What the caller does after this end of an attempt.
-    pub fn step(&self, end: &End) -> Step {
+    pub fn next_step(&self, end: &AttemptEnd) -> NextStep {
         let verdict = self.verdict(end);
-        let Some(wait) = self.wait(end) else {
-            return Step::Finish(verdict);
+        let Some(wait) = self.retry_delay(end) else {
+            return NextStep::Finish(verdict);
         };
-        if self.attempts > self.class.retries || wait >= self.left {
-            return Step::Finish(verdict);
+        if self.attempts > self.class.retries || wait >= self.time_left {
+            return NextStep::Finish(verdict);
         }
-        Step::Again(wait)
+        NextStep::Retry(wait)
     }
 
     /// What it amounts to if the caller stops here.
-    fn verdict(&self, end: &End) -> Verdict {
+    fn verdict(&self, end: &AttemptEnd) -> Verdict {
         match end {
-            End::Whole => Verdict::Served,
-            End::Crossed => Verdict::Crossed,
-            End::Garbled => Verdict::Garbled,
-            End::Cut => Verdict::Cut,
-            _ if self.begun => Verdict::Cut,
-            End::Refused { ran: Ran::No, .. } => Verdict::Refused,
-            End::Refused { status, .. } if is_refusal(*status) => Verdict::Refused,
-            End::Refused { .. } => Verdict::Unknown,
-            End::Unreached | End::Broken | End::TimedOut => Verdict::Lost,
+            AttemptEnd::Whole => Verdict::Served,
+            AttemptEnd::Crossed => Verdict::Crossed,
+            AttemptEnd::Garbled => Verdict::Garbled,
+            AttemptEnd::Cut => Verdict::Cut,
+            _ if self.stream_started => Verdict::Cut,
+            AttemptEnd::Refused { ran: Ran::No, .. } => Verdict::Refused,
+            AttemptEnd::Refused { status, .. } if rejects_request(*status) => Verdict::Refused,
+            AttemptEnd::Refused { .. } => Verdict::Unknown,
+            AttemptEnd::Unreached | AttemptEnd::Broken | AttemptEnd::TimedOut => Verdict::Lost,
         }
     }
 
     /// How long to wait before the next attempt, or nothing if there must be none.
-    fn wait(&self, end: &End) -> Option<Duration> {
+    fn retry_delay(&self, end: &AttemptEnd) -> Option<Duration> {
         match *end {
-            End::Whole | End::Crossed | End::Garbled | End::TimedOut => None,
-            End::Unreached => Some(RECONNECT),
-            End::Broken | End::Cut => self.may_repeat().then_some(RECONNECT),
-            End::Refused {
+            AttemptEnd::Whole
+            | AttemptEnd::Crossed
+            | AttemptEnd::Garbled
+            | AttemptEnd::TimedOut => None,
+            AttemptEnd::Unreached => Some(RECONNECT_DELAY),
+            AttemptEnd::Broken | AttemptEnd::Cut => self.may_retry().then_some(RECONNECT_DELAY),
+            AttemptEnd::Refused {
                 status,
                 ran,
                 retry_after,
             } => {
-                let temporary = matches!(status, CONFLICT | 429 | 500 | 502 | 503);
-                let safe = ran == Ran::No || self.may_repeat();
+                let temporary = matches!(status, STATUS_CONFLICT | 429 | 500 | 502 | 503);
+                let safe = ran == Ran::No || self.may_retry();
                 (temporary && safe).then(|| retry_after.unwrap_or_else(|| self.backoff()))
             }
         }
     }
 
-    fn may_repeat(&self) -> bool {
-        self.begun || self.class.repeatable || self.class.keyed
+    fn may_retry(&self) -> bool {
+        self.stream_started || self.class.repeatable || self.class.keyed
     }
 
     fn backoff(&self) -> Duration {
-        BACKOFF * 2_u32.saturating_pow(self.attempts.saturating_sub(1).min(6))
+        INITIAL_BACKOFF * 2_u32.saturating_pow(self.attempts.saturating_sub(1).min(6))
     }
 }
 
 /// Statuses that tell that the request was not acceptable, whatever they say of its execution. A
 /// conflict is none: it may be about an earlier attempt that ran.
-fn is_refusal(status: u16) -> bool {
-    (400..500).contains(&status) && status != CONFLICT
+fn rejects_request(status: u16) -> bool {
+    (400..500).contains(&status) && status != STATUS_CONFLICT
 }
--- a/crates/load/src/worker.rs
+++ b/crates/load/src/worker.rs
@@ -12,22 +12,22 @@
 
 use crate::arrival;
 use crate::audit;
-use crate::caller::{Caller, Done};
+use crate::caller::{Caller, RequestResult};
+use crate::engine_monitor::{self, EngineMonitor, EngineStats};
 use crate::plan::Plan;
-use crate::request::{Request, Source};
-use crate::tally::{Outcome, Tally, Times};
+use crate::request::{Request, RequestSource};
+use crate::tally::{Outcome, Tally, TimeHistogram};
 use crate::target;
 use crate::verdict::Verdict;
-use crate::watch::{self, Sight, Watch};
 
 /// A connection that is not there after this long is given up.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How often a worker looks whether all its requests have ended.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Odd constant that spreads neighbouring seeds.
-const SEED_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
+const SEED_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// What all workers of a run share.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     /// What is asked.
     pub plan: Arc<Plan>,
     /// Where it is asked.
-    pub targets: Arc<target::Set>,
+    pub targets: Arc<target::TargetSet>,
     /// Makes ids unique over runs.
     pub label: String,
     /// URL roots of the engines to look at; none are needed.
@@ -48,31 +48,31 @@
 
 /// What a worker has found.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct WorkerResult {
     /// By class, in the order of the plan.
     pub tallies: Vec<Tally>,
     /// Calls for the audit.
-    pub calls: Vec<audit::Entry>,
+    pub calls: Vec<audit::AuditedCall>,
     /// By how much arrivals were sent late; a busy load generator shows here.
-    pub lag: Times,
+    pub lag: TimeHistogram,
     /// Requests without an end when the run was over.
     pub unfinished: u64,
     /// What was seen of the engines.
-    pub sight: Sight,
+    pub engines: EngineStats,
 }
 
-struct Shared {
+struct WorkerState {
     job: Job,
     client: Client,
-    found: RefCell<Found>,
-    open: RefCell<BTreeMap<String, Open>>,
-    sources: RefCell<usize>,
-    watch: RefCell<Watch>,
+    result: RefCell<WorkerResult>,
+    open: RefCell<BTreeMap<String, OpenRequest>>,
+    active_classes: RefCell<usize>,
+    monitor: RefCell<EngineMonitor>,
 }
 
 /// A request that has no end yet.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenRequest {
     class: usize,
     at: Duration,
 }
@@ -88,78 +88,79 @@
 }
 
 /// Runs one worker to its end.
-pub async fn run(job: Job, number: usize) -> Found {
-    let ends = job.start + job.plan.duration + job.plan.grace;
+pub async fn run(job: Job, number: usize) -> WorkerResult {
+    let run_end = job.start + job.plan.duration + job.plan.grace;
     let classes = job.plan.classes.len();
-    let shared = Rc::new(Shared {
+    let shared = Rc::new(WorkerState {
         client: client(),
-        found: RefCell::new(Found {
+        result: RefCell::new(WorkerResult {
             tallies: vec![Tally::default(); classes],
-            ..Found::default()
+            ..WorkerResult::default()
         }),
         open: RefCell::default(),
-        sources: RefCell::new(classes),
-        watch: RefCell::default(),
+        active_classes: RefCell::new(classes),
+        monitor: RefCell::default(),
         job,
     });
-    let lookouts = if number == 0 {
-        lookouts(&shared)
+    let tasks = if number == 0 {
+        background_tasks(&shared)
     } else {
         Vec::new()
     };
     for class in 0..classes {
         actix_rt::spawn(send_class(Rc::clone(&shared), class, number));
     }
-    while Instant::now() < ends && !shared.is_done() {
-        sleep(LOOK_EVERY).await;
+    while Instant::now() < run_end && !shared.is_done() {
+        sleep(COMPLETION_POLL_INTERVAL).await;
     }
-    for lookout in lookouts {
-        lookout.abort();
+    for task in tasks {
+        task.abort();
     }
-    shared.conclude()
+    shared.finish()
 }
 
 /// What goes on beside the requests until the run is over; one worker does it for all.
-fn lookouts(shared: &Rc<Shared>) -> Vec<JoinHandle<()>> {
+fn background_tasks(shared: &Rc<WorkerState>) -> Vec<JoinHandle<()>> {
     let probing = Rc::clone(shared);
-    let looking = Rc::clone(shared);
+    let sampling = Rc::clone(shared);
     let probe = async move { probing.job.targets.probe(&probing.client).await };
-    let look = async move {
+    let sample = async move {
         loop {
-            let states = watch::look(&looking.client, &looking.job.engines).await;
-            looking.watch.borrow_mut().take(&states);
-            sleep(watch::LOOK_EVERY).await;
+            let states =
+                engine_monitor::sample_engines(&sampling.client, &sampling.job.engines).await;
+            sampling.monitor.borrow_mut().record_sample(&states);
+            sleep(engine_monitor::SAMPLE_INTERVAL).await;
         }
     };
-    vec![actix_rt::spawn(probe), actix_rt::spawn(look)]
+    vec![actix_rt::spawn(probe), actix_rt::spawn(sample)]
 }
 
 /// Sends the arrivals of one class at their times, whatever becomes of earlier ones.
-async fn send_class(shared: Rc<Shared>, index: usize, number: usize) {
+async fn send_class(shared: Rc<WorkerState>, index: usize, number: usize) {
     let plan = Arc::clone(&shared.job.plan);
     let class = plan.class(index);
     let seed = plan
         .seed
-        .wrapping_add((index as u64).wrapping_mul(SEED_STEP))
-        .wrapping_add((number as u64).wrapping_mul(SEED_STEP.rotate_left(32)));
+        .wrapping_add((index as u64).wrapping_mul(SEED_MULTIPLIER))
+        .wrapping_add((number as u64).wrapping_mul(SEED_MULTIPLIER.rotate_left(32)));
     let label = format!("{}-{number}", shared.job.label);
-    let mut source = Source::new(class, index, label, seed ^ SEED_STEP);
-    for at in arrival::Process::new(&plan, class, seed, shared.job.workers) {
+    let mut source = RequestSource::new(class, index, label, seed ^ SEED_MULTIPLIER);
+    for at in arrival::Arrivals::new(&plan, class, seed, shared.job.workers) {
         let due = shared.job.start + at;
         sleep_until(due.into()).await;
-        shared.found.borrow_mut().lag.record(due.elapsed());
-        let request = source.draw(at);
+        shared.result.borrow_mut().lag.record(due.elapsed());
+        let request = source.next_request(at);
         if shared.open.borrow().len() >= plan.max_open / shared.job.workers {
-            shared.found.borrow_mut().tallies[index].record_unsent(at, plan.bucket);
+            shared.result.borrow_mut().tallies[index].record_unsent(at, plan.bucket);
             continue;
         }
-        actix_rt::spawn(carry(Rc::clone(&shared), request));
+        actix_rt::spawn(send_request(Rc::clone(&shared), request));
     }
-    *shared.sources.borrow_mut() -= 1;
+    *shared.active_classes.borrow_mut() -= 1;
 }
 
-async fn carry(shared: Rc<Shared>, request: Request) {
-    let open = Open {
+async fn send_request(shared: Rc<WorkerState>, request: Request) {
+    let open = OpenRequest {
         class: request.class,
         at: request.at,
     };
@@ -169,37 +170,37 @@
         targets: &shared.job.targets,
         start: shared.job.start,
     };
-    let done = caller.place(&shared.client, &request).await;
+    let result = caller.send(&shared.client, &request).await;
     shared.open.borrow_mut().remove(&request.id);
-    shared.record(&request, &done);
+    shared.record(&request, &result);
 }
 
-impl Shared {
+impl WorkerState {
     fn is_done(&self) -> bool {
-        *self.sources.borrow() == 0 && self.open.borrow().is_empty()
+        *self.active_classes.borrow() == 0 && self.open.borrow().is_empty()
     }
 
-    fn record(&self, request: &Request, done: &Done) {
+    fn record(&self, request: &Request, result: &RequestResult) {
         let plan = &self.job.plan;
         let class = plan.class(request.class);
-        let mut found = self.found.borrow_mut();
-        found.tallies[request.class].record(&done.outcome, &class.contract, plan.bucket);
+        let mut worker_result = self.result.borrow_mut();
+        worker_result.tallies[request.class].record(&result.outcome, &class.contract, plan.bucket);
         if request.prompt.is_none() && !request.body.is_empty() {
-            found.calls.push(audit::Entry {
+            worker_result.calls.push(audit::AuditedCall {
                 class: class.name.clone(),
                 digest: blake3::hash(&request.body).to_hex().to_string(),
                 repeatable: class.repeatable,
-                verdict: done.outcome.verdict,
-                never_ran: done.never_ran,
+                verdict: result.outcome.verdict,
+                never_ran: result.never_ran,
             });
         }
     }
 
     /// Counts what is still open as lost and gives the findings out.
-    fn conclude(&self) -> Found {
+    fn finish(&self) -> WorkerResult {
         let plan = &self.job.plan;
-        let mut found = self.found.take();
-        found.sight = self.watch.borrow().sight();
+        let mut worker_result = self.result.take();
+        worker_result.engines = self.monitor.borrow().stats();
         for open in self.open.take().into_values() {
             let outcome = Outcome {
                 at: open.at,
@@ -207,16 +208,16 @@
                 status: None,
                 detail: None,
                 whole: self.job.start.elapsed().saturating_sub(open.at),
-                first: None,
-                gaps: Vec::new(),
+                first_token: None,
+                token_gaps: Vec::new(),
                 tokens: 0,
                 retries: 0,
                 resumes: 0,
             };
             let contract = &plan.class(open.class).contract;
-            found.tallies[open.class].record(&outcome, contract, plan.bucket);
-            found.unfinished += 1;
+            worker_result.tallies[open.class].record(&outcome, contract, plan.bucket);
+            worker_result.unfinished += 1;
         }
-        found
+        worker_result
     }
 }
--- a/crates/load/tests/answer.rs
+++ b/crates/load/tests/answer.rs
@@ -1,19 +1,19 @@
 //! Answers judged by their content, and events cut from a byte stream.
 
-use load::answer::{self, Fit, Judge};
-use load::event::{Event, Reader};
+use load::answer::{self, AnswerChecker, PieceMatch};
+use load::event::{Event, EventReader};
 use load::verdict::Ran;
 
 #[test]
 fn a_repeated_piece_is_told_from_a_foreign_one() {
-    let mut judge = Judge::new("one two three".to_owned());
-    assert_eq!(judge.take("one "), Fit::Due);
-    assert_eq!(judge.take("one "), Fit::Garbled);
-    assert_eq!(judge.take("three"), Fit::Garbled);
-    assert_eq!(judge.take("four"), Fit::Crossed);
-    assert!(!judge.is_complete());
-    assert_eq!(judge.take("two three"), Fit::Due);
-    assert!(judge.is_complete());
+    let mut checker = AnswerChecker::new("one two three".to_owned());
+    assert_eq!(checker.check_next("one "), PieceMatch::Expected);
+    assert_eq!(checker.check_next("one "), PieceMatch::Garbled);
+    assert_eq!(checker.check_next("three"), PieceMatch::Garbled);
+    assert_eq!(checker.check_next("four"), PieceMatch::Crossed);
+    assert!(!checker.is_complete());
+    assert_eq!(checker.check_next("two three"), PieceMatch::Expected);
+    assert!(checker.is_complete());
 }
 
 #[test]
@@ -34,7 +34,7 @@
         },
     ];
     for size in 1..text.len() {
-        let mut reader = Reader::default();
+        let mut reader = EventReader::default();
         let mut events = Vec::new();
         for piece in text.as_bytes().chunks(size) {
             reader.feed(piece);
@@ -60,7 +60,10 @@
         r#"{"choices": [{"message": {"content": "ab"}}]}"#,
     ];
     for form in forms {
-        assert_eq!(answer::text(form.as_bytes()).as_deref(), Some("ab"));
+        assert_eq!(
+            answer::completion_text(form.as_bytes()).as_deref(),
+            Some("ab")
+        );
     }
-    assert_eq!(answer::text(b"no"), None);
+    assert_eq!(answer::completion_text(b"no"), None);
 }
--- a/crates/load/tests/arrival.rs
+++ b/crates/load/tests/arrival.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use load::arrival::Process;
+use load::arrival::Arrivals;
 use load::plan::Plan;
-use load::request::Source;
+use load::request::RequestSource;
 use load::swing::{Shape, Wave};
 
 fn plan(swings: &str) -> Plan {
@@ -30,7 +30,7 @@
 /// Arrivals of the first and of the second half of a run, over all workers.
 fn halves(plan: &Plan, workers: usize) -> (usize, usize) {
     let arrivals = (0..workers)
-        .flat_map(|worker| Process::new(plan, &plan.classes[0], worker as u64, workers));
+        .flat_map(|worker| Arrivals::new(plan, &plan.classes[0], worker as u64, workers));
     let (first, second): (Vec<_>, Vec<_>) = arrivals.partition(|at| *at < Duration::from_secs(50));
     (first.len(), second.len())
 }
@@ -56,9 +56,9 @@
     let plan = plan("[{classes: [a], quantity: prompt, shape: {noise: {every: 2s, sigma: 0.4}}}]");
     let draw = |seed| {
         let class = &plan.classes[0];
-        let mut source = Source::new(class, 0, "x".to_owned(), seed);
-        Process::new(&plan, class, seed, 1)
-            .map(|at| (at, source.draw(at).body))
+        let mut source = RequestSource::new(class, 0, "x".to_owned(), seed);
+        Arrivals::new(&plan, class, seed, 1)
+            .map(|at| (at, source.next_request(at).body))
             .collect::<Vec<_>>()
     };
     assert_eq!(draw(5), draw(5));
@@ -89,7 +89,7 @@
         for second in 0..60 {
             let factor = shape.factor(Duration::from_secs(second), 1);
             assert!(
-                (0.0..=shape.highest()).contains(&factor),
+                (0.0..=shape.max_factor()).contains(&factor),
                 "{shape:?} {factor}"
             );
         }
--- a/crates/load/tests/audit.rs
+++ b/crates/load/tests/audit.rs
@@ -1,10 +1,10 @@
 //! What the services executed against what callers were told.
 
-use load::audit::{Audit, Entry, Executions};
+use load::audit::{Audit, AuditedCall, Executions};
 use load::verdict::Verdict;
 
-fn entry(digest: &str, verdict: Verdict, never_ran: bool, repeatable: bool) -> Entry {
-    Entry {
+fn entry(digest: &str, verdict: Verdict, never_ran: bool, repeatable: bool) -> AuditedCall {
+    AuditedCall {
         class: "a".to_owned(),
         digest: digest.to_owned(),
         repeatable,
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use actix_http::StatusCode;
-use load::caller::{Caller, Done};
+use load::caller::{Caller, RequestResult};
 use load::plan::{Class, Plan};
-use load::request::{Prompt, Request, Source};
+use load::request::{Prompt, Request, RequestSource};
 use load::target;
 use load::verdict::Verdict;
 use load::worker;
@@ -43,7 +43,7 @@
 }
 
 /// Sends one request to a fake that answers its n-th call with `script(n, request)`.
-fn send<F>(class: &Class, script: F) -> (Done, Seen)
+fn send<F>(class: &Class, script: F) -> (RequestResult, Seen)
 where
     F: Fn(usize, &Request) -> Answer + Clone + Send + 'static,
 {
@@ -53,12 +53,12 @@
 }
 
 /// The same with the time that each answer takes.
-fn send_slowly<F>(class: &Class, script: F) -> (Done, Seen)
+fn send_slowly<F>(class: &Class, script: F) -> (RequestResult, Seen)
 where
     F: Fn(usize, &Request) -> (Duration, Answer) + Clone + Send + 'static,
 {
     let seen = Seen::default();
-    let request = Source::new(class, 0, "t".to_owned(), 1).draw(Duration::ZERO);
+    let request = RequestSource::new(class, 0, "t".to_owned(), 1).next_request(Duration::ZERO);
     let (log, sent) = (Arc::clone(&seen), request.clone());
     let handler = move |call: Call| {
         let text = |name| call.header(name).map(str::to_owned);
@@ -82,13 +82,13 @@
         };
         let (server, address) = http::start(&listen, handler).expect("a free port");
         actix_rt::spawn(server);
-        let targets = target::Set::new(&[format!("http://{address}")]);
+        let targets = target::TargetSet::new(&[format!("http://{address}")]);
         let caller = Caller {
             class,
             targets: &targets,
             start: Instant::now(),
         };
-        caller.place(&worker::client(), &request).await
+        caller.send(&worker::client(), &request).await
     });
     (done, seen)
 }
@@ -105,7 +105,7 @@
 
 /// Events `from` up to `to` of the answer that is due, and `[DONE]` behind the last.
 fn events(prompt: &Prompt, from: usize, to: usize) -> Answer {
-    let due = prompt.due();
+    let due = prompt.expected_text();
     let mut text = String::new();
     for (index, token) in due.split_inclusive(' ').enumerate().take(to).skip(from) {
         let data = json!({ "choices": [{ "text": token }] });
--- a/crates/load/tests/examples.rs
+++ b/crates/load/tests/examples.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use load::contest::Contest;
+use load::experiment::Experiment;
 use load::plan::Plan;
 
 fn user(name: &str) -> PathBuf {
@@ -38,7 +38,7 @@
         "lima/choices.yaml",
         "brazos/planners.yaml",
     ] {
-        let contest = Contest::parse(&read(&user(name))).unwrap();
-        assert!(contest.rounds >= 5, "{name}");
+        let experiment = Experiment::parse(&read(&user(name))).unwrap();
+        assert!(experiment.rounds >= 5, "{name}");
     }
 }
--- a/crates/load/tests/contest.rs
+++ b/crates/load/tests/experiment.rs
@@ -1,15 +1,17 @@
 //! Comparisons: the order of segments, the figures over rounds, and what is seen of engines.
 
 use load::admin::merge;
-use load::contest::{Contest, Spread};
-use load::watch::{State, Watch};
+use load::engine_monitor::{EngineMonitor, State};
+use load::experiment::{Experiment, Spread};
 use serde_json::json;
 
 #[test]
 fn no_variant_always_comes_first() {
     let yaml = "{rounds: 4, variants: [{name: a}, {name: b}, {name: c}]}";
-    let contest = Contest::parse(yaml).unwrap();
-    let orders: Vec<Vec<usize>> = (0..4).map(|round| contest.order(round).collect()).collect();
+    let experiment = Experiment::parse(yaml).unwrap();
+    let orders: Vec<Vec<usize>> = (0..4)
+        .map(|round| experiment.order(round).collect())
+        .collect();
     assert_eq!(
         orders,
         [[0, 1, 2], [2, 1, 0], [1, 2, 0], [0, 2, 1]].map(Vec::from)
@@ -18,9 +20,9 @@
 
 #[test]
 fn a_comparison_needs_two_variants_of_different_names() {
-    let findings = Contest::parse("{rounds: 0, variants: [{name: a}]}").unwrap_err();
+    let findings = Experiment::parse("{rounds: 0, variants: [{name: a}]}").unwrap_err();
     assert_eq!(findings.current_context().all().len(), 2);
-    let findings = Contest::parse("{variants: [{name: a}, {name: a}]}").unwrap_err();
+    let findings = Experiment::parse("{variants: [{name: a}, {name: a}]}").unwrap_err();
     let place = &findings.current_context().all()[0].place;
     assert_eq!(place, "variants[1].name");
 }
@@ -48,20 +50,20 @@
 
 #[test]
 fn role_changes_are_counted_also_over_a_missed_look() {
-    let look = |roles: &[(usize, &str, u64)]| -> Vec<(usize, State)> {
+    let sample = |roles: &[(usize, &str, u64)]| -> Vec<(usize, State)> {
         let state = |(engine, role, open): &(usize, &str, u64)| {
             let role = (*role).to_owned();
             (*engine, State { role, open: *open })
         };
         roles.iter().map(state).collect()
     };
-    let mut watch = Watch::default();
-    watch.take(&look(&[(0, "mixed", 2), (1, "mixed", 4)]));
-    watch.take(&look(&[(1, "decode", 3)]));
-    watch.take(&[]);
-    watch.take(&look(&[(0, "prefill", 3), (1, "decode", 3)]));
-    let sight = watch.sight();
-    assert_eq!((sight.role_changes, sight.looks), (2, 3));
-    assert!((sight.mean_open - 3.0).abs() < 1e-12);
-    assert!((sight.spread_open - 1.0 / 3.0).abs() < 1e-12);
+    let mut monitor = EngineMonitor::default();
+    monitor.record_sample(&sample(&[(0, "mixed", 2), (1, "mixed", 4)]));
+    monitor.record_sample(&sample(&[(1, "decode", 3)]));
+    monitor.record_sample(&[]);
+    monitor.record_sample(&sample(&[(0, "prefill", 3), (1, "decode", 3)]));
+    let stats = monitor.stats();
+    assert_eq!((stats.role_changes, stats.looks), (2, 3));
+    assert!((stats.mean_open - 3.0).abs() < 1e-12);
+    assert!((stats.spread_open - 1.0 / 3.0).abs() < 1e-12);
 }
--- a/crates/load/tests/plan.rs
+++ b/crates/load/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use load::plan::{Ask, Plan};
+use load::plan::{Plan, RequestKind};
 
 const GOOD: &str = r"
 seed: 7
@@ -67,10 +67,10 @@
     assert_eq!(plan.duration, Duration::from_secs(6));
     assert!((plan.classes[0].rate - 20.0).abs() < 1e-9);
     assert_eq!(plan.classes[0].contract.deadline, Duration::from_secs(3));
-    assert_eq!(plan.classes[0].patience, Duration::from_secs(6));
+    assert_eq!(plan.classes[0].gives_up_after, Duration::from_secs(6));
     assert_eq!(plan.classes[0].swings.len(), 1);
     assert!(plan.classes[1].swings.is_empty());
-    assert!(matches!(plan.classes[1].ask, Ask::Plain(_)));
+    assert!(matches!(plan.classes[1].kind, RequestKind::Plain(_)));
 }
 
 #[test]
--- a/crates/load/tests/tally.rs
+++ b/crates/load/tests/tally.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use load::plan::Contract;
-use load::tally::{Outcome, Step, Tally};
+use load::tally::{Bucket, Outcome, Tally};
 use load::verdict::Verdict;
 
 const MS: Duration = Duration::from_millis(1);
@@ -21,8 +21,8 @@
         status: None,
         detail: None,
         whole: 900 * MS,
-        first: Some(100 * MS),
-        gaps: vec![5 * MS, 15 * MS],
+        first_token: Some(100 * MS),
+        token_gaps: vec![5 * MS, 15 * MS],
         tokens: 3,
         retries: 1,
         resumes: 0,
@@ -36,11 +36,11 @@
         ..outcome()
     };
     let slow_start = Outcome {
-        first: Some(101 * MS),
+        first_token: Some(101 * MS),
         ..outcome()
     };
     let slow_tokens = Outcome {
-        gaps: vec![5 * MS, 16 * MS],
+        token_gaps: vec![5 * MS, 16 * MS],
         ..outcome()
     };
     let refused = Outcome {
@@ -73,10 +73,17 @@
     assert_eq!(one.statuses.get(&503), Some(&1));
     assert_eq!(one.causes.get("full"), Some(&1));
     assert_eq!(
-        (one.whole.count(), one.between.count(), one.refusal.count()),
+        (
+            one.whole.count(),
+            one.between_tokens.count(),
+            one.refusal.count()
+        ),
         (1, 2, 1)
     );
-    let step = |offered, good| Step { offered, good };
-    assert_eq!(one.steps, [step(1, 0), step(1, 1), step(0, 0), step(1, 0)]);
+    let step = |offered, good| Bucket { offered, good };
+    assert_eq!(
+        one.buckets,
+        [step(1, 0), step(1, 1), step(0, 0), step(1, 0)]
+    );
     assert!((one.goodput() - 1.0 / 3.0).abs() < 1e-12);
 }
--- a/crates/load/tests/verdict.rs
+++ b/crates/load/tests/verdict.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use load::plan::{Class, Plan};
-use load::verdict::{End, Ran, Standing, Step, Verdict};
+use load::verdict::{AttemptEnd, NextStep, Ran, RequestState, Verdict};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -17,18 +17,18 @@
     plan.classes.into_iter().next().expect("it has a class")
 }
 
-fn step(class: &Class, attempts: u32, end: &End) -> Step {
-    let standing = Standing {
+fn step(class: &Class, attempts: u32, end: &AttemptEnd) -> NextStep {
+    let standing = RequestState {
         class,
         attempts,
-        left: SECOND,
-        begun: false,
+        time_left: SECOND,
+        stream_started: false,
     };
-    standing.step(end)
+    standing.next_step(end)
 }
 
-fn refused(status: u16, ran: Ran, retry_after: Option<Duration>) -> End {
-    End::Refused {
+fn refused(status: u16, ran: Ran, retry_after: Option<Duration>) -> AttemptEnd {
+    AttemptEnd::Refused {
         status,
         ran,
         retry_after,
@@ -40,10 +40,13 @@
     let once = class(", repeatable: false");
     let keyed = class(", repeatable: false, keyed: true");
     let unknown = refused(502, Ran::Unknown, None);
-    assert_eq!(step(&once, 1, &unknown), Step::Finish(Verdict::Unknown));
-    assert_eq!(step(&once, 1, &End::Broken), Step::Finish(Verdict::Lost));
-    assert_matches!(step(&keyed, 1, &unknown), Step::Again(_));
-    assert_matches!(step(&keyed, 1, &End::Broken), Step::Again(_));
+    assert_eq!(step(&once, 1, &unknown), NextStep::Finish(Verdict::Unknown));
+    assert_eq!(
+        step(&once, 1, &AttemptEnd::Broken),
+        NextStep::Finish(Verdict::Lost)
+    );
+    assert_matches!(step(&keyed, 1, &unknown), NextStep::Retry(_));
+    assert_matches!(step(&keyed, 1, &AttemptEnd::Broken), NextStep::Retry(_));
 }
 
 #[test]
@@ -51,24 +54,24 @@
     let once = class(", repeatable: false");
     let wait = Duration::from_millis(300);
     let refusal = refused(503, Ran::No, Some(wait));
-    assert_eq!(step(&once, 1, &refusal), Step::Again(wait));
-    assert_matches!(step(&once, 1, &End::Unreached), Step::Again(_));
+    assert_eq!(step(&once, 1, &refusal), NextStep::Retry(wait));
+    assert_matches!(step(&once, 1, &AttemptEnd::Unreached), NextStep::Retry(_));
 }
 
 #[test]
 fn a_caller_does_not_come_back_after_it_has_gone_away() {
     let once = class("");
     let refusal = refused(429, Ran::No, Some(2 * SECOND));
-    assert_eq!(step(&once, 1, &refusal), Step::Finish(Verdict::Refused));
+    assert_eq!(step(&once, 1, &refusal), NextStep::Finish(Verdict::Refused));
 }
 
 #[test]
 fn tries_are_limited() {
     let class = class("");
-    assert_matches!(step(&class, 2, &End::Unreached), Step::Again(_));
+    assert_matches!(step(&class, 2, &AttemptEnd::Unreached), NextStep::Retry(_));
     assert_eq!(
-        step(&class, 3, &End::Unreached),
-        Step::Finish(Verdict::Lost)
+        step(&class, 3, &AttemptEnd::Unreached),
+        NextStep::Finish(Verdict::Lost)
     );
 }
 
@@ -76,33 +79,45 @@
 fn a_bad_request_is_final() {
     let class = class("");
     let refusal = refused(400, Ran::Unknown, None);
-    assert_eq!(step(&class, 1, &refusal), Step::Finish(Verdict::Refused));
+    assert_eq!(
+        step(&class, 1, &refusal),
+        NextStep::Finish(Verdict::Refused)
+    );
 }
 
 #[test]
 fn a_conflict_that_may_have_run_is_no_refusal() {
     let keyed = class(", repeatable: false, keyed: true");
     let conflict = refused(409, Ran::Unknown, None);
-    assert_matches!(step(&keyed, 1, &conflict), Step::Again(_));
-    assert_eq!(step(&keyed, 3, &conflict), Step::Finish(Verdict::Unknown));
+    assert_matches!(step(&keyed, 1, &conflict), NextStep::Retry(_));
+    assert_eq!(
+        step(&keyed, 3, &conflict),
+        NextStep::Finish(Verdict::Unknown)
+    );
 }
 
 #[test]
 fn a_stream_that_has_begun_is_resumed_and_counts_as_cut_when_that_fails() {
     let class = class(", repeatable: false");
-    let begun = |attempts, end: &End| {
-        let standing = Standing {
+    let begun = |attempts, end: &AttemptEnd| {
+        let standing = RequestState {
             class: &class,
             attempts,
-            left: SECOND,
-            begun: true,
+            time_left: SECOND,
+            stream_started: true,
         };
-        standing.step(end)
+        standing.next_step(end)
     };
-    assert_matches!(begun(1, &End::Cut), Step::Again(_));
-    assert_eq!(begun(3, &End::Cut), Step::Finish(Verdict::Cut));
-    assert_eq!(begun(3, &End::Unreached), Step::Finish(Verdict::Cut));
-    assert_eq!(begun(1, &End::TimedOut), Step::Finish(Verdict::Cut));
+    assert_matches!(begun(1, &AttemptEnd::Cut), NextStep::Retry(_));
+    assert_eq!(begun(3, &AttemptEnd::Cut), NextStep::Finish(Verdict::Cut));
+    assert_eq!(
+        begun(3, &AttemptEnd::Unreached),
+        NextStep::Finish(Verdict::Cut)
+    );
+    assert_eq!(
+        begun(1, &AttemptEnd::TimedOut),
+        NextStep::Finish(Verdict::Cut)
+    );
     let gone = refused(404, Ran::No, None);
-    assert_eq!(begun(1, &gone), Step::Finish(Verdict::Cut));
+    assert_eq!(begun(1, &gone), NextStep::Finish(Verdict::Cut));
 }
