--- a/crates/load/src/answer.rs
+++ b/crates/load/src/answer.rs
@@ -1,22 +1,22 @@
-//! Judging an answer by its content: every stand-in's answer follows from the request, so that an
-//! answer that belongs to another request, or has parts twice or missing, shows.
+//! Checks answers by their content. Every stand-in's answer is a function of the request, so
+//! answers that belong to another request, and repeated or missing parts, are detected.
 
 use serde::Deserialize;
 
 use crate::verdict::Ran;
 
-/// How a piece of text fits to what is due next.
+/// How a piece of text compares with the expected text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceMatch {
-    /// It is what is due.
+    /// The text expected next.
     Expected,
-    /// It is the caller's own, but not due now: a part came twice, too early or was left out.
+    /// Part of the caller's answer, but repeated, too early or after a gap.
     Garbled,
-    /// It is no part of the caller's answer.
+    /// Not part of the caller's answer.
     Crossed,
 }
 
-/// Holds what is due of the answer to one completion.
+/// Compares the answer to one completion with the expected text.
 #[derive(Clone, Debug)]
 pub struct AnswerChecker {
     expected: String,
@@ -24,7 +24,7 @@
 }
 
 impl AnswerChecker {
-    /// A judge that waits for this text.
+    /// Creates a checker for this text.
     pub fn new(expected: String) -> Self {
         Self {
             expected,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Judges the next piece.
+    /// Checks the next piece.
     pub fn check_next(&mut self, piece: &str) -> PieceMatch {
         if self.expected[self.offset..].starts_with(piece) {
             self.offset += piece.len();
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Whether the whole text has come.
+    /// Whether the whole text was received.
     pub fn is_complete(&self) -> bool {
         self.offset == self.expected.len()
     }
 }
 
-/// A problem document, as far as callers act on it.
+/// Fields of a problem document that callers act on.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize)]
 struct Problem {
@@ -58,7 +58,7 @@
     detail: Option<String>,
 }
 
-/// What an error answer says of the call; unknown if it does not say.
+/// Whether the call ran according to an error answer; unknown if it does not say.
 pub fn ran(body: &[u8]) -> Ran {
     let problem: Problem = serde_json::from_slice(body).unwrap_or_default();
     match problem.ran.as_deref() {
@@ -67,12 +67,12 @@
     }
 }
 
-/// What an error answer gives as its cause, if it does.
+/// Cause that an error answer gives, if any.
 pub fn problem_detail(body: &[u8]) -> Option<String> {
     serde_json::from_slice::<Problem>(body).ok()?.detail
 }
 
-/// Answer of a completion or an event of one, streamed or whole, as a chat or not.
+/// A completion or one of its events, as a chat or not.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 struct Completion {
@@ -94,7 +94,7 @@
     content: Option<String>,
 }
 
-/// The text in an answer or event of a completion; nothing if it is no such thing.
+/// Text of a completion or of one of its events; `None` if the JSON is neither.
 pub fn completion_text(json: &[u8]) -> Option<String> {
     let answer: Completion = serde_json::from_slice(json).ok()?;
     let mut text = String::new();
@@ -106,14 +106,14 @@
     Some(text)
 }
 
-/// Answer of the plain stand-in, as far as it shows whose it is.
+/// Field of the plain stand-in's answer that identifies the request.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 struct Echo {
     digest: String,
 }
 
-/// Whether the answer of the plain stand-in belongs to a request with this digest of its body.
+/// Whether an answer of the plain stand-in belongs to the request with this body digest.
 pub fn is_echo_of(json: &[u8], digest: &str) -> bool {
     serde_json::from_slice::<Echo>(json).is_ok_and(|echo| echo.digest == digest)
 }
--- a/crates/load/src/attempt.rs
+++ b/crates/load/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one entry, from its head to the end of its answer.
+//! One attempt to send a request to one entry, until the end of its answer.
 
 use std::time::{Duration, Instant};
 
@@ -20,32 +20,32 @@
 /// Data of the event that ends a stream.
 const END_OF_STREAM: &str = "[DONE]";
 
-/// Most bytes of an answer that is read whole.
+/// Limit for answers that are read into memory.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// What has come of a request so far, through all its attempts.
+/// What was received for a request so far, over all its attempts.
 #[derive(Debug)]
 pub struct Progress {
-    /// Judge of a completion's text.
+    /// Checks the text of a completion.
     pub checker: Option<AnswerChecker>,
-    /// Id of the newest event.
+    /// Id of the latest event.
     pub last_event_id: Option<String>,
-    /// When the first token came.
+    /// When the first token was received.
     pub first_token_at: Option<Instant>,
-    /// When the newest token came.
+    /// When the latest token was received.
     pub last_token_at: Option<Instant>,
     /// Times between tokens.
     pub token_gaps: Vec<Duration>,
-    /// Tokens that came in events.
+    /// Tokens received.
     pub tokens: u64,
-    /// Status of the newest error answer.
+    /// Status of the latest error answer.
     pub status: Option<u16>,
-    /// Cause that the newest error answer gave.
+    /// Cause given by the latest error answer.
     pub detail: Option<String>,
 }
 
 impl Progress {
-    /// Nothing has come yet.
+    /// Creates the progress of a request that has not been sent.
     pub fn new(checker: Option<AnswerChecker>) -> Self {
         Self {
             checker,
@@ -68,24 +68,24 @@
     }
 }
 
-/// What stays the same over the attempts of a request.
+/// One attempt of a request at one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt<'a> {
-    /// Root of the entry's URLs.
+    /// URL root of the entry.
     pub url: &'a str,
     /// Class of the request.
     pub class: &'a Class,
     /// The request.
     pub request: &'a Request,
-    /// Which attempt of the request this is, from 1, without those that certainly did not run.
+    /// Number of the attempt, from 1; attempts that certainly did not run are not counted.
     pub number: u32,
-    /// Time until the caller goes away.
+    /// Time until the caller gives up.
     pub time_left: Duration,
 }
 
 impl Attempt<'_> {
-    /// Sends the request and reads its answer; dropping the future closes the connection, which is
-    /// how a caller goes away.
+    /// Sends the request and reads its answer. Dropping the future closes the connection, as a
+    /// caller does that gives up.
     pub async fn run(&self, client: &Client, progress: &mut Progress) -> AttemptEnd {
         let sent = self
             .build_request(client, progress)
@@ -94,7 +94,7 @@
         let mut answer = match timeout(time_limit, sent).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => return end_of_send_error(&error),
-            // Nobody knows what became of it, as with a connection that broke.
+            // The call may have run, as with a broken connection.
             Err(_) => return AttemptEnd::Broken,
         };
         if has_other_request_id(answer.headers(), &self.request.id) {
@@ -139,7 +139,7 @@
     }
 
     /// The client library takes the end of a connection for the end of the body, so a body that is
-    /// no complete JSON was cut; judged by its content alone it would count as another's.
+    /// not complete JSON was cut off; judged by content alone it would count as crossed.
     fn check_whole(&self, body: &[u8], progress: &mut Progress) -> AttemptEnd {
         if serde_json::from_slice::<IgnoredAny>(body).is_err() {
             return AttemptEnd::Cut;
@@ -169,7 +169,7 @@
     }
 }
 
-/// Reads events until the one that ends the stream.
+/// Reads events until the end of the stream or the first error.
 async fn read_stream<S>(mut body: S, progress: &mut Progress) -> AttemptEnd
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
@@ -189,7 +189,7 @@
     AttemptEnd::Cut
 }
 
-/// Takes an event into the progress; gives the end if it ends the stream.
+/// Updates the progress by an event; returns the end of the attempt if the event ends it.
 fn handle_event(event: Event, progress: &mut Progress) -> Option<AttemptEnd> {
     let complete = progress
         .checker
@@ -203,7 +203,7 @@
         });
     }
     let Some(text) = answer::completion_text(event.data.as_bytes()) else {
-        // An error told within the stream: the answer is not whole.
+        // The event reports an error within the stream, so the answer is incomplete.
         return Some(AttemptEnd::Cut);
     };
     if !text.is_empty() {
@@ -222,8 +222,8 @@
     None
 }
 
-/// The client library also tells `Disconnected` as an error of connecting when the connection
-/// closed after the request was sent; counting that as unreached would send a call twice.
+/// The client library also reports `Disconnected` as a connect error when the connection closed
+/// after the request was sent; counting that as unreached would send a call twice.
 fn end_of_send_error(error: &SendRequestError) -> AttemptEnd {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => AttemptEnd::Broken,
--- a/crates/load/src/audit.rs
+++ b/crates/load/src/audit.rs
@@ -1,5 +1,5 @@
-//! What the plain services really executed, against what the callers were told. The services count
-//! by the digest of the body, and every body carries the id of its request.
+//! Compares the calls that plain services executed with what callers were told. Services count by
+//! the digest of the body, and every body contains the id of its request.
 
 use std::collections::BTreeMap;
 
@@ -10,48 +10,48 @@
 use crate::error::Error;
 use crate::verdict::Verdict;
 
-/// Most bytes of a service's list of executions.
+/// Limit for the list of executions of one service.
 const MAX_LIST_BYTES: usize = 1 << 30;
 
-/// A call of a plain service whose executions are to be looked up.
+/// A call of a plain service to look up in the lists of executions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditedCall {
     /// Name of its class.
     pub class: String,
-    /// Digest of its body, as the services count it.
+    /// Digest of its body, by which services count.
     pub digest: String,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// What its caller was told.
     pub verdict: Verdict,
-    /// Whether every attempt was told not to have run or reached no entry.
+    /// Whether every attempt was refused as not run or did not reach an entry.
     pub never_ran: bool,
 }
 
 /// Executions by digest of the body.
 pub type Executions = BTreeMap<String, u64>;
 
-/// What the audit found.
+/// Result of the audit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Audit {
-    /// Calls that were looked up.
+    /// Calls looked up.
     pub calls: u64,
-    /// Calls that may not be repeated and ran more than once.
+    /// Calls that must not be repeated but ran more than once.
     pub doubled: u64,
-    /// Calls of which every attempt was told not to have run, yet they ran.
+    /// Calls that ran although every attempt was refused as not run.
     pub wrongly_not_run: u64,
-    /// Calls that were answered as served and never ran.
+    /// Calls that were answered as served but never ran.
     pub never_run: u64,
-    /// Calls whose caller was told nothing certain, and that ran.
+    /// Calls with an uncertain outcome for the caller that ran.
     pub uncertain_run: u64,
-    /// Calls whose caller was told nothing certain, and that did not run.
+    /// Calls with an uncertain outcome for the caller that did not run.
     pub uncertain_not_run: u64,
-    /// Digests of the doubled and wrongly denied calls, for a look into logs.
+    /// Classes and digests of faulty calls, to find them in logs.
     pub examples: Vec<String>,
 }
 
-/// Most examples that are kept.
+/// Limit for the examples kept.
 const MAX_EXAMPLES: usize = 20;
 
 impl Audit {
@@ -65,7 +65,7 @@
         audit
     }
 
-    /// Whether nothing was found that must never be.
+    /// Whether no call was doubled, wrongly reported as not run, or served without a run.
     pub fn is_clean(&self) -> bool {
         self.doubled == 0 && self.wrongly_not_run == 0 && self.never_run == 0
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// The part of a service's list that the audit reads.
+/// The part of a service's answer that the audit reads.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct ExecutionList {
@@ -102,8 +102,7 @@
 /// Reads the executions of all services and adds them up.
 ///
 /// # Errors
-/// A service that does not answer with its list; the audit would otherwise call lost what it merely
-/// did not see.
+/// A service does not return its list. Its executions would otherwise count as lost.
 pub async fn read_executions(
     client: &Client,
     services: &[String],
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,5 +1,5 @@
-//! One caller with one request: attempts at entries until the answer is there or the caller gives
-//! up.
+//! Sends one request for a caller: attempts at entries until an answer is complete or the caller
+//! gives up.
 
 use std::time::{Duration, Instant};
 
@@ -14,19 +14,19 @@
 use crate::target;
 use crate::verdict::{AttemptEnd, NextStep, Ran, RequestState, Verdict};
 
-/// How a request went, with what the audit needs.
+/// Outcome of a request, with what the audit needs.
 #[derive(Clone, Debug)]
 pub struct RequestResult {
-    /// How it went for the caller.
+    /// The outcome that the caller saw.
     pub outcome: Outcome,
-    /// Whether each attempt was either told not to have run or never reached an entry.
+    /// Whether every attempt was refused as not run or did not reach an entry.
     pub never_ran: bool,
 }
 
 /// A caller of one class.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller<'a> {
-    /// Its class.
+    /// Class of its requests.
     pub class: &'a Class,
     /// Entries to choose from.
     pub targets: &'a target::TargetSet,
@@ -35,7 +35,7 @@
 }
 
 impl Caller<'_> {
-    /// Carries a request to its end.
+    /// Sends a request, with retries, until it is answered or the caller gives up.
     pub async fn send(&self, client: &Client, request: &Request) -> RequestResult {
         let arrived = self.start + request.at;
         let gives_up_at = arrived + self.class.gives_up_after;
@@ -61,7 +61,7 @@
                 NextStep::Finish(verdict) => break verdict,
             }
         };
-        history.into_result(request.at, arrived, verdict, progress)
+        history.result(request.at, arrived, verdict, progress)
     }
 
     async fn attempt(
@@ -81,8 +81,9 @@
             url: self.targets.url(target),
             class: self.class,
             request,
-            // An attempt that certainly did not run is none: counted, the next one would be told
-            // that an earlier one may have run, and a card would stay unauthorised for nothing.
+            // An attempt that certainly did not run is not counted. Otherwise the next attempt
+            // would be told that an earlier one may have run, and a card would stay unauthorised
+            // needlessly.
             number: history.may_have_run + 1,
             time_left,
         };
@@ -95,7 +96,7 @@
     }
 }
 
-/// The attempts of one request.
+/// Counts of the attempts of one request.
 #[derive(Debug, Default)]
 struct AttemptHistory {
     attempts: u32,
@@ -106,7 +107,7 @@
 }
 
 impl AttemptHistory {
-    fn into_result(
+    fn result(
         &self,
         at: Duration,
         arrived: Instant,
--- a/crates/load/src/event.rs
+++ b/crates/load/src/event.rs
@@ -1,20 +1,20 @@
-//! Server-sent events, read from a body in pieces of any size.
+//! Parser for server-sent events in a body that arrives in chunks of any size.
 
 use bytes::{Buf, BytesMut};
 
-/// An event longer than this is no event of ours; the stream is given up.
+/// Limit for one line; no stand-in sends longer ones, so the stream counts as garbled.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// What a caller gives as `Last-Event-ID` to go on after it.
+    /// Value for `Last-Event-ID` to resume after this event.
     pub id: Option<String>,
     /// Its data; several data lines are joined by line feeds.
     pub data: String,
 }
 
-/// Cuts a byte stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: BytesMut,
@@ -23,17 +23,17 @@
 }
 
 impl EventReader {
-    /// Takes bytes in; [`Reader::next_event`] gives the events that they complete.
+    /// Appends bytes; [`EventReader::next_event`] returns the events that they complete.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether more was buffered for one line than any event of ours has.
+    /// Whether the buffered line exceeds the limit.
     pub fn is_overlong(&self) -> bool {
         self.buffer.len() > MAX_LINE_BYTES
     }
 
-    /// The next complete event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
             let line = self.buffer.split_to(end);
--- a/crates/load/src/verdict.rs
+++ b/crates/load/src/verdict.rs
@@ -1,78 +1,78 @@
-//! How a request ended for its caller, and what a caller does next when an attempt failed.
-//! Callers are honest here: they wait as long as they were told, they send a call again only if it
-//! may be repeated or carries a key, and they resume a stream instead of starting it over.
+//! Classifies how a request ended for its caller and decides on retries. Callers behave correctly
+//! here: they honour `Retry-After`, send a call again only if it may be repeated or has a key, and
+//! resume a stream instead of restarting it.
 
 use std::time::Duration;
 
 use crate::plan::Class;
 
-/// Wait before another entry is tried when one could not be reached.
+/// Delay before the next attempt when an entry could not be reached.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// First wait after a refusal that names no time; it doubles with each try.
+/// Delay after the first refusal without `Retry-After`; doubles with each attempt.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Status of a conflict with an earlier attempt under the same key.
 const STATUS_CONFLICT: u16 = 409;
 
-/// What a refusal says of the call.
+/// Whether a refused call ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// The call has certainly not run.
+    /// The call certainly did not run.
     No,
-    /// Nobody knows; also assumed where an answer does not say.
+    /// The call may have run; also assumed if the answer does not say.
     Unknown,
 }
 
 /// How one attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer, and it belongs to this request.
+    /// A complete answer that belongs to this request.
     Whole,
     /// An error answer.
     Refused {
         /// HTTP status.
         status: u16,
-        /// What it says of the call.
+        /// Whether the call ran.
         ran: Ran,
-        /// When it asks the caller to come back.
+        /// The `Retry-After` of the answer.
         retry_after: Option<Duration>,
     },
-    /// No connection came about, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unreached,
-    /// The connection broke before an answer began, or none began in the time for an attempt.
+    /// The connection broke or the attempt timed out before an answer began.
     Broken,
-    /// The answer began and broke off.
+    /// The answer began but is incomplete.
     Cut,
     /// The answer, or a part of it, belongs to another request.
     Crossed,
-    /// The answer is the caller's own but has parts twice, out of order or missing.
+    /// The answer belongs to this request but has repeated, reordered or missing parts.
     Garbled,
-    /// The caller went away after its patience.
+    /// The caller gave up after its time limit.
     TimedOut,
 }
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// Whole and own.
+    /// Received a complete answer of its own.
     Served,
-    /// Told that it did not run, or that the request is not acceptable.
+    /// Told that the call did not run or that the request is invalid.
     Refused,
-    /// Told that it may have run.
+    /// Told that the call may have run.
     Unknown,
-    /// No answer at all.
+    /// Received no answer.
     Lost,
-    /// Only a part of the answer.
+    /// Received only a part of the answer.
     Cut,
-    /// Another request's answer.
+    /// Received another request's answer.
     Crossed,
-    /// Own parts twice, out of order or missing.
+    /// Received repeated, reordered or missing parts of its answer.
     Garbled,
 }
 
 impl Verdict {
-    /// All verdicts in the order of reports.
+    /// All verdicts, in the order of reports.
     pub const ALL: [Self; 7] = [
         Self::Served,
         Self::Refused,
@@ -100,27 +100,27 @@
 /// What a caller does after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Tries again at another entry after a wait; a stream that has begun is resumed.
+    /// Tries another entry after this delay; a started stream is resumed.
     Retry(Duration),
-    /// Gives up or is content.
+    /// Makes no further attempt.
     Finish(Verdict),
 }
 
-/// Where a request stands when an attempt has ended.
+/// State of a request at the end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestState<'a> {
-    /// Its class, with its contract.
+    /// Class of the request.
     pub class: &'a Class,
     /// Attempts made so far.
     pub attempts: u32,
-    /// Time until the caller goes away.
+    /// Time until the caller gives up.
     pub time_left: Duration,
-    /// Whether a part of a stream has arrived that can be resumed.
+    /// Whether a part of a stream was received, so that it can be resumed.
     pub stream_started: bool,
 }
 
 impl RequestState<'_> {
-    /// What the caller does after this end of an attempt.
+    /// Decides what the caller does after an attempt that ended like this.
     pub fn next_step(&self, end: &AttemptEnd) -> NextStep {
         let verdict = self.verdict(end);
         let Some(wait) = self.retry_delay(end) else {
@@ -132,7 +132,7 @@
         NextStep::Retry(wait)
     }
 
-    /// What it amounts to if the caller stops here.
+    /// The verdict if the caller makes no further attempt.
     fn verdict(&self, end: &AttemptEnd) -> Verdict {
         match end {
             AttemptEnd::Whole => Verdict::Served,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// How long to wait before the next attempt, or nothing if there must be none.
+    /// Delay before the next attempt, or `None` if there must be none.
     fn retry_delay(&self, end: &AttemptEnd) -> Option<Duration> {
         match *end {
             AttemptEnd::Whole
@@ -177,8 +177,8 @@
     }
 }
 
-/// Statuses that tell that the request was not acceptable, whatever they say of its execution. A
-/// conflict is none: it may be about an earlier attempt that ran.
+/// Whether the status rejects the request itself, whatever it says of its execution. A conflict
+/// does not: it may be about an earlier attempt that ran.
 fn rejects_request(status: u16) -> bool {
     (400..500).contains(&status) && status != STATUS_CONFLICT
 }
--- a/crates/load/tests/answer.rs
+++ b/crates/load/tests/answer.rs
@@ -1,11 +1,11 @@
-//! Answers judged by their content, and events cut from a byte stream.
+//! Checks of answers by their content, and parsing of server-sent events.
 
 use load::answer::{self, AnswerChecker, PieceMatch};
 use load::event::{Event, EventReader};
 use load::verdict::Ran;
 
 #[test]
-fn a_repeated_piece_is_told_from_a_foreign_one() {
+fn repeated_text_is_garbled_and_foreign_text_is_crossed() {
     let mut checker = AnswerChecker::new("one two three".to_owned());
     assert_eq!(checker.check_next("one "), PieceMatch::Expected);
     assert_eq!(checker.check_next("one "), PieceMatch::Garbled);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn events_are_the_same_however_the_bytes_are_cut() {
+fn events_do_not_depend_on_chunk_sizes() {
     let text = ": hello\r\nid: s:0\ndata: a\ndata: b\n\nid: s:1\r\ndata:c\r\n\r\ndata: [DONE]\n\n";
     let expected = vec![
         Event {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_answer_that_does_not_say_so_may_have_run() {
+fn call_may_have_run_unless_the_answer_denies_it() {
     assert_eq!(answer::ran(br#"{"ran": "no"}"#), Ran::No);
     assert_eq!(answer::ran(br#"{"ran": "unknown"}"#), Ran::Unknown);
     assert_eq!(answer::ran(br#"{"status": 503}"#), Ran::Unknown);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn text_is_read_from_every_form_of_a_completion() {
+fn text_is_read_from_all_completion_formats() {
     let forms = [
         r#"{"choices": [{"text": "ab"}]}"#,
         r#"{"choices": [{"delta": {"role": "assistant", "content": "ab"}}]}"#,
--- a/crates/load/tests/audit.rs
+++ b/crates/load/tests/audit.rs
@@ -1,4 +1,4 @@
-//! What the services executed against what callers were told.
+//! Comparison of the executed calls with what callers were told.
 
 use load::audit::{Audit, AuditedCall, Executions};
 use load::verdict::Verdict;
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -1,5 +1,5 @@
-//! A caller against a fake entry that answers by a script: what it sends again, where it resumes,
-//! and that every wrong answer is told.
+//! A caller against a fake entry with scripted answers: what it sends again, where it resumes a
+//! stream, and that every wrong answer is detected.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use standin::answer::{drop_connection, json as answer_json, with_header, with_type};
 use standin::http::{self, Answer, Call, Listen};
 
-/// What the fake has been sent with a call.
+/// Headers of a call to the fake.
 #[derive(Debug)]
 struct Sent {
     key: Option<String>,
@@ -23,15 +23,18 @@
     last_event: Option<String>,
 }
 
-/// What the fake has been sent, by call.
+/// Headers of all calls to the fake, in order.
 type Seen = Arc<Mutex<Vec<Sent>>>;
 
 fn class(yaml: &str) -> Class {
     let plan = format!(
         "{{duration: 1s, classes: [{{name: a, key: k, rate: 1, contract: {{deadline: 5s}}, {yaml}}}]}}"
     );
-    let plan = Plan::parse(&plan).expect("the plan of the test is good");
-    plan.classes.into_iter().next().expect("it has a class")
+    let plan = Plan::parse(&plan).expect("the plan of the test is valid");
+    plan.classes
+        .into_iter()
+        .next()
+        .expect("the plan has a class")
 }
 
 fn plain() -> Class {
@@ -52,7 +55,7 @@
     })
 }
 
-/// The same with the time that each answer takes.
+/// Like [`send`], with a delay before each answer.
 fn send_slowly<F>(class: &Class, script: F) -> (RequestResult, Seen)
 where
     F: Fn(usize, &Request) -> (Duration, Answer) + Clone + Send + 'static,
@@ -74,7 +77,7 @@
             answer
         }
     };
-    let done = actix_rt::System::new().block_on(async {
+    let result = actix_rt::System::new().block_on(async {
         let listen = Listen {
             listen: ([127, 0, 0, 1], 0).into(),
             workers: 1,
@@ -90,7 +93,7 @@
         };
         caller.send(&worker::client(), &request).await
     });
-    (done, seen)
+    (result, seen)
 }
 
 fn echo(request: &Request) -> Answer {
@@ -103,11 +106,16 @@
     with_header(answer, "retry-after", "0")
 }
 
-/// Events `from` up to `to` of the answer that is due, and `[DONE]` behind the last.
+/// Events `from..to` of the expected answer, with `[DONE]` after the last one.
 fn events(prompt: &Prompt, from: usize, to: usize) -> Answer {
-    let due = prompt.expected_text();
+    let expected = prompt.expected_text();
     let mut text = String::new();
-    for (index, token) in due.split_inclusive(' ').enumerate().take(to).skip(from) {
+    for (index, token) in expected
+        .split_inclusive(' ')
+        .enumerate()
+        .take(to)
+        .skip(from)
+    {
         let data = json!({ "choices": [{ "text": token }] });
         text.push_str(&format!("id: e{index}\ndata: {data}\n\n"));
     }
@@ -118,114 +126,116 @@
 }
 
 fn prompt(request: &Request) -> &Prompt {
-    request.prompt.as_ref().expect("it is a completion")
+    request
+        .prompt
+        .as_ref()
+        .expect("the request is a completion")
 }
 
 #[test]
-fn a_call_goes_again_with_the_same_key() {
-    let (done, seen) = send(&plain(), |number, request| match number {
+fn retries_use_the_same_idempotency_key() {
+    let (result, seen) = send(&plain(), |number, request| match number {
         0 => refuse("no"),
         1 => drop_connection(),
         _ => echo(request),
     });
-    assert_eq!(done.outcome.verdict, Verdict::Served);
-    assert_eq!(done.outcome.retries, 2);
-    assert!(!done.never_ran, "the dropped one may have run");
+    assert_eq!(result.outcome.verdict, Verdict::Served);
+    assert_eq!(result.outcome.retries, 2);
+    assert!(!result.never_ran, "the dropped attempt may have run");
     let seen = seen.lock().unwrap();
     assert!(seen.iter().all(|sent| sent.key.as_deref() == Some("t-0-1")));
 }
 
-/// Symptom: a card is not authorised though nothing failed. Sequence: an entry refuses the first
-/// call with "not run", the caller sends it again as the second attempt, and another entry tells it
-/// that the first may have run. Cause: a call that certainly did not run was counted.
+/// A card must not stay unauthorised although nothing failed. An entry refused the first call as
+/// not run, the caller counted the next one as the second attempt, and another entry told it that
+/// the first may have run.
 #[test]
-fn an_attempt_that_did_not_run_is_not_counted() {
-    let (done, seen) = send(&plain(), |number, request| match number {
+fn attempt_that_did_not_run_is_not_counted() {
+    let (result, seen) = send(&plain(), |number, request| match number {
         0 => refuse("no"),
         1 => drop_connection(),
         _ => echo(request),
     });
-    assert_eq!(done.outcome.verdict, Verdict::Served);
+    assert_eq!(result.outcome.verdict, Verdict::Served);
     let seen = seen.lock().unwrap();
     let attempts: Vec<_> = seen.iter().map(|sent| sent.attempt.as_deref()).collect();
     assert_eq!(attempts, [Some("1"), Some("1"), Some("2")]);
 }
 
 #[test]
-fn a_silent_entry_is_given_up_for_another_attempt() {
-    let impatient = class(
+fn attempt_timeout_starts_another_attempt() {
+    let with_timeout = class(
         "repeatable: false, keyed: true, attempt_timeout: 100ms, retries: 1, plain: {path: /a}",
     );
-    let (done, seen) = send_slowly(&impatient, |number, request| {
+    let (result, seen) = send_slowly(&with_timeout, |number, request| {
         let wait = if number == 0 { 3 } else { 0 };
         (Duration::from_secs(wait), echo(request))
     });
-    assert_eq!(done.outcome.verdict, Verdict::Served);
-    assert!(!done.never_ran, "the silent one may have run");
+    assert_eq!(result.outcome.verdict, Verdict::Served);
+    assert!(!result.never_ran, "the timed-out attempt may have run");
     assert_eq!(seen.lock().unwrap().len(), 2);
 }
 
 #[test]
-fn a_stream_is_resumed_after_its_newest_event() {
-    let (done, seen) = send(&stream(), |number, request| match number {
+fn stream_is_resumed_after_its_latest_event() {
+    let (result, seen) = send(&stream(), |number, request| match number {
         0 => events(prompt(request), 0, 2),
         1 => events(prompt(request), 2, 3),
         _ => events(prompt(request), 3, 4),
     });
-    assert_eq!(done.outcome.verdict, Verdict::Served);
-    assert_eq!((done.outcome.resumes, done.outcome.tokens), (2, 4));
+    assert_eq!(result.outcome.verdict, Verdict::Served);
+    assert_eq!((result.outcome.resumes, result.outcome.tokens), (2, 4));
     let seen = seen.lock().unwrap();
     let resumed: Vec<_> = seen.iter().map(|sent| sent.last_event.as_deref()).collect();
     assert_eq!(resumed, [None, Some("e1"), Some("e2")]);
 }
 
-/// Symptom: a caller gets an event twice. Sequence: a stream breaks, the entry that resumes it
-/// starts one event too early. Cause: the id given out stands for the event itself in one place and
-/// for the next one in another.
+/// A repeated event must be detected. An entry that resumes a stream starts one event too early if
+/// an id stands for the event itself in one place and for the next event in another.
 #[test]
-fn an_event_that_comes_twice_is_told() {
-    let (done, _) = send(&stream(), |number, request| match number {
+fn repeated_event_is_garbled() {
+    let (result, _) = send(&stream(), |number, request| match number {
         0 => events(prompt(request), 0, 2),
         _ => events(prompt(request), 1, 4),
     });
-    assert_eq!(done.outcome.verdict, Verdict::Garbled);
+    assert_eq!(result.outcome.verdict, Verdict::Garbled);
 }
 
 #[test]
-fn a_missing_end_is_told() {
-    let (done, _) = send(&stream(), |number, request| match number {
+fn stream_without_its_end_is_cut() {
+    let (result, _) = send(&stream(), |number, request| match number {
         0 => events(prompt(request), 0, 2),
         _ => refuse("no"),
     });
-    assert_eq!(done.outcome.verdict, Verdict::Cut);
+    assert_eq!(result.outcome.verdict, Verdict::Cut);
 }
 
-/// Symptom: a caller gets another caller's answer. Sequence: an upstream answers late on a
-/// connection that was given to the next request. Cause: the connection was not closed.
+/// Another caller's answer must be detected. An upstream answers late on a connection that should
+/// have been closed but was reused for the next request.
 #[test]
-fn a_crossed_answer_is_told_by_its_id_and_by_its_content() {
-    let (done, _) = send(&plain(), |_, request| {
+fn crossed_answer_is_detected_by_id_and_by_content() {
+    let (result, _) = send(&plain(), |_, request| {
         with_header(echo(request), "x-request-id", "another")
     });
-    assert_eq!(done.outcome.verdict, Verdict::Crossed);
-    let (done, _) = send(&plain(), |_, _| {
+    assert_eq!(result.outcome.verdict, Verdict::Crossed);
+    let (result, _) = send(&plain(), |_, _| {
         answer_json(StatusCode::OK, &json!({ "digest": "another" }))
     });
-    assert_eq!(done.outcome.verdict, Verdict::Crossed);
-    let (done, _) = send(&stream(), |_, request| {
+    assert_eq!(result.outcome.verdict, Verdict::Crossed);
+    let (result, _) = send(&stream(), |_, request| {
         let other = Prompt {
             text: "another prompt".to_owned(),
             ..prompt(request).clone()
         };
         events(&other, 0, 4)
     });
-    assert_eq!(done.outcome.verdict, Verdict::Crossed);
+    assert_eq!(result.outcome.verdict, Verdict::Crossed);
 }
 
 #[test]
-fn a_whole_answer_that_breaks_off_is_cut_and_not_crossed() {
-    let (done, _) = send(&class("repeatable: false, plain: {path: /a}"), |_, _| {
+fn truncated_answer_is_cut_and_not_crossed() {
+    let (result, _) = send(&class("repeatable: false, plain: {path: /a}"), |_, _| {
         with_type(StatusCode::OK, "application/json", "{\"digest\": \"")
     });
-    assert_eq!(done.outcome.verdict, Verdict::Cut);
+    assert_eq!(result.outcome.verdict, Verdict::Cut);
 }
--- a/crates/load/tests/verdict.rs
+++ b/crates/load/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! What callers do after each end of an attempt, and how it counts when they stop.
+//! What callers do after each end of an attempt, and the verdict when they stop.
 
 use std::time::Duration;
 
@@ -13,8 +13,11 @@
         "{{duration: 1s, classes: [{{name: a, key: k, rate: 1, retries: 2, plain: {{path: /a}}, \
          contract: {{deadline: 5s}}{extra}}}]}}"
     );
-    let plan = Plan::parse(&yaml).expect("the plan of the test is good");
-    plan.classes.into_iter().next().expect("it has a class")
+    let plan = Plan::parse(&yaml).expect("the plan of the test is valid");
+    plan.classes
+        .into_iter()
+        .next()
+        .expect("the plan has a class")
 }
 
 fn step(class: &Class, attempts: u32, end: &AttemptEnd) -> NextStep {
@@ -36,13 +39,16 @@
 }
 
 #[test]
-fn a_call_that_may_have_run_is_not_sent_again_without_a_key() {
-    let once = class(", repeatable: false");
+fn call_that_may_have_run_is_not_repeated_without_a_key() {
+    let not_repeatable = class(", repeatable: false");
     let keyed = class(", repeatable: false, keyed: true");
     let unknown = refused(502, Ran::Unknown, None);
-    assert_eq!(step(&once, 1, &unknown), NextStep::Finish(Verdict::Unknown));
     assert_eq!(
-        step(&once, 1, &AttemptEnd::Broken),
+        step(&not_repeatable, 1, &unknown),
+        NextStep::Finish(Verdict::Unknown)
+    );
+    assert_eq!(
+        step(&not_repeatable, 1, &AttemptEnd::Broken),
         NextStep::Finish(Verdict::Lost)
     );
     assert_matches!(step(&keyed, 1, &unknown), NextStep::Retry(_));
@@ -50,23 +56,29 @@
 }
 
 #[test]
-fn a_call_that_has_certainly_not_run_is_sent_again() {
-    let once = class(", repeatable: false");
+fn call_that_did_not_run_is_sent_again() {
+    let not_repeatable = class(", repeatable: false");
     let wait = Duration::from_millis(300);
     let refusal = refused(503, Ran::No, Some(wait));
-    assert_eq!(step(&once, 1, &refusal), NextStep::Retry(wait));
-    assert_matches!(step(&once, 1, &AttemptEnd::Unreached), NextStep::Retry(_));
+    assert_eq!(step(&not_repeatable, 1, &refusal), NextStep::Retry(wait));
+    assert_matches!(
+        step(&not_repeatable, 1, &AttemptEnd::Unreached),
+        NextStep::Retry(_)
+    );
 }
 
 #[test]
-fn a_caller_does_not_come_back_after_it_has_gone_away() {
-    let once = class("");
+fn caller_does_not_retry_after_its_time_limit() {
+    let class = class("");
     let refusal = refused(429, Ran::No, Some(2 * SECOND));
-    assert_eq!(step(&once, 1, &refusal), NextStep::Finish(Verdict::Refused));
+    assert_eq!(
+        step(&class, 1, &refusal),
+        NextStep::Finish(Verdict::Refused)
+    );
 }
 
 #[test]
-fn tries_are_limited() {
+fn attempts_are_limited() {
     let class = class("");
     assert_matches!(step(&class, 2, &AttemptEnd::Unreached), NextStep::Retry(_));
     assert_eq!(
@@ -76,7 +88,7 @@
 }
 
 #[test]
-fn a_bad_request_is_final() {
+fn bad_request_is_final() {
     let class = class("");
     let refusal = refused(400, Ran::Unknown, None);
     assert_eq!(
@@ -86,7 +98,7 @@
 }
 
 #[test]
-fn a_conflict_that_may_have_run_is_no_refusal() {
+fn conflict_that_may_have_run_is_not_a_refusal() {
     let keyed = class(", repeatable: false, keyed: true");
     let conflict = refused(409, Ran::Unknown, None);
     assert_matches!(step(&keyed, 1, &conflict), NextStep::Retry(_));
@@ -97,9 +109,9 @@
 }
 
 #[test]
-fn a_stream_that_has_begun_is_resumed_and_counts_as_cut_when_that_fails() {
+fn started_stream_is_resumed_or_counts_as_cut() {
     let class = class(", repeatable: false");
-    let begun = |attempts, end: &AttemptEnd| {
+    let after_start = |attempts, end: &AttemptEnd| {
         let standing = RequestState {
             class: &class,
             attempts,
@@ -108,16 +120,19 @@
         };
         standing.next_step(end)
     };
-    assert_matches!(begun(1, &AttemptEnd::Cut), NextStep::Retry(_));
-    assert_eq!(begun(3, &AttemptEnd::Cut), NextStep::Finish(Verdict::Cut));
+    assert_matches!(after_start(1, &AttemptEnd::Cut), NextStep::Retry(_));
+    assert_eq!(
+        after_start(3, &AttemptEnd::Cut),
+        NextStep::Finish(Verdict::Cut)
+    );
     assert_eq!(
-        begun(3, &AttemptEnd::Unreached),
+        after_start(3, &AttemptEnd::Unreached),
         NextStep::Finish(Verdict::Cut)
     );
     assert_eq!(
-        begun(1, &AttemptEnd::TimedOut),
+        after_start(1, &AttemptEnd::TimedOut),
         NextStep::Finish(Verdict::Cut)
     );
     let gone = refused(404, Ran::No, None);
-    assert_eq!(begun(1, &gone), NextStep::Finish(Verdict::Cut));
+    assert_eq!(after_start(1, &gone), NextStep::Finish(Verdict::Cut));
 }
