--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -1,6 +1,6 @@
-//! Arrivals of one class as a Poisson process whose rate moves with the plan. Arrivals never wait
-//! for answers, since callers do not either: a load that slows down with the system hides the very
-//! queues that it should show.
+//! Arrivals of one class as a Poisson process whose rate follows the plan. Arrivals never wait for
+//! answers, as real callers do not: a load that slows down with the system would hide the queues
+//! that it should show.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::plan::{Class, Plan};
 use crate::swing::{self, Quantity};
 
-/// The arrivals of one class at one worker, as times since the start of the run.
+/// Arrivals of one class at one worker, as times since the start of the run.
 ///
-/// The process is thinned: candidates come at the highest rate that the swings allow, and each is
-/// kept with the probability that the rate at its time has of the highest.
+/// Thinning: candidates arrive at the maximum rate that the swings allow, and each is kept with the
+/// probability of the rate at its time divided by the maximum.
 #[derive(Debug)]
 pub struct Arrivals<'a> {
     class: &'a Class,
@@ -25,7 +25,7 @@
 }
 
 impl<'a> Arrivals<'a> {
-    /// The process of one of `workers` workers; their sum is the class's process.
+    /// Arrivals at one of `workers` workers; together they make up the rate of the class.
     pub fn new(plan: &Plan, class: &'a Class, seed: u64, workers: usize) -> Self {
         let base_rate = class.rate / workers as f64;
         Self {
--- a/crates/load/src/finding.rs
+++ b/crates/load/src/finding.rs
@@ -1,14 +1,14 @@
-//! Findings of a check: what is wrong and where, collected so that one run tells all of them.
+//! Findings of a check, collected so that one run reports all of them.
 
 use std::error;
 use std::fmt;
 
-/// One fault of an input file, with its place in the file's own terms.
+/// One fault of an input file and its path in that file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Path of the value, such as `classes[2].rate`.
     pub place: String,
-    /// What is wrong with it and what would be right.
+    /// What is wrong or required.
     pub detail: String,
 }
 
@@ -18,14 +18,14 @@
     }
 }
 
-/// All faults of one input file.
+/// All findings of one input file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
     findings: Vec<Finding>,
 }
 
 impl Findings {
-    /// Notes a fault at a place.
+    /// Adds a finding.
     pub fn add(&mut self, place: impl Into<String>, detail: impl Into<String>) {
         self.findings.push(Finding {
             place: place.into(),
@@ -33,22 +33,22 @@
         });
     }
 
-    /// Notes a fault if the condition does not hold.
+    /// Adds a finding if the condition does not hold.
     pub fn require(&mut self, condition: bool, place: impl Into<String>, detail: &str) {
         if !condition {
             self.add(place, detail);
         }
     }
 
-    /// The faults in the order in which they were found.
+    /// The findings in the order in which they were added.
     pub fn all(&self) -> &[Finding] {
         &self.findings
     }
 
-    /// Gives the value if nothing was found, otherwise every finding.
+    /// Returns the value if there are no findings.
     ///
     /// # Errors
-    /// The list itself, if it is not empty.
+    /// The findings, if there are any.
     pub fn into_result<T>(self, value: impl FnOnce() -> T) -> Result<T, Self> {
         if self.findings.is_empty() {
             Ok(value())
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a run: who asks for what, how often, under which contract, and how that moves.
-//! A plan is read from YAML and checked whole; see `docs/OPERATORS.md`, "Load for trials".
+//! The plan of a run: classes of requests with their rates, contracts and changes over time. Plans
+//! are read from YAML and checked as a whole; see `docs/OPERATORS.md`, "Load for trials".
 
 mod check;
 pub mod raw;
@@ -19,68 +19,69 @@
     pub seed: u64,
     /// How long requests arrive.
     pub duration: Duration,
-    /// How long the run waits for answers after the last arrival.
+    /// Time that the run waits for answers after the last arrival.
     pub grace: Duration,
-    /// Width of a step of the goodput curve.
+    /// Width of the time buckets of the goodput curve.
     pub bucket: Duration,
-    /// Most requests that may be open at once.
+    /// Limit for requests open at once.
     pub max_open: usize,
-    /// Kinds of requests.
+    /// Classes of requests.
     pub classes: Vec<Class>,
 }
 
-/// One kind of request.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Name in the report.
     pub name: String,
-    /// Key that the caller shows.
+    /// API key of the caller.
     pub key: String,
-    /// Mean arrivals a second before swings.
+    /// Mean arrivals a second, before swings.
     pub rate: f64,
-    /// What is asked.
+    /// What is requested.
     pub kind: RequestKind,
-    /// What the caller was promised.
+    /// Time limits within which a request counts as good.
     pub contract: Contract,
-    /// Whether the caller may send it again without a key.
+    /// Whether the caller may repeat a call without a key.
     pub repeatable: bool,
     /// Whether the caller sends an `Idempotency-Key`.
     pub keyed: bool,
-    /// How often the caller tries again.
+    /// Limit for attempts after the first.
     pub retries: u32,
-    /// The caller tries again if no answer has begun after this.
+    /// Time limit for an answer to begin before the next attempt.
     pub attempt_timeout: Option<Duration>,
-    /// When the caller goes away, after its arrival.
+    /// Time from arrival until the caller gives up.
     pub gives_up_after: Duration,
-    /// Changes of its rate and sizes.
+    /// Changes of its rate and token counts.
     pub swings: Vec<Swing>,
 }
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
 pub enum RequestKind {
-    /// Tokens of a model.
+    /// A completion of a model.
     Completion(raw::Completion),
     /// A call of a plain service.
     Plain(raw::Plain),
 }
 
-/// What a caller was promised.
+/// Time limits within which a request counts as good.
 pub type Contract = raw::Contract;
 
 impl Plan {
     /// Reads and checks a plan.
     ///
     /// # Errors
-    /// Every finding, with its place.
+    /// All findings, with their places.
     pub fn parse(yaml: &str) -> Result<Self, Report<finding::Findings>> {
         Self::parse_with(yaml, &[])
     }
 
-    /// Reads and checks a plan with the swings of other files behind its own.
+    /// Reads and checks a plan, with the swings of other files appended to its own.
     ///
     /// # Errors
-    /// Every finding, with its place; places of swings count on from those of the plan.
+    /// All findings, with their places; swings of the other files are numbered after those of the
+    /// plan.
     pub fn parse_with(yaml: &str, swings: &[String]) -> Result<Self, Report<finding::Findings>> {
         let mut raw: raw::Plan = read(yaml)?;
         for file in swings {
@@ -89,7 +90,7 @@
         Self::try_from(raw).map_err(Report::new)
     }
 
-    /// The plan with every rate multiplied.
+    /// Returns the plan with all rates multiplied.
     #[must_use]
     pub fn with_rate_factor(mut self, factor: f64) -> Self {
         for class in &mut self.classes {
@@ -98,14 +99,14 @@
         self
     }
 
-    /// The plan with another seed.
+    /// Returns the plan with another seed.
     #[must_use]
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// The class at an index that the plan itself gave out.
+    /// The class at an index, which must come from this plan.
     pub(crate) fn class(&self, index: usize) -> &Class {
         &self.classes[index]
     }
@@ -122,8 +123,8 @@
     })
 }
 
-/// The line of an unknown key. The YAML library tells the place of every other fault but not of
-/// this one, since the key is already consumed when its name is found to be wrong.
+/// Finds the line of an unknown key. The YAML library reports the position of all other faults but
+/// not of this one, since the key is already consumed when its name is rejected.
 fn unknown_key_line(yaml: &str, detail: &str) -> Option<usize> {
     let key = detail.split_once("unknown field `")?.1.split_once('`')?.0;
     let is_key = |line: &str| {
--- a/crates/load/src/plan/check.rs
+++ b/crates/load/src/plan/check.rs
@@ -1,4 +1,4 @@
-//! The rules of a plan. They are applied all, so that the author of a plan mends it in one go.
+//! The rules of a plan. All are applied, so that its author can fix all findings at once.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use crate::finding;
 use crate::swing::{Shape, Swing};
 
-/// A run is bounded: nobody wants a load that was forgotten on a shared machine.
+/// Limit for a run, so that a forgotten one does not keep a shared machine busy.
 const MAX_RUN_TIME: Duration = Duration::from_secs(2 * 60 * 60);
 
 impl TryFrom<raw::Plan> for Plan {
--- a/crates/load/src/plan/raw.rs
+++ b/crates/load/src/plan/raw.rs
@@ -1,4 +1,4 @@
-//! The plan as it is written in YAML, before any rule was applied to it.
+//! The plan as written in YAML, before it is checked.
 
 use std::time::Duration;
 
@@ -17,65 +17,64 @@
     /// How long requests arrive.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
-    /// How long the run waits for answers after the last arrival.
+    /// Time that the run waits for answers after the last arrival.
     #[serde(default = "default_grace", with = "humantime_serde")]
     pub grace: Duration,
-    /// Width of a step of the goodput curve.
+    /// Width of the time buckets of the goodput curve.
     #[serde(default = "default_bucket", with = "humantime_serde")]
     pub bucket: Duration,
-    /// Divides every time of the plan and multiplies its rates.
+    /// Divides all times of the plan and multiplies its rates.
     #[serde(default = "default_factor")]
     pub time_scale: f64,
-    /// Most requests that may be open at once; arrivals beyond are counted as unsent.
+    /// Limit for requests open at once; arrivals beyond it are counted as unsent.
     #[serde(default = "default_max_open")]
     pub max_open: usize,
-    /// Kinds of requests.
+    /// Classes of requests.
     pub classes: Vec<Class>,
-    /// Changes of the mix over the run.
+    /// Changes of the load over the run.
     #[serde(default)]
     pub swings: Vec<Swing>,
 }
 
-/// A file of swings that is laid over a plan.
+/// A file of swings to append to those of a plan.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Swings {
-    /// Changes of the mix over the run.
+    /// Changes of the load over the run.
     pub swings: Vec<Swing>,
 }
 
-/// One kind of request.
+/// A class of requests.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Name in the report.
     pub name: String,
-    /// Key that the caller shows as its bearer token.
+    /// API key, sent as the bearer token.
     pub key: String,
     /// Mean arrivals a second.
     pub rate: f64,
-    /// A completion, if this is one.
+    /// The completion to request; excludes `plain`.
     pub completion: Option<Completion>,
-    /// A call of a plain service, if this is one.
+    /// The plain service to call; excludes `completion`.
     pub plain: Option<Plain>,
-    /// What the caller was promised.
+    /// Time limits within which a request counts as good.
     pub contract: Contract,
-    /// Whether the caller may send it again without a key.
+    /// Whether the caller may repeat a call without a key.
     #[serde(default = "default_true")]
     pub repeatable: bool,
     /// Whether the caller sends an `Idempotency-Key`.
     #[serde(default)]
     pub keyed: bool,
-    /// How often the caller tries again.
+    /// Limit for attempts after the first.
     #[serde(default = "default_retries")]
     pub retries: u32,
-    /// The caller tries again at another entry if no answer has begun after this; never, if left
-    /// out.
+    /// Time limit for an answer to begin before another entry is tried; without it there is none.
     #[serde(default, with = "humantime_serde")]
     pub attempt_timeout: Option<Duration>,
-    /// The caller goes away after its deadline times this.
+    /// The caller gives up after its deadline times this factor.
     #[serde(default = "default_patience")]
     pub patience: f64,
 }
@@ -87,7 +86,7 @@
 pub struct Completion {
     /// Model or catalogue entry, as the caller names it.
     pub model: String,
-    /// Whether it is asked as a chat.
+    /// Whether it is requested as a chat.
     #[serde(default)]
     pub chat: bool,
     /// Whether it is streamed.
@@ -97,7 +96,7 @@
     pub prompt: Size,
     /// Tokens of the answer.
     pub output: Size,
-    /// Prefixes that requests share.
+    /// Prefixes shared by requests.
     pub prefix: Option<Prefix>,
 }
 
@@ -111,7 +110,7 @@
     pub method: String,
     /// Path from the root.
     pub path: String,
-    /// Bytes of the body besides its id.
+    /// Size of the body's filler in bytes.
     #[serde(default)]
     pub body_bytes: usize,
 }
@@ -121,38 +120,38 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Half of the draws are below it.
+    /// Median.
     pub median: f64,
     /// Standard deviation of the logarithm; 0 makes it constant.
     #[serde(default)]
     pub sigma: f64,
-    /// Draws above are cut to it.
+    /// Upper limit; greater draws are set to it.
     pub max: u32,
 }
 
-/// Prefixes that requests of a class share, so that a prefix cache has something to hold.
+/// Prefixes shared by requests of a class, so that prefix caches have hits.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prefix {
-    /// How many different ones there are.
+    /// Number of different prefixes.
     pub count: u32,
     /// Tokens of each.
     pub tokens: u32,
-    /// Part of the requests that use one.
+    /// Fraction of the requests that use one.
     #[serde(default = "default_factor")]
     pub share: f64,
 }
 
-/// What a caller was promised.
+/// Time limits within which a request counts as good.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Contract {
-    /// Until the whole answer is there.
+    /// Time until the whole answer is received.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
-    /// Until the first token is there.
+    /// Time until the first token is received.
     #[serde(default, with = "humantime_serde")]
     pub first_token: Option<Duration>,
     /// Mean time between two tokens of one answer.
@@ -160,16 +159,16 @@
     pub between_tokens: Option<Duration>,
 }
 
-/// A change of the mix over the run.
+/// A change of the load over the run.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Swing {
     /// Classes that it changes.
     pub classes: Vec<String>,
-    /// What of them it multiplies.
+    /// What it multiplies.
     pub quantity: swing::Quantity,
-    /// How the factor moves with time.
+    /// How the factor changes over time.
     pub shape: swing::Shape,
 }
 
--- a/crates/load/src/request.rs
+++ b/crates/load/src/request.rs
@@ -1,6 +1,6 @@
-//! Requests drawn from a plan: their sizes, shared prefixes, ids and bodies. A request's draws come
-//! from its class's generator in the order of arrivals, so one seed gives the same requests however
-//! the system answers.
+//! Generates the requests of a plan: sizes, shared prefixes, ids and bodies. Each class has its own
+//! random generator, used in the order of arrivals, so that one seed gives the same requests
+//! whatever the system answers.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use crate::plan::{Class, RequestKind, raw};
 use crate::swing::{self, Quantity};
 
-/// Who speaks in a chat.
+/// Role of the messages in a chat.
 const ROLE: &str = "user";
 
-/// One request of a caller, the same through all its attempts.
+/// One request of a caller, the same in all its attempts.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Unique id over the run; attempts add their number.
+    /// Id, unique over workers and runs; all attempts use it.
     pub id: String,
     /// Index of its class in the plan.
     pub class: usize,
@@ -30,31 +30,31 @@
     pub method: String,
     /// Path from the root.
     pub path: String,
-    /// Body, the same at every attempt.
+    /// Body.
     pub body: Bytes,
-    /// The text that a completion was asked for.
+    /// Prompt of a completion, `None` for a plain call.
     pub prompt: Option<Prompt>,
 }
 
-/// What a completion was asked for, to judge its answer by.
+/// The input of a completion, from which the expected answer follows.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// The whole prompt; for a chat, what its messages amount to.
+    /// The whole prompt; for a chat, the text that its messages are turned into.
     pub text: String,
-    /// Tokens asked for.
+    /// Tokens requested.
     pub output: u32,
     /// Whether it is streamed.
     pub stream: bool,
 }
 
 impl Prompt {
-    /// The text that the stand-in engine answers to this prompt.
+    /// The text that the stand-in engine returns for this prompt.
     pub fn expected_text(&self) -> String {
         engine::expected_text(&self.text, self.output)
     }
 }
 
-/// Draws the requests of one class at one worker.
+/// Generates the requests of one class at one worker.
 #[derive(Debug)]
 pub struct RequestSource<'a> {
     class: &'a Class,
@@ -65,7 +65,7 @@
 }
 
 impl<'a> RequestSource<'a> {
-    /// A source; `label` makes its ids unique over workers and runs.
+    /// Creates a source; `label` makes its ids unique over workers and runs.
     pub fn new(class: &'a Class, index: usize, label: String, seed: u64) -> Self {
         Self {
             class,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The request that arrives at this time.
+    /// Generates the request that arrives at this time.
     pub fn next_request(&mut self, at: Duration) -> Request {
         self.count += 1;
         let id = format!("{}-{}-{}", self.label, self.index, self.count);
@@ -124,7 +124,7 @@
     }
 }
 
-/// A shared prefix: which one, and its length in tokens.
+/// A shared prefix: its number and length in tokens.
 #[derive(Clone, Copy, Debug)]
 struct SharedPrefix {
     number: u32,
@@ -146,7 +146,7 @@
     })
 }
 
-/// A prompt of words, one token each: the shared prefix, the id and the rest.
+/// Builds a prompt of one-token words: the shared prefix, the id and filler.
 fn prompt_text(class: &str, id: &str, prefix: Option<SharedPrefix>, tokens: u32) -> String {
     let mut text = String::new();
     if let Some(shared) = prefix {
--- a/crates/load/src/swing.rs
+++ b/crates/load/src/swing.rs
@@ -1,5 +1,5 @@
-//! How the mix moves during a run: a factor over time for the rate or the token counts of some
-//! classes. Shapes are functions of time and seed alone, so that two variants meet the same mix.
+//! Changes of the load during a run: factors over time for the rate or the token counts of some
+//! classes. They depend on time and seed alone, so that two variants get the same load.
 
 use std::f64::consts::TAU;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use serde::Deserialize;
 
-/// Noise is cut at this factor, so that the arrival process has a known highest rate.
+/// Upper bound of noise factors, so that the arrival process has a known maximum rate.
 const NOISE_LIMIT: f64 = 4.0;
 
 /// What a swing multiplies.
@@ -29,18 +29,18 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Wave {
-    /// Moves smoothly.
+    /// Changes smoothly.
     Sine,
-    /// Jumps between the two ends.
+    /// Alternates between the two ends.
     Square,
 }
 
-/// How the factor moves with the time since the start of the run.
+/// How the factor changes over the time since the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Shape {
-    /// From `at` on the factor holds, until `until` if that is given.
+    /// The factor applies from `at`, until `until` if given.
     Step {
         /// Start of the step.
         #[serde(with = "humantime_serde")]
@@ -51,7 +51,7 @@
         /// Factor during the step.
         factor: f64,
     },
-    /// Moves evenly from 1 at `from` to the factor at `to` and stays there.
+    /// Changes linearly from 1 at `from` to the factor at `to`, then stays.
     Ramp {
         /// Start of the ramp.
         #[serde(with = "humantime_serde")]
@@ -62,24 +62,24 @@
         /// Factor at the end.
         factor: f64,
     },
-    /// Swings between `low` and `high`.
+    /// Oscillates between `low` and `high`.
     Oscillation {
-        /// Length of a full swing.
+        /// Length of a full cycle.
         #[serde(with = "humantime_serde")]
         period: Duration,
         /// Lowest factor.
         low: f64,
         /// Highest factor.
         high: f64,
-        /// Curve of the swing.
+        /// Waveform.
         wave: Wave,
-        /// Part of a period by which it is ahead; 0.5 is the opposite phase.
+        /// Phase shift as a fraction of the period; 0.5 is the opposite phase.
         #[serde(default)]
         phase: f64,
     },
-    /// A new log-normal factor at every step.
+    /// A new log-normal factor for every interval.
     Noise {
-        /// Length of a step.
+        /// Length of an interval.
         #[serde(with = "humantime_serde")]
         every: Duration,
         /// Standard deviation of the logarithm.
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A factor that is never exceeded, for the thinning of arrivals.
+    /// Upper bound of the factor, for the thinning of arrivals.
     pub fn max_factor(&self) -> f64 {
         match *self {
             Self::Step { factor, .. } | Self::Ramp { factor, .. } => factor.max(1.0),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Divides every time of the shape.
+    /// Divides all times of the shape.
     pub(crate) fn scale(&mut self, by: f64) {
         match self {
             Self::Step { at, until, .. } => {
@@ -145,13 +145,13 @@
 pub struct Swing {
     /// What it multiplies.
     pub quantity: Quantity,
-    /// How it moves.
+    /// How the factor changes over time.
     pub shape: Shape,
     /// Seed of its noise.
     pub seed: u64,
 }
 
-/// The product of all factors of one quantity at a time since the start of the run.
+/// Product of all factors of one quantity at a time since the start of the run.
 pub fn factor(swings: &[Swing], quantity: Quantity, at: Duration) -> f64 {
     swings
         .iter()
@@ -160,7 +160,7 @@
         .product()
 }
 
-/// A product that [`factor`] never exceeds.
+/// Upper bound of [`factor`].
 pub fn max_factor(swings: &[Swing], quantity: Quantity) -> f64 {
     swings
         .iter()
@@ -193,7 +193,7 @@
         .min(NOISE_LIMIT)
 }
 
-/// A draw of the standard normal distribution (Box and Muller).
+/// Draws from the standard normal distribution (Box-Muller transform).
 pub(crate) fn standard_normal(random: &mut StdRng) -> f64 {
     let radius = (-2.0 * (1.0 - random.random::<f64>()).ln()).sqrt();
     radius * (TAU * random.random::<f64>()).cos()
--- a/crates/load/tests/arrival.rs
+++ b/crates/load/tests/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrivals and requests: rates follow the swings, and one seed gives one load.
+//! Arrivals and requests: rates follow the swings, and a seed determines the load.
 
 use std::time::Duration;
 
@@ -24,10 +24,10 @@
 swings: {swings}
 "
     );
-    Plan::parse(&yaml).expect("the plan of the test is good")
+    Plan::parse(&yaml).expect("the plan of the test is valid")
 }
 
-/// Arrivals of the first and of the second half of a run, over all workers.
+/// Numbers of arrivals in the first and second half of a run, over all workers.
 fn halves(plan: &Plan, workers: usize) -> (usize, usize) {
     let arrivals = (0..workers)
         .flat_map(|worker| Arrivals::new(plan, &plan.classes[0], worker as u64, workers));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_mean_rate_is_that_of_the_plan() {
+fn mean_rate_matches_the_plan() {
     let (first, second) = halves(&plan("[]"), 4);
     let all = first + second;
     // Five standard deviations of a Poisson count of 5,000.
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_step_moves_the_rate() {
+fn step_changes_the_rate() {
     let swings = "[{classes: [a], quantity: rate, shape: {step: {at: 50s, factor: 3}}}]";
     let (first, second) = halves(&plan(swings), 2);
     assert!(first.abs_diff(2_500) < 5 * 50, "{first}");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn one_seed_gives_the_same_load() {
+fn same_seed_gives_the_same_load() {
     let plan = plan("[{classes: [a], quantity: prompt, shape: {noise: {every: 2s, sigma: 0.4}}}]");
     let draw = |seed| {
         let class = &plan.classes[0];
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn shapes_keep_below_their_highest_factor() {
+fn shapes_stay_within_their_maximum_factor() {
     let shapes = [
         Shape::Ramp {
             from: Duration::from_secs(10),
--- a/crates/load/tests/examples.rs
+++ b/crates/load/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example plans are good, with each of their swings.
+//! The example plans are valid with each of their swings, and so are the comparisons.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn plans_are_good_with_each_of_their_swings() {
+fn example_plans_are_valid_with_each_of_their_swings() {
     for name in ["lima", "brazos"] {
         let plan = read(&user(name).join("load.yaml"));
         let mut swings = 0;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn comparisons_are_good() {
+fn example_comparisons_are_valid() {
     for name in [
         "lima/planners.yaml",
         "lima/choices.yaml",
--- a/crates/load/tests/plan.rs
+++ b/crates/load/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: every finding at once with its place, and what a good plan turns into.
+//! Plans: all findings are reported with their places, and times and rates are scaled.
 
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
 ";
 
 #[test]
-fn a_good_plan_is_scaled() {
+fn time_scale_applies_to_times_and_rates() {
     let plan = Plan::parse(GOOD).unwrap();
     assert_eq!(plan.duration, Duration::from_secs(6));
     assert!((plan.classes[0].rate - 20.0).abs() < 1e-9);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn all_findings_are_told_at_once() {
+fn all_findings_are_reported_at_once() {
     let findings = Plan::parse(BAD).unwrap_err();
     let places: Vec<_> = findings
         .current_context()
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_told_with_its_line() {
+fn unknown_key_is_reported_with_its_line() {
     let yaml = GOOD.replace("keyed: true", "keyd: true");
     let findings = Plan::parse(&yaml).unwrap_err();
     let text = findings.current_context().to_string();
