--- a/crates/load/src/engine_monitor.rs
+++ b/crates/load/src/engine_monitor.rs
@@ -1,5 +1,5 @@
-//! A look at the engines while a run goes on: how often roles changed, and how evenly the open
-//! requests lie on them.
+//! Samples the engines during a run: how often their roles change, and how evenly open requests are
+//! distributed over them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,38 +7,38 @@
 use awc::Client;
 use serde::{Deserialize, Serialize};
 
-/// How often the engines are asked. A role change takes an engine away for longer than that, even
-/// with scaled time, so none is missed.
+/// Time between samples. A role change takes an engine out of service for longer, even with scaled
+/// time, so none is missed.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An engine that does not answer within this time is left out of a look.
+/// An engine that does not answer in time is left out of a sample.
 const STATE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The part of an engine's state that is looked at.
+/// The part of an engine's state that is sampled.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 pub struct State {
     /// Its role.
     pub role: String,
-    /// Requests that it holds.
+    /// Requests open on it.
     pub open: u64,
 }
 
-/// What was seen of the engines.
+/// Statistics of the engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct EngineStats {
     /// Role changes of all engines.
     pub role_changes: u64,
-    /// Looks at the engines.
+    /// Number of samples.
     pub looks: u64,
     /// Mean number of open requests on an engine.
     pub mean_open: f64,
-    /// Standard deviation of the open requests over the engines, mean over the looks.
+    /// Standard deviation of the open requests over the engines, averaged over the samples.
     pub spread_open: f64,
 }
 
-/// Collects looks.
+/// Collects samples.
 #[derive(Clone, Debug, Default)]
 pub struct EngineMonitor {
     roles: BTreeMap<usize, String>,
@@ -46,7 +46,7 @@
 }
 
 impl EngineMonitor {
-    /// Takes one look in: the states of the engines that answered, by their number.
+    /// Records one sample: the states of the engines that answered, by index.
     pub fn record_sample(&mut self, states: &[(usize, State)]) {
         for (engine, state) in states {
             let before = self.roles.insert(*engine, state.role.clone());
@@ -66,13 +66,13 @@
         self.stats.spread_open += (variance.sqrt() - self.stats.spread_open) * weight;
     }
 
-    /// What was seen so far.
+    /// Statistics of the samples so far.
     pub fn stats(&self) -> EngineStats {
         self.stats
     }
 }
 
-/// One look: the states of the engines that answer, by their number.
+/// Takes one sample: the states of the engines that answer, by index.
 pub async fn sample_engines(client: &Client, engines: &[String]) -> Vec<(usize, State)> {
     let mut states = Vec::with_capacity(engines.len());
     for (number, engine) in engines.iter().enumerate() {
--- a/crates/load/src/plot.rs
+++ b/crates/load/src/plot.rs
@@ -1,4 +1,4 @@
-//! Goodput over time as a plot of its own, for pages and for a look after a run.
+//! Plots goodput over time.
 
 use std::path::Path;
 
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole run: workers side by side, their findings added up, the audit at the end.
+//! Runs a plan: starts the workers, adds up their results, and audits the calls.
 
 use std::sync::Arc;
 use std::thread;
@@ -17,35 +17,35 @@
 /// Time for the workers to start before the first arrival.
 const START_DELAY: Duration = Duration::from_millis(200);
 
-/// What to run and where.
+/// A plan and where to run it.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// What is asked.
+    /// The plan.
     pub plan: Plan,
     /// URL roots of the entries.
     pub targets: Vec<String>,
     /// URL roots of the plain services, for the audit.
     pub services: Vec<String>,
-    /// URL roots of the engines to look at; none are needed.
+    /// URL roots of the engines to sample; may be empty.
     pub engines: Vec<String>,
-    /// Threads that send.
+    /// Number of sending threads.
     pub workers: usize,
 }
 
-/// What a run has shown.
+/// The result of a run.
 #[derive(Debug)]
 pub struct RunResult {
     /// The plan that was run.
     pub plan: Plan,
-    /// By class, in the order of the plan.
+    /// Tallies by class, in the order of the plan.
     pub tallies: Vec<Tally>,
-    /// By how much arrivals were sent late.
+    /// Delays between arrival and sending.
     pub lag: TimeHistogram,
-    /// Requests without an end when the run was over.
+    /// Requests still open at the end of the run.
     pub unfinished: u64,
-    /// What the services executed against what callers were told; none without services.
+    /// Executions compared with what callers were told; `None` without services.
     pub audit: Option<Audit>,
-    /// What was seen of the engines.
+    /// Statistics of the engines.
     pub engines: EngineStats,
 }
 
@@ -53,7 +53,7 @@
     /// Runs the plan to its end.
     ///
     /// # Errors
-    /// A worker that ended early, or a service that does not tell its executions.
+    /// A worker panicked, or a service did not return its executions.
     pub fn run(self) -> std::result::Result<RunResult, Report<Error>> {
         let workers = self.workers.max(1);
         let job = Job {
--- a/crates/load/src/summary.rs
+++ b/crates/load/src/summary.rs
@@ -1,4 +1,4 @@
-//! The result of a run for people and for programs.
+//! The result of a run, as a table and as JSON.
 
 mod table;
 
@@ -13,22 +13,22 @@
 use crate::tally::{Bucket, Tally, TimeHistogram};
 use crate::verdict::Verdict;
 
-/// A run whose arrivals were sent later than this, at the 99th percentile, measured itself.
+/// With a greater 99th percentile of the send lag, a run measures the load generator.
 const MAX_LAG_P99_MS: f64 = 50.0;
 
-/// Three quantiles of a distribution, and its longest time, in milliseconds.
+/// Quantiles and maximum of a histogram, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Quantiles {
-    /// How many times were counted.
+    /// Number of times recorded.
     pub count: u64,
-    /// Half are not longer.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 of 100 are not longer.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 of 100 are not longer.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The result of one class, or of all together.
+/// The result of one class, or of all classes together.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ClassSummary {
@@ -54,25 +54,25 @@
     pub offered: u64,
     /// Served within the contract.
     pub good: u64,
-    /// Part of the offered requests that was served within the contract.
+    /// Fraction of the offered requests that was served within the contract.
     pub goodput: f64,
-    /// Requests by how they ended.
+    /// Requests by verdict.
     pub ended: BTreeMap<String, u64>,
     /// Requests that ended with an error answer, by status.
     pub statuses: BTreeMap<u16, u64>,
-    /// The same by the cause that the answer gave.
+    /// Requests that ended with an error answer, by the cause given.
     pub causes: BTreeMap<String, u64>,
-    /// Arrivals that were not sent, since too many requests were open.
+    /// Arrivals that were not sent because too many requests were open.
     pub unsent: u64,
     /// Attempts after the first.
     pub retries: u64,
     /// Attempts that resumed a stream.
     pub resumes: u64,
-    /// Tokens that came.
+    /// Tokens received.
     pub tokens: u64,
     /// From arrival to the first token.
     pub first_token: Quantiles,
-    /// Between events.
+    /// Between tokens.
     pub between_tokens: Quantiles,
     /// From arrival to the whole answer.
     pub whole: Quantiles,
@@ -105,21 +105,21 @@
         }
     }
 
-    /// Requests that ended so.
+    /// Number of requests with this verdict.
     pub fn ended(&self, verdict: Verdict) -> u64 {
         self.ended.get(verdict.name()).copied().unwrap_or(0)
     }
 }
 
-/// One step of the goodput curve.
+/// One time bucket of the goodput curve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct CurvePoint {
-    /// Start of the step.
+    /// Start of the bucket.
     pub at_s: f64,
     /// Requests that arrived in it.
     pub offered: u64,
-    /// Those of them that were served within their contract.
+    /// Requests of these that were served within their contract.
     pub good: u64,
 }
 
@@ -135,13 +135,13 @@
     pub all: ClassSummary,
     /// Each class.
     pub classes: Vec<ClassSummary>,
-    /// By how much arrivals were sent late.
+    /// Delays between arrival and sending.
     pub lag: Quantiles,
-    /// Requests without an end when the run was over; they count as lost.
+    /// Requests still open at the end of the run; they count as lost.
     pub unfinished: u64,
-    /// What the services executed against what callers were told.
+    /// Executions of the services compared with what callers were told.
     pub audit: Option<Audit>,
-    /// What was seen of the engines; no looks if none were given.
+    /// Statistics of the engines; without samples if no engines were given.
     pub engines: EngineStats,
     /// Goodput over time, by arrival.
     pub curve: Vec<CurvePoint>,
@@ -170,7 +170,7 @@
 }
 
 impl Summary {
-    /// What must never be and yet was, one line each.
+    /// Outcomes that must not occur, with their counts.
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let bad = [
@@ -190,7 +190,7 @@
         faults
     }
 
-    /// Whether the load was sent as planned; otherwise the figures tell of the load generator.
+    /// Whether the load was sent as planned; otherwise the figures measure the load generator.
     pub fn is_as_planned(&self) -> bool {
         self.all.unsent == 0 && self.lag.p99_ms <= MAX_LAG_P99_MS
     }
@@ -214,7 +214,7 @@
         .collect()
 }
 
-/// A time in milliseconds, for reports.
+/// A time in milliseconds.
 pub(crate) fn millis(time: Duration) -> f64 {
     time.as_secs_f64() * 1_000.0
 }
--- a/crates/load/src/summary/table.rs
+++ b/crates/load/src/summary/table.rs
@@ -1,4 +1,4 @@
-//! The result of a run as a table for people.
+//! Prints the result of a run as text.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,5 +1,5 @@
-//! What came of the requests: counts of verdicts, distributions of times, goodput over time. One
-//! tally a class and worker; tallies add up.
+//! Statistics of requests: counts of verdicts, histograms of times, goodput over time. Each worker
+//! has one tally for each class; tallies are added up.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use crate::plan::Contract;
 use crate::verdict::Verdict;
 
-/// Longest time that is told apart, in microseconds.
+/// Upper bound of the histograms, in microseconds.
 const MAX_TIME_US: u64 = 3_600_000_000;
 
-/// Significant digits of the distributions.
+/// Precision of the histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Causes of error answers that are told apart in one class.
+/// Limit for the distinct causes of error answers in one class.
 const MAX_CAUSES: usize = 50;
 
-/// A distribution of times.
+/// A histogram of times.
 #[derive(Clone, Debug)]
 pub struct TimeHistogram {
     micros: Histogram<u64>,
@@ -33,36 +33,36 @@
 }
 
 impl TimeHistogram {
-    /// Counts a time.
+    /// Records a time.
     pub fn record(&mut self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_TIME_US);
         self.micros.saturating_record(micros.max(1));
     }
 
-    /// Adds the times of another distribution of the same bounds.
+    /// Adds the times of another histogram.
     pub fn add(&mut self, other: &Self) {
         self.micros
             .add(&other.micros)
             .expect("all distributions have the same bounds");
     }
 
-    /// How many times were counted.
+    /// Number of times recorded.
     pub fn count(&self) -> u64 {
         self.micros.len()
     }
 
-    /// The time that this part of the counted ones does not exceed, zero if there are none.
+    /// The time that this fraction of the recorded times does not exceed, zero if there are none.
     pub fn quantile(&self, fraction: f64) -> Duration {
         Duration::from_micros(self.micros.value_at_quantile(fraction))
     }
 
-    /// The longest counted time.
+    /// The longest recorded time.
     pub fn max(&self) -> Duration {
         Duration::from_micros(self.micros.max())
     }
 }
 
-/// How one request went, as its caller saw it.
+/// Outcome of one request, as its caller saw it.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// When it arrived, since the start of the run.
@@ -71,15 +71,15 @@
     pub verdict: Verdict,
     /// Status of the last error answer.
     pub status: Option<u16>,
-    /// Cause that the last error answer gave.
+    /// Cause given by the last error answer.
     pub detail: Option<String>,
-    /// From its arrival to its end.
+    /// From arrival to end.
     pub whole: Duration,
-    /// From its arrival to its first token.
+    /// From arrival to the first token.
     pub first_token: Option<Duration>,
-    /// Times between its events.
+    /// Times between its tokens.
     pub token_gaps: Vec<Duration>,
-    /// Tokens that came.
+    /// Tokens received.
     pub tokens: u64,
     /// Attempts after the first.
     pub retries: u32,
@@ -106,39 +106,39 @@
     }
 }
 
-/// One step of the goodput curve.
+/// One time bucket of the goodput curve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bucket {
     /// Requests that arrived in it.
     pub offered: u64,
-    /// Those of them that were served within their contract.
+    /// Requests of these that were served within their contract.
     pub good: u64,
 }
 
-/// What came of the requests of one class.
+/// Statistics of the requests of one class.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// Requests that arrived.
     pub offered: u64,
-    /// Arrivals that were not sent, since too many requests were open.
+    /// Arrivals that were not sent because too many requests were open.
     pub unsent: u64,
     /// Served within the contract.
     pub good: u64,
-    /// Requests by how they ended.
+    /// Requests by verdict.
     pub verdicts: BTreeMap<Verdict, u64>,
     /// Requests that ended with an error answer, by status.
     pub statuses: BTreeMap<u16, u64>,
-    /// The same by the cause that the answer gave.
+    /// Requests that ended with an error answer, by the cause given.
     pub causes: BTreeMap<String, u64>,
     /// Attempts after the first.
     pub retries: u64,
     /// Attempts that resumed a stream.
     pub resumes: u64,
-    /// Tokens that came.
+    /// Tokens received.
     pub tokens: u64,
     /// From arrival to first token, of served requests.
     pub first_token: TimeHistogram,
-    /// Between events, of served requests.
+    /// Between tokens, of served requests.
     pub between_tokens: TimeHistogram,
     /// From arrival to the whole answer, of served requests.
     pub whole: TimeHistogram,
@@ -149,7 +149,7 @@
 }
 
 impl Tally {
-    /// Counts an outcome.
+    /// Records an outcome.
     pub fn record(&mut self, outcome: &Outcome, contract: &Contract, bucket: Duration) {
         let good = outcome.is_good(contract);
         self.offered += 1;
@@ -169,19 +169,19 @@
         }
     }
 
-    /// Counts an arrival that was not sent.
+    /// Records an arrival that was not sent.
     pub fn record_unsent(&mut self, at: Duration, bucket: Duration) {
         self.offered += 1;
         self.unsent += 1;
         self.count_arrival(at, bucket, false);
     }
 
-    /// Requests that ended so.
+    /// Number of requests with this verdict.
     pub fn ended(&self, verdict: Verdict) -> u64 {
         self.verdicts.get(&verdict).copied().unwrap_or(0)
     }
 
-    /// Part of the offered requests that was served within the contract.
+    /// Fraction of the offered requests that was served within the contract.
     pub fn goodput(&self) -> f64 {
         if self.offered == 0 {
             return 1.0;
@@ -233,7 +233,7 @@
             *self.statuses.entry(status).or_default() += 1;
         }
         if let Some(detail) = &outcome.detail {
-            // Causes may name single requests, and a run has many.
+            // Causes may contain request ids, so their number is limited.
             if self.causes.len() < MAX_CAUSES || self.causes.contains_key(detail) {
                 *self.causes.entry(detail.clone()).or_default() += 1;
             }
--- a/crates/load/src/target.rs
+++ b/crates/load/src/target.rs
@@ -1,18 +1,18 @@
-//! The entries that requests go to, spread as the platform's balancer spreads them: in turn over
-//! those that answer their readiness probe.
+//! Chooses the entries for requests as the platform's load balancer does: round robin over those
+//! that pass their readiness probe.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
 use awc::Client;
 
-/// How often each entry is asked whether it is ready.
+/// Time between readiness probes, and their timeout.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// One entry.
 #[derive(Debug)]
 pub struct Target {
-    /// Root of its URLs, without a slash at the end.
+    /// URL root, without a slash at the end.
     pub url: String,
     ready: AtomicBool,
 }
@@ -25,7 +25,7 @@
 }
 
 impl TargetSet {
-    /// A set of entries by their URLs; all count as ready until a probe says otherwise.
+    /// Creates a set of entries from their URLs; all count as ready until a probe fails.
     pub fn new(urls: &[String]) -> Self {
         let targets = urls
             .iter()
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The index of the next entry in turn, another one than `avoid` if there is any. While none is
-    /// ready all take their turn, since a refused connection tells more than silence does.
+    /// Returns the index of the next entry, other than `avoid` if possible. If no entry is ready,
+    /// all are tried, since a refused connection tells more than an unsent request.
     pub fn choose(&self, avoid: Option<usize>) -> usize {
         let count = self.targets.len();
         let first = self.next.fetch_add(1, Ordering::Relaxed);
@@ -57,12 +57,12 @@
         &self.targets[index].url
     }
 
-    /// Takes an entry out of turn until a probe finds it ready.
+    /// Marks an entry as not ready until a probe succeeds.
     pub fn mark_down(&self, index: usize) {
         self.targets[index].ready.store(false, Ordering::Relaxed);
     }
 
-    /// Asks all entries in turn whether they are ready, for as long as the future is polled.
+    /// Probes the readiness of all entries for as long as the future is polled.
     pub async fn probe(&self, client: &Client) {
         loop {
             for target in &self.targets {
--- a/crates/load/src/worker.rs
+++ b/crates/load/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: one thread with its own runtime, its part of the arrivals and its own connections.
+//! A worker: one thread with its own runtime and connections, and its share of the arrivals.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,25 +20,25 @@
 use crate::target;
 use crate::verdict::Verdict;
 
-/// A connection that is not there after this long is given up.
+/// Time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often a worker looks whether all its requests have ended.
+/// Interval at which a worker checks whether all its requests have ended.
 const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Odd constant that spreads neighbouring seeds.
 const SEED_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// What all workers of a run share.
+/// Input that all workers of a run share.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What is asked.
+    /// The plan.
     pub plan: Arc<Plan>,
-    /// Where it is asked.
+    /// The entries.
     pub targets: Arc<target::TargetSet>,
-    /// Makes ids unique over runs.
+    /// Prefix that makes request ids unique over runs.
     pub label: String,
-    /// URL roots of the engines to look at; none are needed.
+    /// URL roots of the engines to sample; may be empty.
     pub engines: Arc<Vec<String>>,
     /// Number of workers.
     pub workers: usize,
@@ -46,18 +46,18 @@
     pub start: Instant,
 }
 
-/// What a worker has found.
+/// The result of one worker.
 #[derive(Debug, Default)]
 pub struct WorkerResult {
-    /// By class, in the order of the plan.
+    /// Tallies by class, in the order of the plan.
     pub tallies: Vec<Tally>,
     /// Calls for the audit.
     pub calls: Vec<audit::AuditedCall>,
-    /// By how much arrivals were sent late; a busy load generator shows here.
+    /// Delays between arrival and sending, which show an overloaded load generator.
     pub lag: TimeHistogram,
-    /// Requests without an end when the run was over.
+    /// Requests still open at the end of the run.
     pub unfinished: u64,
-    /// What was seen of the engines.
+    /// Statistics of the engines.
     pub engines: EngineStats,
 }
 
@@ -70,14 +70,14 @@
     monitor: RefCell<EngineMonitor>,
 }
 
-/// A request that has no end yet.
+/// A request that has not ended.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     class: usize,
     at: Duration,
 }
 
-/// A client without limits of its own, so that only the plan's limits count.
+/// Creates a client without limits of its own, so that only the plan's limits apply.
 pub fn client() -> Client {
     let connector = Connector::new().limit(0).timeout(CONNECT_TIMEOUT);
     Client::builder()
@@ -119,7 +119,7 @@
     shared.finish()
 }
 
-/// What goes on beside the requests until the run is over; one worker does it for all.
+/// Starts readiness probes and engine samples, which run on the first worker only.
 fn background_tasks(shared: &Rc<WorkerState>) -> Vec<JoinHandle<()>> {
     let probing = Rc::clone(shared);
     let sampling = Rc::clone(shared);
@@ -135,7 +135,7 @@
     vec![actix_rt::spawn(probe), actix_rt::spawn(sample)]
 }
 
-/// Sends the arrivals of one class at their times, whatever becomes of earlier ones.
+/// Sends the arrivals of one class at their times, independent of earlier answers.
 async fn send_class(shared: Rc<WorkerState>, index: usize, number: usize) {
     let plan = Arc::clone(&shared.job.plan);
     let class = plan.class(index);
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Counts what is still open as lost and gives the findings out.
+    /// Counts open requests as lost and returns the result.
     fn finish(&self) -> WorkerResult {
         let plan = &self.job.plan;
         let mut worker_result = self.result.take();
--- a/crates/load/tests/tally.rs
+++ b/crates/load/tests/tally.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_request_is_good_only_within_each_time_of_its_contract() {
+fn request_is_good_only_within_all_limits_of_its_contract() {
     let late = Outcome {
         whole: 1_001 * MS,
         ..outcome()
