--- a/crates/load/src/admin.rs
+++ b/crates/load/src/admin.rs
@@ -1,5 +1,5 @@
-//! The part of the administration API that a comparison needs: to read the catalogue and to edit
-//! pools between segments. See [`docs/PLATFORM.md`](../../../docs/PLATFORM.md).
+//! Client for the part of the administration API that a comparison needs: reading the catalogue and
+//! editing pools. See [`docs/PLATFORM.md`](../../../docs/PLATFORM.md).
 
 use awc::Client;
 use error_stack::{Report, ResultExt};
@@ -9,13 +9,13 @@
 
 use crate::error::Error;
 
-/// Name under which edits of a comparison stand in the history.
+/// Operator name of a comparison's edits in the history.
 const OPERATOR: &str = "tarragon-load";
 
-/// Where the administration API is, and its token.
+/// Address and token of the administration API.
 #[derive(Clone, Debug)]
 pub struct Admin {
-    /// Root of its URLs, without `/admin/v1`.
+    /// URL root, without `/admin/v1`.
     pub url: String,
     /// Bearer token.
     pub token: String,
@@ -43,7 +43,7 @@
     pub value: Value,
 }
 
-/// The accepted edit.
+/// Answer to an accepted edit.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 struct AcceptedEdit {
@@ -51,10 +51,10 @@
 }
 
 impl Admin {
-    /// The catalogue in force at this entry.
+    /// Reads the catalogue in force at this entry.
     ///
     /// # Errors
-    /// No answer, or a refusal.
+    /// There was no answer, or the request was refused.
     pub async fn catalogue(&self, client: &Client) -> Result<Catalogue, Report<Error>> {
         let url = self.endpoint("catalogue");
         let sent = client.get(&url).bearer_auth(&self.token).send().await;
@@ -64,7 +64,7 @@
         self.parse(answer.status().is_success(), &body)
     }
 
-    /// Merges fields into a pool and gives the new revision.
+    /// Merges fields into a pool and returns the new revision.
     ///
     /// # Errors
     /// The pool is unknown, or the edit was refused; the findings are attached.
@@ -121,7 +121,7 @@
     }
 }
 
-/// Lays fields over a value; objects are merged, everything else is replaced.
+/// Merges fields into a value; objects are merged, everything else is replaced.
 pub fn merge(value: &mut Value, fields: &Value) {
     match (value, fields) {
         (Value::Object(old), Value::Object(new)) => {
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -1,4 +1,4 @@
-//! Runs a comparison: puts a variant in force, runs its segment, goes on to the next.
+//! Runs a comparison: applies each variant and runs its segment.
 
 use std::fmt;
 use std::process::ExitCode;
@@ -18,20 +18,20 @@
 use crate::summary::{CurvePoint, Summary};
 use crate::worker;
 
-/// All that a comparison has shown.
+/// The result of a comparison.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub struct Comparison {
-    /// By variant.
+    /// Scores by variant.
     pub scores: Vec<Score>,
-    /// By round and variant, in the order of the run.
+    /// Segments in the order in which they ran.
     pub segments: Vec<Segment>,
 }
 
-/// Runs a comparison and tells its result.
+/// Runs a comparison and reports its result.
 ///
 /// # Errors
-/// Unreadable files, a refused edit, a worker that ended early.
+/// A file cannot be read, an edit was refused, or a worker panicked.
 pub fn run(options: &Compare) -> Result<ExitCode, Report<Error>> {
     let plan = read_plan(&options.source)?;
     let experiment = read_experiment(options)?;
@@ -88,8 +88,8 @@
     })
 }
 
-/// One segment. Its seed follows from the round alone, so all variants of a round meet the same
-/// arrivals.
+/// Runs one segment. Its seed depends on the round alone, so that all variants of a round get the
+/// same arrivals.
 fn run_segment(
     options: &Compare,
     plan: &Plan,
@@ -148,7 +148,7 @@
         curves
     }
 
-    /// The curve of a variant, summed over the rounds.
+    /// The goodput curve of a variant, summed over the rounds.
     fn summed_curve(&self, variant: &str) -> Vec<CurvePoint> {
         let mut sum: Vec<CurvePoint> = Vec::new();
         let own = self
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Variants compared in one run: their segments alternate, so that whatever drifts on the machine
-//! meets all of them alike, and each pair of segments has the same arrivals.
+//! Compares variants in one run. Their segments alternate, so that drift of the machine affects all
+//! variants alike, and the segments of one round have the same arrivals.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use crate::finding;
 use crate::summary::Summary;
 
-/// The variants of a comparison, as written in YAML.
+/// A comparison, as written in YAML.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Rounds; each variant runs once in each.
+    /// Number of rounds; each variant runs once in each.
     #[serde(default = "default_rounds")]
     pub rounds: usize,
-    /// Wait after a variant was put in force.
+    /// Wait after a variant was applied.
     #[serde(default = "default_settle", with = "humantime_serde")]
     pub settle: Duration,
-    /// The variants; ratios are told against the first.
+    /// The variants; ratios are relative to the first.
     pub variants: Vec<Variant>,
 }
 
@@ -31,12 +31,12 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name in the result.
+    /// Name in the result.
     pub name: String,
-    /// Entries of its own, in place of the common ones.
+    /// Entries for this variant, in place of the common ones.
     #[serde(default)]
     pub targets: Vec<String>,
-    /// Fields merged into pools of the catalogue before each of its segments.
+    /// Fields to merge into pools of the catalogue before each segment.
     #[serde(default)]
     pub pools: BTreeMap<String, Value>,
 }
@@ -45,7 +45,7 @@
     /// Reads and checks a comparison.
     ///
     /// # Errors
-    /// Every finding, with its place.
+    /// All findings, with their places.
     pub fn parse(yaml: &str) -> Result<Self, Report<finding::Findings>> {
         let mut findings = finding::Findings::default();
         let experiment: Self = serde_saphyr::from_str(yaml).map_err(|error| {
@@ -71,8 +71,8 @@
         findings.into_result(|| experiment).map_err(Report::new)
     }
 
-    /// The order of the variants in a round. It turns by one each round, so that none always
-    /// follows the same one or always comes first.
+    /// Returns the order of the variants in a round. It alternates in direction and rotates every
+    /// other round, so that no variant always comes first or follows the same one.
     pub fn order(&self, round: usize) -> impl Iterator<Item = usize> + use<> {
         let count = self.variants.len();
         let backwards = round % 2 == 1;
@@ -91,17 +91,17 @@
     pub variant: String,
     /// The round.
     pub round: usize,
-    /// Its result.
+    /// The result.
     pub summary: Summary,
 }
 
-/// Mean and spread of a figure over the rounds.
+/// Mean, standard deviation and range of a figure over the rounds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Spread {
     /// Mean.
     pub mean: f64,
-    /// Standard deviation between rounds (of the sample).
+    /// Sample standard deviation.
     pub deviation: f64,
     /// Smallest.
     pub least: f64,
@@ -110,7 +110,7 @@
 }
 
 impl Spread {
-    /// Mean and spread of these figures; zeros if there are none.
+    /// Computes the spread of these figures; zeros if there are none.
     pub fn of(figures: &[f64]) -> Self {
         if figures.is_empty() {
             return Self::default();
@@ -127,21 +127,21 @@
     }
 }
 
-/// What the rounds showed of one variant.
+/// The results of one variant over all rounds.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Score {
     /// The variant.
     pub variant: String,
-    /// Part of the offered requests that was served within the contract.
+    /// Fraction of the offered requests that was served within the contract.
     pub goodput: Spread,
-    /// Its goodput divided by that of the first variant in the same round.
+    /// Goodput divided by that of the first variant in the same round.
     pub ratio: Spread,
-    /// Role changes in a segment.
+    /// Role changes per segment.
     pub role_changes: Spread,
     /// Standard deviation of open requests over the engines.
     pub spread_open: Spread,
-    /// Faults of all its segments: lost, cut, crossed, doubled and the like.
+    /// Faults of all its segments, such as lost, cut, crossed or doubled requests.
     pub faults: Vec<String>,
     /// Whether all its segments were sent as planned.
     pub as_planned: bool,
@@ -149,7 +149,7 @@
     pub classes: BTreeMap<String, Spread>,
 }
 
-/// What the rounds showed, by variant in the order of the comparison.
+/// Computes the scores of all variants, in the order of the comparison.
 pub fn scores(experiment: &Experiment, segments: &[Segment]) -> Vec<Score> {
     let segments_of = |name: &str| -> Vec<&Segment> {
         let own = segments.iter().filter(|segment| segment.variant == name);
--- a/crates/load/tests/experiment.rs
+++ b/crates/load/tests/experiment.rs
@@ -1,4 +1,5 @@
-//! Comparisons: the order of segments, the figures over rounds, and what is seen of engines.
+//! Comparisons: the order of segments, statistics over rounds, merged pool fields, and samples of
+//! engines.
 
 use load::admin::merge;
 use load::engine_monitor::{EngineMonitor, State};
@@ -6,7 +7,7 @@
 use serde_json::json;
 
 #[test]
-fn no_variant_always_comes_first() {
+fn variant_order_rotates_between_rounds() {
     let yaml = "{rounds: 4, variants: [{name: a}, {name: b}, {name: c}]}";
     let experiment = Experiment::parse(yaml).unwrap();
     let orders: Vec<Vec<usize>> = (0..4)
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn a_comparison_needs_two_variants_of_different_names() {
+fn comparison_needs_two_variants_with_different_names() {
     let findings = Experiment::parse("{rounds: 0, variants: [{name: a}]}").unwrap_err();
     assert_eq!(findings.current_context().all().len(), 2);
     let findings = Experiment::parse("{variants: [{name: a}, {name: a}]}").unwrap_err();
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn spread_is_that_of_a_sample() {
+fn spread_uses_the_sample_deviation() {
     let spread = Spread::of(&[1.0, 2.0, 3.0, 4.0]);
     assert!((spread.mean - 2.5).abs() < 1e-12);
     assert!((spread.deviation - 1.290_994).abs() < 1e-6);
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn fields_are_laid_over_a_pool() {
+fn fields_are_merged_into_a_pool() {
     let mut pool = json!({"kind": "engine", "role_change": {"price": 1.0, "takes": "5s"}});
     merge(
         &mut pool,
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn role_changes_are_counted_also_over_a_missed_look() {
+fn role_changes_are_counted_across_a_missed_sample() {
     let sample = |roles: &[(usize, &str, u64)]| -> Vec<(usize, State)> {
         let state = |(engine, role, open): &(usize, &str, u64)| {
             let role = (*role).to_owned();
