--- a/crates/load/src/bench.rs
+++ b/crates/load/src/bench.rs
@@ -1,5 +1,5 @@
-//! What an entry adds and what it can carry: latency against calling the stand-in directly, its
-//! rate and relayed tokens for each second of processor time, its memory.
+//! Benchmarks of an entry: added latency compared with direct calls to the stand-in, requests and
+//! relayed tokens per second of CPU time, and memory.
 
 mod latency;
 mod memory;
@@ -38,10 +38,10 @@
     pub memory: Option<Memory>,
 }
 
-/// Runs the bench and tells its figures.
+/// Runs the bench and prints its figures.
 ///
 /// # Errors
-/// Unreadable process or files.
+/// The process cannot be read or a file cannot be written.
 pub fn run(options: &Bench) -> Result<ExitCode, Report<Error>> {
     let figures = actix_rt::System::new().block_on(measure(options))?;
     if let Some(path) = &options.json {
@@ -59,7 +59,7 @@
 async fn measure(options: &Bench) -> Result<Figures, Report<Error>> {
     let client = worker::client();
     let process = options.pid.map(|pid| Process { pid });
-    // Read before the first call, as later there is no idle process any more.
+    // Read before the first call, while the process is still idle.
     let idle = process
         .map(|process| process.resident_bytes())
         .transpose()?;
--- a/crates/load/src/bench/latency.rs
+++ b/crates/load/src/bench/latency.rs
@@ -1,5 +1,5 @@
-//! Added latency: calls go by turns straight to the stand-in and through the entry, at the same
-//! rate, in one run, so that the machine's noise meets both alike.
+//! Added latency: direct calls to the stand-in alternate with calls through the entry, at the same
+//! rate in one run, so that noise of the machine affects both alike.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -18,10 +18,10 @@
 use crate::tally::TimeHistogram;
 use crate::verdict::AttemptEnd;
 
-/// Calls of each side that are not counted, until connections stand.
+/// Uncounted calls on each route, to establish connections.
 const WARM_UP_CALLS: u32 = 10;
 
-/// A rate is measured for at least as long as this many calls take, and at most this long.
+/// Limit for the time that one rate is measured.
 const MAX_DURATION: Duration = Duration::from_secs(30);
 
 /// Added latency of one kind of call at one rate.
@@ -30,19 +30,19 @@
 pub struct Latency {
     /// Kind of call.
     pub kind: &'static str,
-    /// Calls a second on each side.
+    /// Calls a second on each route.
     pub rate: f64,
-    /// Whole answer, straight.
+    /// Time to the whole answer, direct.
     pub direct: Quantiles,
-    /// Whole answer, through the entry.
+    /// Time to the whole answer, through the entry.
     pub entry: Quantiles,
-    /// First token, straight.
+    /// Time to the first token, direct.
     pub direct_first: Quantiles,
-    /// First token, through the entry.
+    /// Time to the first token, through the entry.
     pub entry_first: Quantiles,
-    /// Calls that were not served whole.
+    /// Calls without a complete answer.
     pub failed: u64,
-    /// What went wrong with the first of them.
+    /// Failure of the first of these.
     pub failure: Option<String>,
 }
 
@@ -52,7 +52,7 @@
     first: TimeHistogram,
 }
 
-/// Measures both sides at a rate, with about this many samples each.
+/// Measures both routes at a rate, with up to this many samples each.
 pub(super) async fn measure(client: &Client, pair: &RoutePair, rate: f64, samples: u32) -> Latency {
     let timings = Rc::new(RefCell::new([Timing::default(), Timing::default()]));
     let failures = Rc::new(RefCell::new(Vec::new()));
@@ -106,7 +106,7 @@
     }
 }
 
-/// A source whose ids no other source of any run has.
+/// Creates a source of requests with ids that are unique over all runs.
 pub(super) fn unique_source<'a>(route: &'a Route, label: &str) -> RequestSource<'a> {
     let unique = uuid::Uuid::new_v4().simple().to_string();
     RequestSource::new(&route.class, 0, format!("{}-{label}", &unique[..8]), 0)
@@ -122,7 +122,7 @@
 }
 
 impl Latency {
-    /// Head of the table of which each latency is a row.
+    /// Header of the table in which each latency is a row.
     pub const TABLE_HEADER: &str = "kind       part  rate/s  samples  direct p50/p99 ms   entry p50/p99 ms  \
                             added p50/p99 ms  ratio p50/p99  failed";
 
--- a/crates/load/src/bench/memory.rs
+++ b/crates/load/src/bench/memory.rs
@@ -1,4 +1,4 @@
-//! Resident memory of an entry: idle, and with many streams open.
+//! Resident memory of an entry, idle and with many open streams.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use crate::error::Error;
 use crate::process::Process;
 
-/// Time between two streams. Thousands of connections in one moment overflow the backlog of the
-/// engine's stand-in, and connecting times out.
+/// Delay between opening two streams. Thousands of simultaneous connections overflow the backlog of
+/// the engine's stand-in, and connecting times out.
 const STREAM_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Time for the last streams to open.
@@ -27,19 +27,19 @@
 pub struct Memory {
     /// Before the first call of the bench.
     pub idle: u64,
-    /// After the other parts of the bench, with nothing open.
+    /// After the other parts of the bench, without open calls.
     pub after_load: u64,
-    /// With the streams open.
+    /// With open streams.
     pub open: u64,
-    /// Streams that were asked for.
+    /// Streams requested.
     pub streams: usize,
-    /// Of these, the ones that had already ended when the memory was read.
+    /// Streams that had already ended when the memory was read.
     pub ended: usize,
-    /// How the first of those ended.
+    /// How the first of these ended.
     pub first_end: Option<String>,
 }
 
-/// Opens streams, reads the memory, closes them.
+/// Opens streams, reads the memory and closes the streams.
 pub(super) async fn measure(
     client: &Client,
     process: Process,
--- a/crates/load/src/bench/route.rs
+++ b/crates/load/src/bench/route.rs
@@ -1,4 +1,4 @@
-//! The two ways of one call: through an entry, and straight to the stand-in.
+//! The two routes of a call: through an entry, and directly to the stand-in.
 
 use std::time::{Duration, Instant};
 
@@ -11,49 +11,49 @@
 use crate::request::RequestSource;
 use crate::verdict::AttemptEnd;
 
-/// No call of a bench takes longer.
+/// Time limit for each call.
 const DEADLINE: Duration = Duration::from_secs(30);
 
-/// Tokens of the prompts of a bench.
+/// Size of each prompt in tokens.
 const PROMPT_TOKENS: f64 = 32.0;
 
-/// One way of a call.
+/// One route of a call.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// URL root.
     pub url: String,
-    /// What is asked.
+    /// Class of the requests.
     pub class: Class,
 }
 
-/// Both ways of one kind of call.
+/// Both routes of one kind of call.
 #[derive(Clone, Debug)]
 pub struct RoutePair {
     /// Name of the kind.
     pub name: &'static str,
-    /// Straight to the stand-in.
+    /// Directly to the stand-in.
     pub direct: Route,
     /// Through the entry.
     pub entry: Route,
 }
 
-/// What came of one call.
+/// The result of one call.
 #[derive(Clone, Debug)]
 pub struct CallResult {
     /// How it ended.
     pub end: AttemptEnd,
-    /// Until its first token.
+    /// Time to the first token.
     pub first_token: Option<Duration>,
-    /// Until its end.
+    /// Time to the end.
     pub whole: Duration,
-    /// Tokens that came.
+    /// Tokens received.
     pub tokens: u64,
-    /// Cause that an error answer gave.
+    /// Cause given by an error answer.
     pub detail: Option<String>,
 }
 
 impl CallResult {
-    /// What went wrong, for a look.
+    /// Describes the failure.
     pub fn failure(&self) -> String {
         let detail = self.detail.as_deref().unwrap_or("no detail");
         format!("{:?}: {detail}", self.end)
@@ -61,7 +61,7 @@
 }
 
 impl RoutePair {
-    /// The kinds of calls for which the command line names both ways.
+    /// The kinds of calls for which the command line gives both routes.
     pub fn all(options: &Bench) -> Vec<Self> {
         let mut pairs = Vec::new();
         if let Some(service) = &options.service {
@@ -92,7 +92,7 @@
 }
 
 impl Route {
-    /// A call of a plain service.
+    /// Creates a call of a plain service.
     pub fn plain(url: &str, path: &str, key: &str) -> Self {
         let ask = RequestKind::Plain(raw::Plain {
             method: "POST".to_owned(),
@@ -102,7 +102,7 @@
         Self::new(url, key, ask)
     }
 
-    /// A stream of this many tokens through the entry.
+    /// Creates a stream of this many tokens through the entry.
     pub fn stream(options: &Bench, tokens: u32) -> Self {
         let (model, key) = (&options.entry_model, &options.entry_key);
         Self::completion(&options.entry, model, key, true, tokens)
--- a/crates/load/src/bench/saturation.rs
+++ b/crates/load/src/bench/saturation.rs
@@ -1,5 +1,4 @@
-//! What one entry carries when callers never wait: requests and tokens for each second of its
-//! processor time.
+//! Throughput of one entry at saturation, per second of its CPU time.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -17,26 +16,26 @@
 use crate::verdict::AttemptEnd;
 use crate::worker;
 
-/// Threads that call; the load generator must not be what is saturated.
+/// Calling threads, enough that the load generator does not saturate first.
 const THREADS: usize = 4;
 
 /// Figures at saturation.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Saturation {
-    /// Calls that went on at once.
+    /// Concurrent calls.
     pub at_once: usize,
     /// Calls a second.
     pub requests_per_s: f64,
     /// Tokens a second.
     pub tokens_per_s: f64,
-    /// Cores that the entry was busy on.
+    /// Cores used by the entry.
     pub cores: f64,
-    /// Calls for each second of the entry's processor time.
+    /// Calls per second of the entry's CPU time.
     pub requests_per_core: f64,
-    /// Tokens for each second of the entry's processor time.
+    /// Tokens per second of the entry's CPU time.
     pub tokens_per_core: f64,
-    /// Calls that were not served whole.
+    /// Calls without a complete answer.
     pub failed: u64,
 }
 
@@ -55,7 +54,7 @@
     }
 }
 
-/// Calls without pause, so many at once, for this long.
+/// Keeps this many calls running for this long.
 pub(super) fn measure(
     process: Process,
     route: &Route,
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of a process, as the kernel tells them.
+//! CPU time and memory of a process, from `/proc`.
 
 use std::fs;
 use std::time::Duration;
@@ -7,27 +7,27 @@
 
 use crate::error::Error;
 
-/// Length of the kernel's unit of processor time towards programs; fixed on Linux.
+/// Unit of CPU time in `/proc`; Linux fixes it at 100 ticks a second for user space.
 const CPU_TICK: Duration = Duration::from_millis(10);
 
-/// Position of the user time among the fields of `/proc/PID/stat` after the program's name.
+/// Index of the user time in `/proc/PID/stat`, counted after the program's name.
 const USER_TIME_FIELD: usize = 11;
 
-/// A process by its id.
+/// A process identified by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Process {
-    /// Its id.
+    /// Process id.
     pub pid: u32,
 }
 
 impl Process {
-    /// Processor time that the process has spent, its threads together.
+    /// CPU time used by all threads of the process.
     ///
     /// # Errors
-    /// The process is gone or may not be read.
+    /// The process has ended or may not be read.
     pub fn cpu_time(&self) -> Result<Duration, Report<Error>> {
         let stat = self.read("stat")?;
-        // The name in parentheses may hold spaces, so fields are counted from its end.
+        // The name in parentheses may contain spaces, so fields are counted from the closing one.
         let fields = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
         let ticks = |position| -> Option<u32> {
             fields.split_ascii_whitespace().nth(position)?.parse().ok()
@@ -40,7 +40,7 @@
     /// Resident memory in bytes.
     ///
     /// # Errors
-    /// The process is gone or may not be read.
+    /// The process has ended or may not be read.
     pub fn resident_bytes(&self) -> Result<u64, Report<Error>> {
         let status = self.read("status")?;
         status
