--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -5,73 +5,73 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 
-/// Open-loop load for trials: it ends by itself, and tells what was served, lost, doubled, crossed
-/// or cut. Exit codes: 0 clean, 1 a fault was seen, 2 usage or a bad plan, 3 the load could not be
-/// sent as planned, 4 no result.
+/// Open-loop load generator for trials: runs for a limited time and reports what was served, lost,
+/// doubled, crossed or cut. Exit codes: 0 clean, 1 a fault was seen, 2 invalid usage or plan, 3 the
+/// load could not be sent as planned, 4 no result.
 #[derive(Clone, Debug)]
 #[derive(Parser)]
 #[command(name = "tarragon-load", version)]
 pub struct Command {
-    /// What to do.
+    /// Subcommand.
     #[command(subcommand)]
     pub action: Action,
 }
 
-/// What the program can do.
+/// Subcommands of the program.
 #[derive(Clone, Debug)]
 #[derive(Subcommand)]
 pub enum Action {
-    /// Checks a plan and tells every finding.
+    /// Checks a plan and prints all findings.
     Check(PlanSource),
     /// Runs a plan.
     Run(Run),
     /// Compares variants in one run, their segments interleaved.
     Compare(Compare),
-    /// Measures what an entry adds and what it can carry.
+    /// Measures the added latency, throughput and memory of an entry.
     Bench(Bench),
 }
 
-/// A plan and what is changed of it.
+/// A plan and overrides for it.
 #[derive(Clone, Debug)]
 #[derive(Args)]
 pub struct PlanSource {
     /// The plan, in YAML.
     pub plan: PathBuf,
 
-    /// A file of swings laid over the plan; may be repeated.
+    /// A file of swings to append to those of the plan; may be repeated.
     #[arg(long)]
     pub swings: Vec<PathBuf>,
 
-    /// Seed in place of the plan's.
+    /// Overrides the seed of the plan.
     #[arg(long)]
     pub seed: Option<u64>,
 
-    /// Multiplies every rate of the plan.
+    /// Multiplies all rates of the plan.
     #[arg(long, default_value_t = 1.0)]
     pub rate: f64,
 
-    /// How long requests arrive, in place of the plan's duration.
+    /// Overrides the duration of the plan: how long requests arrive.
     #[arg(long, value_parser = humantime::parse_duration)]
     pub duration: Option<Duration>,
 }
 
-/// Where to send, and with how many threads.
+/// Where to send requests, and with how many threads.
 #[derive(Clone, Debug)]
 #[derive(Args)]
 pub struct Destinations {
-    /// URL root of an entry, such as `http://127.0.0.1:8080`; one each.
+    /// URL root of an entry, such as `http://127.0.0.1:8080`; may be repeated.
     #[arg(long = "target", required = true)]
     pub targets: Vec<String>,
 
-    /// URL root of a plain stand-in, to look up what it executed; one each.
+    /// URL root of a plain stand-in whose executions are audited; may be repeated.
     #[arg(long = "service")]
     pub services: Vec<String>,
 
-    /// URL root of an engine to look at; one each.
+    /// URL root of an engine to sample; may be repeated.
     #[arg(long = "engine")]
     pub engines: Vec<String>,
 
-    /// Threads that send.
+    /// Number of sending threads.
     #[arg(long, default_value_t = 2)]
     pub workers: usize,
 }
@@ -80,19 +80,19 @@
 #[derive(Clone, Debug)]
 #[derive(Args)]
 pub struct Run {
-    /// The plan and what is changed of it.
+    /// The plan and overrides for it.
     #[command(flatten)]
     pub source: PlanSource,
 
-    /// Where to send.
+    /// Where to send requests.
     #[command(flatten)]
     pub destinations: Destinations,
 
-    /// Writes the result as JSON into this file; `-` is standard output, in place of the text.
+    /// Writes the result as JSON to this file; `-` is standard output, in place of the text.
     #[arg(long)]
     pub json: Option<PathBuf>,
 
-    /// Draws goodput over time into this SVG file.
+    /// Plots goodput over time to this SVG file.
     #[arg(long)]
     pub plot: Option<PathBuf>,
 }
@@ -101,14 +101,14 @@
 #[derive(Clone, Debug)]
 #[derive(Args)]
 pub struct Compare {
-    /// The plan of each segment and what is changed of it.
+    /// The plan of each segment and overrides for it.
     #[command(flatten)]
     pub source: PlanSource,
 
     /// The variants, in YAML.
     pub variants: PathBuf,
 
-    /// Where to send.
+    /// Where to send requests.
     #[command(flatten)]
     pub place: Destinations,
 
@@ -125,28 +125,28 @@
     )]
     pub token: String,
 
-    /// Writes all segments and scores as JSON into this file.
+    /// Writes all segments and scores as JSON to this file.
     #[arg(long)]
     pub json: Option<PathBuf>,
 
-    /// Draws the goodput curves, summed over the rounds, into this SVG file.
+    /// Plots the goodput curves, summed over the rounds, to this SVG file.
     #[arg(long)]
     pub plot: Option<PathBuf>,
 }
 
-/// What a bench measures.
+/// Parts of a bench.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ValueEnum)]
 pub enum BenchPart {
     /// Added latency.
     Latency,
-    /// Requests and tokens at saturation.
+    /// Throughput at saturation.
     Saturation,
     /// Resident memory.
     Memory,
 }
 
-/// Options of a bench. Parts whose stand-in or process is not named are left out.
+/// Options of a bench. Parts whose stand-in or process is not given are skipped.
 #[derive(Clone, Debug)]
 #[derive(Args)]
 pub struct Bench {
@@ -154,11 +154,11 @@
     #[arg(long)]
     pub entry: String,
 
-    /// What to measure.
+    /// Parts to run.
     #[arg(long, value_delimiter = ',', default_values = ["latency", "saturation", "memory"])]
     pub parts: Vec<BenchPart>,
 
-    /// Process id of the entry, for processor time and memory.
+    /// Process id of the entry, for CPU time and memory.
     #[arg(long)]
     pub pid: Option<u32>,
 
@@ -170,7 +170,7 @@
     #[arg(long, default_value = "/bench")]
     pub plain_path: String,
 
-    /// Caller's key for the plain call.
+    /// API key for the plain call.
     #[arg(long, default_value = "bench-key")]
     pub plain_key: String,
 
@@ -178,15 +178,15 @@
     #[arg(long)]
     pub engine: Option<String>,
 
-    /// Model as the entry knows it.
+    /// Model name at the entry.
     #[arg(long, default_value = "bench")]
     pub entry_model: String,
 
-    /// Caller's key for the completions.
+    /// API key for the completions.
     #[arg(long, default_value = "bench-key")]
     pub entry_key: String,
 
-    /// Model as the engine knows it.
+    /// Model name at the engine.
     #[arg(long, default_value = "bench-model")]
     pub engine_model: String,
 
@@ -194,7 +194,7 @@
     #[arg(long, value_delimiter = ',', default_values_t = [1.0, 40.0, 400.0])]
     pub rates: Vec<f64>,
 
-    /// Most samples of each side at each rate.
+    /// Limit for the samples of each route at each rate.
     #[arg(long, default_value_t = 4_000)]
     pub samples: u32,
 
@@ -202,15 +202,15 @@
     #[arg(long, default_value_t = 16)]
     pub tokens: u32,
 
-    /// Length of each saturation in seconds.
+    /// Duration of each saturation in seconds.
     #[arg(long, default_value_t = 10)]
     pub seconds: u64,
 
-    /// Plain calls at once at saturation.
+    /// Concurrent plain calls at saturation.
     #[arg(long, default_value_t = 128)]
     pub connections: usize,
 
-    /// Streams at once at saturation.
+    /// Concurrent streams at saturation.
     #[arg(long, default_value_t = 256)]
     pub streams: usize,
 
@@ -218,15 +218,15 @@
     #[arg(long, default_value_t = 512)]
     pub relay_tokens: u32,
 
-    /// Streams held open while memory is read.
+    /// Streams that are open while memory is read.
     #[arg(long, default_value_t = 2_000)]
     pub open_streams: usize,
 
-    /// Tokens of each of these; enough that they stay open.
+    /// Tokens of each of these; must be enough to keep them open.
     #[arg(long, default_value_t = 100_000)]
     pub open_tokens: u32,
 
-    /// Writes the figures as JSON into this file.
+    /// Writes the figures as JSON to this file.
     #[arg(long)]
     pub json: Option<PathBuf>,
 }
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -1,4 +1,4 @@
-//! What each subcommand does, from its files to its exit code.
+//! Runs each subcommand, from reading its files to the exit code.
 
 use std::fs;
 use std::path::Path;
@@ -15,19 +15,19 @@
 use crate::run;
 use crate::summary::Summary;
 
-/// A fault was seen: lost, cut, crossed, garbled, doubled or wrongly denied.
+/// Exit code for a fault: lost, cut, crossed, garbled, doubled or wrongly reported as not run.
 pub(crate) const FAULT: u8 = 1;
 
-/// Bad usage or a bad plan.
+/// Exit code for an invalid command line or plan.
 const USAGE: u8 = 2;
 
-/// The load could not be sent as planned, so the figures tell of the load generator.
+/// Exit code for a load that was not sent as planned: its figures measure the load generator.
 pub(crate) const NOT_AS_PLANNED: u8 = 3;
 
-/// There is no result.
+/// Exit code for a run without a result.
 const NO_RESULT: u8 = 4;
 
-/// Does what the command line asks; errors are told on standard error.
+/// Runs a subcommand; errors are printed to standard error.
 pub fn run(action: Action) -> ExitCode {
     let done = match action {
         Action::Check(source) => check(&source),
@@ -73,7 +73,7 @@
         return Ok(ExitCode::from(FAULT));
     }
     if !summary.is_as_planned() {
-        eprintln!("the load was not sent as planned; its figures are not to be used");
+        eprintln!("the load was not sent as planned; its figures are not valid");
         return Ok(ExitCode::from(NOT_AS_PLANNED));
     }
     Ok(ExitCode::SUCCESS)
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-/// Reads and checks a plan and changes it as the command line says.
+/// Reads and checks a plan and applies the overrides of the command line.
 pub(crate) fn read_plan(source: &PlanSource) -> Result<Plan, Report<Error>> {
     let yaml = read(&source.plan)?;
     let swings: Result<Vec<_>, _> = source.swings.iter().map(|path| read(path)).collect();
@@ -113,17 +113,17 @@
     Ok(plan)
 }
 
-/// Reads a file whole.
+/// Reads a file as text.
 pub(crate) fn read(path: &Path) -> Result<String, Report<Error>> {
     fs::read_to_string(path).change_context_lazy(|| Error::File(path.display().to_string()))
 }
 
-/// The result as JSON.
+/// Serialises a result as JSON.
 pub(crate) fn to_json(value: &impl serde::Serialize) -> Result<String, Report<Error>> {
     serde_json::to_string_pretty(value).change_context(Error::File("JSON".to_owned()))
 }
 
-/// Writes a file whole.
+/// Writes text to a file.
 pub(crate) fn write(path: &Path, text: &str) -> Result<(), Report<Error>> {
     fs::write(path, text).change_context_lazy(|| Error::File(path.display().to_string()))
 }
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -1,21 +1,21 @@
-//! What ends the program before it has a result.
+//! Errors that end the program without a result.
 
 use std::fmt;
 
-/// Why there is no result. Details hang on the report as attachments.
+/// Reason for which there is no result. Details are attached to the report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// A file could not be read or written.
     File(String),
-    /// A stand-in did not tell what it executed.
+    /// A stand-in did not return its list of executions.
     Service(String),
-    /// The administration API refused or did not answer.
+    /// The administration API refused the request or did not answer.
     Admin(String),
-    /// A worker thread did not come to its end.
+    /// A worker thread panicked.
     Worker,
-    /// The process to be measured cannot be read.
+    /// The process to measure cannot be read.
     Process(u32),
-    /// The command line asks for what cannot be done.
+    /// Invalid command line, plan or comparison.
     Usage(String),
     /// A plot could not be drawn.
     Plot,
@@ -25,9 +25,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::File(path) => write!(f, "cannot use the file {path}"),
-            Self::Service(url) => write!(f, "no list of executions from {url}"),
-            Self::Admin(url) => write!(f, "the administration API at {url} refused"),
-            Self::Worker => f.write_str("a worker ended early"),
+            Self::Service(url) => write!(f, "cannot read the list of executions from {url}"),
+            Self::Admin(url) => write!(f, "request to the administration API at {url} failed"),
+            Self::Worker => f.write_str("a worker thread panicked"),
             Self::Process(pid) => write!(f, "cannot read process {pid}"),
             Self::Usage(detail) => f.write_str(detail),
             Self::Plot => f.write_str("cannot draw the plot"),
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,6 +1,6 @@
-//! Open-loop load for trials of tarragonswitch: it stands outside at the callers' end of the
-//! pipeline, sends what a plan says whatever becomes of earlier requests, and judges every answer
-//! by its content. See [`docs/OPERATORS.md`](../../../docs/OPERATORS.md), "Load for trials".
+//! Open-loop load generator for tarragonswitch: sends requests through the callers' end of the
+//! system at the times that a plan gives, independent of earlier answers, and verifies the content
+//! of every answer. See [`docs/OPERATORS.md`](../../../docs/OPERATORS.md), "Load for trials".
 
 pub mod admin;
 pub mod answer;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `tarragon-load`; everything is in the library beside it.
+//! The program `tarragon-load`; the implementation is in the library.
 
 use std::process::ExitCode;
 
