--- a/crates/control/tests/control/fleet.rs
+++ b/crates/control/tests/control/fleet.rs
@@ -52,7 +52,7 @@
         let options = PlatformOptions::parse_from(["standin-platform"].iter().chain(options));
         let listen = options.listen.clone();
         let platform = Platform::new(options);
-        let handler = move |call| platform.clone().answer(call);
+        let handler = move |call| platform.clone().handle(call);
         let (server, address) = http::start(&listen, handler).expect("a port is free");
         actix_rt::spawn(server);
         let fleet = Self {
@@ -157,7 +157,7 @@
         let listen = options.listen.clone();
         let engine = Engine::new(options);
         actix_rt::spawn(Arc::clone(&engine).run());
-        let handler = move |call| engine::answer(engine.clone(), call);
+        let handler = move |call| engine::handle(engine.clone(), call);
         let (server, address) = http::start(&listen, handler).expect("a port is free");
         actix_rt::spawn(server);
         self.register(id, Kind::Engine, "llm", address).await;
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -12,8 +12,8 @@
 use load::verdict::Verdict;
 use load::worker;
 use serde_json::json;
-use standin::answer::{drop_connection, json as answer_json, with_header, with_type};
-use standin::http::{self, Answer, Call, Listen};
+use standin::http::{self, HttpRequest, HttpResponse, Listen};
+use standin::response::{drop_connection, json as answer_json, with_content_type, with_header};
 
 /// Headers of a call to the fake.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
 /// Sends one request to a fake that answers its n-th call with `script(n, request)`.
 fn send<F>(class: &Class, script: F) -> (RequestResult, Seen)
 where
-    F: Fn(usize, &Request) -> Answer + Clone + Send + 'static,
+    F: Fn(usize, &Request) -> HttpResponse + Clone + Send + 'static,
 {
     send_slowly(class, move |number, request| {
         (Duration::ZERO, script(number, request))
@@ -58,12 +58,12 @@
 /// Like [`send`], with a delay before each answer.
 fn send_slowly<F>(class: &Class, script: F) -> (RequestResult, Seen)
 where
-    F: Fn(usize, &Request) -> (Duration, Answer) + Clone + Send + 'static,
+    F: Fn(usize, &Request) -> (Duration, HttpResponse) + Clone + Send + 'static,
 {
     let seen = Seen::default();
     let request = RequestSource::new(class, 0, "t".to_owned(), 1).next_request(Duration::ZERO);
     let (log, sent) = (Arc::clone(&seen), request.clone());
-    let handler = move |call: Call| {
+    let handler = move |call: HttpRequest| {
         let text = |name| call.header(name).map(str::to_owned);
         let mut log = log.lock().expect("no test panics while it holds the lock");
         log.push(Sent {
@@ -96,18 +96,18 @@
     (result, seen)
 }
 
-fn echo(request: &Request) -> Answer {
+fn echo(request: &Request) -> HttpResponse {
     let digest = blake3::hash(&request.body).to_hex();
     answer_json(StatusCode::OK, &json!({ "digest": digest.as_str() }))
 }
 
-fn refuse(ran: &str) -> Answer {
+fn refuse(ran: &str) -> HttpResponse {
     let answer = answer_json(StatusCode::SERVICE_UNAVAILABLE, &json!({ "ran": ran }));
     with_header(answer, "retry-after", "0")
 }
 
 /// Events `from..to` of the expected answer, with `[DONE]` after the last one.
-fn events(prompt: &Prompt, from: usize, to: usize) -> Answer {
+fn events(prompt: &Prompt, from: usize, to: usize) -> HttpResponse {
     let expected = prompt.expected_text();
     let mut text = String::new();
     for (index, token) in expected
@@ -122,7 +122,7 @@
     if to == prompt.output as usize {
         text.push_str("data: [DONE]\n\n");
     }
-    with_type(StatusCode::OK, "text/event-stream", text)
+    with_content_type(StatusCode::OK, "text/event-stream", text)
 }
 
 fn prompt(request: &Request) -> &Prompt {
@@ -235,7 +235,7 @@
 #[test]
 fn truncated_answer_is_cut_and_not_crossed() {
     let (result, _) = send(&class("repeatable: false, plain: {path: /a}"), |_, _| {
-        with_type(StatusCode::OK, "application/json", "{\"digest\": \"")
+        with_content_type(StatusCode::OK, "application/json", "{\"digest\": \"")
     });
     assert_eq!(result.outcome.verdict, Verdict::Cut);
 }
--- a/crates/standin/src/bin/standin-engine.rs
+++ b/crates/standin/src/bin/standin-engine.rs
@@ -8,10 +8,10 @@
 
 #[actix_rt::main]
 async fn main() -> io::Result<()> {
-    http::start_log();
+    http::init_logging();
     let options = Options::parse();
     let listen = options.listen.clone();
     let engine = Engine::new(options);
     actix_rt::spawn(engine.clone().run());
-    http::serve(&listen, move |call| engine::answer(engine.clone(), call)).await
+    http::serve(&listen, move |call| engine::handle(engine.clone(), call)).await
 }
--- a/crates/standin/src/bin/standin-platform.rs
+++ b/crates/standin/src/bin/standin-platform.rs
@@ -8,9 +8,9 @@
 
 #[actix_rt::main]
 async fn main() -> io::Result<()> {
-    http::start_log();
+    http::init_logging();
     let options = Options::parse();
     let listen = options.listen.clone();
     let platform = Platform::new(options);
-    http::serve(&listen, move |call| platform.clone().answer(call)).await
+    http::serve(&listen, move |call| platform.clone().handle(call)).await
 }
--- a/crates/standin/src/bin/standin-service.rs
+++ b/crates/standin/src/bin/standin-service.rs
@@ -8,9 +8,9 @@
 
 #[actix_rt::main]
 async fn main() -> io::Result<()> {
-    http::start_log();
+    http::init_logging();
     let options = Options::parse();
     let listen = options.listen.clone();
     let service = Service::new(options);
-    http::serve(&listen, move |call| service.clone().answer(call)).await
+    http::serve(&listen, move |call| service.clone().handle(call)).await
 }
--- a/crates/standin/src/engine/batch/core.rs
+++ b/crates/standin/src/engine/batch/core.rs
@@ -21,9 +21,9 @@
     /// All jobs and the prefix cache are dropped and the role is set.
     Reset(Role),
     /// So many tokens of the KV memory are taken by exported and imported prompts.
-    Hold(u32),
+    SetHeldTokens(u32),
     /// Iterations take so many thousandths of their time from now on.
-    Pace(u32),
+    SetSlowdown(u32),
 }
 
 /// What comes out of the batch, in order.
@@ -115,8 +115,8 @@
             }
             Input::Cancel(id) => self.cancel(id),
             Input::Reset(role) => self.reset(role, &mut outputs),
-            Input::Hold(tokens) => self.held = tokens,
-            Input::Pace(pace) => self.pace = pace,
+            Input::SetHeldTokens(tokens) => self.held = tokens,
+            Input::SetSlowdown(pace) => self.pace = pace,
         }
         if self.end.is_none() {
             self.begin(now);
@@ -125,7 +125,7 @@
     }
 
     /// When the next output is due, if nothing else happens.
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next_output_at(&self) -> Option<Moment> {
         self.end
     }
 
@@ -207,7 +207,7 @@
             sequence.chunk = sequence.prefill_left.min(left);
             left -= sequence.chunk;
         }
-        let duration = self.settings.duration(budget - left, decoding);
+        let duration = self.settings.iteration_duration(budget - left, decoding);
         self.end = Some(now + duration * self.pace / FULL_PACE);
     }
 
--- a/crates/standin/src/engine/batch/job.rs
+++ b/crates/standin/src/engine/batch/job.rs
@@ -1,6 +1,6 @@
 //! A job and its course through the batch.
 
-use crate::engine::prefix::Hash;
+use crate::engine::prefix::BlockHash;
 
 /// Name of a job, chosen by the caller and unique.
 pub type Id = u64;
@@ -17,7 +17,7 @@
     /// Tokens to generate, at least 1.
     pub output_tokens: u32,
     /// The full blocks of the prompt.
-    pub blocks: Vec<Hash>,
+    pub blocks: Vec<BlockHash>,
     /// Whether the KV of the prompt was imported, so that no prefill is needed.
     pub prefilled: bool,
 }
--- a/crates/standin/src/engine/batch/settings.rs
+++ b/crates/standin/src/engine/batch/settings.rs
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Time of an iteration without any token.
-    pub base: Duration,
+    pub iteration_base: Duration,
     /// Time for each prefilled token.
     pub prefill_token: Duration,
     /// Time for each sequence that decodes a token.
-    pub sequence: Duration,
+    pub decode_sequence: Duration,
     /// Tokens of an iteration in role `mixed`, prefilled and decoded together.
     pub token_budget: u32,
     /// Sequences that run at once.
@@ -81,12 +81,12 @@
     /// Tokens a second that an engine of a role prefills when it does nothing else.
     pub fn prefill_rate(&self, role: Role) -> f64 {
         let budget = self.limits(role).token_budget;
-        f64::from(budget) / self.duration(budget, 0).as_secs_f64()
+        f64::from(budget) / self.iteration_duration(budget, 0).as_secs_f64()
     }
 
     /// The time of an iteration that prefills so many tokens and decodes one for each of so many
     /// sequences.
-    pub fn duration(&self, prefilled: u32, decoding: u32) -> Duration {
-        self.base + self.prefill_token * prefilled + self.sequence * decoding
+    pub fn iteration_duration(&self, prefilled: u32, decoding: u32) -> Duration {
+        self.iteration_base + self.prefill_token * prefilled + self.decode_sequence * decoding
     }
 }
--- a/crates/standin/src/engine/completion.rs
+++ b/crates/standin/src/engine/completion.rs
@@ -18,9 +18,9 @@
 use super::state::Engine;
 use super::stream::{End, Progress, Stream};
 use super::switches::Switches;
-use crate::answer;
-use crate::fault::{self, Times, lock, take};
-use crate::http::{Answer, Call};
+use crate::fault::{self, FaultCount, lock, take_fault};
+use crate::http::{HttpRequest, HttpResponse};
+use crate::response;
 
 /// Priority of a request that names none.
 const DEFAULT_PRIORITY: u8 = 4;
@@ -34,18 +34,18 @@
 }
 
 /// A refusal that is certain not to have run.
-pub(super) fn not_run(status: StatusCode, text: &str) -> Answer {
-    answer::json(status, &json!({ "ran": "no", "error": text }))
+pub(super) fn not_run(status: StatusCode, text: &str) -> HttpResponse {
+    response::json(status, &json!({ "ran": "no", "error": text }))
 }
 
 /// The priority that a request names.
-pub(super) fn priority(call: &Call) -> u8 {
+pub(super) fn priority(call: &HttpRequest) -> u8 {
     let named = call.header("x-priority").and_then(|text| text.parse().ok());
     named.unwrap_or(DEFAULT_PRIORITY)
 }
 
 /// Why the engine takes no work for a completion now, if so.
-pub(super) fn refusal(engine: &Engine, completion: &Completion) -> Option<Answer> {
+pub(super) fn refusal(engine: &Engine, completion: &Completion) -> Option<HttpResponse> {
     if lock(&engine.book).running().is_some() {
         let text = "an order runs";
         return Some(not_run(StatusCode::SERVICE_UNAVAILABLE, text));
@@ -66,7 +66,7 @@
 }
 
 /// Answers a completion.
-pub(super) async fn create(engine: &Arc<Engine>, kind: Kind, call: &Call) -> Answer {
+pub(super) async fn create(engine: &Arc<Engine>, kind: Kind, call: &HttpRequest) -> HttpResponse {
     let completion = match Completion::parse(&call.body) {
         Ok(completion) => completion,
         Err(error) => return not_run(StatusCode::BAD_REQUEST, &error.to_string()),
@@ -79,7 +79,7 @@
         Err(refusal) => return refusal,
     };
     if due(engine, |switches| &mut switches.never_answer) {
-        return answer::silence().await;
+        return response::never_respond().await;
     }
     if due(engine, |switches| &mut switches.late) {
         let late = Duration::from_millis(engine.panel.get().late_ms);
@@ -96,9 +96,9 @@
 }
 
 /// Answers a stream from an event on.
-pub(super) fn resume(engine: &Arc<Engine>, id: &str, from: u64) -> Answer {
+pub(super) fn resume(engine: &Arc<Engine>, id: &str, from: u64) -> HttpResponse {
     let Some(stream) = lock(&engine.table).get(id) else {
-        return answer::not_found();
+        return response::not_found();
     };
     let from = u32::try_from(from)
         .unwrap_or(u32::MAX)
@@ -108,20 +108,20 @@
 }
 
 /// Cancels a stream.
-pub(super) fn cancel(engine: &Engine, id: &str) -> Answer {
+pub(super) fn cancel(engine: &Engine, id: &str) -> HttpResponse {
     let stream = lock(&engine.table).remove(id);
     if let Some(stream) = stream {
         engine.cancel(&stream);
     }
-    answer::ok(&json!({}))
+    response::ok(&json!({}))
 }
 
 fn start(
     engine: &Arc<Engine>,
     kind: Kind,
     completion: &Completion,
-    call: &Call,
-) -> Result<Arc<Stream>, Answer> {
+    call: &HttpRequest,
+) -> Result<Arc<Stream>, HttpResponse> {
     let stream = Arc::new(Stream::new(kind, completion, engine.new_job(), call));
     let mut job = Job {
         id: stream.job,
@@ -145,14 +145,14 @@
     }
     job.prefilled = imported(engine, &stream, call);
     let blocks = engine.options.block_tokens;
-    job.blocks = prefix::chain(&completion.model, &completion.prompt, blocks);
+    job.blocks = prefix::block_hashes(&completion.model, &completion.prompt, blocks);
     engine.submit(job, stream.clone());
     Ok(stream)
 }
 
 /// Uses up the KV that the request names. An unknown handle, or one of another prompt, only means
 /// that the prefill has to run here.
-fn imported(engine: &Engine, stream: &Stream, call: &Call) -> bool {
+fn imported(engine: &Engine, stream: &Stream, call: &HttpRequest) -> bool {
     let Some(handle) = call.header("x-kv-handle") else {
         return false;
     };
@@ -172,18 +172,18 @@
         .unwrap_or(stream)
 }
 
-fn due(engine: &Engine, times: impl FnOnce(&mut Switches) -> &mut Times) -> bool {
-    engine.panel.update(|switches| take(times(switches)))
+fn due(engine: &Engine, times: impl FnOnce(&mut Switches) -> &mut FaultCount) -> bool {
+    engine.panel.update(|switches| take_fault(times(switches)))
 }
 
 /// The fault that meets the next stream, with the event before which it does.
 fn breaks(engine: &Engine) -> Option<(u32, Break)> {
     engine.panel.update(|switches| {
-        let kind = if take(&mut switches.exit_streams) {
+        let kind = if take_fault(&mut switches.exit_streams) {
             Break::Exit
-        } else if take(&mut switches.cut_streams) {
+        } else if take_fault(&mut switches.cut_streams) {
             Break::Cut
-        } else if take(&mut switches.drop_streams) {
+        } else if take_fault(&mut switches.drop_streams) {
             Break::Drop
         } else {
             return None;
@@ -192,15 +192,15 @@
     })
 }
 
-async fn whole(engine: &Engine, stream: &Stream) -> Answer {
+async fn whole(engine: &Engine, stream: &Stream) -> HttpResponse {
     if stream.ended().await != End::Done {
-        return answer::drop_connection();
+        return response::drop_connection();
     }
     if due(engine, |switches| &mut switches.drop_after) {
-        return answer::drop_connection();
+        return response::drop_connection();
     }
-    let answer = answer::ok(&stream.whole());
-    answer::with_header(answer, "x-request-id", &stream.request)
+    let answer = response::ok(&stream.whole());
+    response::with_header(answer, "x-request-id", &stream.request)
 }
 
 /// Where a connection is in its stream.
@@ -217,7 +217,7 @@
     stream: &Arc<Stream>,
     from: u32,
     broken: Option<(u32, Break)>,
-) -> Answer {
+) -> HttpResponse {
     let cursor = Cursor {
         engine: engine.clone(),
         stream: stream.clone(),
@@ -235,7 +235,7 @@
         header::CONTENT_TYPE,
         HeaderValue::from_static("text/event-stream"),
     );
-    answer::with_header(answer, "x-request-id", &stream.request)
+    response::with_header(answer, "x-request-id", &stream.request)
 }
 
 impl Cursor {
--- a/crates/standin/src/engine/control.rs
+++ b/crates/standin/src/engine/control.rs
@@ -10,11 +10,11 @@
 use serde_json::json;
 
 use super::batch::Load;
-use super::orders::{Fence, Id, Kind, Model, Order, State, Verdict};
+use super::orders::{Decision, FencingToken, Kind, Model, Order, OrderId, State};
 use super::state::Engine;
-use crate::fault::{self, lock, take};
-use crate::http::{Answer, Call};
-use crate::{answer, client};
+use crate::fault::{self, lock, take_fault};
+use crate::http::{HttpRequest, HttpResponse};
+use crate::{client, response};
 
 /// Real time between looks for new cache events while a reader waits.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
@@ -26,10 +26,10 @@
 const WEIGHTS_AGAIN: Duration = Duration::from_millis(200);
 
 /// Takes an order.
-pub(super) async fn order(engine: &Arc<Engine>, call: &Call) -> Answer {
+pub(super) async fn order(engine: &Arc<Engine>, call: &HttpRequest) -> HttpResponse {
     let order: Order = match serde_json::from_slice(&call.body) {
         Ok(order) => order,
-        Err(error) => return answer::bad_request(&error.to_string()),
+        Err(error) => return response::bad_request(&error.to_string()),
     };
     let delay = engine.panel.get().order_delay_ms;
     if delay > 0 {
@@ -41,58 +41,58 @@
                 judge(&engine, order)
             }
         });
-        return late.await.unwrap_or_else(|_| answer::drop_connection());
+        return late.await.unwrap_or_else(|_| response::drop_connection());
     }
     judge(engine, order)
 }
 
-fn judge(engine: &Arc<Engine>, order: Order) -> Answer {
+fn judge(engine: &Arc<Engine>, order: Order) -> HttpResponse {
     let id = order.order;
     let verdict = lock(&engine.book).submit(id, order.fence);
-    if verdict == Verdict::Begin {
+    if verdict == Decision::Begin {
         log::info!(order = id, fence = order.fence; "order begins");
         actix_rt::spawn(carry_out(engine.clone(), order));
     }
     if engine
         .panel
-        .update(|switches| take(&mut switches.lose_order_answers))
+        .update(|switches| take_fault(&mut switches.lose_order_answers))
     {
-        return answer::drop_connection();
+        return response::drop_connection();
     }
     match verdict {
-        Verdict::Begin => state_of(StatusCode::ACCEPTED, id, State::Running),
-        Verdict::Known(State::Cancelled) => state_of(StatusCode::CONFLICT, id, State::Cancelled),
-        Verdict::Known(state) => state_of(StatusCode::ACCEPTED, id, state),
+        Decision::Begin => state_of(StatusCode::ACCEPTED, id, State::Running),
+        Decision::Known(State::Cancelled) => state_of(StatusCode::CONFLICT, id, State::Cancelled),
+        Decision::Known(state) => state_of(StatusCode::ACCEPTED, id, state),
         refused => conflict(refused),
     }
 }
 
 #[derive(Deserialize)]
 struct Cancel {
-    order: Id,
-    fence: Fence,
+    order: OrderId,
+    fence: FencingToken,
 }
 
 /// Cancels an order that has not begun.
-pub(super) fn cancel_order(engine: &Engine, call: &Call) -> Answer {
+pub(super) fn cancel_order(engine: &Engine, call: &HttpRequest) -> HttpResponse {
     let cancel: Cancel = match serde_json::from_slice(&call.body) {
         Ok(cancel) => cancel,
-        Err(error) => return answer::bad_request(&error.to_string()),
+        Err(error) => return response::bad_request(&error.to_string()),
     };
     let verdict = lock(&engine.book).cancel(cancel.order, cancel.fence);
     match verdict {
-        Verdict::Known(state) => state_of(StatusCode::OK, cancel.order, state),
+        Decision::Known(state) => state_of(StatusCode::OK, cancel.order, state),
         refused => conflict(refused),
     }
 }
 
 /// The state of the engine, never stale.
-pub(super) fn state(engine: &Engine) -> Answer {
+pub(super) fn state(engine: &Engine) -> HttpResponse {
     let load = engine.load();
     let role = lock(&engine.core).role;
     let models = lock(&engine.models).clone();
     let book = lock(&engine.book);
-    answer::ok(&json!({
+    response::ok(&json!({
         "engine": engine.options.engine,
         "incarnation": engine.incarnation,
         "role": role,
@@ -105,22 +105,22 @@
 }
 
 /// What orders did and what work came since the start of the process, for tests that judge it.
-pub(super) fn orders(engine: &Engine) -> Answer {
+pub(super) fn orders(engine: &Engine) -> HttpResponse {
     let book = lock(&engine.book);
     let begun: Vec<_> = book.begun().collect();
-    answer::ok(&json!({
+    response::ok(&json!({
         "begun": begun,
         "refused": book.refused(),
-        "judged": book.judged(),
+        "judged": book.submitted(),
         "cut": engine.cut.load(Ordering::Relaxed),
         "jobs": engine.jobs(),
     }))
 }
 
 /// The load report, as old as the lag makes it.
-pub(super) async fn report(engine: &Engine) -> Answer {
+pub(super) async fn report(engine: &Engine) -> HttpResponse {
     let switches = engine.panel.get();
-    if let Some(out) = switches.report.answer().await {
+    if let Some(out) = switches.report.response().await {
         return out;
     }
     let lag = switches
@@ -129,7 +129,7 @@
     let now = engine.scale.now();
     let (mut age, mut load) = lock(&engine.core)
         .reports
-        .seen(now, Duration::from_millis(lag));
+        .lagged(now, Duration::from_millis(lag));
     let mut frozen = lock(&engine.frozen);
     if switches.freeze_report {
         let (sampled, kept) = *frozen.get_or_insert((now.saturating_sub(age), load));
@@ -137,7 +137,7 @@
     } else {
         *frozen = None;
     }
-    answer::ok(&report_value(engine, engine.scale.real(age), load))
+    response::ok(&report_value(engine, engine.scale.real(age), load))
 }
 
 fn report_value(engine: &Engine, age: Duration, load: Load) -> serde_json::Value {
@@ -162,12 +162,12 @@
 }
 
 /// Cache events from a number on.
-pub(super) async fn events(engine: &Engine, call: &Call) -> Answer {
-    if let Some(out) = engine.panel.get().events.answer().await {
+pub(super) async fn events(engine: &Engine, call: &HttpRequest) -> HttpResponse {
+    if let Some(out) = engine.panel.get().events.response().await {
         return out;
     }
-    let from = call.number("from").unwrap_or(1);
-    let wait = Duration::from_millis(call.number("wait_ms").unwrap_or(0)).min(LONGEST_WAIT);
+    let from = call.query_number("from").unwrap_or(1);
+    let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0)).min(LONGEST_WAIT);
     let read = || lock(&engine.core).events.read(engine.scale.now(), from);
     let arrival = async {
         while read().1.is_empty() {
@@ -177,7 +177,7 @@
     // Whether events came or the wait is over, what can be seen now is the answer.
     let _ = timeout(wait, arrival).await;
     let (next, events) = read();
-    answer::ok(&json!({ "next": next, "events": events }))
+    response::ok(&json!({ "next": next, "events": events }))
 }
 
 /// Carries out an order that has begun. Streams that are still open are cut.
@@ -194,13 +194,13 @@
     engine.scale.sleep(duration / 2).await;
     if engine
         .panel
-        .update(|switches| take(&mut switches.exit_orders))
+        .update(|switches| take_fault(&mut switches.exit_orders))
     {
         fault::exit("partway through an order");
     }
     if engine
         .panel
-        .update(|switches| take(&mut switches.stuck_orders))
+        .update(|switches| take_fault(&mut switches.stuck_orders))
     {
         return;
     }
@@ -210,7 +210,7 @@
     engine.scale.sleep(duration / 2).await;
     if engine
         .panel
-        .update(|switches| take(&mut switches.fail_orders))
+        .update(|switches| take_fault(&mut switches.fail_orders))
     {
         return end(&engine, order.order, State::Failed);
     }
@@ -230,7 +230,7 @@
     }
 }
 
-fn end(engine: &Engine, order: Id, state: State) {
+fn end(engine: &Engine, order: OrderId, state: State) {
     log::info!(order, state:?; "order ends");
     lock(&engine.book).finish(order, state);
 }
@@ -255,15 +255,15 @@
     }
 }
 
-fn state_of(status: StatusCode, order: Id, state: State) -> Answer {
-    answer::json(status, &json!({ "order": order, "state": state }))
+fn state_of(status: StatusCode, order: OrderId, state: State) -> HttpResponse {
+    response::json(status, &json!({ "order": order, "state": state }))
 }
 
-fn conflict(verdict: Verdict) -> Answer {
+fn conflict(verdict: Decision) -> HttpResponse {
     let value = match verdict {
-        Verdict::OldFence(fence) => json!({ "fence": fence }),
-        Verdict::Busy(order) => json!({ "order": order }),
-        Verdict::Begin | Verdict::Known(_) => json!({}),
+        Decision::OldFence(fence) => json!({ "fence": fence }),
+        Decision::Busy(order) => json!({ "order": order }),
+        Decision::Begin | Decision::Known(_) => json!({}),
     };
-    answer::json(StatusCode::CONFLICT, &value)
+    response::json(StatusCode::CONFLICT, &value)
 }
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -9,7 +9,7 @@
 use super::prefix::Change;
 
 /// Number of an event, from 1. A number that is missing is a gap.
-pub type Number = u64;
+pub type EventNumber = u64;
 
 /// Events that are kept.
 const KEPT: usize = 20_000;
@@ -30,7 +30,7 @@
 #[derive(Deserialize, Serialize)]
 pub struct Event {
     /// Its number.
-    pub n: Number,
+    pub n: EventNumber,
     /// What happened.
     pub kind: Kind,
     /// The hash of the block, as 16 hexadecimal digits.
@@ -41,13 +41,13 @@
 
 /// The events of an engine.
 #[derive(Debug)]
-pub struct Log {
+pub struct EventLog {
     delay: Duration,
-    next: Number,
+    next: EventNumber,
     events: VecDeque<(Moment, Event)>,
 }
 
-impl Log {
+impl EventLog {
     /// No events; each will be seen so late.
     pub fn new(delay: Duration) -> Self {
         Self {
@@ -82,7 +82,7 @@
     }
 
     /// The events from a number on that can be seen now, and the number to ask for next.
-    pub fn read(&self, now: Moment, from: Number) -> (Number, Vec<Event>) {
+    pub fn read(&self, now: Moment, from: EventNumber) -> (EventNumber, Vec<Event>) {
         let start = self.events.partition_point(|(_, event)| event.n < from);
         let seen = self.events.iter().skip(start);
         let seen = seen.take_while(|(visible, _)| *visible <= now);
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -16,10 +16,10 @@
 use super::stream::{End, Stream};
 use super::tokens::{self, Digest};
 use super::{completion, prefix};
-use crate::answer;
 use crate::client::{self, Failure};
 use crate::fault::lock;
-use crate::http::{Answer, Call};
+use crate::http::{HttpRequest, HttpResponse};
+use crate::response;
 
 /// Name of a prompt's KV at an engine.
 pub(super) type Handle = String;
@@ -80,13 +80,13 @@
 }
 
 /// Runs the prefill of a prompt and holds its KV.
-pub(super) async fn export(engine: &Arc<Engine>, call: &Call) -> Answer {
+pub(super) async fn export(engine: &Arc<Engine>, call: &HttpRequest) -> HttpResponse {
     let completion = match Completion::parse(&call.body) {
         Ok(completion) => Completion {
             max_tokens: 1,
             ..completion
         },
-        Err(error) => return answer::bad_request(&error.to_string()),
+        Err(error) => return response::bad_request(&error.to_string()),
     };
     if let Some(refusal) = completion::refusal(engine, &completion) {
         return refusal;
@@ -102,11 +102,11 @@
     let stream = Arc::new(Stream::new(Kind::Text, &completion, job.id, call));
     engine.submit(job, stream.clone());
     if stream.ended().await == End::Cut {
-        return answer::drop_connection();
+        return response::drop_connection();
     }
     let handle = lock(&engine.kv).hold(prompt);
     engine.hold();
-    answer::ok(&json!({
+    response::ok(&json!({
         "handle": handle,
         "tokens": prompt.tokens,
         "bytes": u64::from(prompt.tokens) * engine.options.kv_token_bytes,
@@ -114,13 +114,13 @@
     }))
 }
 
-fn prefill(engine: &Engine, call: &Call, completion: &Completion, prompt: &Prompt) -> Job {
+fn prefill(engine: &Engine, call: &HttpRequest, completion: &Completion, prompt: &Prompt) -> Job {
     Job {
         id: engine.new_job(),
         priority: completion::priority(call),
         prompt_tokens: prompt.tokens,
         output_tokens: completion.max_tokens,
-        blocks: prefix::chain(
+        blocks: prefix::block_hashes(
             &completion.model,
             &completion.prompt,
             engine.options.block_tokens,
@@ -130,13 +130,13 @@
 }
 
 /// Gives the KV to another engine and lets go of it.
-pub(super) fn fetch(engine: &Engine, handle: &str) -> Answer {
+pub(super) fn fetch(engine: &Engine, handle: &str) -> HttpResponse {
     let Some(prompt) = lock(&engine.kv).take(handle) else {
-        return answer::not_found();
+        return response::not_found();
     };
     engine.hold();
     let body = prompt.digest.to_be_bytes().repeat(prompt.tokens as usize);
-    answer::with_type(StatusCode::OK, "application/octet-stream", body)
+    response::with_content_type(StatusCode::OK, "application/octet-stream", body)
 }
 
 #[derive(Deserialize)]
@@ -146,14 +146,14 @@
 }
 
 /// Fetches KV from another engine and holds it.
-pub(super) async fn import(engine: &Arc<Engine>, call: &Call) -> Answer {
+pub(super) async fn import(engine: &Arc<Engine>, call: &HttpRequest) -> HttpResponse {
     let import: Import = match serde_json::from_slice(&call.body) {
         Ok(import) => import,
-        Err(error) => return answer::bad_request(&error.to_string()),
+        Err(error) => return response::bad_request(&error.to_string()),
     };
     let prompt = match transfer(&import).await {
         Ok(prompt) => prompt,
-        Err(error) => return answer::error(StatusCode::BAD_GATEWAY, &error.to_string()),
+        Err(error) => return response::error(StatusCode::BAD_GATEWAY, &error.to_string()),
     };
     let bytes = u64::from(prompt.tokens) * engine.options.kv_token_bytes;
     let duration = Duration::from_secs_f64(bytes as f64 / engine.options.kv_bandwidth as f64);
@@ -164,7 +164,7 @@
     }
     let handle = lock(&engine.kv).hold(prompt);
     engine.hold();
-    answer::ok(&json!({ "handle": handle, "tokens": prompt.tokens, "bytes": bytes }))
+    response::ok(&json!({ "handle": handle, "tokens": prompt.tokens, "bytes": bytes }))
 }
 
 async fn transfer(import: &Import) -> Result<Prompt, Report<Failure>> {
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -19,7 +19,7 @@
 mod time;
 pub mod tokens;
 
-pub use api::answer;
+pub use api::handle;
 pub use options::Options;
 pub use state::Engine;
 pub use switches::Switches;
--- a/crates/standin/src/engine/options.rs
+++ b/crates/standin/src/engine/options.rs
@@ -128,9 +128,9 @@
     /// The settings of the batch.
     pub fn settings(&self) -> Settings {
         Settings {
-            base: Duration::from_micros(self.base_us),
+            iteration_base: Duration::from_micros(self.base_us),
             prefill_token: Duration::from_micros(self.prefill_token_us),
-            sequence: Duration::from_micros(self.sequence_us),
+            decode_sequence: Duration::from_micros(self.sequence_us),
             token_budget: self.token_budget,
             max_running: self.max_running,
             kv_tokens: self.kv_tokens,
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -8,10 +8,10 @@
 use super::batch::Role;
 
 /// Name of an order: the offset of its intent in the log.
-pub type Id = u64;
+pub type OrderId = u64;
 
 /// Fencing token of who gives an order.
-pub type Fence = u64;
+pub type FencingToken = u64;
 
 /// Orders that are remembered for repeats.
 const KEPT: usize = 1024;
@@ -51,9 +51,9 @@
 #[derive(Deserialize, Serialize)]
 pub struct Order {
     /// Its name.
-    pub order: Id,
+    pub order: OrderId,
     /// The token of who gives it.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// What is ordered.
     #[serde(flatten)]
     pub kind: Kind,
@@ -77,40 +77,40 @@
 /// An order that the engine knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
-pub struct Known {
+pub struct OrderStatus {
     /// Its name.
-    pub order: Id,
+    pub order: OrderId,
     /// The token that it came with.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// How far it is.
     pub state: State,
 }
 
 /// What the engine says to an order or to its cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// It begins now.
     Begin,
     /// It is known already.
     Known(State),
     /// It comes from a holder that was replaced; the newest token is told.
-    OldFence(Fence),
+    OldFence(FencingToken),
     /// Another order runs.
-    Busy(Id),
+    Busy(OrderId),
 }
 
 /// The orders of an engine.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct OrderTable {
     checks_fence: bool,
-    fence: Fence,
-    orders: BTreeMap<Id, Known>,
-    last: Option<Id>,
+    fence: FencingToken,
+    orders: BTreeMap<OrderId, OrderStatus>,
+    last: Option<OrderId>,
     refused: u64,
     judged: u64,
 }
 
-impl Book {
+impl OrderTable {
     /// No orders yet. `checks_fence` says whether an old token is refused.
     pub fn new(checks_fence: bool) -> Self {
         Self {
@@ -124,7 +124,7 @@
     }
 
     /// The newest token seen.
-    pub fn fence(&self) -> Fence {
+    pub fn fence(&self) -> FencingToken {
         self.fence
     }
 
@@ -134,12 +134,12 @@
     }
 
     /// The order that began last.
-    pub fn last(&self) -> Option<Known> {
+    pub fn last(&self) -> Option<OrderStatus> {
         self.orders.get(&self.last?).copied()
     }
 
     /// The orders that began, by name.
-    pub fn begun(&self) -> impl Iterator<Item = &Known> {
+    pub fn begun(&self) -> impl Iterator<Item = &OrderStatus> {
         let orders = self.orders.values();
         orders.filter(|known| known.state != State::Cancelled)
     }
@@ -150,62 +150,62 @@
     }
 
     /// How many orders came, whatever became of them.
-    pub fn judged(&self) -> u64 {
+    pub fn submitted(&self) -> u64 {
         self.judged
     }
 
     /// The order that runs.
-    pub fn running(&self) -> Option<Known> {
+    pub fn running(&self) -> Option<OrderStatus> {
         self.last().filter(|known| known.state == State::Running)
     }
 
     /// Judges an order, and begins it if nothing speaks against it.
-    pub fn submit(&mut self, order: Id, fence: Fence) -> Verdict {
+    pub fn submit(&mut self, order: OrderId, fence: FencingToken) -> Decision {
         self.judged += 1;
         if let Some(known) = self.orders.get(&order) {
-            return Verdict::Known(known.state);
+            return Decision::Known(known.state);
         }
         if let Some(verdict) = self.refuse(fence) {
             return verdict;
         }
         if let Some(running) = self.running() {
-            return Verdict::Busy(running.order);
+            return Decision::Busy(running.order);
         }
         self.record(order, fence, State::Running);
         self.last = Some(order);
-        Verdict::Begin
+        Decision::Begin
     }
 
     /// Keeps an order from acting, unless it has begun; says how far it is.
-    pub fn cancel(&mut self, order: Id, fence: Fence) -> Verdict {
+    pub fn cancel(&mut self, order: OrderId, fence: FencingToken) -> Decision {
         if let Some(verdict) = self.refuse(fence) {
             return verdict;
         }
         if let Some(known) = self.orders.get(&order) {
-            return Verdict::Known(known.state);
+            return Decision::Known(known.state);
         }
         self.record(order, fence, State::Cancelled);
-        Verdict::Known(State::Cancelled)
+        Decision::Known(State::Cancelled)
     }
 
     /// Ends the order that runs.
-    pub fn finish(&mut self, order: Id, state: State) {
+    pub fn finish(&mut self, order: OrderId, state: State) {
         if let Some(known) = self.orders.get_mut(&order) {
             known.state = state;
         }
     }
 
-    fn refuse(&mut self, fence: Fence) -> Option<Verdict> {
+    fn refuse(&mut self, fence: FencingToken) -> Option<Decision> {
         if self.checks_fence && fence < self.fence {
             self.refused += 1;
-            return Some(Verdict::OldFence(self.fence));
+            return Some(Decision::OldFence(self.fence));
         }
         self.fence = self.fence.max(fence);
         None
     }
 
-    fn record(&mut self, order: Id, fence: Fence, state: State) {
-        let known = Known {
+    fn record(&mut self, order: OrderId, fence: FencingToken, state: State) {
+        let known = OrderStatus {
             order,
             fence,
             state,
--- a/crates/standin/src/engine/prefix.rs
+++ b/crates/standin/src/engine/prefix.rs
@@ -6,12 +6,12 @@
 use super::tokens::first_word;
 
 /// Name of a block: the hash of the whole prompt up to its end.
-pub type Hash = u64;
+pub type BlockHash = u64;
 
 /// The hashes of the full blocks of a prompt. The chain starts from the hash of the model's name,
 /// and each block adds its words joined by single spaces: `h = blake3(h' as 8 bytes || words)`, of
 /// which the first eight bytes count.
-pub fn chain(model: &str, prompt: &str, block_tokens: u32) -> Vec<Hash> {
+pub fn block_hashes(model: &str, prompt: &str, block_tokens: u32) -> Vec<BlockHash> {
     let block_tokens = block_tokens.max(1) as usize;
     let words = prompt.split_whitespace().collect::<Vec<_>>();
     let mut hash = first_word(&blake3::hash(model.as_bytes()));
@@ -31,14 +31,14 @@
     /// A block was stored; it ends the first `tokens` tokens of a prompt.
     Stored {
         /// Its name.
-        hash: Hash,
+        hash: BlockHash,
         /// Tokens of the prefix that it ends.
         tokens: u32,
     },
     /// A block was evicted.
     Evicted {
         /// Its name.
-        hash: Hash,
+        hash: BlockHash,
         /// Tokens of the prefix that it ended.
         tokens: u32,
     },
@@ -55,8 +55,8 @@
 pub struct Cache {
     block_tokens: u32,
     capacity: usize,
-    blocks: HashMap<Hash, Block>,
-    by_use: BTreeMap<u64, Hash>,
+    blocks: HashMap<BlockHash, Block>,
+    by_use: BTreeMap<u64, BlockHash>,
     uses: u64,
 }
 
@@ -74,15 +74,15 @@
     }
 
     /// Tokens of the longest cached prefix; its blocks count as used now.
-    pub fn lookup(&mut self, chain: &[Hash]) -> u32 {
-        let known = |hash: &&Hash| self.blocks.contains_key(hash);
+    pub fn lookup(&mut self, chain: &[BlockHash]) -> u32 {
+        let known = |hash: &&BlockHash| self.blocks.contains_key(hash);
         let hits = chain.iter().take_while(known).count();
         self.touch(&chain[..hits]);
         hits as u32 * self.block_tokens
     }
 
     /// Stores the blocks of a prompt and evicts what no longer fits.
-    pub fn store(&mut self, chain: &[Hash], changes: &mut Vec<Change>) {
+    pub fn store(&mut self, chain: &[BlockHash], changes: &mut Vec<Change>) {
         for (index, hash) in chain.iter().enumerate() {
             let tokens = (index as u32 + 1) * self.block_tokens;
             self.blocks.entry(*hash).or_insert_with(|| {
@@ -109,7 +109,7 @@
         }
     }
 
-    fn evict(&mut self, hash: Hash, changes: &mut Vec<Change>) {
+    fn evict(&mut self, hash: BlockHash, changes: &mut Vec<Change>) {
         if let Some(block) = self.blocks.remove(&hash) {
             let tokens = block.tokens;
             changes.push(Change::Evicted { hash, tokens });
@@ -118,7 +118,7 @@
 
     /// Marks blocks as used, the last one of a prompt first: a block is of no use once one before
     /// it is gone, so the end of a prompt has to be evicted before its start.
-    fn touch(&mut self, chain: &[Hash]) {
+    fn touch(&mut self, chain: &[BlockHash]) {
         for hash in chain.iter().rev() {
             let Some(block) = self.blocks.get_mut(hash) else {
                 continue;
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -11,11 +11,11 @@
 
 /// Past samples of the load.
 #[derive(Debug, Default)]
-pub struct History {
+pub struct LoadHistory {
     samples: VecDeque<(Moment, Load)>,
 }
 
-impl History {
+impl LoadHistory {
     /// Adds a sample.
     pub fn push(&mut self, now: Moment, load: Load) {
         self.samples.push_back((now, load));
@@ -26,7 +26,7 @@
 
     /// The newest sample that is at least as old as the lag, with its age. The oldest one stands
     /// in while there is none.
-    pub fn seen(&self, now: Moment, lag: Duration) -> (Duration, Load) {
+    pub fn lagged(&self, now: Moment, lag: Duration) -> (Duration, Load) {
         let visible = now.saturating_sub(lag);
         let old = self.samples.iter().rev().find(|(at, _)| *at <= visible);
         let seen = old.or(self.samples.front());
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -11,12 +11,12 @@
 use super::batch::{self, Batch, Input, Job, Load, Output, Role};
 use super::kv;
 use super::options::Options;
-use super::orders::{Book, Model};
+use super::orders::{Model, OrderTable};
 use super::stream::{Stream, Table};
 use super::switches::Switches;
 use super::time::Scale;
 use super::{Moment, events, report};
-use crate::fault::{Panel, lock};
+use crate::fault::{FaultSwitches, lock};
 
 /// Real time between samples of the load.
 const SAMPLE_EVERY: Duration = Duration::from_millis(20);
@@ -27,8 +27,8 @@
     batch: Batch,
     streams: HashMap<batch::Id, Arc<Stream>>,
     pub(super) role: Role,
-    pub(super) events: events::Log,
-    pub(super) reports: report::History,
+    pub(super) events: events::EventLog,
+    pub(super) reports: report::LoadHistory,
 }
 
 /// An engine.
@@ -37,10 +37,10 @@
     pub(super) options: Options,
     pub(super) scale: Scale,
     pub(super) incarnation: u64,
-    pub(super) panel: Panel<Switches>,
+    pub(super) panel: FaultSwitches<Switches>,
     pub(super) core: Mutex<Core>,
     pub(super) table: Mutex<Table>,
-    pub(super) book: Mutex<Book>,
+    pub(super) book: Mutex<OrderTable>,
     pub(super) models: Mutex<Vec<Model>>,
     pub(super) kv: Mutex<kv::Store>,
     /// The request before, for crossed answers.
@@ -60,16 +60,16 @@
             batch: Batch::new(options.settings(), options.role),
             streams: HashMap::new(),
             role: options.role,
-            events: events::Log::new(Duration::from_millis(options.event_delay_ms)),
-            reports: report::History::default(),
+            events: events::EventLog::new(Duration::from_millis(options.event_delay_ms)),
+            reports: report::LoadHistory::default(),
         };
         Arc::new(Self {
             scale: Scale::new(options.time_scale),
             incarnation: rand::random::<u32>().into(),
-            panel: Panel::new(options.seed),
+            panel: FaultSwitches::new(options.seed),
             core: Mutex::new(core),
             table: Mutex::new(Table::new(Duration::from_millis(options.keep_ms))),
-            book: Mutex::new(Book::new(!options.ignore_fence)),
+            book: Mutex::new(OrderTable::new(!options.ignore_fence)),
             models: Mutex::new(options.models.clone()),
             kv: Mutex::default(),
             previous: Mutex::default(),
@@ -154,13 +154,13 @@
     /// Tells the batch how much of its memory the KV handles take.
     pub(super) fn hold(&self) {
         let tokens = lock(&self.kv).tokens();
-        self.step(Input::Hold(tokens));
+        self.step(Input::SetHeldTokens(tokens));
     }
 
     /// Sets the pace to that of the fault switches.
     pub(super) fn pace(&self) {
         let slow = self.panel.get().slow.max(1.0);
-        self.step(Input::Pace((slow * 1000.0) as u32));
+        self.step(Input::SetSlowdown((slow * 1000.0) as u32));
     }
 
     fn sample(&self) {
@@ -182,7 +182,7 @@
         for output in outputs {
             self.hand_out(&mut core, now, &output);
         }
-        core.batch.next()
+        core.batch.next_output_at()
     }
 
     fn hand_out(&self, core: &mut Core, now: Moment, output: &Output) {
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -12,7 +12,7 @@
 use super::batch;
 use super::request::{Completion, Kind};
 use super::tokens::{self, Digest};
-use crate::http::Call;
+use crate::http::HttpRequest;
 
 /// Name of a stream, chosen by who asks for the completion.
 pub(super) type Id = String;
@@ -56,7 +56,12 @@
 impl Stream {
     /// A stream that has produced nothing. Its name and that of its request are taken from the
     /// headers, or chosen if they are missing.
-    pub(super) fn new(kind: Kind, completion: &Completion, job: batch::Id, call: &Call) -> Self {
+    pub(super) fn new(
+        kind: Kind,
+        completion: &Completion,
+        job: batch::Id,
+        call: &HttpRequest,
+    ) -> Self {
         let name = |header: &str| match call.header(header) {
             Some(name) if !name.is_empty() => name.to_owned(),
             _ => uuid::Uuid::new_v4().simple().to_string(),
--- a/crates/standin/src/engine/switches.rs
+++ b/crates/standin/src/engine/switches.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fault::{Outage, Times};
+use crate::fault::{FaultCount, Outage};
 
 /// What can go wrong with the engine. A countdown meets the next so many requests of its kind.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -14,31 +14,31 @@
     /// Iterations take so many times as long; 0 and 1 leave them as they are.
     pub slow: f64,
     /// Completions are run and never answered.
-    pub never_answer: Times,
+    pub never_answer: FaultCount,
     /// Completions are answered late, after they ran.
-    pub late: Times,
+    pub late: FaultCount,
     /// Milliseconds by which a late answer is late, in real time.
     pub late_ms: u64,
     /// Completions are answered with the id and the text of the request before.
-    pub crossed: Times,
+    pub crossed: FaultCount,
     /// Streams whose connection drops partway; the engine generates on and they can be resumed.
-    pub drop_streams: Times,
+    pub drop_streams: FaultCount,
     /// Streams that are lost partway, as in a crash that only they see: no resume finds them.
-    pub cut_streams: Times,
+    pub cut_streams: FaultCount,
     /// Streams at which the process exits partway.
-    pub exit_streams: Times,
+    pub exit_streams: FaultCount,
     /// How many events of such a stream are sent before.
     pub after_events: u32,
     /// Whole completions that are run, and then the connection drops.
-    pub drop_after: Times,
+    pub drop_after: FaultCount,
     /// Orders that fail in the end and leave the engine as it was.
-    pub fail_orders: Times,
+    pub fail_orders: FaultCount,
     /// Orders that never end.
-    pub stuck_orders: Times,
+    pub stuck_orders: FaultCount,
     /// Orders partway through which the process exits.
-    pub exit_orders: Times,
+    pub exit_orders: FaultCount,
     /// Orders whose answer is lost after they began.
-    pub lose_order_answers: Times,
+    pub lose_order_answers: FaultCount,
     /// Real milliseconds by which orders are late, before they are judged.
     pub order_delay_ms: u64,
     /// The load report is out.
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -9,12 +9,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-use crate::answer;
-use crate::http::{Answer, Call};
+use crate::http::{HttpRequest, HttpResponse};
+use crate::response;
 
 /// How many of the following requests a fault meets. It counts down to zero; a negative number
 /// means all of them.
-pub type Times = i64;
+pub type FaultCount = i64;
 
 /// Locks what a stand-in shares between its threads. A panic of another thread is no reason to
 /// stop here as well, since all state is changed in whole steps.
@@ -23,7 +23,7 @@
 }
 
 /// Uses up one time of a countdown and says whether the fault is due.
-pub fn take(times: &mut Times) -> bool {
+pub fn take_fault(times: &mut FaultCount) -> bool {
     let due = *times != 0;
     if *times > 0 {
         *times -= 1;
@@ -56,23 +56,23 @@
 
 impl Outage {
     /// Gives the answer of the outage, or nothing if there is none.
-    pub async fn answer(self) -> Option<Answer> {
+    pub async fn response(self) -> Option<HttpResponse> {
         match self {
             Outage::None => None,
-            Outage::Refuse => Some(answer::unavailable()),
-            Outage::Hang => Some(answer::silence().await),
+            Outage::Refuse => Some(response::unavailable()),
+            Outage::Hang => Some(response::never_respond().await),
         }
     }
 }
 
 /// The switches of a stand-in with the random numbers for those that are given as a fraction.
 #[derive(Debug)]
-pub struct Panel<T> {
+pub struct FaultSwitches<T> {
     switches: Mutex<T>,
     random: Mutex<StdRng>,
 }
 
-impl<T> Panel<T>
+impl<T> FaultSwitches<T>
 where
     T: Clone + Default + DeserializeOwned + Serialize,
 {
@@ -101,18 +101,18 @@
 
     /// Answers `/fault`: GET shows the switches, POST changes those that its JSON object names,
     /// DELETE puts all back. Unknown names are refused, and then nothing is changed.
-    pub fn answer(&self, call: &Call) -> Answer {
+    pub fn handle(&self, call: &HttpRequest) -> HttpResponse {
         match call.method {
             Method::GET => {}
             Method::POST => {
                 if let Err(error) = self.merge(&call.body) {
-                    return answer::bad_request(&error.to_string());
+                    return response::bad_request(&error.to_string());
                 }
             }
             Method::DELETE => *lock(&self.switches) = T::default(),
-            _ => return answer::not_found(),
+            _ => return response::not_found(),
         }
-        answer::ok(&self.get())
+        response::ok(&self.get())
     }
 
     fn merge(&self, body: &[u8]) -> serde_json::Result<()> {
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -15,10 +15,10 @@
 use clap::Args;
 use futures_util::StreamExt;
 
-use crate::answer;
+use crate::response;
 
 /// The whole answer to a request.
-pub type Answer = Response<BoxBody>;
+pub type HttpResponse = Response<BoxBody>;
 
 /// Bodies above this size are refused, so that a runaway client cannot use up the memory.
 const BODY_LIMIT: usize = 64 << 20;
@@ -46,7 +46,7 @@
 
 /// A request with its whole body.
 #[derive(Debug)]
-pub struct Call {
+pub struct HttpRequest {
     /// The method.
     pub method: Method,
     /// The path without the query.
@@ -59,14 +59,14 @@
     pub body: Bytes,
 }
 
-impl Call {
-    async fn read(mut request: Request) -> Result<Self, Answer> {
+impl HttpRequest {
+    async fn read(mut request: Request) -> Result<Self, HttpResponse> {
         let mut payload = request.take_payload();
         let mut body = BytesMut::new();
         while let Some(chunk) = payload.next().await {
-            let chunk = chunk.map_err(|error| answer::bad_request(&error.to_string()))?;
+            let chunk = chunk.map_err(|error| response::bad_request(&error.to_string()))?;
             if body.len() + chunk.len() > BODY_LIMIT {
-                return Err(answer::error(
+                return Err(response::error(
                     StatusCode::PAYLOAD_TOO_LARGE,
                     "body too large",
                 ));
@@ -89,7 +89,7 @@
     }
 
     /// A parameter of the query as it stands, not decoded.
-    pub fn parameter(&self, name: &str) -> Option<&str> {
+    pub fn query_parameter(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
             .filter_map(|pair| pair.split_once('='))
@@ -97,8 +97,8 @@
     }
 
     /// A whole number in the query; `None` if it is missing or no number.
-    pub fn number(&self, name: &str) -> Option<u64> {
-        self.parameter(name)?.parse().ok()
+    pub fn query_number(&self, name: &str) -> Option<u64> {
+        self.query_parameter(name)?.parse().ok()
     }
 
     /// The segments of the path.
@@ -112,7 +112,7 @@
 
 /// Starts logging to standard error: `info` unless `RUST_LOG` says otherwise. The server's own
 /// errors are left out, since it takes each connection that a fault drops for one.
-pub fn start_log() {
+pub fn init_logging() {
     let default = env_logger::Env::default().default_filter_or("info,actix_http=off");
     env_logger::init_from_env(default);
 }
@@ -124,8 +124,8 @@
 /// The address cannot be bound.
 pub fn start<H, F>(listen: &Listen, handler: H) -> io::Result<(Server, SocketAddr)>
 where
-    H: Fn(Call) -> F + Clone + Send + 'static,
-    F: Future<Output = Answer> + 'static,
+    H: Fn(HttpRequest) -> F + Clone + Send + 'static,
+    F: Future<Output = HttpResponse> + 'static,
 {
     let listener = TcpListener::bind(listen.listen)?;
     let address = listener.local_addr()?;
@@ -140,7 +140,7 @@
                 .finish(move |request: Request| {
                     let handler = handler.clone();
                     async move {
-                        let answer = match Call::read(request).await {
+                        let answer = match HttpRequest::read(request).await {
                             Ok(call) => handler(call).await,
                             Err(refusal) => refusal,
                         };
@@ -159,8 +159,8 @@
 /// The address cannot be bound, or the server failed.
 pub async fn serve<H, F>(listen: &Listen, handler: H) -> io::Result<()>
 where
-    H: Fn(Call) -> F + Clone + Send + 'static,
-    F: Future<Output = Answer> + 'static,
+    H: Fn(HttpRequest) -> F + Clone + Send + 'static,
+    F: Future<Output = HttpResponse> + 'static,
 {
     let (server, address) = start(listen, handler)?;
     let mut out = io::stdout();
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -3,10 +3,10 @@
 //! both ends of the pipeline and speak what [`docs/PLATFORM.md`](../../../docs/PLATFORM.md) says,
 //! where their options and faults are listed as well.
 
-pub mod answer;
 mod client;
 pub mod engine;
 pub mod fault;
 pub mod http;
 pub mod platform;
+pub mod response;
 pub mod service;
--- a/crates/standin/src/platform/instances.rs
+++ b/crates/standin/src/platform/instances.rs
@@ -60,7 +60,7 @@
 /// A version of the list.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
-pub struct Version {
+pub struct ListVersion {
     /// Grows by one with each change.
     pub version: u64,
     /// All instances by name.
@@ -71,8 +71,8 @@
 #[derive(Debug)]
 pub struct List {
     present: BTreeMap<Id, Instance>,
-    history: VecDeque<(Moment, Version)>,
-    frozen: Option<Version>,
+    history: VecDeque<(Moment, ListVersion)>,
+    frozen: Option<ListVersion>,
 }
 
 /// Versions that are kept for readers who lag.
@@ -83,7 +83,7 @@
     pub fn new() -> Self {
         Self {
             present: BTreeMap::new(),
-            history: VecDeque::from([(Moment::ZERO, Version::default())]),
+            history: VecDeque::from([(Moment::ZERO, ListVersion::default())]),
             frozen: None,
         }
     }
@@ -115,7 +115,7 @@
 
     /// What a reader sees with a given lag. While `freeze` holds it is what the first such reader
     /// saw.
-    pub fn seen(&mut self, now: Moment, lag: Duration, freeze: bool) -> Version {
+    pub fn lagged(&mut self, now: Moment, lag: Duration, freeze: bool) -> ListVersion {
         if !freeze {
             self.frozen = None;
         } else if let Some(frozen) = &self.frozen {
@@ -133,7 +133,7 @@
     fn commit(&mut self, now: Moment) {
         let version = self.history.back().map_or(0, |(_, last)| last.version) + 1;
         let instances = self.present.values().cloned().collect();
-        let next = Version { version, instances };
+        let next = ListVersion { version, instances };
         self.history.push_back((now, next));
         if self.history.len() > HISTORY {
             self.history.pop_front();
--- a/crates/standin/src/platform/log.rs
+++ b/crates/standin/src/platform/log.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Age at which a record is dropped.
-    pub age: Duration,
+    pub max_age: Duration,
     /// Most records kept; 0 sets no bound.
-    pub count: usize,
+    pub max_records: usize,
     /// Appends a second; 0 sets no bound.
-    pub rate: f64,
+    pub append_rate: f64,
 }
 
 /// A record with its offset.
@@ -61,7 +61,7 @@
             limits,
             first: 1,
             records: VecDeque::new(),
-            tokens: burst(limits.rate),
+            tokens: burst(limits.append_rate),
             refilled: Moment::ZERO,
         }
     }
@@ -103,12 +103,13 @@
     }
 
     fn admit(&mut self, now: Moment) -> bool {
-        if self.limits.rate <= 0.0 {
+        if self.limits.append_rate <= 0.0 {
             return true;
         }
         let passed = now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = now;
-        self.tokens = (self.tokens + passed * self.limits.rate).min(burst(self.limits.rate));
+        self.tokens =
+            (self.tokens + passed * self.limits.append_rate).min(burst(self.limits.append_rate));
         if self.tokens < 1.0 {
             return false;
         }
@@ -118,8 +119,9 @@
 
     fn expire(&mut self, now: Moment) {
         while let Some((written, _)) = self.records.front() {
-            let aged = now.saturating_sub(*written) > self.limits.age;
-            let crowded = self.limits.count > 0 && self.records.len() > self.limits.count;
+            let aged = now.saturating_sub(*written) > self.limits.max_age;
+            let crowded =
+                self.limits.max_records > 0 && self.records.len() > self.limits.max_records;
             if !aged && !crowded {
                 break;
             }
--- a/crates/standin/src/platform/switches.rs
+++ b/crates/standin/src/platform/switches.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fault::{Outage, Times};
+use crate::fault::{FaultCount, Outage};
 
 /// What can go wrong with the platform.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -24,7 +24,7 @@
     /// Milliseconds by which each read of the log is late.
     pub read_delay_ms: u64,
     /// The answers of the next so many appends are lost after the effect.
-    pub lose_answers: Times,
+    pub lose_answers: FaultCount,
     /// Fraction of appends whose answers are lost after the effect.
     pub lose_fraction: f64,
     /// A lost answer leaves the caller waiting instead of dropping the connection.
--- a/crates/standin/src/platform/weights.rs
+++ b/crates/standin/src/platform/weights.rs
@@ -15,7 +15,7 @@
 
 /// The store.
 #[derive(Debug)]
-pub struct Store {
+pub struct WeightStore {
     rate: u64,
     transfers: Arc<Semaphore>,
     free_at: Mutex<Instant>,
@@ -24,13 +24,13 @@
 /// The right to run one transfer; dropping it gives the place to the next.
 #[derive(Debug)]
 pub struct Transfer {
-    store: Arc<Store>,
+    store: Arc<WeightStore>,
     left: u64,
     slow: f64,
     _place: OwnedSemaphorePermit,
 }
 
-impl Store {
+impl WeightStore {
     /// A store that sends `rate` bytes a second over at most `transfers` transfers.
     pub fn new(rate: u64, transfers: usize) -> Self {
         Self {
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/response.rs
@@ -12,17 +12,17 @@
 use serde::Serialize;
 use serde_json::json;
 
-use crate::http::Answer;
+use crate::http::HttpResponse;
 
 /// How long a request that is never answered is held before its connection drops. Longer than any
 /// timeout of a client, yet it bounds the memory of a long trial.
 const SILENCE: Duration = Duration::from_secs(600);
 
 /// A JSON answer.
-pub fn json(status: StatusCode, value: &impl Serialize) -> Answer {
+pub fn json(status: StatusCode, value: &impl Serialize) -> HttpResponse {
     match serde_json::to_vec(value) {
-        Ok(body) => with_type(status, "application/json", body),
-        Err(error) => with_type(
+        Ok(body) => with_content_type(status, "application/json", body),
+        Err(error) => with_content_type(
             StatusCode::INTERNAL_SERVER_ERROR,
             "text/plain",
             error.to_string(),
@@ -31,38 +31,38 @@
 }
 
 /// A JSON answer with status 200.
-pub fn ok(value: &impl Serialize) -> Answer {
+pub fn ok(value: &impl Serialize) -> HttpResponse {
     json(StatusCode::OK, value)
 }
 
 /// An error with a text.
-pub fn error(status: StatusCode, text: &str) -> Answer {
+pub fn error(status: StatusCode, text: &str) -> HttpResponse {
     json(status, &json!({ "error": text }))
 }
 
 /// The request makes no sense, for the given reason.
-pub fn bad_request(text: &str) -> Answer {
+pub fn bad_request(text: &str) -> HttpResponse {
     error(StatusCode::BAD_REQUEST, text)
 }
 
 /// The path is unknown.
-pub fn not_found() -> Answer {
+pub fn not_found() -> HttpResponse {
     error(StatusCode::NOT_FOUND, "not found")
 }
 
 /// The service is out.
-pub fn unavailable() -> Answer {
+pub fn unavailable() -> HttpResponse {
     error(StatusCode::SERVICE_UNAVAILABLE, "out")
 }
 
 /// Too many requests; the caller may come back after a second.
-pub fn too_many() -> Answer {
+pub fn too_many_requests() -> HttpResponse {
     let answer = error(StatusCode::TOO_MANY_REQUESTS, "too many");
     with_header(answer, "retry-after", "1")
 }
 
 /// An answer with a body of a given type.
-pub fn with_type<B>(status: StatusCode, kind: &'static str, body: B) -> Answer
+pub fn with_content_type<B>(status: StatusCode, kind: &'static str, body: B) -> HttpResponse
 where
     B: MessageBody + 'static,
 {
@@ -74,7 +74,7 @@
 }
 
 /// Adds a header; a value that HTTP cannot carry is left out.
-pub fn with_header(mut answer: Answer, name: &'static str, value: &str) -> Answer {
+pub fn with_header(mut answer: HttpResponse, name: &'static str, value: &str) -> HttpResponse {
     if let Ok(value) = HeaderValue::from_str(value) {
         answer
             .headers_mut()
@@ -85,7 +85,7 @@
 
 /// Drops the connection without a byte of an answer. A body that fails at its first poll makes
 /// the server close the connection before the head of the answer was flushed.
-pub fn drop_connection() -> Answer {
+pub fn drop_connection() -> HttpResponse {
     let failure = stream::once(async { Err::<Bytes, _>(io::Error::other("fault: dropped")) });
     Response::with_body(
         StatusCode::OK,
@@ -94,7 +94,7 @@
 }
 
 /// Never answers; the connection drops in the end.
-pub async fn silence() -> Answer {
+pub async fn never_respond() -> HttpResponse {
     actix_rt::time::sleep(SILENCE).await;
     drop_connection()
 }
--- a/crates/standin/src/service/executions.rs
+++ b/crates/standin/src/service/executions.rs
@@ -23,7 +23,7 @@
 
 /// The names by which an execution is counted.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Names<'a> {
+pub struct ExecutionKeys<'a> {
     /// Its `x-request-id`.
     pub request: Option<&'a str>,
     /// Its `Idempotency-Key`.
@@ -34,7 +34,7 @@
 
 impl Executions {
     /// Counts an execution and gives how often its names were executed at most, with this one.
-    pub fn count(&mut self, names: Names<'_>) -> u64 {
+    pub fn count(&mut self, names: ExecutionKeys<'_>) -> u64 {
         self.total += 1;
         let counts = [
             bump(&mut self.by_request, names.request),
--- a/crates/standin/src/service/switches.rs
+++ b/crates/standin/src/service/switches.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fault::{Outage, Times};
+use crate::fault::{FaultCount, Outage};
 
 /// What can go wrong with the service. A countdown meets the next so many requests.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -12,17 +12,17 @@
     /// It is out and executes nothing.
     pub out: Outage,
     /// It drops the connection after executing and before answering.
-    pub drop_after: Times,
+    pub drop_after: FaultCount,
     /// Fraction of requests that it executes and then drops the connection.
     pub drop_fraction: f64,
     /// The process exits after executing and before answering.
-    pub exit_after: Times,
+    pub exit_after: FaultCount,
     /// It executes and never answers.
-    pub never_answer: Times,
+    pub never_answer: FaultCount,
     /// It drops the connection before executing.
-    pub drop_before: Times,
+    pub drop_before: FaultCount,
     /// It answers with the id of another request.
-    pub crossed: Times,
+    pub crossed: FaultCount,
     /// Milliseconds by which each answer is late, after the execution.
     pub delay_ms: u64,
 }
--- a/crates/standin/tests/batch.rs
+++ b/crates/standin/tests/batch.rs
@@ -8,15 +8,15 @@
 use rand::{RngExt, SeedableRng};
 use standin::engine::Moment;
 use standin::engine::batch::{Batch, Id, Input, Job, Output, Role, Settings};
-use standin::engine::prefix::chain;
+use standin::engine::prefix::block_hashes;
 
 const MS: Duration = Duration::from_millis(1);
 
 fn settings() -> Settings {
     Settings {
-        base: 10 * MS,
+        iteration_base: 10 * MS,
         prefill_token: MS,
-        sequence: 2 * MS,
+        decode_sequence: 2 * MS,
         token_budget: 100,
         max_running: 2,
         kv_tokens: 1000,
@@ -40,7 +40,7 @@
 /// Runs to the end and gives each job's tokens with the moment at which they came.
 fn run(batch: &mut Batch) -> Vec<(Moment, Id, u32)> {
     let mut tokens = Vec::new();
-    while let Some(next) = batch.next() {
+    while let Some(next) = batch.next_output_at() {
         for output in batch.step(next, Input::Advance) {
             if let Output::Progress { id, produced } = output {
                 tokens.push((next, id, produced));
@@ -101,7 +101,7 @@
     });
     let expected = stepwise.iter().map(|(_, id, produced)| (*id, *produced));
     assert!(progress.eq(expected));
-    assert_eq!(large.next(), None);
+    assert_eq!(large.next_output_at(), None);
 }
 
 #[test]
@@ -153,7 +153,7 @@
 #[test]
 fn kv_memory_bounds_admission() {
     let mut batch = Batch::new(settings(), Role::Mixed);
-    batch.step(Moment::ZERO, Input::Hold(500));
+    batch.step(Moment::ZERO, Input::SetHeldTokens(500));
     batch.step(Moment::ZERO, Input::Submit(job(1, 0, 300, 10)));
     batch.step(Moment::ZERO, Input::Submit(job(2, 0, 300, 10)));
     let load = batch.load();
@@ -184,7 +184,7 @@
     let mut batch = Batch::new(settings(), Role::Mixed);
     let prompt = |tail: &str| format!("a b c d e f g h {tail} {tail} {tail} {tail}");
     let with = |id, prompt: &str| Job {
-        blocks: chain("m", prompt, 4),
+        blocks: block_hashes("m", prompt, 4),
         ..job(id, 0, 12, 1)
     };
     let mut cached = Vec::new();
@@ -213,7 +213,7 @@
 fn a_slowed_engine_takes_longer_from_its_next_iteration_on() {
     let mut batch = Batch::new(settings(), Role::Mixed);
     batch.step(Moment::ZERO, Input::Submit(job(1, 0, 10, 2)));
-    batch.step(MS, Input::Pace(3000));
+    batch.step(MS, Input::SetSlowdown(3000));
     assert_eq!(run(&mut batch), [(20 * MS, 1, 1), (56 * MS, 1, 2)]);
 }
 
--- a/crates/standin/tests/http/common.rs
+++ b/crates/standin/tests/http/common.rs
@@ -34,7 +34,7 @@
     let options = platform::Options::parse_from(["standin-platform"].iter().chain(options));
     let listen = options.listen.clone();
     let platform = Platform::new(options);
-    let handler = move |call| platform.clone().answer(call);
+    let handler = move |call| platform.clone().handle(call);
     let (server, address) = http::start(&listen, handler).unwrap();
     actix_rt::spawn(server);
     address
@@ -45,7 +45,7 @@
     let options = service::Options::parse_from(["standin-service"]);
     let listen = options.listen.clone();
     let service = Service::new(options);
-    let handler = move |call| service.clone().answer(call);
+    let handler = move |call| service.clone().handle(call);
     let (server, address) = http::start(&listen, handler).unwrap();
     actix_rt::spawn(server);
     address
@@ -57,7 +57,7 @@
     let listen = options.listen.clone();
     let engine = Engine::new(options);
     actix_rt::spawn(Arc::clone(&engine).run());
-    let handler = move |call| engine::answer(engine.clone(), call);
+    let handler = move |call| engine::handle(engine.clone(), call);
     let (server, address) = http::start(&listen, handler).unwrap();
     actix_rt::spawn(server);
     address
--- a/crates/standin/tests/pure.rs
+++ b/crates/standin/tests/pure.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use standin::engine::batch::Load;
 use standin::engine::events;
-use standin::engine::orders::{Book, State, Verdict};
-use standin::engine::prefix::{Cache, Change, chain};
-use standin::engine::report::History;
+use standin::engine::orders::{Decision, OrderTable, State};
+use standin::engine::prefix::{Cache, Change, block_hashes};
+use standin::engine::report::LoadHistory;
 use standin::engine::{chat_prompt, expected_text, token};
 use standin::platform::instances::{Instance, Kind, List};
 use standin::platform::log::{Limits, Log, Page};
@@ -31,20 +31,23 @@
 
 #[test]
 fn a_chain_covers_everything_before_its_block() {
-    let one = chain("m", "a b c d e f g", 2);
-    let other = chain("m", "a b x d e f", 2);
+    let one = block_hashes("m", "a b c d e f g", 2);
+    let other = block_hashes("m", "a b x d e f", 2);
     assert_eq!(one.len(), 3);
     assert_eq!(one[0], other[0]);
     assert_ne!(one[1], other[1]);
     assert_ne!(one[2], other[2]);
-    assert_ne!(one[0], chain("n", "a b", 2)[0]);
-    assert_eq!(one, chain("m", "a  b\nc d e f", 2));
+    assert_ne!(one[0], block_hashes("n", "a b", 2)[0]);
+    assert_eq!(one, block_hashes("m", "a  b\nc d e f", 2));
 }
 
 #[test]
 fn the_cache_evicts_the_end_of_the_oldest_prompt_first() {
     let mut cache = Cache::new(2, 6);
-    let (old, new) = (chain("m", "a b c d", 2), chain("m", "v w x y", 2));
+    let (old, new) = (
+        block_hashes("m", "a b c d", 2),
+        block_hashes("m", "v w x y", 2),
+    );
     let mut changes = Vec::new();
     cache.store(&old, &mut changes);
     cache.store(&new, &mut changes);
@@ -57,41 +60,41 @@
 
 #[test]
 fn an_old_fence_is_refused_and_a_repeat_has_no_second_effect() {
-    let mut book = Book::new(true);
-    assert_eq!(book.submit(31, 12), Verdict::Begin);
-    assert_eq!(book.submit(31, 12), Verdict::Known(State::Running));
-    assert_eq!(book.submit(32, 13), Verdict::Busy(31));
+    let mut book = OrderTable::new(true);
+    assert_eq!(book.submit(31, 12), Decision::Begin);
+    assert_eq!(book.submit(31, 12), Decision::Known(State::Running));
+    assert_eq!(book.submit(32, 13), Decision::Busy(31));
     // The refused order has told of the newer holder already.
-    assert_eq!(book.submit(33, 12), Verdict::OldFence(13));
+    assert_eq!(book.submit(33, 12), Decision::OldFence(13));
     book.finish(31, State::Done);
-    assert_eq!(book.submit(31, 12), Verdict::Known(State::Done));
-    assert_eq!(book.submit(32, 13), Verdict::Begin);
+    assert_eq!(book.submit(31, 12), Decision::Known(State::Done));
+    assert_eq!(book.submit(32, 13), Decision::Begin);
     assert_matches!(book.running(), Some(known) if known.order == 32);
 }
 
 #[test]
 fn an_engine_that_ignores_fences_obeys_an_old_holder() {
-    let mut book = Book::new(false);
-    assert_eq!(book.submit(32, 13), Verdict::Begin);
+    let mut book = OrderTable::new(false);
+    assert_eq!(book.submit(32, 13), Decision::Begin);
     book.finish(32, State::Done);
-    assert_eq!(book.submit(31, 12), Verdict::Begin);
+    assert_eq!(book.submit(31, 12), Decision::Begin);
     assert_eq!(book.fence(), 13);
 }
 
 #[test]
 fn a_cancelled_order_never_begins() {
-    let mut book = Book::new(true);
-    assert_eq!(book.cancel(31, 12), Verdict::Known(State::Cancelled));
-    assert_eq!(book.submit(31, 12), Verdict::Known(State::Cancelled));
-    assert_eq!(book.submit(32, 12), Verdict::Begin);
-    assert_eq!(book.cancel(32, 12), Verdict::Known(State::Running));
-    assert_eq!(book.cancel(33, 11), Verdict::OldFence(12));
+    let mut book = OrderTable::new(true);
+    assert_eq!(book.cancel(31, 12), Decision::Known(State::Cancelled));
+    assert_eq!(book.submit(31, 12), Decision::Known(State::Cancelled));
+    assert_eq!(book.submit(32, 12), Decision::Begin);
+    assert_eq!(book.cancel(32, 12), Decision::Known(State::Running));
+    assert_eq!(book.cancel(33, 11), Decision::OldFence(12));
     assert_matches!(book.running(), Some(known) if known.order == 32);
 }
 
 #[test]
 fn cache_events_come_late_and_with_gaps() {
-    let mut log = events::Log::new(SECOND);
+    let mut log = events::EventLog::new(SECOND);
     let stored = |hash| Change::Stored { hash, tokens: 16 };
     log.push(Duration::ZERO, stored(1), false);
     log.push(Duration::ZERO, stored(2), true);
@@ -106,7 +109,7 @@
 
 #[test]
 fn a_load_report_is_as_old_as_its_lag() {
-    let mut history = History::default();
+    let mut history = LoadHistory::default();
     for running in 0..5 {
         let load = Load {
             running,
@@ -114,16 +117,16 @@
         };
         history.push(running as u32 * SECOND, load);
     }
-    let (age, load) = history.seen(4 * SECOND + SECOND / 2, 2 * SECOND);
+    let (age, load) = history.lagged(4 * SECOND + SECOND / 2, 2 * SECOND);
     assert_eq!((age, load.running), (2 * SECOND + SECOND / 2, 2));
-    assert_eq!(history.seen(4 * SECOND, 9 * SECOND).1.running, 0);
+    assert_eq!(history.lagged(4 * SECOND, 9 * SECOND).1.running, 0);
 }
 
 fn limits() -> Limits {
     Limits {
-        age: 10 * SECOND,
-        count: 0,
-        rate: 0.0,
+        max_age: 10 * SECOND,
+        max_records: 0,
+        append_rate: 0.0,
     }
 }
 
@@ -149,8 +152,8 @@
 #[test]
 fn the_log_retains_by_count_and_bounds_the_rate() {
     let mut log = Log::new(Limits {
-        count: 3,
-        rate: 40.0,
+        max_records: 3,
+        append_rate: 40.0,
         ..limits()
     });
     let burst = (0..15).filter_map(|_| log.append(SECOND, Bytes::new()));
@@ -177,9 +180,9 @@
     assert!(list.leave(2 * SECOND, "engine-1"));
     assert!(list.remove(3 * SECOND, "engine-1"));
     assert!(!list.remove(3 * SECOND, "engine-1"));
-    let versions = (0..6).map(|now| list.seen(now * SECOND, 2 * SECOND, false).version);
+    let versions = (0..6).map(|now| list.lagged(now * SECOND, 2 * SECOND, false).version);
     assert_eq!(versions.collect::<Vec<_>>(), [0, 0, 0, 1, 2, 3]);
-    assert_eq!(list.seen(3 * SECOND, 2 * SECOND, true).version, 1);
-    assert_eq!(list.seen(9 * SECOND, 2 * SECOND, true).version, 1);
-    assert_eq!(list.seen(9 * SECOND, 2 * SECOND, false).version, 3);
+    assert_eq!(list.lagged(3 * SECOND, 2 * SECOND, true).version, 1);
+    assert_eq!(list.lagged(9 * SECOND, 2 * SECOND, true).version, 1);
+    assert_eq!(list.lagged(9 * SECOND, 2 * SECOND, false).version, 3);
 }
