--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The resources of `standin-platform`.
+//! HTTP interface of `standin-platform`.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -20,39 +20,39 @@
 use crate::http::{HttpRequest, HttpResponse};
 use crate::response;
 
-/// Records of a page when the caller names no number.
-const PAGE: u64 = 1000;
+/// Records per page unless the request sets `max`.
+const DEFAULT_PAGE_RECORDS: u64 = 1000;
 
-/// Longest wait of a read.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Upper bound of `wait_ms` of a read.
+const MAX_READ_WAIT: Duration = Duration::from_secs(60);
 
-/// All state of the process, shared by its connections.
+/// State of the process, shared by all connections.
 #[derive(Debug)]
 pub struct Platform {
     options: Options,
     start: Instant,
     log: Mutex<Log>,
-    next: watch::Sender<Offset>,
+    next_offset: watch::Sender<Offset>,
     instances: Mutex<List>,
     weights: Arc<WeightStore>,
-    panel: FaultSwitches<Switches>,
+    faults: FaultSwitches<Switches>,
 }
 
 #[derive(Serialize)]
-struct Row {
+struct EncodedRecord {
     offset: Offset,
     data: String,
 }
 
 #[derive(Serialize)]
-struct Rows {
+struct EncodedPage {
     first: Offset,
     next: Offset,
-    records: Vec<Row>,
+    records: Vec<EncodedRecord>,
 }
 
 impl Platform {
-    /// An empty platform.
+    /// Creates a platform with an empty log and instance list.
     pub fn new(options: Options) -> Arc<Self> {
         let limits = Limits {
             max_age: Duration::from_secs_f64(options.retention_s),
@@ -62,26 +62,26 @@
         Arc::new(Self {
             start: Instant::now(),
             log: Mutex::new(Log::new(limits)),
-            next: watch::Sender::new(1),
+            next_offset: watch::Sender::new(1),
             instances: Mutex::default(),
             weights: Arc::new(WeightStore::new(
                 options.weight_rate,
                 options.weight_transfers,
             )),
-            panel: FaultSwitches::new(options.seed),
+            faults: FaultSwitches::new(options.seed),
             options,
         })
     }
 
-    /// Answers a request.
-    pub async fn handle(self: Arc<Self>, call: HttpRequest) -> HttpResponse {
-        let segments = call.segments();
-        match (call.method.as_str(), segments.as_slice()) {
-            (_, ["fault"]) => self.panel.handle(&call),
-            ("POST", ["log", "append"]) => self.append(&call).await,
-            ("GET", ["log", "read"]) => self.read(&call).await,
-            (_, ["instances", ..]) => self.instances(&call, &segments[1..]).await,
-            ("GET", ["weights", _model, _version]) => self.weights(&call).await,
+    /// Handles a request.
+    pub async fn handle(self: Arc<Self>, request: HttpRequest) -> HttpResponse {
+        let segments = request.segments();
+        match (request.method.as_str(), segments.as_slice()) {
+            (_, ["fault"]) => self.faults.handle(&request),
+            ("POST", ["log", "append"]) => self.append(&request).await,
+            ("GET", ["log", "read"]) => self.read(&request).await,
+            (_, ["instances", ..]) => self.instances(&request, &segments[1..]).await,
+            ("GET", ["weights", _model, _version]) => self.weights(&request).await,
             _ => response::not_found(),
         }
     }
@@ -90,16 +90,16 @@
         self.start.elapsed()
     }
 
-    async fn append(&self, call: &HttpRequest) -> HttpResponse {
-        let switches = self.panel.get();
+    async fn append(&self, request: &HttpRequest) -> HttpResponse {
+        let switches = self.faults.get();
         if let Some(out) = switches.append.response().await {
             return out;
         }
         sleep_ms(self.options.append_ms + switches.append_delay_ms).await;
         let appended = {
             let mut log = lock(&self.log);
-            let appended = log.append(self.now(), call.body.clone());
-            self.next.send_replace(log.next());
+            let appended = log.append(self.now(), request.body.clone());
+            self.next_offset.send_replace(log.next());
             appended
         };
         let Some(offset) = appended else {
@@ -107,10 +107,10 @@
         };
         sleep_ms(switches.append_answer_delay_ms).await;
         let counted = self
-            .panel
+            .faults
             .update(|switches| take_fault(&mut switches.lose_answers));
-        if counted || self.panel.chance(switches.lose_fraction) {
-            log::info!(offset; "fault: the answer to an append is lost");
+        if counted || self.faults.chance(switches.lose_fraction) {
+            log::info!(offset; "fault: response to an append dropped");
             return match switches.lose_silently {
                 true => response::never_respond().await,
                 false => response::drop_connection(),
@@ -119,21 +119,21 @@
         response::ok(&json!({ "offset": offset }))
     }
 
-    async fn read(&self, call: &HttpRequest) -> HttpResponse {
-        let switches = self.panel.get();
+    async fn read(&self, request: &HttpRequest) -> HttpResponse {
+        let switches = self.faults.get();
         if let Some(out) = switches.read.response().await {
             return out;
         }
         sleep_ms(switches.read_delay_ms).await;
-        let from = call.query_number("from").unwrap_or(1);
-        let max = call.query_number("max").unwrap_or(PAGE) as usize;
+        let from = request.query_number("from").unwrap_or(1);
+        let max = request.query_number("max").unwrap_or(DEFAULT_PAGE_RECORDS) as usize;
         let wait =
-            Duration::from_millis(call.query_number("wait_ms").unwrap_or(0)).min(LONGEST_WAIT);
-        let mut next = self.next.subscribe();
-        // The outcome of the wait does not matter: a page without records tells that it timed out.
+            Duration::from_millis(request.query_number("wait_ms").unwrap_or(0)).min(MAX_READ_WAIT);
+        let mut next = self.next_offset.subscribe();
+        // A timeout needs no handling: it shows as a page without records.
         let _ = timeout(wait, next.wait_for(|next| *next > from)).await;
-        // An outage that began during the wait holds for this answer as well.
-        if let Some(out) = self.panel.get().read.response().await {
+        // An outage that began during the wait applies to this response too.
+        if let Some(out) = self.faults.get().read.response().await {
             return out;
         }
         let mut log = lock(&self.log);
@@ -144,12 +144,12 @@
                 response::json(StatusCode::GONE, &json!({ "first": first, "next": next }))
             }
             Page::Records(records) => {
-                let records = records.into_iter().map(|record| Row {
+                let records = records.into_iter().map(|record| EncodedRecord {
                     offset: record.offset,
                     data: STANDARD.encode(&record.data),
                 });
                 let records = records.collect();
-                response::ok(&Rows {
+                response::ok(&EncodedPage {
                     first,
                     next,
                     records,
@@ -158,16 +158,16 @@
         }
     }
 
-    async fn instances(&self, call: &HttpRequest, path: &[&str]) -> HttpResponse {
-        let switches = self.panel.get();
-        if call.method == Method::GET
+    async fn instances(&self, request: &HttpRequest, path: &[&str]) -> HttpResponse {
+        let switches = self.faults.get();
+        if request.method == Method::GET
             && let Some(out) = switches.instances.response().await
         {
             return out;
         }
         let now = self.now();
         let mut list = lock(&self.instances);
-        let done = match (call.method.as_str(), path) {
+        let done = match (request.method.as_str(), path) {
             ("GET", []) => {
                 let lag = switches
                     .instance_lag_ms
@@ -175,7 +175,7 @@
                 let lag = Duration::from_millis(lag);
                 return response::ok(&list.lagged(now, lag, switches.freeze_instances));
             }
-            ("POST", []) => match serde_json::from_slice::<Instance>(&call.body) {
+            ("POST", []) => match serde_json::from_slice::<Instance>(&request.body) {
                 Ok(instance) => {
                     list.register(now, instance);
                     true
@@ -192,12 +192,12 @@
         }
     }
 
-    async fn weights(&self, call: &HttpRequest) -> HttpResponse {
-        let switches = self.panel.get();
+    async fn weights(&self, request: &HttpRequest) -> HttpResponse {
+        let switches = self.faults.get();
         if let Some(out) = switches.weights.response().await {
             return out;
         }
-        let bytes = match call.query_parameter("adapter") {
+        let bytes = match request.query_parameter("adapter") {
             Some(name) if !name.is_empty() => self.options.adapter_bytes,
             _ => self.options.weight_bytes,
         };
--- a/crates/standin/src/platform/instances.rs
+++ b/crates/standin/src/platform/instances.rs
@@ -1,5 +1,5 @@
-//! The instance list as pure state: a history of versions, of which readers see one that is old
-//! by the lag. Time is passed in.
+//! The instance list without I/O: a history of versions, of which readers get the one that was
+//! current one lag ago. Time is passed in.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,10 +8,10 @@
 
 use super::log::Moment;
 
-/// Name of an instance.
+/// Id of an instance.
 pub type Id = String;
 
-/// What an instance is.
+/// Kind of an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
@@ -24,65 +24,65 @@
     Service,
 }
 
-/// Whether an instance stays.
+/// Whether an instance is about to be removed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It is in use.
+    /// In use.
     #[default]
     Live,
-    /// It will be removed.
+    /// About to be removed.
     Leaving,
 }
 
-/// An instance of the list.
+/// An entry of the instance list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
-    /// Its name.
+    /// Unique id.
     pub id: Id,
-    /// What it is.
+    /// Kind of instance.
     pub kind: Kind,
-    /// Its pool; empty for an entry.
+    /// Pool; empty for a `tarragon-entry`.
     #[serde(default)]
     pub pool: String,
-    /// Where it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: String,
-    /// Whether it stays.
+    /// Whether it is about to be removed.
     #[serde(default)]
     pub state: State,
 }
 
-/// A version of the list.
+/// One version of the instance list.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub struct ListVersion {
-    /// Grows by one with each change.
+    /// Version number; each change adds one.
     pub version: u64,
-    /// All instances by name.
+    /// All instances, sorted by id.
     pub instances: Vec<Instance>,
 }
 
-/// The list with as much of its history as a reader may still see.
+/// The instance list with the versions that lagging readers may still get.
 #[derive(Debug)]
 pub struct List {
-    present: BTreeMap<Id, Instance>,
+    current: BTreeMap<Id, Instance>,
     history: VecDeque<(Moment, ListVersion)>,
     frozen: Option<ListVersion>,
 }
 
-/// Versions that are kept for readers who lag.
-const HISTORY: usize = 4096;
+/// Versions kept for lagging readers.
+const MAX_VERSIONS: usize = 4096;
 
 impl List {
-    /// An empty list of version 0.
+    /// Creates an empty list, version 0.
     pub fn new() -> Self {
         Self {
-            present: BTreeMap::new(),
+            current: BTreeMap::new(),
             history: VecDeque::from([(Moment::ZERO, ListVersion::default())]),
             frozen: None,
         }
@@ -90,13 +90,13 @@
 
     /// Adds or replaces an instance.
     pub fn register(&mut self, now: Moment, instance: Instance) {
-        self.present.insert(instance.id.clone(), instance);
+        self.current.insert(instance.id.clone(), instance);
         self.commit(now);
     }
 
-    /// Marks an instance as leaving; false if it is unknown.
+    /// Marks an instance as leaving; returns false if it is unknown.
     pub fn leave(&mut self, now: Moment, id: &str) -> bool {
-        let Some(instance) = self.present.get_mut(id) else {
+        let Some(instance) = self.current.get_mut(id) else {
             return false;
         };
         instance.state = State::Leaving;
@@ -104,38 +104,40 @@
         true
     }
 
-    /// Removes an instance; false if it is unknown.
+    /// Removes an instance; returns false if it is unknown.
     pub fn remove(&mut self, now: Moment, id: &str) -> bool {
-        let known = self.present.remove(id).is_some();
+        let known = self.current.remove(id).is_some();
         if known {
             self.commit(now);
         }
         known
     }
 
-    /// What a reader sees with a given lag. While `freeze` holds it is what the first such reader
-    /// saw.
+    /// Returns the version that was current `lag` ago. While `freeze` is set, returns the version
+    /// that the first read with `freeze` got.
     pub fn lagged(&mut self, now: Moment, lag: Duration, freeze: bool) -> ListVersion {
         if !freeze {
             self.frozen = None;
         } else if let Some(frozen) = &self.frozen {
             return frozen.clone();
         }
-        let visible = now.saturating_sub(lag);
-        let seen = self.history.iter().rev().find(|(at, _)| *at <= visible);
-        let seen = seen.map(|(_, version)| version.clone()).unwrap_or_default();
+        let read_at = now.saturating_sub(lag);
+        let visible = self.history.iter().rev().find(|(at, _)| *at <= read_at);
+        let visible = visible
+            .map(|(_, version)| version.clone())
+            .unwrap_or_default();
         if freeze {
-            self.frozen = Some(seen.clone());
+            self.frozen = Some(visible.clone());
         }
-        seen
+        visible
     }
 
     fn commit(&mut self, now: Moment) {
         let version = self.history.back().map_or(0, |(_, last)| last.version) + 1;
-        let instances = self.present.values().cloned().collect();
+        let instances = self.current.values().cloned().collect();
         let next = ListVersion { version, instances };
         self.history.push_back((now, next));
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_VERSIONS {
             self.history.pop_front();
         }
     }
--- a/crates/standin/src/platform/log.rs
+++ b/crates/standin/src/platform/log.rs
@@ -1,5 +1,5 @@
-//! The append-only log as pure state: offsets from 1, retention by age and count, a bounded rate
-//! of appends. Time is passed in.
+//! The append-only log without I/O: offsets from 1, retention by age and count, rate-limited
+//! appends. Time is passed in.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,35 +12,35 @@
 /// Time since the start of the process.
 pub type Moment = Duration;
 
-/// The rate of appends is judged over this time: a burst of as many appends as fit in is taken.
-const BURST: Duration = Duration::from_millis(250);
+/// The token bucket of the append rate holds the appends of this time span.
+const BURST_WINDOW: Duration = Duration::from_millis(250);
 
-/// What the log keeps and takes.
+/// Retention and append rate of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Age at which a record is dropped.
+    /// Age above which a record is dropped.
     pub max_age: Duration,
-    /// Most records kept; 0 sets no bound.
+    /// Maximum number of records kept; 0 for no limit.
     pub max_records: usize,
-    /// Appends a second; 0 sets no bound.
+    /// Appends per second; 0 for no limit.
     pub append_rate: f64,
 }
 
 /// A record with its offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Record {
-    /// Its position.
+    /// Offset of the record.
     pub offset: Offset,
-    /// What was appended.
+    /// The appended bytes.
     pub data: Bytes,
 }
 
-/// The outcome of a read.
+/// Result of a read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Page {
-    /// The records at and after the offset asked for, possibly none.
+    /// The records from the requested offset on, possibly none.
     Records(Vec<Record>),
-    /// The offset is before the first one retained.
+    /// The requested offset is no longer retained.
     Gone,
 }
 
@@ -61,22 +61,22 @@
             limits,
             first: 1,
             records: VecDeque::new(),
-            tokens: burst(limits.append_rate),
+            tokens: burst_size(limits.append_rate),
             refilled: Moment::ZERO,
         }
     }
 
-    /// The first offset that is retained.
+    /// Returns the first retained offset.
     pub fn first(&self) -> Offset {
         self.first
     }
 
-    /// The offset of the next append.
+    /// Returns the offset of the next append.
     pub fn next(&self) -> Offset {
         self.first + self.records.len() as Offset
     }
 
-    /// Appends a record, unless the rate is used up.
+    /// Appends a record; returns `None` if the rate limit is exceeded.
     pub fn append(&mut self, now: Moment, data: Bytes) -> Option<Offset> {
         if !self.admit(now) {
             return None;
@@ -87,7 +87,7 @@
         Some(offset)
     }
 
-    /// The records from an offset on, at most so many.
+    /// Reads at most `max` records from the offset `from` on.
     pub fn read(&mut self, now: Moment, from: Offset, max: usize) -> Page {
         self.expire(now);
         if from < self.first {
@@ -108,8 +108,8 @@
         }
         let passed = now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = now;
-        self.tokens =
-            (self.tokens + passed * self.limits.append_rate).min(burst(self.limits.append_rate));
+        self.tokens = (self.tokens + passed * self.limits.append_rate)
+            .min(burst_size(self.limits.append_rate));
         if self.tokens < 1.0 {
             return false;
         }
@@ -119,10 +119,10 @@
 
     fn expire(&mut self, now: Moment) {
         while let Some((written, _)) = self.records.front() {
-            let aged = now.saturating_sub(*written) > self.limits.max_age;
-            let crowded =
+            let expired = now.saturating_sub(*written) > self.limits.max_age;
+            let over_count =
                 self.limits.max_records > 0 && self.records.len() > self.limits.max_records;
-            if !aged && !crowded {
+            if !expired && !over_count {
                 break;
             }
             self.records.pop_front();
@@ -131,6 +131,6 @@
     }
 }
 
-fn burst(rate: f64) -> f64 {
-    (rate * BURST.as_secs_f64()).max(1.0)
+fn burst_size(rate: f64) -> f64 {
+    (rate * BURST_WINDOW.as_secs_f64()).max(1.0)
 }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: the append-only log, the lagging instance list and the rate-limited
+//! The platform emulator: an append-only log, an instance list with read lag and a rate-limited
 //! weight store behind one address.
 
 mod api;
--- a/crates/standin/src/platform/options.rs
+++ b/crates/standin/src/platform/options.rs
@@ -4,24 +4,24 @@
 
 use crate::http::Listen;
 
-/// The platform's log, instance list and weight store, for trials and tests.
+/// Emulates the platform's log, instance list and weight store, for tests and measurements.
 #[derive(Clone, Debug)]
 #[derive(Parser)]
 #[command(name = "standin-platform", version)]
 pub struct Options {
-    /// Where to listen.
+    /// Listener options.
     #[command(flatten)]
     pub listen: Listen,
 
-    /// Seconds that a record of the log is kept.
+    /// Seconds for which the log keeps a record.
     #[arg(long, default_value_t = 3600.0)]
     pub retention_s: f64,
 
-    /// Most records that the log keeps; 0 sets no such bound.
+    /// Maximum number of records that the log keeps; 0 for no limit.
     #[arg(long, default_value_t = 0)]
     pub retention_count: usize,
 
-    /// Appends a second that the log takes; 0 sets no such bound.
+    /// Appends per second that the log accepts; 0 for no limit.
     #[arg(long, default_value_t = 400.0)]
     pub append_rate: f64,
 
@@ -33,23 +33,23 @@
     #[arg(long, default_value_t = 0)]
     pub instance_lag_ms: u64,
 
-    /// Bytes a second that the weight store sends, over all transfers.
+    /// Bytes per second that the weight store sends, over all transfers.
     #[arg(long, default_value_t = 100_000_000)]
     pub weight_rate: u64,
 
-    /// Bytes of the weights of a model.
+    /// Size of a model's weights, in bytes.
     #[arg(long, default_value_t = 10_000_000)]
     pub weight_bytes: u64,
 
-    /// Bytes of the weights of an adapter.
+    /// Size of an adapter's weights, in bytes.
     #[arg(long, default_value_t = 1_000_000)]
     pub adapter_bytes: u64,
 
-    /// Transfers that the weight store runs at once.
+    /// Concurrent transfers of the weight store.
     #[arg(long, default_value_t = 4)]
     pub weight_transfers: usize,
 
-    /// Seed of the faults that are given as a fraction.
+    /// Seed for faults given as a fraction.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
--- a/crates/standin/src/platform/switches.rs
+++ b/crates/standin/src/platform/switches.rs
@@ -4,35 +4,35 @@
 
 use crate::fault::{FaultCount, Outage};
 
-/// What can go wrong with the platform.
+/// Faults of the platform.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Switches {
-    /// Appends are out.
+    /// Outage of appends.
     pub append: Outage,
-    /// Reads of the log are out.
+    /// Outage of reads of the log.
     pub read: Outage,
-    /// The instance list is out.
+    /// Outage of the instance list.
     pub instances: Outage,
-    /// The weight store is out.
+    /// Outage of the weight store.
     pub weights: Outage,
-    /// Milliseconds by which each append is late, before its effect.
+    /// Delay of each append before it takes effect, in milliseconds.
     pub append_delay_ms: u64,
-    /// Milliseconds by which the answer to each append is late, after its effect.
+    /// Delay of each append's response after it took effect, in milliseconds.
     pub append_answer_delay_ms: u64,
-    /// Milliseconds by which each read of the log is late.
+    /// Delay of each read of the log, in milliseconds.
     pub read_delay_ms: u64,
-    /// The answers of the next so many appends are lost after the effect.
+    /// Appends that take effect and whose response is lost.
     pub lose_answers: FaultCount,
-    /// Fraction of appends whose answers are lost after the effect.
+    /// Fraction of appends that take effect and whose response is lost.
     pub lose_fraction: f64,
-    /// A lost answer leaves the caller waiting instead of dropping the connection.
+    /// A lost response leaves the caller waiting instead of dropping the connection.
     pub lose_silently: bool,
-    /// The instance list stays as it is seen now.
+    /// The instance list stops changing for readers.
     pub freeze_instances: bool,
-    /// Milliseconds by which the instance list lags, in place of the option.
+    /// Lag of the instance list in milliseconds; overrides the option.
     pub instance_lag_ms: Option<u64>,
-    /// The weight store sends so many times slower; 0 and 1 leave it as it is.
+    /// Slowdown factor of the weight store; 0 and 1 have no effect.
     pub weight_slow: f64,
 }
--- a/crates/standin/src/platform/weights.rs
+++ b/crates/standin/src/platform/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: all transfers share one rate, and only so many run at once.
+//! The weight store: all transfers share one rate, and their number is limited.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -10,10 +10,10 @@
 
 use crate::fault::lock;
 
-/// Bytes sent at a time.
-const CHUNK: u64 = 64 << 10;
+/// Size of a body chunk.
+const CHUNK_BYTES: u64 = 64 << 10;
 
-/// The store.
+/// A rate-limited weight store.
 #[derive(Debug)]
 pub struct WeightStore {
     rate: u64,
@@ -21,17 +21,17 @@
     free_at: Mutex<Instant>,
 }
 
-/// The right to run one transfer; dropping it gives the place to the next.
+/// A running transfer; dropping it frees its slot.
 #[derive(Debug)]
 pub struct Transfer {
     store: Arc<WeightStore>,
-    left: u64,
+    bytes_left: u64,
     slow: f64,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
 impl WeightStore {
-    /// A store that sends `rate` bytes a second over at most `transfers` transfers.
+    /// Creates a store that sends `rate` bytes per second over at most `transfers` transfers.
     pub fn new(rate: u64, transfers: usize) -> Self {
         Self {
             rate: rate.max(1),
@@ -40,18 +40,18 @@
         }
     }
 
-    /// Begins a transfer of so many bytes, unless too many run. `slow` divides the rate.
+    /// Begins a transfer of `bytes` bytes, unless all slots are taken. `slow` divides the rate.
     pub fn begin(self: &Arc<Self>, bytes: u64, slow: f64) -> Option<Transfer> {
-        let place = self.transfers.clone().try_acquire_owned().ok()?;
+        let permit = self.transfers.clone().try_acquire_owned().ok()?;
         Some(Transfer {
             store: self.clone(),
-            left: bytes,
+            bytes_left: bytes,
             slow: slow.max(1.0),
-            _place: place,
+            _permit: permit,
         })
     }
 
-    /// Reserves the time that a chunk takes on the shared link and gives the moment of its end.
+    /// Reserves the shared link for a chunk and returns when its transfer ends.
     fn reserve(&self, bytes: u64, slow: f64) -> Instant {
         let duration = Duration::from_secs_f64(bytes as f64 * slow / self.rate as f64);
         let mut free_at = lock(&self.free_at);
@@ -61,17 +61,17 @@
 }
 
 impl Transfer {
-    /// The bytes at the pace of the store.
+    /// Returns the body, sent at the store's rate.
     pub fn body(self) -> impl Stream<Item = Result<Bytes, io::Error>> {
         stream::unfold(self, |mut transfer| async move {
-            let size = transfer.left.min(CHUNK);
+            let size = transfer.bytes_left.min(CHUNK_BYTES);
             if size == 0 {
                 return None;
             }
-            transfer.left -= size;
+            transfer.bytes_left -= size;
             let end = transfer.store.reserve(size, transfer.slow);
             actix_rt::time::sleep_until(end.into()).await;
-            let chunk = Bytes::from_static(&[0; CHUNK as usize]).slice(..size as usize);
+            let chunk = Bytes::from_static(&[0; CHUNK_BYTES as usize]).slice(..size as usize);
             Some((Ok(chunk), transfer))
         })
     }
