--- a/crates/standin/src/service/api.rs
+++ b/crates/standin/src/service/api.rs
@@ -1,4 +1,4 @@
-//! The resources of `standin-service`.
+//! HTTP interface of `standin-service`.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,113 +13,118 @@
 use crate::http::{HttpRequest, HttpResponse};
 use crate::response;
 
-/// All state of the process, shared by its connections.
+/// State of the process, shared by all connections.
 #[derive(Debug)]
 pub struct Service {
     options: Options,
     executions: Mutex<Executions>,
-    previous: Mutex<String>,
-    panel: FaultSwitches<Switches>,
+    previous_request: Mutex<String>,
+    faults: FaultSwitches<Switches>,
 }
 
 impl Service {
-    /// A service that has executed nothing.
+    /// Creates a service without executions.
     pub fn new(options: Options) -> Arc<Self> {
         Arc::new(Self {
             executions: Mutex::default(),
-            previous: Mutex::default(),
-            panel: FaultSwitches::new(options.seed),
+            previous_request: Mutex::default(),
+            faults: FaultSwitches::new(options.seed),
             options,
         })
     }
 
-    /// Answers a request.
-    pub async fn handle(self: Arc<Self>, call: HttpRequest) -> HttpResponse {
-        match call.path.as_str() {
-            "/fault" => self.panel.handle(&call),
-            "/standin/executions" => self.executions(&call),
-            _ => self.execute(&call).await,
+    /// Handles a request.
+    pub async fn handle(self: Arc<Self>, request: HttpRequest) -> HttpResponse {
+        match request.path.as_str() {
+            "/fault" => self.faults.handle(&request),
+            "/standin/executions" => self.executions(&request),
+            _ => self.execute(&request).await,
         }
     }
 
-    fn executions(&self, call: &HttpRequest) -> HttpResponse {
+    fn executions(&self, request: &HttpRequest) -> HttpResponse {
         let mut executions = lock(&self.executions);
-        if call.method == Method::DELETE {
+        if request.method == Method::DELETE {
             *executions = Executions::default();
         }
-        match call.query_parameter("repeated") {
+        match request.query_parameter("repeated") {
             Some(_) => response::ok(&executions.repeated()),
             None => response::ok(&*executions),
         }
     }
 
-    async fn execute(&self, call: &HttpRequest) -> HttpResponse {
-        if let Some(out) = self.panel.get().out.response().await {
+    async fn execute(&self, request: &HttpRequest) -> HttpResponse {
+        if let Some(out) = self.faults.get().out.response().await {
             return out;
         }
         if self
-            .panel
+            .faults
             .update(|switches| take_fault(&mut switches.drop_before))
         {
             return response::drop_connection();
         }
-        let digest = blake3::hash(&call.body).to_hex();
-        let request = call.header("x-request-id").unwrap_or_default();
+        let digest = blake3::hash(&request.body).to_hex();
+        let request_id = request.header("x-request-id").unwrap_or_default();
         let times = lock(&self.executions).count(ExecutionKeys {
-            request: (!request.is_empty()).then_some(request),
-            key: call.header("idempotency-key"),
-            body: (!call.body.is_empty()).then_some(digest.as_str()),
+            request: (!request_id.is_empty()).then_some(request_id),
+            key: request.header("idempotency-key"),
+            body: (!request.body.is_empty()).then_some(digest.as_str()),
         });
-        if let Some(failure) = self.fail().await {
+        if let Some(failure) = self.fault_after_delay().await {
             return failure;
         }
         let value = json!({
             "service": self.options.name,
-            "method": call.method.as_str(),
-            "path": call.path,
-            "request_id": request,
+            "method": request.method.as_str(),
+            "path": request.path,
+            "request_id": request_id,
             "digest": digest.as_str(),
             "times": times,
         });
-        response::with_header(response::ok(&value), "x-request-id", &self.echo(request))
+        response::with_header(
+            response::ok(&value),
+            "x-request-id",
+            &self.response_request_id(request_id),
+        )
     }
 
-    /// Lets the service time pass, and gives the answer of a fault if one is due.
-    async fn fail(&self) -> Option<HttpResponse> {
-        let switches = self.panel.get();
+    /// Waits for the service time, then returns the response of a fault if one applies.
+    async fn fault_after_delay(&self) -> Option<HttpResponse> {
+        let switches = self.faults.get();
         let wait = Duration::from_millis(self.options.service_ms + switches.delay_ms);
         if !wait.is_zero() {
             sleep(wait).await;
         }
         if self
-            .panel
+            .faults
             .update(|switches| take_fault(&mut switches.exit_after))
         {
             fault::exit("after an execution");
         }
         if self
-            .panel
+            .faults
             .update(|switches| take_fault(&mut switches.never_answer))
         {
             return Some(response::never_respond().await);
         }
         let counted = self
-            .panel
+            .faults
             .update(|switches| take_fault(&mut switches.drop_after));
-        let dropped = counted || self.panel.chance(switches.drop_fraction);
+        let dropped = counted || self.faults.chance(switches.drop_fraction);
         dropped.then(response::drop_connection)
     }
 
-    /// The request id to answer with: the right one, unless the answer is to be crossed.
-    fn echo(&self, request: &str) -> String {
-        let previous = std::mem::replace(&mut *lock(&self.previous), request.to_owned());
+    /// Returns the request id for the response: the request's own, or another one for the `crossed`
+    /// fault.
+    fn response_request_id(&self, request_id: &str) -> String {
+        let previous = std::mem::replace(&mut *lock(&self.previous_request), request_id.to_owned());
         let crossed = self
-            .panel
+            .faults
             .update(|switches| take_fault(&mut switches.crossed));
         match (crossed, previous.is_empty()) {
-            (false, _) => request.to_owned(),
+            (false, _) => request_id.to_owned(),
             (true, false) => previous,
-            (true, true) => format!("{request}-crossed"),
+            (true, true) => format!("{request_id}-crossed"),
         }
     }
 }
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -1,5 +1,5 @@
-//! The plain service's stand-in: it counts each execution, so that a trial can tell whether a call
-//! was lost or run twice.
+//! The plain service emulator: counts each execution, so that a test can tell whether a call was
+//! lost or executed twice.
 
 mod api;
 pub mod executions;
--- a/crates/standin/src/service/options.rs
+++ b/crates/standin/src/service/options.rs
@@ -4,24 +4,24 @@
 
 use crate::http::Listen;
 
-/// A plain service that counts its executions, for trials and tests.
+/// Emulates a plain service and counts its executions, for tests and measurements.
 #[derive(Clone, Debug)]
 #[derive(Parser)]
 #[command(name = "standin-service", version)]
 pub struct Options {
-    /// Where to listen.
+    /// Listener options.
     #[command(flatten)]
     pub listen: Listen,
 
-    /// Name told in the answers.
+    /// Service name in the responses.
     #[arg(long, default_value = "service")]
     pub name: String,
 
-    /// Milliseconds from the execution to its answer.
+    /// Milliseconds from the execution to its response.
     #[arg(long, default_value_t = 0)]
     pub service_ms: u64,
 
-    /// Seed of the faults that are given as a fraction.
+    /// Seed for faults given as a fraction.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
--- a/crates/standin/src/service/switches.rs
+++ b/crates/standin/src/service/switches.rs
@@ -4,25 +4,25 @@
 
 use crate::fault::{FaultCount, Outage};
 
-/// What can go wrong with the service. A countdown meets the next so many requests.
+/// Faults of the service. A count applies to that many of the next requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Switches {
-    /// It is out and executes nothing.
+    /// Outage; nothing is executed.
     pub out: Outage,
-    /// It drops the connection after executing and before answering.
+    /// The connection drops after the execution and before the response.
     pub drop_after: FaultCount,
-    /// Fraction of requests that it executes and then drops the connection.
+    /// Fraction of requests that are executed and whose connection then drops.
     pub drop_fraction: f64,
-    /// The process exits after executing and before answering.
+    /// The process exits after the execution and before the response.
     pub exit_after: FaultCount,
-    /// It executes and never answers.
+    /// The request is executed and never answered.
     pub never_answer: FaultCount,
-    /// It drops the connection before executing.
+    /// The connection drops before the execution.
     pub drop_before: FaultCount,
-    /// It answers with the id of another request.
+    /// The response carries the id of another request.
     pub crossed: FaultCount,
-    /// Milliseconds by which each answer is late, after the execution.
+    /// Delay of each response after the execution, in milliseconds.
     pub delay_ms: u64,
 }
