--- a/crates/standin/src/bin/standin-engine.rs
+++ b/crates/standin/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! Runs the model engine's stand-in.
+//! Runs the model engine emulator.
 
 use std::io;
 
@@ -13,5 +13,8 @@
     let listen = options.listen.clone();
     let engine = Engine::new(options);
     actix_rt::spawn(engine.clone().run());
-    http::serve(&listen, move |call| engine::handle(engine.clone(), call)).await
+    http::serve(&listen, move |request| {
+        engine::handle(engine.clone(), request)
+    })
+    .await
 }
--- a/crates/standin/src/bin/standin-platform.rs
+++ b/crates/standin/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! Runs the platform's stand-in.
+//! Runs the platform emulator.
 
 use std::io;
 
@@ -12,5 +12,5 @@
     let options = Options::parse();
     let listen = options.listen.clone();
     let platform = Platform::new(options);
-    http::serve(&listen, move |call| platform.clone().handle(call)).await
+    http::serve(&listen, move |request| platform.clone().handle(request)).await
 }
--- a/crates/standin/src/bin/standin-service.rs
+++ b/crates/standin/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! Runs the plain service's stand-in.
+//! Runs the plain service emulator.
 
 use std::io;
 
@@ -12,5 +12,5 @@
     let options = Options::parse();
     let listen = options.listen.clone();
     let service = Service::new(options);
-    http::serve(&listen, move |call| service.clone().handle(call)).await
+    http::serve(&listen, move |request| service.clone().handle(request)).await
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Fault switches: a plain struct a stand-in, shown and changed over `/fault`.
+//! Fault switches: one plain struct per stand-in, read and changed through `/fault`.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -12,50 +12,50 @@
 use crate::http::{HttpRequest, HttpResponse};
 use crate::response;
 
-/// How many of the following requests a fault meets. It counts down to zero; a negative number
-/// means all of them.
+/// How many of the following requests a fault affects. Counts down to zero; a negative number
+/// affects all of them.
 pub type FaultCount = i64;
 
-/// Locks what a stand-in shares between its threads. A panic of another thread is no reason to
-/// stop here as well, since all state is changed in whole steps.
+/// Locks state shared between threads. Poisoning is ignored: a panic in another thread leaves no
+/// state half changed.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Uses up one time of a countdown and says whether the fault is due.
-pub fn take_fault(times: &mut FaultCount) -> bool {
-    let due = *times != 0;
-    if *times > 0 {
-        *times -= 1;
+/// Decrements a fault count and returns whether the fault applies to this request.
+pub fn take_fault(count: &mut FaultCount) -> bool {
+    let due = *count != 0;
+    if *count > 0 {
+        *count -= 1;
     }
     due
 }
 
-/// Status of a process that a fault ended.
-const EXIT_STATUS: i32 = 70;
+/// Exit status of a process that was ended by a fault.
+const FAULT_EXIT_STATUS: i32 = 70;
 
-/// Ends the process at once, as a crash would.
+/// Exits immediately, as in a crash.
 pub fn exit(place: &str) -> ! {
-    log::info!(place; "fault: the process exits");
-    std::process::exit(EXIT_STATUS)
+    log::info!(place; "fault: process exits");
+    std::process::exit(FAULT_EXIT_STATUS)
 }
 
-/// How something that is out answers.
+/// How an interface behaves during an outage.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// It works.
+    /// No outage.
     #[default]
     None,
-    /// It answers 503 at once, without an effect.
+    /// Requests get 503 at once and have no effect.
     Refuse,
-    /// It takes the request and never answers, without an effect.
+    /// Requests are accepted, never answered, and have no effect.
     Hang,
 }
 
 impl Outage {
-    /// Gives the answer of the outage, or nothing if there is none.
+    /// Returns the response during an outage, or `None` without one.
     pub async fn response(self) -> Option<HttpResponse> {
         match self {
             Outage::None => None,
@@ -65,10 +65,10 @@
     }
 }
 
-/// The switches of a stand-in with the random numbers for those that are given as a fraction.
+/// The fault switches of a stand-in and the random generator for faults given as a fraction.
 #[derive(Debug)]
 pub struct FaultSwitches<T> {
-    switches: Mutex<T>,
+    values: Mutex<T>,
     random: Mutex<StdRng>,
 }
 
@@ -76,40 +76,40 @@
 where
     T: Clone + Default + DeserializeOwned + Serialize,
 {
-    /// All switches in their places of rest; `seed` decides which requests a fraction meets.
+    /// All faults off; `seed` decides which requests a fraction selects.
     pub fn new(seed: u64) -> Self {
         Self {
-            switches: Mutex::new(T::default()),
+            values: Mutex::new(T::default()),
             random: Mutex::new(StdRng::seed_from_u64(seed)),
         }
     }
 
-    /// A copy of the switches.
+    /// Returns a copy of the switches.
     pub fn get(&self) -> T {
-        lock(&self.switches).clone()
+        lock(&self.values).clone()
     }
 
-    /// Changes the switches, for countdowns.
+    /// Changes the switches in place, for fault counts.
     pub fn update<R>(&self, change: impl FnOnce(&mut T) -> R) -> R {
-        change(&mut lock(&self.switches))
+        change(&mut lock(&self.values))
     }
 
-    /// Says whether an event of the given probability happens now.
+    /// Draws whether an event of the given probability happens.
     pub fn chance(&self, fraction: f64) -> bool {
         fraction > 0.0 && lock(&self.random).random_bool(fraction.clamp(0.0, 1.0))
     }
 
-    /// Answers `/fault`: GET shows the switches, POST changes those that its JSON object names,
-    /// DELETE puts all back. Unknown names are refused, and then nothing is changed.
-    pub fn handle(&self, call: &HttpRequest) -> HttpResponse {
-        match call.method {
+    /// Handles `/fault`: GET returns the switches, POST changes those named in its JSON object and
+    /// DELETE resets all. A request with an unknown name is rejected and changes nothing.
+    pub fn handle(&self, request: &HttpRequest) -> HttpResponse {
+        match request.method {
             Method::GET => {}
             Method::POST => {
-                if let Err(error) = self.merge(&call.body) {
+                if let Err(error) = self.merge(&request.body) {
                     return response::bad_request(&error.to_string());
                 }
             }
-            Method::DELETE => *lock(&self.switches) = T::default(),
+            Method::DELETE => *lock(&self.values) = T::default(),
             _ => return response::not_found(),
         }
         response::ok(&self.get())
@@ -117,10 +117,10 @@
 
     fn merge(&self, body: &[u8]) -> serde_json::Result<()> {
         let change: Map<String, Value> = serde_json::from_slice(body)?;
-        let mut switches = lock(&self.switches);
+        let mut switches = lock(&self.values);
         let mut merged = serde_json::to_value(&*switches)?;
-        if let Value::Object(present) = &mut merged {
-            present.extend(change);
+        if let Value::Object(object) = &mut merged {
+            object.extend(change);
         }
         *switches = serde_json::from_value(merged)?;
         Ok(())
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP server that the three programs share: one handler for every request, the address told
-//! on standard output, a stop on SIGTERM.
+//! The HTTP server of the three programs: one handler for all requests, the address printed on
+//! standard output, shutdown on SIGTERM.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,21 +17,21 @@
 
 use crate::response;
 
-/// The whole answer to a request.
+/// A response with its body.
 pub type HttpResponse = Response<BoxBody>;
 
-/// Bodies above this size are refused, so that a runaway client cannot use up the memory.
-const BODY_LIMIT: usize = 64 << 20;
+/// Larger request bodies are rejected, so that a faulty client cannot exhaust memory.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Idle connections stay open this long: pooled connections of an entry should not be closed by
-/// the stand-in in the middle of a trial.
+/// How long idle connections stay open: long enough that a stand-in does not close an entry's
+/// pooled connections during a test run.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// Where and how a stand-in listens.
+/// Listener options.
 #[derive(Clone, Debug)]
 #[derive(Args)]
 pub struct Listen {
-    /// Address to listen on; port 0 takes a free one. It is told as `listening ADDRESS`.
+    /// Address to listen on; port 0 takes a free one. Printed as `listening ADDRESS`.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: SocketAddr,
 
@@ -39,19 +39,19 @@
     #[arg(long, default_value_t = 1)]
     pub workers: usize,
 
-    /// Seconds that open requests may still take after SIGTERM.
+    /// Seconds that open requests have to finish after SIGTERM.
     #[arg(long, default_value_t = 2)]
     pub stop_s: u64,
 }
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct HttpRequest {
     /// The method.
     pub method: Method,
-    /// The path without the query.
+    /// The path, without the query.
     pub path: String,
-    /// The query without its question mark, empty if there is none.
+    /// The query without the question mark; empty if absent.
     pub query: String,
     /// All header fields.
     pub headers: HeaderMap,
@@ -65,7 +65,7 @@
         let mut body = BytesMut::new();
         while let Some(chunk) = payload.next().await {
             let chunk = chunk.map_err(|error| response::bad_request(&error.to_string()))?;
-            if body.len() + chunk.len() > BODY_LIMIT {
+            if body.len() + chunk.len() > MAX_BODY_BYTES {
                 return Err(response::error(
                     StatusCode::PAYLOAD_TOO_LARGE,
                     "body too large",
@@ -83,12 +83,12 @@
         })
     }
 
-    /// A header as text, if it is there and is text.
+    /// Returns a header, if it is present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// A parameter of the query as it stands, not decoded.
+    /// Returns a query parameter without percent-decoding it.
     pub fn query_parameter(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -96,12 +96,12 @@
             .find_map(|(key, value)| (key == name).then_some(value))
     }
 
-    /// A whole number in the query; `None` if it is missing or no number.
+    /// Returns an integer query parameter; `None` if missing or invalid.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         self.query_parameter(name)?.parse().ok()
     }
 
-    /// The segments of the path.
+    /// Returns the non-empty segments of the path.
     pub fn segments(&self) -> Vec<&str> {
         self.path
             .split('/')
@@ -110,15 +110,15 @@
     }
 }
 
-/// Starts logging to standard error: `info` unless `RUST_LOG` says otherwise. The server's own
-/// errors are left out, since it takes each connection that a fault drops for one.
+/// Starts logging to standard error, at `info` unless `RUST_LOG` is set. The server's own log is
+/// off, since it reports each connection dropped by a fault as an error.
 pub fn init_logging() {
     let default = env_logger::Env::default().default_filter_or("info,actix_http=off");
     env_logger::init_from_env(default);
 }
 
-/// Binds and starts the server. It runs while the returned [`Server`] is polled, and must be
-/// started within an actix system.
+/// Binds and starts the server within an actix system. It runs while the returned [`Server`] is
+/// polled.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -140,11 +140,11 @@
                 .finish(move |request: Request| {
                     let handler = handler.clone();
                     async move {
-                        let answer = match HttpRequest::read(request).await {
+                        let response = match HttpRequest::read(request).await {
                             Ok(call) => handler(call).await,
-                            Err(refusal) => refusal,
+                            Err(rejection) => rejection,
                         };
-                        Ok::<_, Infallible>(answer)
+                        Ok::<_, Infallible>(response)
                     }
                 })
                 .tcp()
@@ -153,10 +153,10 @@
     Ok((server, address))
 }
 
-/// Starts the server, tells its address on standard output and serves until SIGTERM.
+/// Starts the server, prints its address on standard output and serves until SIGTERM.
 ///
 /// # Errors
-/// The address cannot be bound, or the server failed.
+/// The address cannot be bound, or the server fails.
 pub async fn serve<H, F>(listen: &Listen, handler: H) -> io::Result<()>
 where
     H: Fn(HttpRequest) -> F + Clone + Send + 'static,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,6 @@
-//! Small stand-ins for the systems outside of tarragonswitch, for trials and tests only: the
-//! platform (log, instance list, weight store), a model engine and a plain service. They stand at
-//! both ends of the pipeline and speak what [`docs/PLATFORM.md`](../../../docs/PLATFORM.md) says,
-//! where their options and faults are listed as well.
+//! Emulators of the systems around tarragonswitch, for tests and measurements only: the platform
+//! (log, instance list, weight store), a model engine and a plain service. Their interfaces,
+//! options and faults are described in [`docs/PLATFORM.md`](../../../docs/PLATFORM.md).
 
 mod client;
 pub mod engine;
--- a/crates/standin/src/response.rs
+++ b/crates/standin/src/response.rs
@@ -1,5 +1,5 @@
-//! The answers that a stand-in gives, including those that are none: a connection that drops and
-//! one that stays silent.
+//! HTTP responses shared by the stand-ins, including the faults that send none: a dropped
+//! connection and one that stays silent.
 
 use std::io;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 
 use crate::http::HttpResponse;
 
-/// How long a request that is never answered is held before its connection drops. Longer than any
-/// timeout of a client, yet it bounds the memory of a long trial.
-const SILENCE: Duration = Duration::from_secs(600);
+/// How long an unanswered request is held before its connection is dropped. Longer than any client
+/// timeout, and bounds the memory that a long test run holds.
+const SILENT_CONNECTION_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// A JSON answer.
+/// A JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> HttpResponse {
     match serde_json::to_vec(value) {
         Ok(body) => with_content_type(status, "application/json", body),
@@ -30,61 +30,61 @@
     }
 }
 
-/// A JSON answer with status 200.
+/// A JSON response with status 200.
 pub fn ok(value: &impl Serialize) -> HttpResponse {
     json(StatusCode::OK, value)
 }
 
-/// An error with a text.
-pub fn error(status: StatusCode, text: &str) -> HttpResponse {
-    json(status, &json!({ "error": text }))
+/// A JSON error response with a message.
+pub fn error(status: StatusCode, message: &str) -> HttpResponse {
+    json(status, &json!({ "error": message }))
 }
 
-/// The request makes no sense, for the given reason.
-pub fn bad_request(text: &str) -> HttpResponse {
-    error(StatusCode::BAD_REQUEST, text)
+/// 400 with the reason.
+pub fn bad_request(message: &str) -> HttpResponse {
+    error(StatusCode::BAD_REQUEST, message)
 }
 
-/// The path is unknown.
+/// 404 for an unknown path or resource.
 pub fn not_found() -> HttpResponse {
     error(StatusCode::NOT_FOUND, "not found")
 }
 
-/// The service is out.
+/// 503 during an outage.
 pub fn unavailable() -> HttpResponse {
     error(StatusCode::SERVICE_UNAVAILABLE, "out")
 }
 
-/// Too many requests; the caller may come back after a second.
+/// 429 that asks the client to retry after one second.
 pub fn too_many_requests() -> HttpResponse {
-    let answer = error(StatusCode::TOO_MANY_REQUESTS, "too many");
-    with_header(answer, "retry-after", "1")
+    let response = error(StatusCode::TOO_MANY_REQUESTS, "too many");
+    with_header(response, "retry-after", "1")
 }
 
-/// An answer with a body of a given type.
-pub fn with_content_type<B>(status: StatusCode, kind: &'static str, body: B) -> HttpResponse
+/// A response with a body of the given content type.
+pub fn with_content_type<B>(status: StatusCode, content_type: &'static str, body: B) -> HttpResponse
 where
     B: MessageBody + 'static,
 {
-    let mut answer = Response::with_body(status, BoxBody::new(body));
-    answer
+    let mut response = Response::with_body(status, BoxBody::new(body));
+    response
         .headers_mut()
-        .insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
-    answer
+        .insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
+    response
 }
 
-/// Adds a header; a value that HTTP cannot carry is left out.
-pub fn with_header(mut answer: HttpResponse, name: &'static str, value: &str) -> HttpResponse {
+/// Adds a header, unless the value is not a valid header value.
+pub fn with_header(mut response: HttpResponse, name: &'static str, value: &str) -> HttpResponse {
     if let Ok(value) = HeaderValue::from_str(value) {
-        answer
+        response
             .headers_mut()
             .insert(HeaderName::from_static(name), value);
     }
-    answer
+    response
 }
 
-/// Drops the connection without a byte of an answer. A body that fails at its first poll makes
-/// the server close the connection before the head of the answer was flushed.
+/// Drops the connection without sending any byte. A body that fails at its first poll makes the
+/// server close the connection before the response head is flushed.
 pub fn drop_connection() -> HttpResponse {
     let failure = stream::once(async { Err::<Bytes, _>(io::Error::other("fault: dropped")) });
     Response::with_body(
@@ -93,8 +93,8 @@
     )
 }
 
-/// Never answers; the connection drops in the end.
+/// Sends no response; the connection is dropped after [`SILENT_CONNECTION_TIMEOUT`].
 pub async fn never_respond() -> HttpResponse {
-    actix_rt::time::sleep(SILENCE).await;
+    actix_rt::time::sleep(SILENT_CONNECTION_TIMEOUT).await;
     drop_connection()
 }
