--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! What a stand-in asks of another one.
+//! HTTP client for requests between stand-ins.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,55 +9,55 @@
 use error_stack::{Report, ResultExt, bail};
 use futures_util::StreamExt;
 
-/// Longest wait for the head of an answer.
-const TIMEOUT: Duration = Duration::from_secs(60);
+/// Time limit for the response head.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why nothing whole came.
+/// Why a resource could not be fetched completely.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Failure {
-    /// No answer came.
+pub(crate) enum FetchError {
+    /// No response arrived.
     Unreachable,
-    /// The answer was not 200.
+    /// The response status was not 200.
     Refused(StatusCode),
-    /// The answer broke off.
-    Broken,
+    /// The body ended early or was malformed.
+    Truncated,
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for FetchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Unreachable => write!(f, "no answer came"),
-            Failure::Refused(status) => write!(f, "the answer was {status}"),
-            Failure::Broken => write!(f, "the answer broke off"),
+            FetchError::Unreachable => write!(f, "no answer came"),
+            FetchError::Refused(status) => write!(f, "the answer was {status}"),
+            FetchError::Truncated => write!(f, "the answer broke off"),
         }
     }
 }
 
-impl std::error::Error for Failure {}
+impl std::error::Error for FetchError {}
 
-/// Gets the whole body of a resource.
+/// Fetches a resource and returns its complete body.
 ///
 /// # Errors
-/// Each of [`Failure`].
-pub(crate) async fn get(url: &str) -> Result<Bytes, Report<Failure>> {
-    let client = awc::Client::builder().timeout(TIMEOUT).finish();
+/// See [`FetchError`].
+pub(crate) async fn get(url: &str) -> Result<Bytes, Report<FetchError>> {
+    let client = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
     let reply = client.get(url).send().await;
-    // The errors of the client cannot be sent between threads, so their text goes along instead.
+    // The client's errors are not `Send`, so their text is attached instead.
     let mut reply =
-        reply.map_err(|error| Report::new(Failure::Unreachable).attach(error.to_string()))?;
+        reply.map_err(|error| Report::new(FetchError::Unreachable).attach(error.to_string()))?;
     if reply.status() != StatusCode::OK {
-        bail!(Failure::Refused(reply.status()));
+        bail!(FetchError::Refused(reply.status()));
     }
     let mut body = BytesMut::new();
     while let Some(chunk) = reply.next().await {
-        body.extend_from_slice(&chunk.change_context(Failure::Broken)?);
+        body.extend_from_slice(&chunk.change_context(FetchError::Truncated)?);
     }
-    // The client takes the end of the connection for the end of the body. Half of a transfer
-    // would pass for all of it, but for its length.
+    // The client treats the end of the connection as the end of the body, so only the length
+    // reveals a truncated transfer.
     let length = reply.headers().get(CONTENT_LENGTH);
     let length = length.and_then(|length| length.to_str().ok()?.parse().ok());
     if length.is_some_and(|length: usize| length != body.len()) {
-        bail!(Failure::Broken);
+        bail!(FetchError::Truncated);
     }
     Ok(body.freeze())
 }
--- a/crates/standin/src/engine/batch/core.rs
+++ b/crates/standin/src/engine/batch/core.rs
@@ -1,4 +1,4 @@
-//! The batch itself.
+//! The state machine of the batch.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,31 @@
 use crate::engine::Moment;
 use crate::engine::prefix::{Cache, Change};
 
-/// What happens to the batch.
+/// An input of the batch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Input {
-    /// Nothing but that time has passed.
+    /// Only time has passed.
     Advance,
-    /// A job is queued.
+    /// Queue a job.
     Submit(Job),
-    /// A job is no longer wanted; an unknown one is ignored.
+    /// Cancel a job; an unknown one is ignored.
     Cancel(Id),
-    /// All jobs and the prefix cache are dropped and the role is set.
+    /// Drop all jobs and the prefix cache, and set the role.
     Reset(Role),
-    /// So many tokens of the KV memory are taken by exported and imported prompts.
+    /// Set the tokens of the KV memory that exported and imported prompts occupy.
     SetHeldTokens(u32),
-    /// Iterations take so many thousandths of their time from now on.
+    /// Set the duration of following iterations, in thousandths of the normal one.
     SetSlowdown(u32),
 }
 
-/// What comes out of the batch, in order.
+/// An output of the batch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// A job has produced so many tokens.
+    /// A job has generated a token.
     Progress {
         /// The job.
         id: Id,
-        /// Its tokens so far.
+        /// Tokens generated so far.
         produced: u32,
     },
     /// A job is complete.
@@ -47,62 +47,62 @@
     Cache(Change),
 }
 
-/// Outputs of a step.
+/// Outputs of a step, in order.
 pub(super) type Outputs = SmallVec<[Output; 4]>;
 
-/// What is in the batch, for load reports.
+/// Load of the batch, for load reports.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Sequences that run.
+    /// Running sequences.
     pub running: usize,
-    /// Jobs that wait.
+    /// Waiting jobs.
     pub waiting: usize,
-    /// Prompt tokens still to prefill, running and waiting.
+    /// Prompt tokens still to prefill, of running and waiting jobs.
     pub prefill_tokens_waiting: u64,
-    /// Tokens still to generate, running and waiting.
+    /// Tokens still to generate, of running and waiting jobs.
     pub decode_tokens_left: u64,
     /// KV memory in use, in tokens.
     pub kv_used: u32,
 }
 
-/// A continuously batching engine.
+/// The batch of an engine with continuous batching.
 #[derive(Clone, Debug)]
 pub struct Batch {
     settings: Settings,
     limits: Limits,
-    pace: u32,
+    slowdown_permille: u32,
     waiting: BTreeMap<(u8, u64), Sequence>,
     /// Sorted by rank.
     running: Vec<Sequence>,
     cache: Cache,
-    held: u32,
-    reserved: u32,
+    held_tokens: u32,
+    reserved_tokens: u32,
     arrivals: u64,
-    /// End of the present iteration.
-    end: Option<Moment>,
+    /// End of the current iteration.
+    iteration_end: Option<Moment>,
 }
 
-/// The pace of an engine that is not slowed.
-const FULL_PACE: u32 = 1000;
+/// Slowdown of an engine at normal speed, in thousandths.
+const NORMAL_SLOWDOWN_PERMILLE: u32 = 1000;
 
 impl Batch {
-    /// An idle engine of a role.
+    /// Creates an empty batch.
     pub fn new(settings: Settings, role: Role) -> Self {
         Self {
             limits: settings.limits(role),
             cache: Cache::new(settings.block_tokens, settings.cache_tokens),
             settings,
-            pace: FULL_PACE,
+            slowdown_permille: NORMAL_SLOWDOWN_PERMILLE,
             waiting: BTreeMap::new(),
             running: Vec::new(),
-            held: 0,
-            reserved: 0,
+            held_tokens: 0,
+            reserved_tokens: 0,
             arrivals: 0,
-            end: None,
+            iteration_end: None,
         }
     }
 
-    /// Lets time pass up to `now`, takes the input and gives what came out.
+    /// Advances to `now`, applies the input and returns the outputs.
     pub fn step(&mut self, now: Moment, input: Input) -> Outputs {
         let mut outputs = Outputs::new();
         self.advance(now, &mut outputs);
@@ -115,59 +115,65 @@
             }
             Input::Cancel(id) => self.cancel(id),
             Input::Reset(role) => self.reset(role, &mut outputs),
-            Input::SetHeldTokens(tokens) => self.held = tokens,
-            Input::SetSlowdown(pace) => self.pace = pace,
+            Input::SetHeldTokens(tokens) => self.held_tokens = tokens,
+            Input::SetSlowdown(permille) => self.slowdown_permille = permille,
         }
-        if self.end.is_none() {
-            self.begin(now);
+        if self.iteration_end.is_none() {
+            self.begin_iteration(now);
         }
         outputs
     }
 
-    /// When the next output is due, if nothing else happens.
+    /// Returns when the next output is due without further input.
     pub fn next_output_at(&self) -> Option<Moment> {
-        self.end
+        self.iteration_end
     }
 
-    /// Whether a job can ever run.
+    /// Returns whether a job fits into the KV memory.
     pub fn fits(&self, job: &Job) -> bool {
         job.kv_tokens() <= self.settings.kv_tokens
     }
 
-    /// What is in the batch now.
+    /// Returns the current load.
     pub fn load(&self) -> Load {
         let all = || self.running.iter().chain(self.waiting.values());
-        let prefill_running = self.running.iter().map(|one| u64::from(one.prefill_left));
-        let prefill_waiting = self.waiting.values().map(|one| match one.job.prefilled {
-            true => 0,
-            false => u64::from(one.job.prompt_tokens),
-        });
+        let prefill_running = self
+            .running
+            .iter()
+            .map(|sequence| u64::from(sequence.prefill_left));
+        let prefill_waiting = self
+            .waiting
+            .values()
+            .map(|sequence| match sequence.job.prefilled {
+                true => 0,
+                false => u64::from(sequence.job.prompt_tokens),
+            });
         Load {
             running: self.running.len(),
             waiting: self.waiting.len(),
             prefill_tokens_waiting: prefill_running.chain(prefill_waiting).sum(),
             decode_tokens_left: all()
-                .map(|one| u64::from(one.job.output_tokens - one.produced))
+                .map(|sequence| u64::from(sequence.job.output_tokens - sequence.produced))
                 .sum(),
             kv_used: self.kv_used(),
         }
     }
 
     fn kv_used(&self) -> u32 {
-        self.reserved.saturating_add(self.held)
+        self.reserved_tokens.saturating_add(self.held_tokens)
     }
 
     fn advance(&mut self, now: Moment, outputs: &mut Outputs) {
-        while let Some(end) = self.end.filter(|end| *end <= now) {
-            self.finish(outputs);
-            self.begin(end);
+        while let Some(end) = self.iteration_end.filter(|end| *end <= now) {
+            self.finish_iteration(outputs);
+            self.begin_iteration(end);
         }
     }
 
-    /// Ends the present iteration.
-    fn finish(&mut self, outputs: &mut Outputs) {
+    /// Ends the current iteration.
+    fn finish_iteration(&mut self, outputs: &mut Outputs) {
         let mut changes = Vec::new();
-        let (cache, reserved) = (&mut self.cache, &mut self.reserved);
+        let (cache, reserved) = (&mut self.cache, &mut self.reserved_tokens);
         self.running.retain_mut(|sequence| {
             let prefilling = sequence.prefill_left > 0;
             if !sequence.advance() {
@@ -190,17 +196,20 @@
         outputs.extend(changes.into_iter().map(Output::Cache));
     }
 
-    /// Begins an iteration with what can run now; none if nothing can.
-    fn begin(&mut self, now: Moment) {
+    /// Admits waiting jobs and begins an iteration, if there is anything to run.
+    fn begin_iteration(&mut self, now: Moment) {
         self.admit();
         if self.running.is_empty() {
-            self.end = None;
+            self.iteration_end = None;
             return;
         }
-        let prefilling = |one: &&mut Sequence| one.prefill_left > 0;
-        let decoding = self.running.iter().filter(|one| one.prefill_left == 0);
+        let prefilling = |sequence: &&mut Sequence| sequence.prefill_left > 0;
+        let decoding = self
+            .running
+            .iter()
+            .filter(|sequence| sequence.prefill_left == 0);
         let decoding = decoding.count() as u32;
-        // At least one token, so that a budget full of decoding never starves the prefill.
+        // At least one token, so that decoding never starves the prefill.
         let budget = self.limits.token_budget.saturating_sub(decoding).max(1);
         let mut left = budget;
         for sequence in self.running.iter_mut().filter(prefilling) {
@@ -208,7 +217,8 @@
             left -= sequence.chunk;
         }
         let duration = self.settings.iteration_duration(budget - left, decoding);
-        self.end = Some(now + duration * self.pace / FULL_PACE);
+        self.iteration_end =
+            Some(now + duration * self.slowdown_permille / NORMAL_SLOWDOWN_PERMILLE);
     }
 
     fn admit(&mut self) {
@@ -222,9 +232,11 @@
             };
             let cached = self.cache.lookup(&sequence.job.blocks);
             sequence.admit(cached);
-            self.reserved += tokens;
-            let place = self.running.partition_point(|one| one.rank() < rank);
-            self.running.insert(place, sequence);
+            self.reserved_tokens += tokens;
+            let position = self
+                .running
+                .partition_point(|sequence| sequence.rank() < rank);
+            self.running.insert(position, sequence);
         }
     }
 
@@ -233,8 +245,8 @@
         self.running.len() < self.limits.max_running && tokens <= kv_left
     }
 
-    /// Pushes back the running sequences of lower priority, last first, until there is room; none
-    /// if that would not be enough.
+    /// Preempts running sequences of lower priority, last first, until there is room. Preempts none
+    /// if that would not suffice.
     fn preempt(&mut self, priority: u8, tokens: u32) -> bool {
         if !self.settings.preempt {
             return false;
@@ -242,8 +254,11 @@
         let lower = self
             .running
             .iter()
-            .filter(|one| one.job.priority > priority);
-        let freed = lower.clone().map(|one| one.job.kv_tokens()).sum::<u32>();
+            .filter(|sequence| sequence.job.priority > priority);
+        let freed = lower
+            .clone()
+            .map(|sequence| sequence.job.kv_tokens())
+            .sum::<u32>();
         let kept = self.running.len() - lower.count();
         let kv_left = self
             .settings
@@ -256,27 +271,31 @@
             let Some(sequence) = self.running.pop() else {
                 return false;
             };
-            self.reserved -= sequence.job.kv_tokens();
+            self.reserved_tokens -= sequence.job.kv_tokens();
             self.waiting.insert(sequence.rank(), sequence);
         }
         true
     }
 
     fn cancel(&mut self, id: Id) {
-        self.waiting.retain(|_, one| one.job.id != id);
-        if let Some(place) = self.running.iter().position(|one| one.job.id == id) {
-            self.reserved -= self.running.remove(place).job.kv_tokens();
+        self.waiting.retain(|_, sequence| sequence.job.id != id);
+        if let Some(position) = self
+            .running
+            .iter()
+            .position(|sequence| sequence.job.id == id)
+        {
+            self.reserved_tokens -= self.running.remove(position).job.kv_tokens();
         }
         if self.running.is_empty() {
-            self.end = None;
+            self.iteration_end = None;
         }
     }
 
     fn reset(&mut self, role: Role, outputs: &mut Outputs) {
         self.waiting.clear();
         self.running.clear();
-        self.reserved = 0;
-        self.end = None;
+        self.reserved_tokens = 0;
+        self.iteration_end = None;
         self.limits = self.settings.limits(role);
         let mut changes = Vec::new();
         self.cache.clear(&mut changes);
--- a/crates/standin/src/engine/batch/job.rs
+++ b/crates/standin/src/engine/batch/job.rs
@@ -1,40 +1,40 @@
-//! A job and its course through the batch.
+//! Jobs and their state in the batch.
 
 use crate::engine::prefix::BlockHash;
 
-/// Name of a job, chosen by the caller and unique.
+/// Id of a job, chosen by the caller and unique.
 pub type Id = u64;
 
-/// What is asked of the batch.
+/// A request to the batch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Job {
-    /// Its name.
+    /// Unique id.
     pub id: Id,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens to generate, at least 1.
     pub output_tokens: u32,
-    /// The full blocks of the prompt.
+    /// Hashes of the full blocks of the prompt.
     pub blocks: Vec<BlockHash>,
     /// Whether the KV of the prompt was imported, so that no prefill is needed.
     pub prefilled: bool,
 }
 
 impl Job {
-    /// The KV memory that it needs in the end. It is reserved on admission, so that a running
-    /// sequence never has to stop for want of memory.
+    /// Returns the KV memory needed at the end. It is reserved on admission, so that a running
+    /// sequence never runs out of memory.
     pub fn kv_tokens(&self) -> u32 {
         self.prompt_tokens.saturating_add(self.output_tokens)
     }
 }
 
-/// A job that was submitted: what was produced outlasts a pre-emption, its KV does not.
+/// A submitted job. Its produced tokens survive a preemption, its KV does not.
 #[derive(Clone, Debug)]
 pub(super) struct Sequence {
     pub(super) job: Job,
-    /// Place among jobs of the same priority.
+    /// Arrival order among jobs of the same priority.
     pub(super) arrival: u64,
     /// Tokens still to prefill.
     pub(super) prefill_left: u32,
@@ -42,7 +42,7 @@
     pub(super) cached: u32,
     /// Tokens generated.
     pub(super) produced: u32,
-    /// Tokens prefilled in the present iteration.
+    /// Tokens prefilled in the current iteration.
     pub(super) chunk: u32,
 }
 
@@ -58,13 +58,13 @@
         }
     }
 
-    /// Its place in the queue.
+    /// Returns the sort key in the queue.
     pub(super) fn rank(&self) -> (u8, u64) {
         (self.job.priority, self.arrival)
     }
 
-    /// Sets what has to be prefilled on admission, given what the cache holds. The last token is
-    /// always computed, since the first token of the answer comes from it.
+    /// Sets the tokens to prefill on admission, given the cached ones. The last token is always
+    /// computed, since the first generated token derives from it.
     pub(super) fn admit(&mut self, cached: u32) {
         if self.job.prefilled && self.produced == 0 {
             self.cached = self.job.prompt_tokens;
@@ -76,7 +76,7 @@
         self.prefill_left = tokens.saturating_sub(self.cached).max(1);
     }
 
-    /// Ends an iteration; true if it generated a token.
+    /// Ends an iteration; returns whether it generated a token.
     pub(super) fn advance(&mut self) -> bool {
         self.prefill_left -= self.chunk;
         self.chunk = 0;
--- a/crates/standin/src/engine/batch/mod.rs
+++ b/crates/standin/src/engine/batch/mod.rs
@@ -1,5 +1,5 @@
-//! Continuous batching as a pure state machine: iterations that prefill and decode together, a
-//! waiting queue by priority, limited KV memory and a prefix cache. Time is passed in.
+//! Continuous batching as a state machine without I/O: iterations that mix prefill and decode, a
+//! priority queue, limited KV memory and a prefix cache. Time is passed in.
 
 mod core;
 mod job;
--- a/crates/standin/src/engine/completion.rs
+++ b/crates/standin/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! Completions: from the request to its job, and from its progress to the answer.
+//! Completions: turns a request into a job and the job's progress into the response.
 
 use std::io;
 use std::sync::Arc;
@@ -22,31 +22,33 @@
 use crate::http::{HttpRequest, HttpResponse};
 use crate::response;
 
-/// Priority of a request that names none.
+/// Priority of a request without a valid `x-priority`.
 const DEFAULT_PRIORITY: u8 = 4;
 
-/// What a fault does to a stream after some of its events.
+/// Fault that breaks a stream after some of its events.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Break {
+enum StreamFault {
     Drop,
     Cut,
     Exit,
 }
 
-/// A refusal that is certain not to have run.
+/// An error response for a request that certainly did not run.
 pub(super) fn not_run(status: StatusCode, text: &str) -> HttpResponse {
     response::json(status, &json!({ "ran": "no", "error": text }))
 }
 
-/// The priority that a request names.
-pub(super) fn priority(call: &HttpRequest) -> u8 {
-    let named = call.header("x-priority").and_then(|text| text.parse().ok());
+/// Returns the priority of a request.
+pub(super) fn priority(request: &HttpRequest) -> u8 {
+    let named = request
+        .header("x-priority")
+        .and_then(|text| text.parse().ok());
     named.unwrap_or(DEFAULT_PRIORITY)
 }
 
-/// Why the engine takes no work for a completion now, if so.
-pub(super) fn refusal(engine: &Engine, completion: &Completion) -> Option<HttpResponse> {
-    if lock(&engine.book).running().is_some() {
+/// Returns the error response if the engine cannot accept a completion now.
+pub(super) fn rejection(engine: &Engine, completion: &Completion) -> Option<HttpResponse> {
+    if lock(&engine.orders).running().is_some() {
         let text = "an order runs";
         return Some(not_run(StatusCode::SERVICE_UNAVAILABLE, text));
     }
@@ -65,51 +67,55 @@
     None
 }
 
-/// Answers a completion.
-pub(super) async fn create(engine: &Arc<Engine>, kind: Kind, call: &HttpRequest) -> HttpResponse {
-    let completion = match Completion::parse(&call.body) {
+/// Runs a completion and responds with its result.
+pub(super) async fn complete(
+    engine: &Arc<Engine>,
+    kind: Kind,
+    request: &HttpRequest,
+) -> HttpResponse {
+    let completion = match Completion::parse(&request.body) {
         Ok(completion) => completion,
         Err(error) => return not_run(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    if let Some(refusal) = refusal(engine, &completion) {
-        return refusal;
+    if let Some(rejection) = rejection(engine, &completion) {
+        return rejection;
     }
-    let stream = match start(engine, kind, &completion, call) {
+    let stream = match start(engine, kind, &completion, request) {
         Ok(stream) => stream,
-        Err(refusal) => return refusal,
+        Err(rejection) => return rejection,
     };
-    if due(engine, |switches| &mut switches.never_answer) {
+    if fault_due(engine, |switches| &mut switches.never_answer) {
         return response::never_respond().await;
     }
-    if due(engine, |switches| &mut switches.late) {
-        let late = Duration::from_millis(engine.panel.get().late_ms);
+    if fault_due(engine, |switches| &mut switches.late) {
+        let late = Duration::from_millis(engine.faults.get().late_ms);
         actix_rt::time::sleep(late).await;
     }
-    let stream = cross(engine, stream);
+    let stream = response_stream(engine, stream);
     match completion.stream {
         true => {
-            let broken = breaks(engine);
-            events(engine, &stream, 0, broken)
+            let fault = next_stream_fault(engine);
+            event_stream(engine, &stream, 0, fault)
         }
-        false => whole(engine, &stream).await,
+        false => full_response(engine, &stream).await,
     }
 }
 
-/// Answers a stream from an event on.
+/// Resumes a stream from an event on.
 pub(super) fn resume(engine: &Arc<Engine>, id: &str, from: u64) -> HttpResponse {
-    let Some(stream) = lock(&engine.table).get(id) else {
+    let Some(stream) = lock(&engine.streams).get(id) else {
         return response::not_found();
     };
     let from = u32::try_from(from)
         .unwrap_or(u32::MAX)
         .min(stream.total + 2);
-    let broken = breaks(engine);
-    events(engine, &stream, from, broken)
+    let fault = next_stream_fault(engine);
+    event_stream(engine, &stream, from, fault)
 }
 
 /// Cancels a stream.
 pub(super) fn cancel(engine: &Engine, id: &str) -> HttpResponse {
-    let stream = lock(&engine.table).remove(id);
+    let stream = lock(&engine.streams).remove(id);
     if let Some(stream) = stream {
         engine.cancel(&stream);
     }
@@ -120,12 +126,12 @@
     engine: &Arc<Engine>,
     kind: Kind,
     completion: &Completion,
-    call: &HttpRequest,
+    request: &HttpRequest,
 ) -> Result<Arc<Stream>, HttpResponse> {
-    let stream = Arc::new(Stream::new(kind, completion, engine.new_job(), call));
+    let stream = Arc::new(Stream::new(kind, completion, engine.new_job(), request));
     let mut job = Job {
         id: stream.job,
-        priority: priority(call),
+        priority: priority(request),
         prompt_tokens: stream.prompt_tokens,
         output_tokens: stream.total,
         blocks: Vec::new(),
@@ -135,56 +141,57 @@
         let text = "prompt and answer are too long";
         return Err(not_run(StatusCode::PAYLOAD_TOO_LARGE, text));
     }
-    if !lock(&engine.table).insert(&stream) {
+    if !lock(&engine.streams).insert(&stream) {
         return Err(not_run(StatusCode::CONFLICT, "stream id in use"));
     }
     if engine.options.instant {
         stream.finish(0);
-        lock(&engine.table).end(&stream.id);
+        lock(&engine.streams).end(&stream.id);
         return Ok(stream);
     }
-    job.prefilled = imported(engine, &stream, call);
+    job.prefilled = take_imported_kv(engine, &stream, request);
     let blocks = engine.options.block_tokens;
     job.blocks = prefix::block_hashes(&completion.model, &completion.prompt, blocks);
     engine.submit(job, stream.clone());
     Ok(stream)
 }
 
-/// Uses up the KV that the request names. An unknown handle, or one of another prompt, only means
-/// that the prefill has to run here.
-fn imported(engine: &Engine, stream: &Stream, call: &HttpRequest) -> bool {
-    let Some(handle) = call.header("x-kv-handle") else {
+/// Consumes the KV handle of the request and returns whether it replaces the prefill. With an
+/// unknown handle, or one of another prompt, the prefill runs here.
+fn take_imported_kv(engine: &Engine, stream: &Stream, request: &HttpRequest) -> bool {
+    let Some(handle) = request.header("x-kv-handle") else {
         return false;
     };
     let prompt = lock(&engine.kv).take(handle);
-    engine.hold();
+    engine.update_held_tokens();
     prompt.is_some_and(|prompt| prompt.digest == stream.digest)
 }
 
-/// The stream to answer with: the request's own, unless the answer is to be crossed.
-fn cross(engine: &Engine, stream: Arc<Stream>) -> Arc<Stream> {
+/// Returns the stream to respond with: the request's own, or the previous request's for the
+/// `crossed` fault.
+fn response_stream(engine: &Engine, stream: Arc<Stream>) -> Arc<Stream> {
     let previous = lock(&engine.previous).replace(stream.clone());
-    if !due(engine, |switches| &mut switches.crossed) {
+    if !fault_due(engine, |switches| &mut switches.crossed) {
         return stream;
     }
     previous
-        .filter(|one| one.request != stream.request)
+        .filter(|previous| previous.request_id != stream.request_id)
         .unwrap_or(stream)
 }
 
-fn due(engine: &Engine, times: impl FnOnce(&mut Switches) -> &mut FaultCount) -> bool {
-    engine.panel.update(|switches| take_fault(times(switches)))
+fn fault_due(engine: &Engine, count: impl FnOnce(&mut Switches) -> &mut FaultCount) -> bool {
+    engine.faults.update(|switches| take_fault(count(switches)))
 }
 
-/// The fault that meets the next stream, with the event before which it does.
-fn breaks(engine: &Engine) -> Option<(u32, Break)> {
-    engine.panel.update(|switches| {
+/// Returns the fault for the next stream and the number of events sent before it.
+fn next_stream_fault(engine: &Engine) -> Option<(u32, StreamFault)> {
+    engine.faults.update(|switches| {
         let kind = if take_fault(&mut switches.exit_streams) {
-            Break::Exit
+            StreamFault::Exit
         } else if take_fault(&mut switches.cut_streams) {
-            Break::Cut
+            StreamFault::Cut
         } else if take_fault(&mut switches.drop_streams) {
-            Break::Drop
+            StreamFault::Drop
         } else {
             return None;
         };
@@ -192,93 +199,93 @@
     })
 }
 
-async fn whole(engine: &Engine, stream: &Stream) -> HttpResponse {
+async fn full_response(engine: &Engine, stream: &Stream) -> HttpResponse {
     if stream.ended().await != End::Done {
         return response::drop_connection();
     }
-    if due(engine, |switches| &mut switches.drop_after) {
+    if fault_due(engine, |switches| &mut switches.drop_after) {
         return response::drop_connection();
     }
-    let answer = response::ok(&stream.whole());
-    response::with_header(answer, "x-request-id", &stream.request)
+    let response = response::ok(&stream.full_body());
+    response::with_header(response, "x-request-id", &stream.request_id)
 }
 
-/// Where a connection is in its stream.
+/// Position of a connection in its stream.
 struct Cursor {
     engine: Arc<Engine>,
     stream: Arc<Stream>,
     progress: watch::Receiver<Progress>,
     next: u32,
-    broken: Option<(u32, Break)>,
+    fault: Option<(u32, StreamFault)>,
 }
 
-fn events(
+fn event_stream(
     engine: &Arc<Engine>,
     stream: &Arc<Stream>,
     from: u32,
-    broken: Option<(u32, Break)>,
+    fault: Option<(u32, StreamFault)>,
 ) -> HttpResponse {
     let cursor = Cursor {
         engine: engine.clone(),
         stream: stream.clone(),
         progress: stream.progress.subscribe(),
         next: from,
-        broken: broken.map(|(after, kind)| (from + after, kind)),
+        fault: fault.map(|(after, kind)| (from + after, kind)),
     };
     let body = stream::unfold(cursor, |mut cursor| async move {
-        let chunk = cursor.chunk().await?;
+        let chunk = cursor.next_chunk().await?;
         Some((chunk, cursor))
     });
     let body = BoxBody::new(BodyStream::new(Box::pin(body)));
-    let mut answer = Response::with_body(StatusCode::OK, body);
-    answer.headers_mut().insert(
+    let mut response = Response::with_body(StatusCode::OK, body);
+    response.headers_mut().insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("text/event-stream"),
     );
-    response::with_header(answer, "x-request-id", &stream.request)
+    response::with_header(response, "x-request-id", &stream.request_id)
 }
 
 impl Cursor {
-    /// The next events, as many as are ready and may be written at once.
-    async fn chunk(&mut self) -> Option<io::Result<Bytes>> {
+    /// Returns the next events, at most `write_events` of those that are ready.
+    async fn next_chunk(&mut self) -> Option<io::Result<Bytes>> {
         if self.next >= self.stream.total + 2 {
             return None;
         }
-        if let Some((at, kind)) = self.broken
+        if let Some((at, kind)) = self.fault
             && self.next >= at
         {
-            // What was sent before has to reach the caller first: a body that fails at once takes
-            // the unsent bytes along.
+            // Let the earlier events be flushed first: a body that fails at once discards the
+            // unsent bytes.
             actix_rt::task::yield_now().await;
-            return Some(Err(self.fail(kind)));
+            return Some(Err(self.apply_fault(kind)));
         }
-        let Some(ready) = self.wait().await else {
+        let Some(ready) = self.wait_ready().await else {
             return Some(Err(io::Error::other("the stream was cut")));
         };
         let most = self.next + self.engine.options.write_events.max(1);
-        let stop = self.broken.map_or(u32::MAX, |(at, _)| at);
+        let stop = self.fault.map_or(u32::MAX, |(at, _)| at);
         let to = ready.min(most).min(stop);
         let bytes = self.stream.events(self.next, to);
         self.next = to;
         Some(Ok(bytes.into()))
     }
 
-    /// Waits for an event that is not sent yet; `None` if there will be none.
-    async fn wait(&mut self) -> Option<u32> {
+    /// Waits for an unsent event; returns `None` if there will be none.
+    async fn wait_ready(&mut self) -> Option<u32> {
         let (stream, next) = (&self.stream, self.next);
         let due = |progress: &Progress| stream.ready(*progress) > next || progress.end == End::Cut;
         let progress = *self.progress.wait_for(due).await.ok()?;
         Some(stream.ready(progress)).filter(|ready| *ready > next)
     }
 
-    fn fail(&self, kind: Break) -> io::Error {
+    fn apply_fault(&self, kind: StreamFault) -> io::Error {
         match kind {
-            Break::Drop => {}
-            Break::Cut => {
-                lock(&self.engine.table).remove(&self.stream.id);
+            StreamFault::Drop => {}
+            StreamFault::Cut => {
+                lock(&self.engine.streams).remove(&self.stream.id);
                 self.engine.cancel(&self.stream);
             }
-            Break::Exit => fault::exit("within a stream"),
+            StreamFault::Exit => fault::exit("within a stream"),
         }
         io::Error::other("fault: the stream broke")
     }
--- a/crates/standin/src/engine/control.rs
+++ b/crates/standin/src/engine/control.rs
@@ -1,4 +1,4 @@
-//! What those who control engines ask: orders, state, load reports and cache events.
+//! Control interface of an engine: orders, state, load reports and cache events.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,134 +16,138 @@
 use crate::http::{HttpRequest, HttpResponse};
 use crate::{client, response};
 
-/// Real time between looks for new cache events while a reader waits.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Real time between checks for new cache events while a reader waits.
+const EVENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait of a reader of cache events.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Upper bound of `wait_ms` of a read of cache events.
+const MAX_EVENT_WAIT: Duration = Duration::from_secs(60);
 
-/// Real time before a load asks the weight store again that was busy.
-const WEIGHTS_AGAIN: Duration = Duration::from_millis(200);
+/// Real time between attempts to fetch weights.
+const WEIGHTS_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Takes an order.
-pub(super) async fn order(engine: &Arc<Engine>, call: &HttpRequest) -> HttpResponse {
-    let order: Order = match serde_json::from_slice(&call.body) {
+/// Handles a submitted order.
+pub(super) async fn submit_order(engine: &Arc<Engine>, request: &HttpRequest) -> HttpResponse {
+    let order: Order = match serde_json::from_slice(&request.body) {
         Ok(order) => order,
         Err(error) => return response::bad_request(&error.to_string()),
     };
-    let delay = engine.panel.get().order_delay_ms;
+    let delay = engine.faults.get().order_delay_ms;
     if delay > 0 {
-        // It arrives even if its sender is gone by then: what left cannot be called back.
+        // Spawned, so that the order takes effect even if its sender disconnects meanwhile.
         let late = actix_rt::spawn({
             let engine = engine.clone();
             async move {
                 sleep(Duration::from_millis(delay)).await;
-                judge(&engine, order)
+                decide(&engine, order)
             }
         });
         return late.await.unwrap_or_else(|_| response::drop_connection());
     }
-    judge(engine, order)
+    decide(engine, order)
 }
 
-fn judge(engine: &Arc<Engine>, order: Order) -> HttpResponse {
+fn decide(engine: &Arc<Engine>, order: Order) -> HttpResponse {
     let id = order.order;
-    let verdict = lock(&engine.book).submit(id, order.fence);
-    if verdict == Decision::Begin {
+    let decision = lock(&engine.orders).submit(id, order.fence);
+    if decision == Decision::Begin {
         log::info!(order = id, fence = order.fence; "order begins");
-        actix_rt::spawn(carry_out(engine.clone(), order));
+        actix_rt::spawn(execute(engine.clone(), order));
     }
     if engine
-        .panel
+        .faults
         .update(|switches| take_fault(&mut switches.lose_order_answers))
     {
         return response::drop_connection();
     }
-    match verdict {
-        Decision::Begin => state_of(StatusCode::ACCEPTED, id, State::Running),
-        Decision::Known(State::Cancelled) => state_of(StatusCode::CONFLICT, id, State::Cancelled),
-        Decision::Known(state) => state_of(StatusCode::ACCEPTED, id, state),
-        refused => conflict(refused),
+    match decision {
+        Decision::Begin => order_state(StatusCode::ACCEPTED, id, State::Running),
+        Decision::Known(State::Cancelled) => {
+            order_state(StatusCode::CONFLICT, id, State::Cancelled)
+        }
+        Decision::Known(state) => order_state(StatusCode::ACCEPTED, id, state),
+        rejected => conflict(rejected),
     }
 }
 
 #[derive(Deserialize)]
-struct Cancel {
+struct CancelOrder {
     order: OrderId,
     fence: FencingToken,
 }
 
-/// Cancels an order that has not begun.
-pub(super) fn cancel_order(engine: &Engine, call: &HttpRequest) -> HttpResponse {
-    let cancel: Cancel = match serde_json::from_slice(&call.body) {
+/// Cancels an order, unless it has begun.
+pub(super) fn cancel_order(engine: &Engine, request: &HttpRequest) -> HttpResponse {
+    let cancel: CancelOrder = match serde_json::from_slice(&request.body) {
         Ok(cancel) => cancel,
         Err(error) => return response::bad_request(&error.to_string()),
     };
-    let verdict = lock(&engine.book).cancel(cancel.order, cancel.fence);
-    match verdict {
-        Decision::Known(state) => state_of(StatusCode::OK, cancel.order, state),
-        refused => conflict(refused),
+    let decision = lock(&engine.orders).cancel(cancel.order, cancel.fence);
+    match decision {
+        Decision::Known(state) => order_state(StatusCode::OK, cancel.order, state),
+        rejected => conflict(rejected),
     }
 }
 
-/// The state of the engine, never stale.
+/// Returns the current state of the engine, without lag.
 pub(super) fn state(engine: &Engine) -> HttpResponse {
     let load = engine.load();
-    let role = lock(&engine.core).role;
+    let role = lock(&engine.batch_state).role;
     let models = lock(&engine.models).clone();
-    let book = lock(&engine.book);
+    let order_table = lock(&engine.orders);
     response::ok(&json!({
         "engine": engine.options.engine,
         "incarnation": engine.incarnation,
         "role": role,
         "models": models,
-        "order": book.last(),
-        "fence": book.fence(),
-        "checks_fence": book.checks_fence(),
+        "order": order_table.last(),
+        "fence": order_table.fence(),
+        "checks_fence": order_table.checks_fence(),
         "open": load.running + load.waiting,
     }))
 }
 
-/// What orders did and what work came since the start of the process, for tests that judge it.
+/// Returns the orders and the work since the start of the process, for the checks of tests.
 pub(super) fn orders(engine: &Engine) -> HttpResponse {
-    let book = lock(&engine.book);
-    let begun: Vec<_> = book.begun().collect();
+    let order_table = lock(&engine.orders);
+    let begun: Vec<_> = order_table.begun().collect();
     response::ok(&json!({
         "begun": begun,
-        "refused": book.refused(),
-        "judged": book.submitted(),
-        "cut": engine.cut.load(Ordering::Relaxed),
-        "jobs": engine.jobs(),
+        "refused": order_table.rejected(),
+        "judged": order_table.submitted(),
+        "cut": engine.streams_cut.load(Ordering::Relaxed),
+        "jobs": engine.jobs_created(),
     }))
 }
 
-/// The load report, as old as the lag makes it.
+/// Returns the load report, delayed by the lag.
 pub(super) async fn report(engine: &Engine) -> HttpResponse {
-    let switches = engine.panel.get();
+    let switches = engine.faults.get();
     if let Some(out) = switches.report.response().await {
         return out;
     }
     let lag = switches
         .report_lag_ms
         .unwrap_or(engine.options.report_lag_ms);
-    let now = engine.scale.now();
-    let (mut age, mut load) = lock(&engine.core)
+    let now = engine.clock.now();
+    let (mut age, mut load) = lock(&engine.batch_state)
         .reports
         .lagged(now, Duration::from_millis(lag));
-    let mut frozen = lock(&engine.frozen);
+    let mut frozen = lock(&engine.frozen_report);
     if switches.freeze_report {
         let (sampled, kept) = *frozen.get_or_insert((now.saturating_sub(age), load));
         (age, load) = (now.saturating_sub(sampled), kept);
     } else {
         *frozen = None;
     }
-    response::ok(&report_value(engine, engine.scale.real(age), load))
+    response::ok(&report_value(engine, engine.clock.real_duration(age), load))
 }
 
 fn report_value(engine: &Engine, age: Duration, load: Load) -> serde_json::Value {
-    let role = lock(&engine.core).role;
+    let role = lock(&engine.batch_state).role;
     let settings = engine.options.settings();
-    let order = lock(&engine.book).running().map_or(0, |known| known.order);
+    let order = lock(&engine.orders)
+        .running()
+        .map_or(0, |status| status.order);
     json!({
         "age_ms": age.as_millis() as u64,
         "role": role,
@@ -161,28 +165,33 @@
     })
 }
 
-/// Cache events from a number on.
-pub(super) async fn events(engine: &Engine, call: &HttpRequest) -> HttpResponse {
-    if let Some(out) = engine.panel.get().events.response().await {
+/// Returns the visible cache events from a number on.
+pub(super) async fn events(engine: &Engine, request: &HttpRequest) -> HttpResponse {
+    if let Some(out) = engine.faults.get().events.response().await {
         return out;
     }
-    let from = call.query_number("from").unwrap_or(1);
-    let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0)).min(LONGEST_WAIT);
-    let read = || lock(&engine.core).events.read(engine.scale.now(), from);
+    let from = request.query_number("from").unwrap_or(1);
+    let wait =
+        Duration::from_millis(request.query_number("wait_ms").unwrap_or(0)).min(MAX_EVENT_WAIT);
+    let read = || {
+        lock(&engine.batch_state)
+            .events
+            .read(engine.clock.now(), from)
+    };
     let arrival = async {
         while read().1.is_empty() {
-            sleep(LOOK_EVERY).await;
+            sleep(EVENT_POLL_INTERVAL).await;
         }
     };
-    // Whether events came or the wait is over, what can be seen now is the answer.
+    // On timeout as well, respond with what is visible now.
     let _ = timeout(wait, arrival).await;
     let (next, events) = read();
     response::ok(&json!({ "next": next, "events": events }))
 }
 
-/// Carries out an order that has begun. Streams that are still open are cut.
-async fn carry_out(engine: Arc<Engine>, order: Order) {
-    let role = lock(&engine.core).role;
+/// Executes an order that has begun. Open streams are cut.
+async fn execute(engine: Arc<Engine>, order: Order) {
+    let role = lock(&engine.batch_state).role;
     engine.reset(role);
     let options = &engine.options;
     let (duration, weights) = match &order.kind {
@@ -191,15 +200,15 @@
         Kind::UnloadModel(_) => (options.load_ms, None),
     };
     let duration = Duration::from_millis(duration);
-    engine.scale.sleep(duration / 2).await;
+    engine.clock.sleep(duration / 2).await;
     if engine
-        .panel
+        .faults
         .update(|switches| take_fault(&mut switches.exit_orders))
     {
         fault::exit("partway through an order");
     }
     if engine
-        .panel
+        .faults
         .update(|switches| take_fault(&mut switches.stuck_orders))
     {
         return;
@@ -207,35 +216,35 @@
     if let Some(model) = weights {
         load_weights(&engine, model).await;
     }
-    engine.scale.sleep(duration / 2).await;
+    engine.clock.sleep(duration / 2).await;
     if engine
-        .panel
+        .faults
         .update(|switches| take_fault(&mut switches.fail_orders))
     {
-        return end(&engine, order.order, State::Failed);
+        return finish(&engine, order.order, State::Failed);
     }
-    take_effect(&engine, order.kind);
-    end(&engine, order.order, State::Done);
+    apply(&engine, order.kind);
+    finish(&engine, order.order, State::Done);
 }
 
-fn take_effect(engine: &Engine, kind: Kind) {
+fn apply(engine: &Engine, kind: Kind) {
     match kind {
         Kind::SetRole { role } => engine.reset(role),
         Kind::LoadModel(model) => {
             let mut models = lock(&engine.models);
-            models.retain(|one| *one != model);
+            models.retain(|loaded| *loaded != model);
             models.push(model);
         }
-        Kind::UnloadModel(model) => lock(&engine.models).retain(|one| *one != model),
+        Kind::UnloadModel(model) => lock(&engine.models).retain(|loaded| *loaded != model),
     }
 }
 
-fn end(engine: &Engine, order: OrderId, state: State) {
+fn finish(engine: &Engine, order: OrderId, state: State) {
     log::info!(order, state:?; "order ends");
-    lock(&engine.book).finish(order, state);
+    lock(&engine.orders).finish(order, state);
 }
 
-/// Takes the weights of a model from the weight store and asks again until it has them.
+/// Fetches the weights of a model from the weight store, with retries until it succeeds.
 async fn load_weights(engine: &Engine, model: &Model) {
     let Some(store) = engine.options.weights else {
         return;
@@ -250,17 +259,17 @@
         model.adapter
     );
     while let Err(error) = client::get(&url).await {
-        log::info!(url, error:?; "weights not loaded yet");
-        sleep(WEIGHTS_AGAIN).await;
+        log::info!(url, error:?; "fetching model weights failed, retrying");
+        sleep(WEIGHTS_RETRY_DELAY).await;
     }
 }
 
-fn state_of(status: StatusCode, order: OrderId, state: State) -> HttpResponse {
+fn order_state(status: StatusCode, order: OrderId, state: State) -> HttpResponse {
     response::json(status, &json!({ "order": order, "state": state }))
 }
 
-fn conflict(verdict: Decision) -> HttpResponse {
-    let value = match verdict {
+fn conflict(decision: Decision) -> HttpResponse {
+    let value = match decision {
         Decision::OldFence(fence) => json!({ "fence": fence }),
         Decision::Busy(order) => json!({ "order": order }),
         Decision::Begin | Decision::Known(_) => json!({}),
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -1,4 +1,5 @@
-//! Cache events as readers see them: late, with gaps, and only the newest. Time is passed in.
+//! Cache events as readers get them: delayed, with gaps and limited to the newest. Time is passed
+//! in.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,38 +9,38 @@
 use super::Moment;
 use super::prefix::Change;
 
-/// Number of an event, from 1. A number that is missing is a gap.
+/// Sequence number of an event, from 1. A missing number is a gap.
 pub type EventNumber = u64;
 
-/// Events that are kept.
-const KEPT: usize = 20_000;
+/// Maximum number of events kept.
+const MAX_EVENTS: usize = 20_000;
 
-/// What happened to a block.
+/// Kind of a cache event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// It was stored.
+    /// The block was stored.
     Stored,
-    /// It was evicted.
+    /// The block was evicted.
     Evicted,
 }
 
-/// An event.
+/// A change of one block of the prefix cache.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Event {
-    /// Its number.
+    /// Sequence number.
     pub n: EventNumber,
-    /// What happened.
+    /// Kind of change.
     pub kind: Kind,
-    /// The hash of the block, as 16 hexadecimal digits.
+    /// Hash of the block, as 16 hexadecimal digits.
     pub prefix: String,
-    /// Tokens of the prefix that the block ends.
+    /// Tokens of the prefix up to the end of the block.
     pub tokens: u32,
 }
 
-/// The events of an engine.
+/// The cache events of an engine.
 #[derive(Debug)]
 pub struct EventLog {
     delay: Duration,
@@ -48,7 +49,7 @@
 }
 
 impl EventLog {
-    /// No events; each will be seen so late.
+    /// Creates an empty log whose events become visible after `delay`.
     pub fn new(delay: Duration) -> Self {
         Self {
             delay,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Adds an event, or only its number if it is lost.
+    /// Adds an event; a lost one only uses up its number.
     pub fn push(&mut self, now: Moment, change: Change, lost: bool) {
         let n = self.next;
         self.next += 1;
@@ -76,17 +77,19 @@
             tokens,
         };
         self.events.push_back((now + self.delay, event));
-        if self.events.len() > KEPT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// The events from a number on that can be seen now, and the number to ask for next.
+    /// Returns the number to read from next and the visible events from `from` on.
     pub fn read(&self, now: Moment, from: EventNumber) -> (EventNumber, Vec<Event>) {
         let start = self.events.partition_point(|(_, event)| event.n < from);
-        let seen = self.events.iter().skip(start);
-        let seen = seen.take_while(|(visible, _)| *visible <= now);
-        let events = seen.map(|(_, event)| event.clone()).collect::<Vec<_>>();
+        let visible_events = self.events.iter().skip(start);
+        let visible_events = visible_events.take_while(|(visible_at, _)| *visible_at <= now);
+        let events = visible_events
+            .map(|(_, event)| event.clone())
+            .collect::<Vec<_>>();
         let next = events.last().map_or(from.max(1), |event| event.n + 1);
         (next, events)
     }
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -1,5 +1,5 @@
-//! KV cache that was exported or imported and waits to be fetched or used, and its transfer
-//! between engines. The transfer is real but small; the time is that of the emulated bytes.
+//! Exported and imported KV caches, and their transfer between engines. A transfer sends a few
+//! bytes per token and takes the time that the emulated size would need.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,61 +16,62 @@
 use super::stream::{End, Stream};
 use super::tokens::{self, Digest};
 use super::{completion, prefix};
-use crate::client::{self, Failure};
+use crate::client::{self, FetchError};
 use crate::fault::lock;
 use crate::http::{HttpRequest, HttpResponse};
 use crate::response;
 
-/// Name of a prompt's KV at an engine.
+/// Identifies a prompt's KV cache at an engine.
 pub(super) type Handle = String;
 
-/// Bytes that are really transferred for each token.
-const SMALL_BYTES: usize = 8;
+/// Bytes actually sent for each token.
+const TRANSFER_BYTES_PER_TOKEN: usize = 8;
 
-/// How long KV is held that nobody fetches or uses, in real time.
-const HELD_FOR: Duration = Duration::from_secs(30);
+/// How long unused KV is held, in real time.
+const KV_RETENTION: Duration = Duration::from_secs(30);
 
-/// The KV of a prompt.
+/// The KV cache of a prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct Prompt {
+pub(super) struct PromptKv {
     pub(super) digest: Digest,
     pub(super) tokens: u32,
 }
 
-/// The KV that is held.
+/// The KV caches held by handle.
 #[derive(Debug, Default)]
-pub(super) struct Store {
-    held: HashMap<Handle, (Instant, Prompt)>,
+pub(super) struct KvStore {
+    caches: HashMap<Handle, (Instant, PromptKv)>,
     link_free_at: Option<Instant>,
 }
 
-impl Store {
+impl KvStore {
     pub(super) fn clear(&mut self) {
-        self.held.clear();
+        self.caches.clear();
     }
 
     pub(super) fn tokens(&self) -> u32 {
-        self.held.values().map(|(_, prompt)| prompt.tokens).sum()
+        self.caches.values().map(|(_, prompt)| prompt.tokens).sum()
     }
 
-    pub(super) fn take(&mut self, handle: &str) -> Option<Prompt> {
-        self.held.remove(handle).map(|(_, prompt)| prompt)
+    pub(super) fn take(&mut self, handle: &str) -> Option<PromptKv> {
+        self.caches.remove(handle).map(|(_, prompt)| prompt)
     }
 
-    /// Drops what was held too long; true if there was any.
+    /// Drops expired KV; returns whether there was any.
     pub(super) fn expire(&mut self) -> bool {
-        let before = self.held.len();
-        self.held.retain(|_, (since, _)| since.elapsed() < HELD_FOR);
-        self.held.len() < before
+        let before = self.caches.len();
+        self.caches
+            .retain(|_, (since, _)| since.elapsed() < KV_RETENTION);
+        self.caches.len() < before
     }
 
-    fn hold(&mut self, prompt: Prompt) -> Handle {
+    fn hold(&mut self, prompt: PromptKv) -> Handle {
         let handle = uuid::Uuid::new_v4().simple().to_string();
-        self.held.insert(handle.clone(), (Instant::now(), prompt));
+        self.caches.insert(handle.clone(), (Instant::now(), prompt));
         handle
     }
 
-    /// Reserves the engine's link for a transfer and gives the moment of its end.
+    /// Reserves the engine's link for a transfer and returns when it ends.
     fn reserve(&mut self, duration: Duration) -> Instant {
         let now = Instant::now();
         let start = self.link_free_at.map_or(now, |free_at| free_at.max(now));
@@ -79,33 +80,33 @@
     }
 }
 
-/// Runs the prefill of a prompt and holds its KV.
-pub(super) async fn export(engine: &Arc<Engine>, call: &HttpRequest) -> HttpResponse {
-    let completion = match Completion::parse(&call.body) {
+/// Runs the prefill of a prompt and holds the resulting KV.
+pub(super) async fn export(engine: &Arc<Engine>, request: &HttpRequest) -> HttpResponse {
+    let completion = match Completion::parse(&request.body) {
         Ok(completion) => Completion {
             max_tokens: 1,
             ..completion
         },
         Err(error) => return response::bad_request(&error.to_string()),
     };
-    if let Some(refusal) = completion::refusal(engine, &completion) {
-        return refusal;
+    if let Some(rejection) = completion::rejection(engine, &completion) {
+        return rejection;
     }
-    let prompt = Prompt {
+    let prompt = PromptKv {
         digest: tokens::digest(&completion.prompt),
         tokens: tokens::count(&completion.prompt),
     };
-    let job = prefill(engine, call, &completion, &prompt);
+    let job = prefill_job(engine, request, &completion, &prompt);
     if !engine.fits(&job) {
         return completion::not_run(StatusCode::PAYLOAD_TOO_LARGE, "prompt too long");
     }
-    let stream = Arc::new(Stream::new(Kind::Text, &completion, job.id, call));
+    let stream = Arc::new(Stream::new(Kind::Text, &completion, job.id, request));
     engine.submit(job, stream.clone());
     if stream.ended().await == End::Cut {
         return response::drop_connection();
     }
     let handle = lock(&engine.kv).hold(prompt);
-    engine.hold();
+    engine.update_held_tokens();
     response::ok(&json!({
         "handle": handle,
         "tokens": prompt.tokens,
@@ -114,10 +115,15 @@
     }))
 }
 
-fn prefill(engine: &Engine, call: &HttpRequest, completion: &Completion, prompt: &Prompt) -> Job {
+fn prefill_job(
+    engine: &Engine,
+    request: &HttpRequest,
+    completion: &Completion,
+    prompt: &PromptKv,
+) -> Job {
     Job {
         id: engine.new_job(),
-        priority: completion::priority(call),
+        priority: completion::priority(request),
         prompt_tokens: prompt.tokens,
         output_tokens: completion.max_tokens,
         blocks: prefix::block_hashes(
@@ -129,12 +135,12 @@
     }
 }
 
-/// Gives the KV to another engine and lets go of it.
+/// Sends held KV to another engine and releases it.
 pub(super) fn fetch(engine: &Engine, handle: &str) -> HttpResponse {
     let Some(prompt) = lock(&engine.kv).take(handle) else {
         return response::not_found();
     };
-    engine.hold();
+    engine.update_held_tokens();
     let body = prompt.digest.to_be_bytes().repeat(prompt.tokens as usize);
     response::with_content_type(StatusCode::OK, "application/octet-stream", body)
 }
@@ -146,35 +152,35 @@
 }
 
 /// Fetches KV from another engine and holds it.
-pub(super) async fn import(engine: &Arc<Engine>, call: &HttpRequest) -> HttpResponse {
-    let import: Import = match serde_json::from_slice(&call.body) {
+pub(super) async fn import(engine: &Arc<Engine>, request: &HttpRequest) -> HttpResponse {
+    let import: Import = match serde_json::from_slice(&request.body) {
         Ok(import) => import,
         Err(error) => return response::bad_request(&error.to_string()),
     };
-    let prompt = match transfer(&import).await {
+    let prompt = match fetch_remote(&import).await {
         Ok(prompt) => prompt,
         Err(error) => return response::error(StatusCode::BAD_GATEWAY, &error.to_string()),
     };
     let bytes = u64::from(prompt.tokens) * engine.options.kv_token_bytes;
     let duration = Duration::from_secs_f64(bytes as f64 / engine.options.kv_bandwidth as f64);
-    let end = lock(&engine.kv).reserve(engine.scale.real(duration));
+    let end = lock(&engine.kv).reserve(engine.clock.real_duration(duration));
     actix_rt::time::sleep_until(end.into()).await;
     if engine.load().kv_used.saturating_add(prompt.tokens) > engine.options.kv_tokens {
         return completion::not_run(StatusCode::SERVICE_UNAVAILABLE, "KV memory full");
     }
     let handle = lock(&engine.kv).hold(prompt);
-    engine.hold();
+    engine.update_held_tokens();
     response::ok(&json!({ "handle": handle, "tokens": prompt.tokens, "bytes": bytes }))
 }
 
-async fn transfer(import: &Import) -> Result<Prompt, Report<Failure>> {
+async fn fetch_remote(import: &Import) -> Result<PromptKv, Report<FetchError>> {
     let url = format!("http://{}/engine/kv/{}", import.from, import.handle);
     let body = client::get(&url).await?;
-    let Some((digest, _)) = body.split_first_chunk::<SMALL_BYTES>() else {
-        bail!(Failure::Broken);
+    let Some((digest, _)) = body.split_first_chunk::<TRANSFER_BYTES_PER_TOKEN>() else {
+        bail!(FetchError::Truncated);
     };
-    Ok(Prompt {
+    Ok(PromptKv {
         digest: Digest::from_be_bytes(*digest),
-        tokens: u32::try_from(body.len() / SMALL_BYTES).unwrap_or(u32::MAX),
+        tokens: u32::try_from(body.len() / TRANSFER_BYTES_PER_TOKEN).unwrap_or(u32::MAX),
     })
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,6 +1,6 @@
-//! The model engine's stand-in: an emulator of continuous batching with a prefix cache, behind the
-//! engine's HTTP interface. [`batch`], [`prefix`], [`orders`], [`events`] and [`report`] know no
-//! I/O and take the emulated time as input; the other modules join them to HTTP.
+//! The model engine emulator: continuous batching with a prefix cache behind the engine's HTTP
+//! interface. [`batch`], [`prefix`], [`orders`], [`events`] and [`report`] do no I/O and take the
+//! emulated time as input; the other modules connect them to HTTP.
 
 mod api;
 pub mod batch;
--- a/crates/standin/src/engine/options.rs
+++ b/crates/standin/src/engine/options.rs
@@ -1,4 +1,4 @@
-//! Command line of `standin-engine`. All durations are emulated, unless said otherwise.
+//! Command line of `standin-engine`. Durations are emulated time unless stated otherwise.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,77 +9,77 @@
 use super::orders::Model;
 use crate::http::Listen;
 
-/// An emulated model engine, for trials and tests.
+/// Emulates a model engine, for tests and measurements.
 #[derive(Clone, Debug)]
 #[derive(Parser)]
 #[command(name = "standin-engine", version)]
 pub struct Options {
-    /// Where to listen.
+    /// Listener options.
     #[command(flatten)]
     pub listen: Listen,
 
-    /// Name told in the state.
+    /// Engine name in the state.
     #[arg(long, default_value = "engine")]
     pub engine: String,
 
-    /// Role at the start.
+    /// Initial role.
     #[arg(long, value_enum, default_value_t = Role::Mixed)]
     pub role: Role,
 
-    /// Model loaded at the start, as NAME, NAME@VERSION or NAME@VERSION+ADAPTER; may be repeated.
-    /// Without any the engine answers for every model.
+    /// Initially loaded model, as NAME, NAME@VERSION or NAME@VERSION+ADAPTER; may be repeated.
+    /// Without this option the engine accepts every model.
     #[arg(long = "model", value_parser = parse_model)]
     pub models: Vec<Model>,
 
-    /// Emulated seconds that pass in a real one.
+    /// Emulated seconds per real second.
     #[arg(long, default_value_t = 1.0)]
     pub time_scale: f64,
 
-    /// Answer at once, without batching, to measure what stands before the engine.
+    /// Respond at once, without batching, to measure the processes in front of the engine.
     #[arg(long)]
     pub instant: bool,
 
-    /// Microseconds of an iteration without any token.
+    /// Fixed microseconds of an iteration.
     #[arg(long, default_value_t = 8000)]
     pub base_us: u64,
 
-    /// Microseconds for each prefilled token.
+    /// Microseconds per prefilled token.
     #[arg(long, default_value_t = 50)]
     pub prefill_token_us: u64,
 
-    /// Microseconds for each sequence that decodes in an iteration.
+    /// Microseconds per sequence that decodes in an iteration.
     #[arg(long, default_value_t = 100)]
     pub sequence_us: u64,
 
-    /// Tokens of an iteration in role mixed, prefilled and decoded together.
+    /// Token budget of an iteration in role mixed, for prefill and decode together.
     #[arg(long, default_value_t = 512)]
     pub token_budget: u32,
 
-    /// Sequences that run at once.
+    /// Maximum number of running sequences.
     #[arg(long, default_value_t = 64)]
     pub max_running: usize,
 
-    /// Tokens that the KV memory holds.
+    /// Capacity of the KV memory, in tokens.
     #[arg(long, default_value_t = 200_000)]
     pub kv_tokens: u32,
 
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache, in tokens.
     #[arg(long, default_value_t = 100_000)]
     pub cache_tokens: u32,
 
-    /// Tokens of a block of the prefix cache.
+    /// Block size of the prefix cache, in tokens.
     #[arg(long, default_value_t = 16)]
     pub block_tokens: u32,
 
-    /// Let waiting jobs push back running ones of lower priority.
+    /// Let waiting jobs preempt running ones of lower priority.
     #[arg(long)]
     pub preempt: bool,
 
-    /// Milliseconds by which load reports lag.
+    /// Lag of load reports, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     pub report_lag_ms: u64,
 
-    /// Milliseconds by which cache events are late.
+    /// Delay of cache events, in milliseconds.
     #[arg(long, default_value_t = 500)]
     pub event_delay_ms: u64,
 
@@ -91,41 +91,41 @@
     #[arg(long, default_value_t = 5000)]
     pub role_change_ms: u64,
 
-    /// Milliseconds that loading or unloading a model takes, beside the transfer of its weights.
+    /// Milliseconds that loading or unloading a model takes, without the transfer of its weights.
     #[arg(long, default_value_t = 2000)]
     pub load_ms: u64,
 
-    /// Address of the weight store that loads take their weights from.
+    /// Address of the weight store from which model weights are fetched.
     #[arg(long)]
     pub weights: Option<SocketAddr>,
 
-    /// Carry out orders with an old fence as well.
+    /// Execute orders with an outdated fencing token too.
     #[arg(long)]
     pub ignore_fence: bool,
 
-    /// Real milliseconds that a finished stream can still be resumed.
+    /// Real milliseconds for which a finished stream can still be resumed.
     #[arg(long, default_value_t = 30_000)]
     pub keep_ms: u64,
 
-    /// Bytes of KV cache for each token.
+    /// Bytes of KV cache per token.
     #[arg(long, default_value_t = 131_072)]
     pub kv_token_bytes: u64,
 
-    /// Bytes a second at which KV is imported.
+    /// Bandwidth of KV imports, in bytes per second.
     #[arg(long, default_value_t = 12_500_000_000)]
     pub kv_bandwidth: u64,
 
-    /// Most events that are written to a stream at once.
+    /// Maximum number of events per write to a stream.
     #[arg(long, default_value_t = 64)]
     pub write_events: u32,
 
-    /// Seed of the faults that are given as a fraction.
+    /// Seed for faults given as a fraction.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
 impl Options {
-    /// The settings of the batch.
+    /// Returns the settings of the batch.
     pub fn settings(&self) -> Settings {
         Settings {
             iteration_base: Duration::from_micros(self.base_us),
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,5 +1,5 @@
-//! The orders of an engine as pure state: the fencing token, one order at a time, repeats that
-//! have no second effect, and orders cancelled before they came.
+//! The orders of an engine, without I/O: checks fencing tokens, runs one order at a time, ignores
+//! repeats and records cancellations of orders that have not arrived yet.
 
 use std::collections::BTreeMap;
 
@@ -7,37 +7,37 @@
 
 use super::batch::Role;
 
-/// Name of an order: the offset of its intent in the log.
+/// Id of an order: the offset of its intent in the log.
 pub type OrderId = u64;
 
-/// Fencing token of who gives an order.
+/// Fencing token of the sender of an order.
 pub type FencingToken = u64;
 
-/// Orders that are remembered for repeats.
-const KEPT: usize = 1024;
+/// Maximum number of orders kept to recognise repeats.
+const MAX_ORDERS: usize = 1024;
 
-/// A model as an engine runs it.
+/// A model, as loaded by an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Model {
-    /// Its name.
+    /// Name.
     pub model: String,
-    /// Its version.
+    /// Version.
     #[serde(default)]
     pub version: String,
-    /// Its adapter; empty for none.
+    /// Adapter; empty for none.
     #[serde(default)]
     pub adapter: String,
 }
 
-/// What is ordered.
+/// Action of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Kind {
-    /// Take another role.
+    /// Change the role.
     SetRole {
-        /// The role.
+        /// The new role.
         role: Role,
     },
     /// Load a model.
@@ -46,127 +46,127 @@
     UnloadModel(Model),
 }
 
-/// An order.
+/// An order to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Order {
-    /// Its name.
+    /// Order id.
     pub order: OrderId,
-    /// The token of who gives it.
+    /// Fencing token of the sender.
     pub fence: FencingToken,
-    /// What is ordered.
+    /// The action.
     #[serde(flatten)]
     pub kind: Kind,
 }
 
-/// How far an order is.
+/// State of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// The engine acts on it.
+    /// In progress.
     Running,
-    /// It was carried out.
+    /// Completed.
     Done,
-    /// It was given up; the engine is as it was before.
+    /// Failed; the engine is unchanged.
     Failed,
-    /// It was cancelled before it came, and will not act.
+    /// Cancelled before it arrived; it will not run.
     Cancelled,
 }
 
-/// An order that the engine knows.
+/// An order known to the engine, with its state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
 pub struct OrderStatus {
-    /// Its name.
+    /// Order id.
     pub order: OrderId,
-    /// The token that it came with.
+    /// Fencing token of the order.
     pub fence: FencingToken,
-    /// How far it is.
+    /// State.
     pub state: State,
 }
 
-/// What the engine says to an order or to its cancellation.
+/// Result of submitting or cancelling an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It begins now.
+    /// The order begins now.
     Begin,
-    /// It is known already.
+    /// The order is already known.
     Known(State),
-    /// It comes from a holder that was replaced; the newest token is told.
+    /// The fencing token is outdated; carries the newest token seen.
     OldFence(FencingToken),
-    /// Another order runs.
+    /// The given other order is running.
     Busy(OrderId),
 }
 
-/// The orders of an engine.
+/// The orders known to an engine.
 #[derive(Clone, Debug)]
 pub struct OrderTable {
     checks_fence: bool,
     fence: FencingToken,
     orders: BTreeMap<OrderId, OrderStatus>,
     last: Option<OrderId>,
-    refused: u64,
-    judged: u64,
+    rejected: u64,
+    submitted: u64,
 }
 
 impl OrderTable {
-    /// No orders yet. `checks_fence` says whether an old token is refused.
+    /// Creates an empty table. `checks_fence` sets whether outdated tokens are rejected.
     pub fn new(checks_fence: bool) -> Self {
         Self {
             checks_fence,
             fence: 0,
             orders: BTreeMap::new(),
             last: None,
-            refused: 0,
-            judged: 0,
+            rejected: 0,
+            submitted: 0,
         }
     }
 
-    /// The newest token seen.
+    /// Returns the newest fencing token seen.
     pub fn fence(&self) -> FencingToken {
         self.fence
     }
 
-    /// Whether an old token is refused.
+    /// Returns whether outdated tokens are rejected.
     pub fn checks_fence(&self) -> bool {
         self.checks_fence
     }
 
-    /// The order that began last.
+    /// Returns the order that began last.
     pub fn last(&self) -> Option<OrderStatus> {
         self.orders.get(&self.last?).copied()
     }
 
-    /// The orders that began, by name.
+    /// Returns the orders that began, sorted by id.
     pub fn begun(&self) -> impl Iterator<Item = &OrderStatus> {
         let orders = self.orders.values();
-        orders.filter(|known| known.state != State::Cancelled)
+        orders.filter(|status| status.state != State::Cancelled)
     }
 
-    /// How many orders and cancellations were refused for an old token.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Returns the number of orders and cancellations rejected for an outdated token.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
-    /// How many orders came, whatever became of them.
+    /// Returns the number of orders submitted, whatever their result.
     pub fn submitted(&self) -> u64 {
-        self.judged
+        self.submitted
     }
 
-    /// The order that runs.
+    /// Returns the running order.
     pub fn running(&self) -> Option<OrderStatus> {
-        self.last().filter(|known| known.state == State::Running)
+        self.last().filter(|status| status.state == State::Running)
     }
 
-    /// Judges an order, and begins it if nothing speaks against it.
+    /// Submits an order, which begins unless it is a repeat, outdated or another one is running.
     pub fn submit(&mut self, order: OrderId, fence: FencingToken) -> Decision {
-        self.judged += 1;
-        if let Some(known) = self.orders.get(&order) {
-            return Decision::Known(known.state);
+        self.submitted += 1;
+        if let Some(status) = self.orders.get(&order) {
+            return Decision::Known(status.state);
         }
-        if let Some(verdict) = self.refuse(fence) {
-            return verdict;
+        if let Some(decision) = self.check_fence(fence) {
+            return decision;
         }
         if let Some(running) = self.running() {
             return Decision::Busy(running.order);
@@ -176,28 +176,28 @@
         Decision::Begin
     }
 
-    /// Keeps an order from acting, unless it has begun; says how far it is.
+    /// Cancels an order, unless it has begun, and returns its state.
     pub fn cancel(&mut self, order: OrderId, fence: FencingToken) -> Decision {
-        if let Some(verdict) = self.refuse(fence) {
-            return verdict;
+        if let Some(decision) = self.check_fence(fence) {
+            return decision;
         }
-        if let Some(known) = self.orders.get(&order) {
-            return Decision::Known(known.state);
+        if let Some(status) = self.orders.get(&order) {
+            return Decision::Known(status.state);
         }
         self.record(order, fence, State::Cancelled);
         Decision::Known(State::Cancelled)
     }
 
-    /// Ends the order that runs.
+    /// Sets the final state of an order.
     pub fn finish(&mut self, order: OrderId, state: State) {
-        if let Some(known) = self.orders.get_mut(&order) {
-            known.state = state;
+        if let Some(status) = self.orders.get_mut(&order) {
+            status.state = state;
         }
     }
 
-    fn refuse(&mut self, fence: FencingToken) -> Option<Decision> {
+    fn check_fence(&mut self, fence: FencingToken) -> Option<Decision> {
         if self.checks_fence && fence < self.fence {
-            self.refused += 1;
+            self.rejected += 1;
             return Some(Decision::OldFence(self.fence));
         }
         self.fence = self.fence.max(fence);
@@ -205,13 +205,13 @@
     }
 
     fn record(&mut self, order: OrderId, fence: FencingToken, state: State) {
-        let known = OrderStatus {
+        let status = OrderStatus {
             order,
             fence,
             state,
         };
-        self.orders.insert(order, known);
-        if self.orders.len() > KEPT {
+        self.orders.insert(order, status);
+        if self.orders.len() > MAX_ORDERS {
             self.orders.pop_first();
         }
     }
--- a/crates/standin/src/engine/prefix.rs
+++ b/crates/standin/src/engine/prefix.rs
@@ -1,52 +1,52 @@
-//! The prefix cache: blocks of a prompt, each named by a hash that chains over all blocks before
-//! it, kept in limited memory and evicted least recently used first.
+//! The prefix cache: blocks of prompts, identified by a hash chained over all preceding blocks,
+//! with limited capacity and least-recently-used eviction.
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::tokens::first_word;
+use super::tokens::first_u64;
 
-/// Name of a block: the hash of the whole prompt up to its end.
+/// Identifies a block: the hash of the prompt up to the end of the block.
 pub type BlockHash = u64;
 
-/// The hashes of the full blocks of a prompt. The chain starts from the hash of the model's name,
-/// and each block adds its words joined by single spaces: `h = blake3(h' as 8 bytes || words)`, of
-/// which the first eight bytes count.
+/// Returns the hashes of the full blocks of a prompt. The chain starts from the hash of the model
+/// name; each block adds its words joined by single spaces: `h = blake3(h' as 8 bytes || words)`,
+/// truncated to the first eight bytes.
 pub fn block_hashes(model: &str, prompt: &str, block_tokens: u32) -> Vec<BlockHash> {
     let block_tokens = block_tokens.max(1) as usize;
     let words = prompt.split_whitespace().collect::<Vec<_>>();
-    let mut hash = first_word(&blake3::hash(model.as_bytes()));
+    let mut hash = first_u64(&blake3::hash(model.as_bytes()));
     let blocks = words.chunks_exact(block_tokens).map(|block| {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&hash.to_be_bytes());
         hasher.update(block.join(" ").as_bytes());
-        hash = first_word(&hasher.finalize());
+        hash = first_u64(&hasher.finalize());
         hash
     });
     blocks.collect()
 }
 
-/// A change of the cache.
+/// A change of the prefix cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A block was stored; it ends the first `tokens` tokens of a prompt.
+    /// A block was stored.
     Stored {
-        /// Its name.
+        /// Hash of the block.
         hash: BlockHash,
-        /// Tokens of the prefix that it ends.
+        /// Tokens of the prefix up to the end of the block.
         tokens: u32,
     },
     /// A block was evicted.
     Evicted {
-        /// Its name.
+        /// Hash of the block.
         hash: BlockHash,
-        /// Tokens of the prefix that it ended.
+        /// Tokens of the prefix up to the end of the block.
         tokens: u32,
     },
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Block {
-    used: u64,
+    last_use: u64,
     tokens: u32,
 }
 
@@ -57,11 +57,11 @@
     capacity: usize,
     blocks: HashMap<BlockHash, Block>,
     by_use: BTreeMap<u64, BlockHash>,
-    uses: u64,
+    use_counter: u64,
 }
 
 impl Cache {
-    /// An empty cache of at most so many tokens.
+    /// Creates an empty cache for at most `capacity_tokens` tokens.
     pub fn new(block_tokens: u32, capacity_tokens: u32) -> Self {
         let block_tokens = block_tokens.max(1);
         Self {
@@ -69,11 +69,11 @@
             capacity: (capacity_tokens / block_tokens) as usize,
             blocks: HashMap::new(),
             by_use: BTreeMap::new(),
-            uses: 0,
+            use_counter: 0,
         }
     }
 
-    /// Tokens of the longest cached prefix; its blocks count as used now.
+    /// Returns the tokens of the longest cached prefix and marks its blocks as used.
     pub fn lookup(&mut self, chain: &[BlockHash]) -> u32 {
         let known = |hash: &&BlockHash| self.blocks.contains_key(hash);
         let hits = chain.iter().take_while(known).count();
@@ -81,7 +81,7 @@
         hits as u32 * self.block_tokens
     }
 
-    /// Stores the blocks of a prompt and evicts what no longer fits.
+    /// Stores the blocks of a prompt and evicts blocks above the capacity.
     pub fn store(&mut self, chain: &[BlockHash], changes: &mut Vec<Change>) {
         for (index, hash) in chain.iter().enumerate() {
             let tokens = (index as u32 + 1) * self.block_tokens;
@@ -90,7 +90,10 @@
                     hash: *hash,
                     tokens,
                 });
-                Block { used: 0, tokens }
+                Block {
+                    last_use: 0,
+                    tokens,
+                }
             });
         }
         self.touch(chain);
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Evicts everything.
+    /// Evicts all blocks.
     pub fn clear(&mut self, changes: &mut Vec<Change>) {
         while let Some((_, hash)) = self.by_use.pop_first() {
             self.evict(hash, changes);
@@ -116,17 +119,17 @@
         }
     }
 
-    /// Marks blocks as used, the last one of a prompt first: a block is of no use once one before
-    /// it is gone, so the end of a prompt has to be evicted before its start.
+    /// Marks blocks as used, the last one of a prompt first: a block is useless without those
+    /// before it, so the end of a prompt has to be evicted before its start.
     fn touch(&mut self, chain: &[BlockHash]) {
         for hash in chain.iter().rev() {
             let Some(block) = self.blocks.get_mut(hash) else {
                 continue;
             };
-            self.uses += 1;
-            self.by_use.remove(&block.used);
-            block.used = self.uses;
-            self.by_use.insert(self.uses, *hash);
+            self.use_counter += 1;
+            self.by_use.remove(&block.last_use);
+            block.last_use = self.use_counter;
+            self.by_use.insert(self.use_counter, *hash);
         }
     }
 }
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! Load reports as readers see them: samples of the past. Time is passed in.
+//! Load reports as readers get them: past samples of the load. Time is passed in.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use super::Moment;
 use super::batch::Load;
 
-/// Samples that are kept.
-const KEPT: usize = 4096;
+/// Maximum number of samples kept.
+const MAX_SAMPLES: usize = 4096;
 
 /// Past samples of the load.
 #[derive(Debug, Default)]
@@ -19,18 +19,18 @@
     /// Adds a sample.
     pub fn push(&mut self, now: Moment, load: Load) {
         self.samples.push_back((now, load));
-        if self.samples.len() > KEPT {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
     }
 
-    /// The newest sample that is at least as old as the lag, with its age. The oldest one stands
-    /// in while there is none.
+    /// Returns the newest sample that is at least `lag` old, with its age. Without one, returns the
+    /// oldest sample.
     pub fn lagged(&self, now: Moment, lag: Duration) -> (Duration, Load) {
-        let visible = now.saturating_sub(lag);
-        let old = self.samples.iter().rev().find(|(at, _)| *at <= visible);
-        let seen = old.or(self.samples.front());
-        seen.map_or((now, Load::default()), |(at, load)| {
+        let sampled_by = now.saturating_sub(lag);
+        let old = self.samples.iter().rev().find(|(at, _)| *at <= sampled_by);
+        let sample = old.or(self.samples.front());
+        sample.map_or((now, Load::default()), |(at, load)| {
             (now.saturating_sub(*at), *load)
         })
     }
--- a/crates/standin/src/engine/request.rs
+++ b/crates/standin/src/engine/request.rs
@@ -1,14 +1,14 @@
-//! The bodies of completions as OpenAI clients send them, checked.
+//! Parses the bodies of OpenAI completion requests.
 
 use serde::Deserialize;
 use serde_json::Value;
 
 use super::tokens;
 
-/// Tokens that are generated if the request names no number.
-const DEFAULT_TOKENS: u32 = 16;
+/// Tokens generated unless the request sets a maximum.
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// The two kinds of completion.
+/// Kind of completion.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Kind {
     /// `/v1/completions`.
@@ -19,7 +19,7 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-struct Raw {
+struct RequestBody {
     #[serde(default)]
     model: String,
     prompt: Option<Value>,
@@ -38,7 +38,7 @@
     content: Value,
 }
 
-/// A completion that is asked for.
+/// A parsed completion request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Completion {
     pub(super) model: String,
@@ -48,38 +48,38 @@
 }
 
 impl Completion {
-    /// Reads a body that has either a `prompt` or `messages`.
+    /// Parses a body with either a `prompt` or `messages`.
     pub(super) fn parse(body: &[u8]) -> serde_json::Result<Self> {
-        let raw: Raw = serde_json::from_slice(body)?;
+        let raw: RequestBody = serde_json::from_slice(body)?;
         let prompt = match (raw.prompt, raw.messages) {
-            (Some(prompt), _) => flatten(&prompt),
-            (None, Some(messages)) => chat(&messages),
+            (Some(prompt), _) => text_of(&prompt),
+            (None, Some(messages)) => prompt_from_messages(&messages),
             (None, None) => return Err(serde::de::Error::missing_field("prompt")),
         };
         let max_tokens = raw.max_completion_tokens.or(raw.max_tokens);
         Ok(Self {
             model: raw.model,
             prompt,
-            max_tokens: max_tokens.unwrap_or(DEFAULT_TOKENS).max(1),
+            max_tokens: max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(1),
             stream: raw.stream,
         })
     }
 }
 
-fn chat(messages: &[Message]) -> String {
-    let texts = messages.iter().map(|one| flatten(&one.content));
+fn prompt_from_messages(messages: &[Message]) -> String {
+    let texts = messages.iter().map(|message| text_of(&message.content));
     let texts = texts.collect::<Vec<_>>();
-    let roles = messages.iter().map(|one| one.role.as_str());
+    let roles = messages.iter().map(|message| message.role.as_str());
     tokens::chat_prompt(roles.zip(texts.iter().map(String::as_str)))
 }
 
-/// The text of a prompt or of a message: a string, or a list of strings or of parts with a text,
-/// joined by line breaks.
-fn flatten(value: &Value) -> String {
+/// Returns the text of a prompt or message: a string, or a list of strings or of parts with a
+/// `text`, joined by newlines.
+fn text_of(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
-        Value::Array(parts) => parts.iter().map(flatten).collect::<Vec<_>>().join("\n"),
-        Value::Object(part) => part.get("text").map(flatten).unwrap_or_default(),
+        Value::Array(parts) => parts.iter().map(text_of).collect::<Vec<_>>().join("\n"),
+        Value::Object(part) => part.get("text").map(text_of).unwrap_or_default(),
         _ => String::new(),
     }
 }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! All state of an engine process, and the task that lets its batch run.
+//! The state of an engine process, and the task that drives its batch.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,18 +12,18 @@
 use super::kv;
 use super::options::Options;
 use super::orders::{Model, OrderTable};
-use super::stream::{Stream, Table};
+use super::stream::{Stream, StreamTable};
 use super::switches::Switches;
-use super::time::Scale;
+use super::time::EmulatedClock;
 use super::{Moment, events, report};
 use crate::fault::{FaultSwitches, lock};
 
-/// Real time between samples of the load.
-const SAMPLE_EVERY: Duration = Duration::from_millis(20);
+/// Real time between load samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the batch and its outputs feed, changed together.
+/// The batch and the state that its outputs update, under one lock.
 #[derive(Debug)]
-pub(super) struct Core {
+pub(super) struct BatchState {
     batch: Batch,
     streams: HashMap<batch::Id, Arc<Stream>>,
     pub(super) role: Role,
@@ -31,32 +31,32 @@
     pub(super) reports: report::LoadHistory,
 }
 
-/// An engine.
+/// An emulated model engine.
 #[derive(Debug)]
 pub struct Engine {
     pub(super) options: Options,
-    pub(super) scale: Scale,
+    pub(super) clock: EmulatedClock,
     pub(super) incarnation: u64,
-    pub(super) panel: FaultSwitches<Switches>,
-    pub(super) core: Mutex<Core>,
-    pub(super) table: Mutex<Table>,
-    pub(super) book: Mutex<OrderTable>,
+    pub(super) faults: FaultSwitches<Switches>,
+    pub(super) batch_state: Mutex<BatchState>,
+    pub(super) streams: Mutex<StreamTable>,
+    pub(super) orders: Mutex<OrderTable>,
     pub(super) models: Mutex<Vec<Model>>,
-    pub(super) kv: Mutex<kv::Store>,
-    /// The request before, for crossed answers.
+    pub(super) kv: Mutex<kv::KvStore>,
+    /// Stream of the previous request, for the `crossed` fault.
     pub(super) previous: Mutex<Option<Arc<Stream>>>,
-    /// The report that is seen while reports are frozen, with the moment of its sample.
-    pub(super) frozen: Mutex<Option<(Moment, Load)>>,
-    /// Streams that orders cut.
-    pub(super) cut: AtomicU64,
-    jobs: AtomicU64,
+    /// The report returned while reports are frozen, with its sample time.
+    pub(super) frozen_report: Mutex<Option<(Moment, Load)>>,
+    /// Number of streams cut by orders.
+    pub(super) streams_cut: AtomicU64,
+    next_job: AtomicU64,
     wake: Notify,
 }
 
 impl Engine {
-    /// An idle engine. It generates nothing before [`Engine::run`] runs.
+    /// Creates an idle engine. Its batch only advances while [`Engine::run`] runs.
     pub fn new(options: Options) -> Arc<Self> {
-        let core = Core {
+        let state = BatchState {
             batch: Batch::new(options.settings(), options.role),
             streams: HashMap::new(),
             role: options.role,
@@ -64,144 +64,147 @@
             reports: report::LoadHistory::default(),
         };
         Arc::new(Self {
-            scale: Scale::new(options.time_scale),
+            clock: EmulatedClock::new(options.time_scale),
             incarnation: rand::random::<u32>().into(),
-            panel: FaultSwitches::new(options.seed),
-            core: Mutex::new(core),
-            table: Mutex::new(Table::new(Duration::from_millis(options.keep_ms))),
-            book: Mutex::new(OrderTable::new(!options.ignore_fence)),
+            faults: FaultSwitches::new(options.seed),
+            batch_state: Mutex::new(state),
+            streams: Mutex::new(StreamTable::new(Duration::from_millis(options.keep_ms))),
+            orders: Mutex::new(OrderTable::new(!options.ignore_fence)),
             models: Mutex::new(options.models.clone()),
             kv: Mutex::default(),
             previous: Mutex::default(),
-            frozen: Mutex::default(),
-            cut: AtomicU64::new(0),
-            jobs: AtomicU64::new(1),
+            frozen_report: Mutex::default(),
+            streams_cut: AtomicU64::new(0),
+            next_job: AtomicU64::new(1),
             wake: Notify::new(),
             options,
         })
     }
 
-    /// Lets the batch run in time, for as long as the process lives.
+    /// Drives the batch for the lifetime of the process.
     pub async fn run(self: Arc<Self>) {
         let mut sampled = tokio::time::Instant::now();
         loop {
             let next = self.step(Input::Advance);
-            if sampled.elapsed() >= SAMPLE_EVERY {
+            if sampled.elapsed() >= SAMPLE_INTERVAL {
                 sampled = tokio::time::Instant::now();
                 self.sample();
             }
-            let sample = sampled + SAMPLE_EVERY;
-            let due = next.map_or(sample, |next| sample.min(self.scale.instant(next).into()));
+            let sample = sampled + SAMPLE_INTERVAL;
+            let due = next.map_or(sample, |next| {
+                sample.min(self.clock.real_instant(next).into())
+            });
             let wait = due.saturating_duration_since(tokio::time::Instant::now());
-            // Whether time passed or something came in, the next step finds out what is due.
+            // After a timeout or a wake-up alike, the next step determines what is due.
             let _ = timeout(wait, self.wake.notified()).await;
             if wait.is_zero() {
-                // Many iterations fit into one turn of the timer at a high time scale. Others on
-                // this thread have to run in between.
+                // At a high time scale many iterations fit into one timer tick. Yield, so that
+                // other tasks on this thread can run in between.
                 sleep_until(tokio::time::Instant::now()).await;
             }
         }
     }
 
-    /// A name for a new job.
+    /// Returns an id for a new job.
     pub(super) fn new_job(&self) -> batch::Id {
-        self.jobs.fetch_add(1, Ordering::Relaxed)
+        self.next_job.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Work that was taken since the start of the process.
-    pub(super) fn jobs(&self) -> u64 {
-        self.jobs.load(Ordering::Relaxed) - 1
+    /// Returns the number of job ids given out since the start of the process.
+    pub(super) fn jobs_created(&self) -> u64 {
+        self.next_job.load(Ordering::Relaxed) - 1
     }
 
-    /// Whether the batch can ever run a job.
+    /// Returns whether the batch can ever run a job.
     pub(super) fn fits(&self, job: &Job) -> bool {
-        lock(&self.core).batch.fits(job)
+        lock(&self.batch_state).batch.fits(job)
     }
 
-    /// What is in the batch now.
+    /// Returns the current load of the batch.
     pub(super) fn load(&self) -> Load {
-        lock(&self.core).batch.load()
+        lock(&self.batch_state).batch.load()
     }
 
-    /// Queues a job that feeds a stream.
+    /// Queues a job whose output goes to a stream.
     pub(super) fn submit(&self, job: Job, stream: Arc<Stream>) {
-        lock(&self.core).streams.insert(job.id, stream);
+        lock(&self.batch_state).streams.insert(job.id, stream);
         self.step(Input::Submit(job));
         self.wake.notify_one();
     }
 
     /// Cancels a stream.
     pub(super) fn cancel(&self, stream: &Stream) {
-        lock(&self.core).streams.remove(&stream.job);
+        lock(&self.batch_state).streams.remove(&stream.job);
         self.step(Input::Cancel(stream.job));
         stream.cut();
     }
 
-    /// Cuts all open streams and empties the batch, the cache and the KV handles.
+    /// Cuts all open streams and clears the batch, the prefix cache and the held KV.
     pub(super) fn reset(&self, role: Role) {
-        let streams = std::mem::take(&mut lock(&self.core).streams);
-        lock(&self.core).role = role;
+        let streams = std::mem::take(&mut lock(&self.batch_state).streams);
+        lock(&self.batch_state).role = role;
         self.step(Input::Reset(role));
-        self.cut.fetch_add(streams.len() as u64, Ordering::Relaxed);
+        self.streams_cut
+            .fetch_add(streams.len() as u64, Ordering::Relaxed);
         for stream in streams.into_values() {
-            lock(&self.table).remove(&stream.id);
+            lock(&self.streams).remove(&stream.id);
             stream.cut();
         }
         lock(&self.kv).clear();
-        self.hold();
+        self.update_held_tokens();
     }
 
-    /// Tells the batch how much of its memory the KV handles take.
-    pub(super) fn hold(&self) {
+    /// Passes the memory that the held KV occupies to the batch.
+    pub(super) fn update_held_tokens(&self) {
         let tokens = lock(&self.kv).tokens();
         self.step(Input::SetHeldTokens(tokens));
     }
 
-    /// Sets the pace to that of the fault switches.
-    pub(super) fn pace(&self) {
-        let slow = self.panel.get().slow.max(1.0);
+    /// Applies the slowdown of the fault switches to the batch.
+    pub(super) fn update_slowdown(&self) {
+        let slow = self.faults.get().slow.max(1.0);
         self.step(Input::SetSlowdown((slow * 1000.0) as u32));
     }
 
     fn sample(&self) {
-        let now = self.scale.now();
-        let mut core = lock(&self.core);
-        let load = core.batch.load();
-        core.reports.push(now, load);
-        drop(core);
+        let now = self.clock.now();
+        let mut state = lock(&self.batch_state);
+        let load = state.batch.load();
+        state.reports.push(now, load);
+        drop(state);
         if lock(&self.kv).expire() {
-            self.hold();
+            self.update_held_tokens();
         }
     }
 
-    /// Steps the batch, hands out what came of it and gives the moment of the next output.
+    /// Steps the batch, dispatches its outputs and returns when the next output is due.
     fn step(&self, input: Input) -> Option<Moment> {
-        let now = self.scale.now();
-        let mut core = lock(&self.core);
-        let outputs = core.batch.step(now, input);
+        let now = self.clock.now();
+        let mut state = lock(&self.batch_state);
+        let outputs = state.batch.step(now, input);
         for output in outputs {
-            self.hand_out(&mut core, now, &output);
+            self.dispatch_output(&mut state, now, &output);
         }
-        core.batch.next_output_at()
+        state.batch.next_output_at()
     }
 
-    fn hand_out(&self, core: &mut Core, now: Moment, output: &Output) {
+    fn dispatch_output(&self, state: &mut BatchState, now: Moment, output: &Output) {
         match *output {
             Output::Progress { id, produced } => {
-                if let Some(stream) = core.streams.get(&id) {
-                    stream.produce(produced);
+                if let Some(stream) = state.streams.get(&id) {
+                    stream.set_produced(produced);
                 }
             }
             Output::Finished { id, cached } => {
-                if let Some(stream) = core.streams.remove(&id) {
+                if let Some(stream) = state.streams.remove(&id) {
                     stream.finish(cached);
-                    lock(&self.table).end(&stream.id);
+                    lock(&self.streams).end(&stream.id);
                 }
             }
             Output::Cache(change) => {
-                let gap = self.options.event_gap.max(self.panel.get().event_gap);
-                let lost = self.panel.chance(gap);
-                core.events.push(now, change, lost);
+                let gap = self.options.event_gap.max(self.faults.get().event_gap);
+                let lost = self.faults.chance(gap);
+                state.events.push(now, change, lost);
             }
         }
     }
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -1,5 +1,5 @@
-//! A completion in progress: how much is generated, and its events. Since the content follows
-//! from the prompt, nothing else has to be kept to send any part of it again.
+//! A completion in progress and its events. The content is a function of the prompt, so any part
+//! can be sent again without storing it.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -14,33 +14,33 @@
 use super::tokens::{self, Digest};
 use crate::http::HttpRequest;
 
-/// Name of a stream, chosen by who asks for the completion.
+/// Id of a stream, chosen by the caller.
 pub(super) type Id = String;
 
-/// How a stream ended.
+/// Whether and how a stream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum End {
-    /// It has not.
+    /// Still open.
     Open,
     /// All tokens were generated.
     Done,
-    /// It was cancelled, or an order cut it.
+    /// Cancelled, or cut by an order.
     Cut,
 }
 
-/// How far a stream is.
+/// Progress of a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Progress {
     pub(super) produced: u32,
     pub(super) end: End,
 }
 
-/// A stream. Its events are one for each token, one that tells the end, and `[DONE]`.
+/// A stream. Its events are one per token, one with the finish reason, and `[DONE]`.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) id: Id,
     pub(super) job: batch::Id,
-    pub(super) request: String,
+    pub(super) request_id: String,
     pub(super) kind: Kind,
     pub(super) model: String,
     pub(super) digest: Digest,
@@ -50,26 +50,26 @@
     pub(super) progress: watch::Sender<Progress>,
 }
 
-/// Bytes of an event beside its fixed parts.
-const EVENT_ROOM: usize = 32;
+/// Buffer space of an event for its index and its server-sent-event fields.
+const EVENT_OVERHEAD_BYTES: usize = 32;
 
 impl Stream {
-    /// A stream that has produced nothing. Its name and that of its request are taken from the
-    /// headers, or chosen if they are missing.
+    /// Creates a stream without progress. The stream id and request id come from the headers, or
+    /// are generated if missing.
     pub(super) fn new(
         kind: Kind,
         completion: &Completion,
         job: batch::Id,
-        call: &HttpRequest,
+        request: &HttpRequest,
     ) -> Self {
-        let name = |header: &str| match call.header(header) {
+        let name = |header: &str| match request.header(header) {
             Some(name) if !name.is_empty() => name.to_owned(),
             _ => uuid::Uuid::new_v4().simple().to_string(),
         };
         Self {
             id: name("x-stream-id"),
             job,
-            request: name("x-request-id"),
+            request_id: name("x-request-id"),
             kind,
             model: completion.model.clone(),
             digest: tokens::digest(&completion.prompt),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Waits until the stream ends and tells how.
+    /// Waits until the stream ends and returns how.
     pub(super) async fn ended(&self) -> End {
         let mut progress = self.progress.subscribe();
         let ended = progress
@@ -92,7 +92,7 @@
         ended.map_or(End::Cut, |progress| progress.end)
     }
 
-    /// The number of events that can be sent now.
+    /// Returns the number of events that can be sent now.
     pub(super) fn ready(&self, progress: Progress) -> u32 {
         match progress.end {
             End::Done => self.total + 2,
@@ -100,7 +100,7 @@
         }
     }
 
-    pub(super) fn produce(&self, produced: u32) {
+    pub(super) fn set_produced(&self, produced: u32) {
         self.progress
             .send_modify(|progress| progress.produced = produced);
     }
@@ -111,7 +111,7 @@
         self.progress.send_replace(Progress { produced, end });
     }
 
-    /// Ends the stream before its time; one that is done stays so.
+    /// Cuts the stream, unless it has ended.
     pub(super) fn cut(&self) {
         self.progress.send_if_modified(|progress| {
             let open = progress.end == End::Open;
@@ -122,10 +122,11 @@
         });
     }
 
-    /// The events from `from` up to `to` in the form of server-sent events.
+    /// Returns the events from `from` up to `to` as server-sent events.
     pub(super) fn events(&self, from: u32, to: u32) -> Vec<u8> {
-        let (head, tail) = self.frame();
-        let room = self.id.len() + head.len() + tail.len() + tokens::LENGTH + EVENT_ROOM;
+        let (head, tail) = self.chunk_frame();
+        let room =
+            self.id.len() + head.len() + tail.len() + tokens::TOKEN_BYTES + EVENT_OVERHEAD_BYTES;
         let mut out = Vec::with_capacity(room * (to - from) as usize);
         for index in from..to {
             out.extend_from_slice(b"id: ");
@@ -147,8 +148,8 @@
         out
     }
 
-    /// The whole answer.
-    pub(super) fn whole(&self) -> serde_json::Value {
+    /// Returns the body of the response without streaming.
+    pub(super) fn full_body(&self) -> serde_json::Value {
         let text = tokens::text(self.digest, self.total);
         let (object, choice) = match self.kind {
             Kind::Text => (
@@ -171,8 +172,8 @@
         })
     }
 
-    /// What stands before and after the token in the chunk of each token.
-    fn frame(&self) -> (String, &'static str) {
+    /// Returns the JSON before and after the token in a token's chunk.
+    fn chunk_frame(&self) -> (String, &'static str) {
         let id = json!(self.id);
         let model = json!(self.model);
         match self.kind {
@@ -218,24 +219,24 @@
     }
 }
 
-/// The streams that can be resumed or cancelled.
+/// Streams that can be resumed or cancelled.
 #[derive(Debug)]
-pub(super) struct Table {
-    keep: Duration,
+pub(super) struct StreamTable {
+    retention: Duration,
     streams: HashMap<Id, Arc<Stream>>,
     ended: VecDeque<(Instant, Id)>,
 }
 
-impl Table {
-    pub(super) fn new(keep: Duration) -> Self {
+impl StreamTable {
+    pub(super) fn new(retention: Duration) -> Self {
         Self {
-            keep,
+            retention,
             streams: HashMap::new(),
             ended: VecDeque::new(),
         }
     }
 
-    /// Adds a stream; false if there is one of the same name.
+    /// Adds a stream; returns false if its id is in use.
     pub(super) fn insert(&mut self, stream: &Arc<Stream>) -> bool {
         self.expire();
         if self.streams.contains_key(&stream.id) {
@@ -253,7 +254,7 @@
         self.streams.remove(id)
     }
 
-    /// Notes that a stream is done: from now on it is kept for its time.
+    /// Marks a stream as ended: it is removed after the retention time.
     pub(super) fn end(&mut self, id: &str) {
         self.ended.push_back((Instant::now(), id.to_owned()));
         self.expire();
@@ -261,7 +262,7 @@
 
     fn expire(&mut self) {
         while let Some((at, _)) = self.ended.front() {
-            if at.elapsed() < self.keep {
+            if at.elapsed() < self.retention {
                 break;
             }
             if let Some((_, id)) = self.ended.pop_front() {
--- a/crates/standin/src/engine/switches.rs
+++ b/crates/standin/src/engine/switches.rs
@@ -4,53 +4,53 @@
 
 use crate::fault::{FaultCount, Outage};
 
-/// What can go wrong with the engine. A countdown meets the next so many requests of its kind.
+/// Faults of the engine. A count applies to that many of the next requests of its kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Switches {
-    /// Completions and resumes are out.
+    /// Outage of completions and resumes.
     pub out: Outage,
-    /// Iterations take so many times as long; 0 and 1 leave them as they are.
+    /// Slowdown factor of iterations; 0 and 1 have no effect.
     pub slow: f64,
-    /// Completions are run and never answered.
+    /// Completions that run and are never answered.
     pub never_answer: FaultCount,
-    /// Completions are answered late, after they ran.
+    /// Completions whose response is delayed by `late_ms`.
     pub late: FaultCount,
-    /// Milliseconds by which a late answer is late, in real time.
+    /// Delay of a late response, in real milliseconds.
     pub late_ms: u64,
-    /// Completions are answered with the id and the text of the request before.
+    /// Completions answered with the id and text of the previous request.
     pub crossed: FaultCount,
-    /// Streams whose connection drops partway; the engine generates on and they can be resumed.
+    /// Streams whose connection drops partway; generation continues and they can be resumed.
     pub drop_streams: FaultCount,
-    /// Streams that are lost partway, as in a crash that only they see: no resume finds them.
+    /// Streams that are lost partway and cannot be resumed, while the engine runs on.
     pub cut_streams: FaultCount,
     /// Streams at which the process exits partway.
     pub exit_streams: FaultCount,
-    /// How many events of such a stream are sent before.
+    /// Events that a dropped, cut or exiting stream sends first.
     pub after_events: u32,
-    /// Whole completions that are run, and then the connection drops.
+    /// Completions without streaming that run and whose connection then drops.
     pub drop_after: FaultCount,
-    /// Orders that fail in the end and leave the engine as it was.
+    /// Orders that fail at the end and leave the engine unchanged.
     pub fail_orders: FaultCount,
     /// Orders that never end.
     pub stuck_orders: FaultCount,
     /// Orders partway through which the process exits.
     pub exit_orders: FaultCount,
-    /// Orders whose answer is lost after they began.
+    /// Orders whose response is lost after they began.
     pub lose_order_answers: FaultCount,
-    /// Real milliseconds by which orders are late, before they are judged.
+    /// Delay of orders before they are processed, in real milliseconds.
     pub order_delay_ms: u64,
-    /// The load report is out.
+    /// Outage of the load report.
     pub report: Outage,
-    /// The load report stays as it is seen now.
+    /// The load report stops changing.
     pub freeze_report: bool,
-    /// Milliseconds by which load reports lag, in place of the option.
+    /// Lag of load reports in milliseconds; overrides the option.
     pub report_lag_ms: Option<u64>,
-    /// Cache events are out.
+    /// Outage of cache events.
     pub events: Outage,
-    /// Fraction of cache events that are lost, beside that of the option.
+    /// Fraction of cache events that are lost; the larger of this and the option applies.
     pub event_gap: f64,
-    /// KV exports, their transfer and imports are out.
+    /// Outage of KV exports, transfers and imports.
     pub kv: Outage,
 }
--- a/crates/standin/src/engine/time.rs
+++ b/crates/standin/src/engine/time.rs
@@ -1,4 +1,4 @@
-//! Emulated time: real time since the start, sped up by the time scale.
+//! Emulated time: real time since the start, multiplied by the time scale.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,12 @@
 
 /// The clock of an emulation.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Scale {
+pub(super) struct EmulatedClock {
     start: Instant,
     factor: f64,
 }
 
-impl Scale {
+impl EmulatedClock {
     pub(super) fn new(factor: f64) -> Self {
         Self {
             start: Instant::now(),
@@ -23,20 +23,20 @@
         self.start.elapsed().mul_f64(self.factor)
     }
 
-    /// The real time that an emulated one takes.
-    pub(super) fn real(&self, emulated: Duration) -> Duration {
+    /// Converts an emulated duration to real time.
+    pub(super) fn real_duration(&self, emulated: Duration) -> Duration {
         emulated.div_f64(self.factor)
     }
 
-    /// The real moment of an emulated one.
-    pub(super) fn instant(&self, moment: Moment) -> Instant {
-        self.start + self.real(moment)
+    /// Converts an emulated time to a real instant.
+    pub(super) fn real_instant(&self, moment: Moment) -> Instant {
+        self.start + self.real_duration(moment)
     }
 
-    /// Lets emulated time pass.
+    /// Sleeps for an emulated duration.
     pub(super) async fn sleep(&self, emulated: Duration) {
         if !emulated.is_zero() {
-            actix_rt::time::sleep(self.real(emulated)).await;
+            actix_rt::time::sleep(self.real_duration(emulated)).await;
         }
     }
 }
