--- a/crates/standin/tests/batch.rs
+++ b/crates/standin/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Steps of the pure batching core.
+//! Tests of the batch state machine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Runs to the end and gives each job's tokens with the moment at which they came.
+/// Runs all jobs to the end and returns each token with the time at which it was produced.
 fn run(batch: &mut Batch) -> Vec<(Moment, Id, u32)> {
     let mut tokens = Vec::new();
     while let Some(next) = batch.next_output_at() {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_iteration_costs_its_prefill_and_its_sequences() {
+fn iteration_time_is_the_sum_of_prefill_and_decode_costs() {
     let mut batch = Batch::new(settings(), Role::Mixed);
     batch.step(Moment::ZERO, Input::Submit(job(1, 0, 50, 3)));
     assert_eq!(
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn a_long_prompt_is_prefilled_in_chunks_beside_decoding() {
+fn long_prompt_is_prefilled_in_chunks_during_decode() {
     let mut batch = Batch::new(settings(), Role::Mixed);
     batch.step(Moment::ZERO, Input::Submit(job(1, 0, 10, 4)));
     batch.step(MS, Input::Submit(job(2, 0, 150, 1)));
     let tokens = run(&mut batch);
-    // The second prompt takes 99 tokens beside the first job's decoding, then 51.
+    // The second prompt prefills 99 tokens while the first job decodes, then 51.
     assert_eq!(tokens[0], (20 * MS, 1, 1));
     assert_eq!(tokens[1], (20 * MS + (10 + 99 + 2) * MS, 1, 2));
     assert_eq!(tokens[2], (131 * MS + (10 + 51 + 2) * MS, 1, 3));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn one_late_step_equals_many_small_ones() {
+fn single_late_step_matches_many_small_steps() {
     let submit = |batch: &mut Batch| {
         for id in 1..=5 {
             batch.step(Moment::ZERO, Input::Submit(job(id, 0, 30 * id as u32, 7)));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_higher_priority_leaves_the_queue_first() {
+fn higher_priority_is_admitted_first() {
     let mut batch = Batch::new(settings(), Role::Mixed);
     for (id, priority) in [(1, 5), (2, 5), (3, 5), (4, 0)] {
         batch.step(Moment::ZERO, Input::Submit(job(id, priority, 10, 2)));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn preemption_keeps_the_text_and_gives_the_place_to_the_higher_priority() {
+fn preempted_job_keeps_its_produced_tokens() {
     let settings = Settings {
         preempt: true,
         max_running: 1,
@@ -127,14 +127,14 @@
     batch.step(20 * MS, Input::Submit(job(2, 0, 10, 1)));
     let tokens = run(&mut batch);
     let order = tokens.iter().map(|(_, id, produced)| (*id, *produced));
-    // The pushed back job goes on with its third token: none comes twice.
+    // The preempted job continues with its third token; no token is produced twice.
     assert_eq!(order.collect::<Vec<_>>(), [(1, 2), (2, 1), (1, 3)]);
-    // Its prompt and the two tokens are prefilled again, together with the third.
+    // The iteration of the third token prefills its prompt and the first two tokens again.
     assert_eq!(tokens[2].0 - tokens[1].0, (10 + 12) * MS);
 }
 
 #[test]
-fn equal_priorities_do_not_push_each_other_back() {
+fn equal_priorities_do_not_preempt_each_other() {
     let settings = Settings {
         preempt: true,
         max_running: 1,
@@ -144,14 +144,14 @@
     for id in [1, 2] {
         batch.step(Moment::ZERO, Input::Submit(job(id, 5, 10, 2)));
     }
-    // A push back would show as a second prefill of the first prompt.
+    // A preemption would show as a second prefill of the first prompt.
     let times = run(&mut batch).into_iter().map(|(at, id, _)| (at, id));
     let expected = [(20 * MS, 1), (32 * MS, 1), (52 * MS, 2), (64 * MS, 2)];
     assert_eq!(times.collect::<Vec<_>>(), expected);
 }
 
 #[test]
-fn kv_memory_bounds_admission() {
+fn kv_memory_limits_admission() {
     let mut batch = Batch::new(settings(), Role::Mixed);
     batch.step(Moment::ZERO, Input::SetHeldTokens(500));
     batch.step(Moment::ZERO, Input::Submit(job(1, 0, 300, 10)));
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_imported_prompt_needs_no_prefill() {
+fn imported_prompt_needs_no_prefill() {
     let mut batch = Batch::new(settings(), Role::Decode);
     let prefilled = Job {
         prefilled: true,
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_shared_prefix_is_prefilled_once_and_evicted_last_used_first() {
+fn shared_prefix_is_prefilled_once_and_reset_evicts_all_blocks() {
     let mut batch = Batch::new(settings(), Role::Mixed);
     let prompt = |tail: &str| format!("a b c d e f g h {tail} {tail} {tail} {tail}");
     let with = |id, prompt: &str| Job {
@@ -193,7 +193,7 @@
         batch.step(now, Input::Submit(with(id, &prompt(tail))));
         cached.extend(finished(&batch.step(now + 900 * MS, Input::Advance)));
     }
-    // All but the last token of the third prompt: that one is always computed.
+    // The third prompt is cached but for its last token, which is always computed.
     assert_eq!(cached, [(1, 0), (2, 8), (3, 11)]);
     let outputs = batch.step(Duration::from_secs(9), Input::Reset(Role::Decode));
     assert_eq!(outputs.len(), 4);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn roles_trade_prefill_for_decoding() {
+fn roles_trade_prefill_rate_for_decode_capacity() {
     let settings = settings();
     assert!(settings.prefill_rate(Role::Prefill) > settings.prefill_rate(Role::Mixed));
     assert!(settings.prefill_rate(Role::Mixed) > settings.prefill_rate(Role::Decode));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_slowed_engine_takes_longer_from_its_next_iteration_on() {
+fn slowdown_applies_from_the_next_iteration() {
     let mut batch = Batch::new(settings(), Role::Mixed);
     batch.step(Moment::ZERO, Input::Submit(job(1, 0, 10, 2)));
     batch.step(MS, Input::SetSlowdown(3000));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn every_job_gets_each_of_its_tokens_once_whatever_the_schedule() {
+fn every_token_is_produced_once_under_random_schedules() {
     for seed in 0..50 {
         let mut random = StdRng::seed_from_u64(seed);
         let settings = Settings {
--- a/crates/standin/tests/http/common.rs
+++ b/crates/standin/tests/http/common.rs
@@ -1,4 +1,4 @@
-//! Starts stand-ins within the test's process and asks them.
+//! Starts stand-ins, in the test's process or as child processes, and sends them requests.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use standin::platform::{self, Platform};
 use standin::service::{self, Service};
 
-/// What a whole event stream ends with.
+/// The end of a complete event stream.
 const LAST_EVENT: &str = "data: [DONE]\n\n";
 
-/// A reply with its body as text.
+/// A response with its body as text.
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) request_id: String,
@@ -63,7 +63,7 @@
     address
 }
 
-/// Starts a program as a process of its own and reads its address.
+/// Starts a program as a child process and reads its address.
 pub(crate) fn spawn(program: &str) -> (Child, SocketAddr) {
     let mut child = Command::new(program)
         .stdout(Stdio::piped())
@@ -77,7 +77,7 @@
     (child, address.parse().unwrap())
 }
 
-/// Sends a request; an error means that no whole answer came, and tells why or what came.
+/// Sends a request. Without a complete response, the error is the reason or the partial text.
 pub(crate) async fn send(
     method: Method,
     address: SocketAddr,
@@ -99,8 +99,8 @@
         .await
         .map_err(|error| error.to_string())?;
     let text = String::from_utf8(body.to_vec()).unwrap();
-    // Symptom without this check: a broken stream passes for a whole one. The client takes the end
-    // of the connection for the end of a body, so only the last event tells that all of it came.
+    // The client treats the end of the connection as the end of the body, so only the last event
+    // distinguishes a complete stream from a broken one.
     let kind = reply.headers().get("content-type");
     if kind.is_some_and(|kind| kind == "text/event-stream") && !text.ends_with(LAST_EVENT) {
         return Err(text);
--- a/crates/standin/tests/http/engine.rs
+++ b/crates/standin/tests/http/engine.rs
@@ -1,4 +1,4 @@
-//! `standin-engine` over HTTP.
+//! Tests of `standin-engine` over HTTP.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use standin::engine::{chat_prompt, expected_text};
 
-/// Emulated time that makes a test short.
+/// Options with a high time scale, to keep the tests short.
 const FAST: [&str; 2] = ["--time-scale", "50"];
 
 async fn complete(
@@ -19,7 +19,7 @@
     send(Method::POST, address, path, headers, body.to_string()).await
 }
 
-/// The numbers of the events and the text that their tokens make up.
+/// Returns the numbers of the events and the text of their tokens.
 fn events(text: &str) -> (Vec<u32>, String) {
     let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
     let numbers = ids.map(|id| id.rsplit_once(':').unwrap().1.parse().unwrap());
@@ -36,7 +36,7 @@
 }
 
 #[actix_rt::test]
-async fn whole_answers_carry_their_text_and_usage() {
+async fn complete_responses_have_the_expected_text_and_usage() {
     for options in [["--time-scale", "50"].as_slice(), &["--instant"]] {
         let address = engine(options);
         let body = json!({ "model": "m", "prompt": "one two three", "max_tokens": 40 });
@@ -64,16 +64,15 @@
 }
 
 #[actix_rt::test]
-async fn a_dropped_stream_is_resumed_with_each_event_once() {
-    // Symptom: the connection of a stream breaks partway.
-    // Sequence: seven events are sent, the connection drops, another connection asks for the rest.
-    // Cause: the fault switch, as the death of the entry between would do.
+async fn dropped_stream_resumes_with_each_event_once() {
+    // Guards against lost or repeated events after a connection drops partway, as when the entry in
+    // between crashes: seven events are sent, then another connection asks for the rest.
     let address = engine(&FAST);
     fault(address, json!({ "drop_streams": 1, "after_events": 7 })).await;
     let headers = [("x-stream-id", "s1")];
     let body = json!({ "prompt": "p", "max_tokens": 30, "stream": true });
     let broken = complete(address, "/v1/completions", &headers, body).await;
-    // What was sent before the break has come: the rest alone makes the answer whole.
+    // All events sent before the drop arrived, so resuming after them completes the response.
     let before = broken.err().unwrap();
     assert!(events(&before).0.into_iter().eq(0..7));
     let all = get(address, "/engine/streams/s1?from=0").await.text;
@@ -91,7 +90,7 @@
 }
 
 #[actix_rt::test]
-async fn a_cut_stream_cannot_be_resumed() {
+async fn cut_stream_cannot_be_resumed() {
     let address = engine(&FAST);
     fault(address, json!({ "cut_streams": 1, "after_events": 2 })).await;
     let body = json!({ "prompt": "p", "max_tokens": 30, "stream": true });
@@ -105,10 +104,9 @@
 }
 
 #[actix_rt::test]
-async fn a_crash_within_a_stream_leaves_what_was_sent() {
-    // Symptom: the stream breaks off and nobody listens at the engine's address any more.
-    // Sequence: three events are sent, the process exits.
-    // Cause: the fault switch, as a crash of the engine.
+async fn crash_within_a_stream_keeps_the_events_already_sent() {
+    // Guards against losing events that were sent before an engine crash: three events are sent,
+    // then the process exits and no longer listens at its address.
     let (mut child, address) = spawn(env!("CARGO_BIN_EXE_standin-engine"));
     fault(address, json!({ "exit_streams": 1, "after_events": 3 })).await;
     let body = json!({ "prompt": "p", "max_tokens": 30, "stream": true });
@@ -118,7 +116,7 @@
 }
 
 #[actix_rt::test]
-async fn an_order_that_fails_or_is_stuck_leaves_the_engine_as_it_was() {
+async fn failed_order_leaves_the_engine_unchanged_and_stuck_order_keeps_running() {
     let address = engine(&["--time-scale", "500"]);
     fault(address, json!({ "fail_orders": 1 })).await;
     let order = |id: u64| json!({ "order": id, "fence": 1, "kind": "set_role", "role": "decode" });
@@ -132,7 +130,7 @@
     .await;
     let lost = complete(address, "/engine/orders", &[], order(8)).await;
     assert!(lost.is_err());
-    // The answer was lost, the order was not: a repeat tells that it runs.
+    // Only the response was lost: repeating the order shows that it is running.
     let repeat = post(address, "/engine/orders", order(8)).await;
     assert_eq!(
         (repeat.status, &repeat.json()["state"]),
@@ -141,7 +139,7 @@
 }
 
 #[actix_rt::test]
-async fn cancel_ends_the_work_and_is_idempotent() {
+async fn cancel_ends_the_job_and_is_idempotent() {
     let address = engine(&["--time-scale", "0.001"]);
     let body = json!({ "prompt": "p", "max_tokens": 30 });
     let headers = [("x-stream-id", "s1")];
@@ -160,7 +158,7 @@
 }
 
 #[actix_rt::test]
-async fn an_order_cuts_what_is_open_and_old_fences_are_refused() {
+async fn order_cuts_open_requests_and_outdated_fencing_tokens_are_rejected() {
     let address = engine(&["--time-scale", "0.01"]);
     let body = json!({ "prompt": "p", "max_tokens": 30 });
     let open = complete(address, "/v1/completions", &[], body.clone());
@@ -196,7 +194,7 @@
 }
 
 #[actix_rt::test]
-async fn a_load_takes_its_weights_from_the_store() {
+async fn model_load_fetches_weights_from_the_weight_store() {
     let store = platform(&["--weight-bytes", "200000"]).to_string();
     let address = engine(&["--time-scale", "500", "--weights", &store, "--model", "m@1"]);
     let body = json!({ "model": "k", "prompt": "p", "max_tokens": 2 });
@@ -214,7 +212,7 @@
 }
 
 #[actix_rt::test]
-async fn kv_moves_between_engines_and_saves_the_prefill() {
+async fn imported_kv_replaces_the_prefill() {
     let prefill = engine(&["--role", "prefill", "--time-scale", "50"]);
     let decode = engine(&["--role", "decode", "--time-scale", "50"]);
     let prompt = "word ".repeat(300);
@@ -234,16 +232,16 @@
     let answer = reply.unwrap().json();
     assert_eq!(answer["choices"][0]["text"], expected_text(&prompt, 9));
     assert_eq!(answer["usage"]["cached_tokens"], 300);
-    // Both handles are used up; a completion that names one all the same runs its prefill.
+    // Both handles are consumed; a completion that names one anyway runs its prefill.
     assert_eq!(post(decode, "/engine/kv/import", import).await.status, 502);
     let reply = complete(prefill, "/v1/completions", &headers, request).await;
     assert_eq!(reply.unwrap().json()["usage"]["cached_tokens"], 288);
 }
 
 #[actix_rt::test]
-async fn a_crossed_answer_is_that_of_the_request_before() {
+async fn crossed_response_belongs_to_the_previous_request() {
     let address = engine(&FAST);
-    let ask = |id: &'static str| {
+    let send_prompt = |id: &'static str| {
         let body = json!({ "prompt": id, "max_tokens": 4 });
         async move {
             let headers = [("x-request-id", id)];
@@ -257,9 +255,9 @@
             (reply.request_id, text)
         }
     };
-    let own = |id: &str| (id.to_owned(), expected_text(id, 4));
-    assert_eq!(ask("r1").await, own("r1"));
+    let expected = |id: &str| (id.to_owned(), expected_text(id, 4));
+    assert_eq!(send_prompt("r1").await, expected("r1"));
     fault(address, json!({ "crossed": 1 })).await;
-    assert_eq!(ask("r2").await, own("r1"));
-    assert_eq!(ask("r3").await, own("r3"));
+    assert_eq!(send_prompt("r2").await, expected("r1"));
+    assert_eq!(send_prompt("r3").await, expected("r3"));
 }
--- a/crates/standin/tests/http/main.rs
+++ b/crates/standin/tests/http/main.rs
@@ -1,6 +1,6 @@
-//! The three programs over HTTP.
+//! Tests of the three programs over HTTP.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by it")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod common;
 mod engine;
--- a/crates/standin/tests/http/platform.rs
+++ b/crates/standin/tests/http/platform.rs
@@ -1,4 +1,4 @@
-//! `standin-platform` over HTTP.
+//! Tests of `standin-platform` over HTTP.
 
 use crate::common::{fault, get, platform, post, send};
 use actix_http::Method;
@@ -6,10 +6,9 @@
 use serde_json::json;
 
 #[actix_rt::test]
-async fn a_lost_answer_leaves_its_effect() {
-    // Symptom: an append seems to have failed, yet its record stands.
-    // Sequence: append, effect, the connection drops before the answer.
-    // Cause: the fault switch, as an outage of the platform between effect and answer.
+async fn append_with_a_lost_response_takes_effect() {
+    // An append whose connection drops between its effect and its response, as in an outage of the
+    // platform, looks failed to the caller although its record is stored.
     let log = platform(&[]);
     fault(log, json!({ "lose_answers": 1 })).await;
     let lost = send(Method::POST, log, "/log/append", &[], "one".to_owned()).await;
@@ -22,7 +21,7 @@
 }
 
 #[actix_rt::test]
-async fn appends_and_reads_are_out_apart() {
+async fn appends_and_reads_have_separate_outages() {
     let log = platform(&[]);
     fault(log, json!({ "append": "refuse" })).await;
     assert_eq!(post(log, "/log/append", json!(1)).await.status, 503);
@@ -33,7 +32,7 @@
 }
 
 #[actix_rt::test]
-async fn a_read_waits_for_its_record() {
+async fn read_waits_for_the_next_record() {
     let log = platform(&[]);
     let read = get(log, "/log/read?from=1&wait_ms=60000");
     let (page, _) = join(read, post(log, "/log/append", json!(1))).await;
@@ -41,7 +40,7 @@
 }
 
 #[actix_rt::test]
-async fn what_is_no_longer_retained_is_gone() {
+async fn read_before_the_retained_records_returns_gone() {
     let log = platform(&["--retention-count", "2"]);
     for record in 0..4 {
         post(log, "/log/append", json!(record)).await;
@@ -54,7 +53,7 @@
 }
 
 #[actix_rt::test]
-async fn appends_over_the_rate_are_refused() {
+async fn appends_above_the_rate_limit_are_rejected() {
     let log = platform(&["--append-rate", "0.001"]);
     assert_eq!(post(log, "/log/append", json!(1)).await.status, 200);
     assert_eq!(post(log, "/log/append", json!(1)).await.status, 429);
@@ -62,7 +61,7 @@
 }
 
 #[actix_rt::test]
-async fn the_weight_store_refuses_one_transfer_too_many() {
+async fn weight_store_rejects_transfers_above_the_limit() {
     let store = platform(&["--weight-transfers", "1", "--weight-rate", "100000"]);
     let url = format!("http://{store}/weights/m/1?adapter=");
     let running = awc::Client::default().get(&url).send().await.unwrap();
@@ -71,7 +70,7 @@
 }
 
 #[actix_rt::test]
-async fn unknown_switches_are_refused_whole() {
+async fn request_with_an_unknown_switch_changes_nothing() {
     let log = platform(&[]);
     let refused = post(log, "/fault", json!({ "lose_answers": 1, "typo": 1 })).await;
     assert_eq!(refused.status, 400);
--- a/crates/standin/tests/http/service.rs
+++ b/crates/standin/tests/http/service.rs
@@ -1,4 +1,4 @@
-//! `standin-service` over HTTP, and as a process.
+//! Tests of `standin-service` over HTTP and as a process.
 
 use std::process::Command;
 
@@ -7,10 +7,9 @@
 use serde_json::json;
 
 #[actix_rt::test]
-async fn a_call_that_ran_and_was_not_answered_is_counted() {
-    // Symptom: the caller sees a broken connection, and a repeat runs the call twice.
-    // Sequence: the service executes, its connection drops, the caller tries again.
-    // Cause: the fault switch; the count is what proves or disproves "at most once".
+async fn executed_call_without_response_is_counted() {
+    // The service executes a call and its connection drops, so that the caller's retry executes the
+    // call again. Checks of "at most once" rely on both executions being counted.
     let address = service();
     fault(address, json!({ "drop_after": 1 })).await;
     let headers = [("x-request-id", "r1"), ("idempotency-key", "k1")];
@@ -26,7 +25,7 @@
 }
 
 #[actix_rt::test]
-async fn a_call_dropped_before_did_not_run() {
+async fn call_dropped_before_execution_is_not_counted() {
     let address = service();
     fault(address, json!({ "drop_before": 1 })).await;
     let dropped = send(Method::POST, address, "/pay", &[], "ten".to_owned()).await;
@@ -35,7 +34,7 @@
 }
 
 #[actix_rt::test]
-async fn a_crossed_answer_carries_the_id_of_another_request() {
+async fn crossed_response_has_the_id_of_another_request() {
     let address = service();
     let call = |id| async move {
         let headers = [("x-request-id", id)];
@@ -49,7 +48,7 @@
 }
 
 #[actix_rt::test]
-async fn the_process_exits_between_execution_and_answer() {
+async fn process_exits_between_execution_and_response() {
     let (mut child, address) = spawn(env!("CARGO_BIN_EXE_standin-service"));
     fault(address, json!({ "exit_after": 1 })).await;
     let call = send(Method::POST, address, "/pay", &[], "ten".to_owned()).await;
@@ -58,7 +57,7 @@
 }
 
 #[actix_rt::test]
-async fn the_process_ends_cleanly_on_sigterm() {
+async fn process_exits_cleanly_on_sigterm() {
     let (mut child, address) = spawn(env!("CARGO_BIN_EXE_standin-service"));
     assert_eq!(get(address, "/x").await.status, 200);
     let killed = Command::new("kill").arg(child.id().to_string()).status();
--- a/crates/standin/tests/pure.rs
+++ b/crates/standin/tests/state.rs
@@ -1,4 +1,5 @@
-//! The other pure parts: prefix cache, orders, cache events, load history, log and instance list.
+//! Tests of the other modules without I/O: completion text, prefix cache, orders, cache events,
+//! load history, log and instance list.
 
 use std::time::Duration;
 
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn a_chain_covers_everything_before_its_block() {
+fn block_hash_covers_the_preceding_prompt() {
     let one = block_hashes("m", "a b c d e f g", 2);
     let other = block_hashes("m", "a b x d e f", 2);
     assert_eq!(one.len(), 3);
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn the_cache_evicts_the_end_of_the_oldest_prompt_first() {
+fn cache_evicts_the_end_of_the_oldest_prompt_first() {
     let mut cache = Cache::new(2, 6);
     let (old, new) = (
         block_hashes("m", "a b c d", 2),
@@ -59,41 +60,41 @@
 }
 
 #[test]
-fn an_old_fence_is_refused_and_a_repeat_has_no_second_effect() {
-    let mut book = OrderTable::new(true);
-    assert_eq!(book.submit(31, 12), Decision::Begin);
-    assert_eq!(book.submit(31, 12), Decision::Known(State::Running));
-    assert_eq!(book.submit(32, 13), Decision::Busy(31));
-    // The refused order has told of the newer holder already.
-    assert_eq!(book.submit(33, 12), Decision::OldFence(13));
-    book.finish(31, State::Done);
-    assert_eq!(book.submit(31, 12), Decision::Known(State::Done));
-    assert_eq!(book.submit(32, 13), Decision::Begin);
-    assert_matches!(book.running(), Some(known) if known.order == 32);
+fn outdated_fencing_token_is_rejected_and_repeat_has_no_effect() {
+    let mut orders = OrderTable::new(true);
+    assert_eq!(orders.submit(31, 12), Decision::Begin);
+    assert_eq!(orders.submit(31, 12), Decision::Known(State::Running));
+    assert_eq!(orders.submit(32, 13), Decision::Busy(31));
+    // The order rejected as busy has raised the newest token already.
+    assert_eq!(orders.submit(33, 12), Decision::OldFence(13));
+    orders.finish(31, State::Done);
+    assert_eq!(orders.submit(31, 12), Decision::Known(State::Done));
+    assert_eq!(orders.submit(32, 13), Decision::Begin);
+    assert_matches!(orders.running(), Some(status) if status.order == 32);
 }
 
 #[test]
-fn an_engine_that_ignores_fences_obeys_an_old_holder() {
-    let mut book = OrderTable::new(false);
-    assert_eq!(book.submit(32, 13), Decision::Begin);
-    book.finish(32, State::Done);
-    assert_eq!(book.submit(31, 12), Decision::Begin);
-    assert_eq!(book.fence(), 13);
+fn outdated_fencing_token_is_accepted_without_the_check() {
+    let mut orders = OrderTable::new(false);
+    assert_eq!(orders.submit(32, 13), Decision::Begin);
+    orders.finish(32, State::Done);
+    assert_eq!(orders.submit(31, 12), Decision::Begin);
+    assert_eq!(orders.fence(), 13);
 }
 
 #[test]
-fn a_cancelled_order_never_begins() {
-    let mut book = OrderTable::new(true);
-    assert_eq!(book.cancel(31, 12), Decision::Known(State::Cancelled));
-    assert_eq!(book.submit(31, 12), Decision::Known(State::Cancelled));
-    assert_eq!(book.submit(32, 12), Decision::Begin);
-    assert_eq!(book.cancel(32, 12), Decision::Known(State::Running));
-    assert_eq!(book.cancel(33, 11), Decision::OldFence(12));
-    assert_matches!(book.running(), Some(known) if known.order == 32);
+fn cancelled_order_never_begins() {
+    let mut orders = OrderTable::new(true);
+    assert_eq!(orders.cancel(31, 12), Decision::Known(State::Cancelled));
+    assert_eq!(orders.submit(31, 12), Decision::Known(State::Cancelled));
+    assert_eq!(orders.submit(32, 12), Decision::Begin);
+    assert_eq!(orders.cancel(32, 12), Decision::Known(State::Running));
+    assert_eq!(orders.cancel(33, 11), Decision::OldFence(12));
+    assert_matches!(orders.running(), Some(status) if status.order == 32);
 }
 
 #[test]
-fn cache_events_come_late_and_with_gaps() {
+fn cache_events_are_delayed_and_have_gaps() {
     let mut log = events::EventLog::new(SECOND);
     let stored = |hash| Change::Stored { hash, tokens: 16 };
     log.push(Duration::ZERO, stored(1), false);
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn a_load_report_is_as_old_as_its_lag() {
+fn load_report_is_at_least_as_old_as_the_lag() {
     let mut history = LoadHistory::default();
     for running in 0..5 {
         let load = Load {
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn the_log_retains_by_age() {
+fn log_retains_records_by_age() {
     let mut log = Log::new(limits());
     for second in 0..20 {
         let offset = log.append(second * SECOND, Bytes::from(vec![second as u8]));
@@ -144,13 +145,13 @@
         assert_eq!(offsets.collect::<Vec<_>>(), [(10, 9), (11, 10), (12, 11)]);
     });
     assert_eq!(log.read(19 * SECOND, 21, 3), Page::Records(Vec::new()));
-    // Offsets go on when nothing is left.
+    // Offsets continue after all records expired.
     assert_eq!(log.read(99 * SECOND, 20, 3), Page::Gone);
     assert_eq!((log.first(), log.next()), (21, 21));
 }
 
 #[test]
-fn the_log_retains_by_count_and_bounds_the_rate() {
+fn log_retains_records_by_count_and_limits_the_append_rate() {
     let mut log = Log::new(Limits {
         max_records: 3,
         append_rate: 40.0,
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn the_instance_list_lags_and_freezes() {
+fn instance_list_lags_and_freezes() {
     let mut list = List::new();
     list.register(
         SECOND,
