--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -67,8 +67,8 @@
 }
 
 impl Order {
-    /// Whether the order fetches weights from the rate-limited weight store.
-    pub fn uses_weight_store(&self) -> bool {
+    /// The weights come from the rate-limited weight store.
+    pub fn downloads_weights(&self) -> bool {
         matches!(self, Self::LoadModel(_))
     }
 }
--- a/crates/authority/src/planner.rs
+++ b/crates/authority/src/planner.rs
@@ -250,7 +250,7 @@
             return;
         };
         let admitted = state.pending_order(upstream).is_some_and(|pending| {
-            !pending.action.uses_weight_store()
+            !pending.action.downloads_weights()
                 || state.pending_loads_before(order) < self.bounds.max_loads
         });
         let permit = Permit { grant, admitted };
--- a/crates/authority/src/state.rs
+++ b/crates/authority/src/state.rs
@@ -124,13 +124,13 @@
         self.recent.iter()
     }
 
-    /// Number of pending orders that fetch weights and have a smaller id. A holder sends such an
+    /// Number of pending orders that download weights and have a smaller id. A holder sends such an
     /// order only while this number is below the weight store's limit. The folded prefix contains
     /// all earlier orders, so holders of different scopes keep the limit without communicating.
     pub fn pending_loads_before(&self, order: OrderId) -> usize {
         let loads = self.pending.values();
         loads
-            .filter(|pending| pending.action.uses_weight_store() && pending.order < order)
+            .filter(|pending| pending.action.downloads_weights() && pending.order < order)
             .count()
     }
 
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -359,7 +359,7 @@
 
     /// Drops the work of silent instances, and stage changes that did not happen in time.
     pub fn expire(&mut self, now: Moment) {
-        self.throttles.expire(now);
+        self.throttles.forget_long_lifted_limits(now);
         let engines = &mut self.engines;
         self.stage_changes.retain(|id| {
             let Some(engine) = engines.get_mut(id) else {
--- a/crates/serving/src/throttle.rs
+++ b/crates/serving/src/throttle.rs
@@ -262,8 +262,8 @@
             .collect()
     }
 
-    /// Forgets limits that were lifted a while ago.
-    pub fn expire(&mut self, now: Moment) {
+    /// Forgets limits that were lifted `LIFTED_MEMORY` ago or earlier.
+    pub fn forget_long_lifted_limits(&mut self, now: Moment) {
         self.limits.retain(|_, limit| {
             limit.last.limit.is_some() || now.saturating_sub(limit.last.at) < LIFTED_MEMORY
         });
--- a/crates/serving/tests/throttle.rs
+++ b/crates/serving/tests/throttle.rs
@@ -185,7 +185,7 @@
     let mut throttles = throttles(0, &[0]);
     throttles.merge(&id("e"), announcement(1.0, ms(100)), ms(100));
     throttles.merge(&id("e"), announcement(None, ms(200)), ms(210));
-    throttles.expire(ms(900));
+    throttles.forget_long_lifted_limits(ms(900));
     assert!(!throttles.merge(&id("e"), announcement(1.0, ms(150)), ms(900)));
     assert_eq!(throttles.count(), 0);
     assert!(throttles.merge(&id("e"), announcement(2.0, ms(300)), ms(900)));
