--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Records that an engine began the request. Counted once, however many engines it goes to.
-    pub(crate) fn note_started(&self, instance: &Instance, at: UnixTime) {
+    /// Called when an engine has begun the request, which may go to several.
+    pub(crate) fn count_once_in_organisation_usage(&self, instance: &Instance, at: UnixTime) {
         if let Some(organisation) = self.principal.organisation()
             && !self.is_counted.replace(true)
         {
@@ -401,7 +401,7 @@
         }
         Ok(response) => {
             if is_plain {
-                request.note_started(instance, sent);
+                request.count_once_in_organisation_usage(instance, sent);
             }
             request.is_trial.set(false);
             AttemptResult::Answer(Box::new(response))
@@ -410,7 +410,7 @@
         Err(failure) => {
             // It may have run, and usually has.
             if is_plain {
-                request.note_started(instance, sent);
+                request.count_once_in_organisation_usage(instance, sent);
             }
             request.is_trial.set(false);
             AttemptResult::Lost(failure)
--- a/crates/gateway/src/claim_log.rs
+++ b/crates/gateway/src/claim_log.rs
@@ -55,7 +55,7 @@
         {
             return (own, Vec::new());
         }
-        let numbers = self.sizes.borrow().numbers();
+        let numbers = self.sizes.borrow().last_ordered_counts();
         (own, numbers.into_iter().map(encode).collect())
     }
 
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -159,8 +159,7 @@
 /// Longest wait of a call at an instance that has just started and is still receiving state. Most
 /// sync sooner; one that does not sends its callers elsewhere.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
-/// Interval between checks.
-const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const SYNC_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits a short time for the configuration and the engines.
 ///
@@ -170,7 +169,7 @@
     let until = Instant::now() + SYNC_TIMEOUT;
     let is_unsynced = || !instance.is_synced() || !knows_held(instance);
     while is_unsynced() && Instant::now() < until {
-        sleep(POLL_INTERVAL).await;
+        sleep(SYNC_POLL_INTERVAL).await;
     }
 }
 
--- a/crates/gateway/src/crash_detection.rs
+++ b/crates/gateway/src/crash_detection.rs
@@ -33,8 +33,8 @@
 /// break before its listener closes, so a connection proves that the engine runs only after it has
 /// lasted this long.
 const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(350);
-/// Pause between two checks of such a connection.
-const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Pause between two checks whether such a connection is still open.
+const CONNECTION_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Pause between two probes of an engine that does not answer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Probes of an engine that does not answer; on a silent link each takes the whole connect
@@ -217,7 +217,7 @@
         if Instant::now() >= until {
             return true;
         }
-        sleep(POLL_INTERVAL).await;
+        sleep(CONNECTION_POLL_INTERVAL).await;
     }
     false
 }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -160,7 +160,7 @@
             if sizes.is_empty() {
                 sizes.adopt(&standing.numbers, self.instance.now());
             }
-            sizes.numbers()
+            sizes.last_ordered_counts()
         };
         let grant = self.claims.claim(&standing, &reports, numbers).await?;
         self.instance.claim_log.record(grant.fence);
--- a/crates/gateway/src/engine_call.rs
+++ b/crates/gateway/src/engine_call.rs
@@ -114,7 +114,7 @@
     /// The engine has begun to decode.
     pub(crate) fn on_generation_started(&self) {
         self.request
-            .note_started(self.instance, self.instance.unix());
+            .count_once_in_organisation_usage(self.instance, self.instance.unix());
         self.on_first_answer("generate");
     }
 
--- a/crates/gateway/src/generate/memory.rs
+++ b/crates/gateway/src/generate/memory.rs
@@ -13,8 +13,7 @@
 use crate::instance::Instance;
 use crate::limits;
 
-/// Time-out of the call that frees a KV cache.
-const FREE_TIMEOUT: Duration = Duration::from_millis(500);
+const KV_CACHE_FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Frees the KV cache on drop unless it was fetched.
 pub(super) struct MemoryGuard {
@@ -50,12 +49,12 @@
 }
 
 async fn free(instance: Rc<Instance>, holder: EngineId, memory: KvLocation) {
-    let patience = TcpTimeouts::within(FREE_TIMEOUT);
+    let patience = TcpTimeouts::within(KV_CACHE_FREE_TIMEOUT);
     let freeing = async {
         let mut client = Client::open(memory.address, &patience, &instance.codec).await?;
         client.send(upstream::free_kv(&memory), &Bytes::new()).await
     };
-    if let Ok(Ok(answer)) = timeout(FREE_TIMEOUT, freeing).await {
+    if let Ok(Ok(answer)) = timeout(KV_CACHE_FREE_TIMEOUT, freeing).await {
         limits::observe_announced(&instance, &holder, upstream::announced_limit(&answer.head));
     } else {
         log::debug!(handle = memory.handle.as_str(); "an unused KV cache could not be freed; it expires at its engine");
--- a/crates/gateway/src/pool_sizes.rs
+++ b/crates/gateway/src/pool_sizes.rs
@@ -63,11 +63,11 @@
     /// Whether no order is known, of this instance or others.
     pub(crate) fn is_empty(&self) -> bool {
         let is_none = |numbers: &EngineCounts| numbers.firm.or(numbers.reclaimable).is_none();
-        self.numbers().iter().all(is_none)
+        self.last_ordered_counts().iter().all(is_none)
     }
 
-    /// Numbers that were ordered last, and those that the deployment started with.
-    pub(crate) fn numbers(&self) -> Vec<EngineCounts> {
+    /// Includes the numbers that the deployment started with.
+    pub(crate) fn last_ordered_counts(&self) -> Vec<EngineCounts> {
         let planners = self.planners.iter();
         let numbers = planners.flat_map(|(service, planner)| {
             let book = planner.zone_states().into_iter();
--- a/crates/gateway/src/warmup.rs
+++ b/crates/gateway/src/warmup.rs
@@ -23,10 +23,10 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time that peers get to announce what they know, once the engines are known.
 const PEER_GRACE: Duration = Duration::from_millis(150);
-/// Time for one engine's response.
-const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// For each engine.
+const HELD_PARTS_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Shorter than for calls: a late response is of no use.
-const PATIENCE: TcpTimeouts = TcpTimeouts::within(RESPONSE_TIMEOUT);
+const PATIENCE: TcpTimeouts = TcpTimeouts::within(HELD_PARTS_RESPONSE_TIMEOUT);
 
 /// Warms up each time this instance becomes a placer.
 pub(crate) async fn run(instance: Rc<Instance>) {
@@ -60,7 +60,7 @@
         if !limits::try_charge(instance, &engine.id) {
             continue;
         }
-        match timeout(RESPONSE_TIMEOUT, query(instance, engine)).await {
+        match timeout(HELD_PARTS_RESPONSE_TIMEOUT, query(instance, engine)).await {
             Ok(Some(parts)) => {
                 known += parts.len();
                 record(instance, &engine.id, &parts);
--- a/crates/routing/src/plan/threshold.rs
+++ b/crates/routing/src/plan/threshold.rs
@@ -14,8 +14,8 @@
 /// Utilisation below which a side can spare an engine.
 const SPARE_BELOW: f64 = 0.7;
 
-/// Time for which both conditions must hold.
-const HOLD_TIME: Duration = Duration::from_secs(5);
+/// Time for which one side must be busy while the other can spare an engine.
+const MIN_IMBALANCE_TIME: Duration = Duration::from_secs(5);
 
 /// Least time between changes.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_secs(10);
@@ -44,7 +44,7 @@
         let rested = self
             .changed_at
             .is_none_or(|changed| now.saturating_sub(changed) >= MIN_CHANGE_INTERVAL);
-        (rested && now.saturating_sub(since) >= HOLD_TIME).then_some(transition)
+        (rested && now.saturating_sub(since) >= MIN_IMBALANCE_TIME).then_some(transition)
     }
 
     pub(super) fn record_change(&mut self, now: Moment) {
--- a/crates/serving/src/health.rs
+++ b/crates/serving/src/health.rs
@@ -143,13 +143,13 @@
     pub fn record(&mut self, peer: PeerId, outcome: Outcome, now: Moment) {
         match outcome {
             Outcome::Success | Outcome::Overloaded => self.health.record(outcome, now),
-            Outcome::Failed | Outcome::Unreachable => self.on_failure(peer, now),
+            Outcome::Failed | Outcome::Unreachable => self.on_call_failure_report(peer, now),
             // Reported by a change of its own.
             Outcome::Ended => {}
         }
     }
 
-    fn on_failure(&mut self, peer: PeerId, now: Moment) {
+    fn on_call_failure_report(&mut self, peer: PeerId, now: Moment) {
         let previous = self.last_failure.replace((peer, now));
         let is_corroborated = |(other, at): (PeerId, Moment)| {
             other != peer && now.saturating_sub(at) <= CORROBORATION_WINDOW
