--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims in the store of the right to order engines and to perform duties. [`serving::turn`]
+//! Claims in the store of the right to order engines and to perform duties. [`serving::claim`]
 //! decides who may claim.
 
 use std::fmt;
